--- a/internal/findings/yaml.go
+++ b/internal/findings/yaml.go
@@ -13,17 +13,17 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Place is a position in a source.
-type Place struct {
+// Position is a position in a source.
+type Position struct {
 	Line   int
 	Column int
 }
 
 // Document is a YAML document whose values can be located.
 type Document struct {
-	file   string
-	node   ast.Node
-	places map[string]Place
+	file      string
+	node      ast.Node
+	positions map[string]Position
 }
 
 // ParseYAML splits a source into its documents. Empty documents are left out.
@@ -33,13 +33,13 @@
 		return nil, &Error{Findings: []Finding{syntaxFinding(file, err)}}
 	}
 	var documents []Document
-	for _, document := range parsed.Docs {
-		if document.Body == nil || document.Body.Type() == ast.NullType {
+	for _, doc := range parsed.Docs {
+		if doc.Body == nil || doc.Body.Type() == ast.NullType {
 			continue
 		}
-		located := Document{file: file, node: document.Body, places: map[string]Place{}}
-		located.index("", document.Body)
-		documents = append(documents, located)
+		document := Document{file: file, node: doc.Body, positions: map[string]Position{}}
+		document.index("", doc.Body)
+		documents = append(documents, document)
 	}
 	return documents, nil
 }
@@ -58,8 +58,8 @@
 
 func (d *Document) index(path string, node ast.Node) {
 	token := node.GetToken()
-	if _, known := d.places[path]; !known && token != nil {
-		d.places[path] = Place{Line: token.Position.Line, Column: token.Position.Column}
+	if _, known := d.positions[path]; !known && token != nil {
+		d.positions[path] = Position{Line: token.Position.Line, Column: token.Position.Column}
 	}
 	switch typed := node.(type) {
 	case *ast.MappingNode:
@@ -78,7 +78,7 @@
 func (d *Document) indexEntry(path string, entry *ast.MappingValueNode) {
 	child := join(path, entry.Key.String())
 	position := entry.Key.GetToken().Position
-	d.places[child] = Place{Line: position.Line, Column: position.Column}
+	d.positions[child] = Position{Line: position.Line, Column: position.Column}
 	d.index(child, entry.Value)
 }
 
@@ -95,21 +95,21 @@
 	located := make([]Finding, len(found))
 	for i, finding := range found {
 		finding.File = d.file
-		place := d.nearest(finding.Path)
-		finding.Line, finding.Column = place.Line, place.Column
+		position := d.nearestPosition(finding.Path)
+		finding.Line, finding.Column = position.Line, position.Column
 		located[i] = finding
 	}
 	return located
 }
 
-func (d *Document) nearest(path string) Place {
+func (d *Document) nearestPosition(path string) Position {
 	for {
-		if place, ok := d.places[path]; ok {
-			return place
+		if position, ok := d.positions[path]; ok {
+			return position
 		}
 		cut := strings.LastIndexAny(path, ".[")
 		if cut < 0 {
-			return d.places[""]
+			return d.positions[""]
 		}
 		path = path[:cut]
 	}
@@ -153,30 +153,30 @@
 
 var rawMessage = reflect.TypeOf(json.RawMessage(nil))
 
-func typeName(kind reflect.Type) string {
-	switch kind.Kind() {
+func typeName(typ reflect.Type) string {
+	switch typ.Kind() {
 	case reflect.Slice:
 		return "a list"
 	case reflect.Struct, reflect.Map:
 		return "a mapping"
 	default:
-		return kind.Kind().String()
+		return typ.Kind().String()
 	}
 }
 
-func unknownKeys(found *List, path string, value any, kind reflect.Type) {
-	for kind.Kind() == reflect.Pointer {
-		kind = kind.Elem()
+func unknownKeys(found *List, path string, value any, typ reflect.Type) {
+	for typ.Kind() == reflect.Pointer {
+		typ = typ.Elem()
 	}
-	if kind == rawMessage || reflect.PointerTo(kind).Implements(reflect.TypeFor[json.Unmarshaler]()) {
+	if typ == rawMessage || reflect.PointerTo(typ).Implements(reflect.TypeFor[json.Unmarshaler]()) {
 		return
 	}
 	switch typed := value.(type) {
 	case map[string]any:
-		if kind.Kind() != reflect.Struct {
+		if typ.Kind() != reflect.Struct {
 			return
 		}
-		fields := jsonFields(kind)
+		fields := jsonFields(typ)
 		for key, child := range typed {
 			field, ok := fields[key]
 			if !ok {
@@ -186,23 +186,23 @@
 			unknownKeys(found, join(path, key), child, field)
 		}
 	case []any:
-		if kind.Kind() != reflect.Slice {
+		if typ.Kind() != reflect.Slice {
 			return
 		}
 		for i, child := range typed {
-			unknownKeys(found, path+"["+strconv.Itoa(i)+"]", child, kind.Elem())
+			unknownKeys(found, path+"["+strconv.Itoa(i)+"]", child, typ.Elem())
 		}
 	}
 }
 
-func jsonFields(kind reflect.Type) map[string]reflect.Type {
+func jsonFields(typ reflect.Type) map[string]reflect.Type {
 	fields := map[string]reflect.Type{}
-	for i := range kind.NumField() {
-		field := kind.Field(i)
+	for i := range typ.NumField() {
+		field := typ.Field(i)
 		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 		if field.Anonymous && name == "" {
-			for inner, innerKind := range jsonFields(field.Type) {
-				fields[inner] = innerKind
+			for inner, innerType := range jsonFields(field.Type) {
+				fields[inner] = innerType
 			}
 			continue
 		}
