--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -19,11 +19,11 @@
 	// Refuse for other work.
 	RefuseRequest(ctx context.Context, work func() quarantine.Work) error
 	Refuse(work func() quarantine.Work) error
-	// EndedWell takes in a whole answer to a work.
-	EndedWell(work quarantine.Work)
-	// BrokeOff takes in that a replica's answer to a run broke off. It returns when it is
+	// RecordSuccess takes in a whole answer to a work.
+	RecordSuccess(work quarantine.Work)
+	// RecordInterruption takes in that a replica's answer to a run broke off. It returns when it is
 	// known whether the replica ended, or after a short time.
-	BrokeOff(ctx context.Context, replica quarantine.Replica, run quarantine.Run)
+	RecordInterruption(ctx context.Context, replica quarantine.Replica, run quarantine.Run)
 }
 
 // MayHaveEnded reports whether an attempt ended as it does if its replica ends: after the
@@ -56,8 +56,8 @@
 	switch {
 	case guard == nil:
 	case err == nil && c.status < http.StatusInternalServerError:
-		guard.EndedWell(c.request.Work())
+		guard.RecordSuccess(c.request.Work())
 	case MayHaveEnded(err, c.status):
-		guard.BrokeOff(ctx, quarantine.Replica{ID: chosen.ID, Born: chosen.Born, Address: chosen.Address}, quarantine.Run{Work: c.request.Work(), Began: began})
+		guard.RecordInterruption(ctx, quarantine.Replica{ID: chosen.ID, StartTime: chosen.Born, Address: chosen.Address}, quarantine.Run{Work: c.request.Work(), SentAt: began})
 	}
 }
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -13,8 +13,8 @@
 
 func (g *toldGuard) RefuseRequest(context.Context, func() quarantine.Work) error { return nil }
 func (g *toldGuard) Refuse(func() quarantine.Work) error                         { return nil }
-func (g *toldGuard) EndedWell(quarantine.Work)                                   {}
-func (g *toldGuard) BrokeOff(_ context.Context, broken quarantine.Replica, _ quarantine.Run) {
+func (g *toldGuard) RecordSuccess(quarantine.Work)                               {}
+func (g *toldGuard) RecordInterruption(_ context.Context, broken quarantine.Replica, _ quarantine.Run) {
 	g.broken = append(g.broken, broken)
 }
 
@@ -33,7 +33,7 @@
 	if _, _, err := do(t, forwarder, patient(route.Stream, true, 2)); err != nil {
 		t.Fatal(err)
 	}
-	if len(guard.broken) != 1 || guard.broken[0].Born != 1000 {
+	if len(guard.broken) != 1 || guard.broken[0].StartTime != 1000 {
 		t.Errorf("told %+v", guard.broken)
 	}
 }
--- a/internal/jobs/harm.go
+++ b/internal/jobs/harm.go
@@ -64,11 +64,11 @@
 		return
 	}
 	if err == nil {
-		r.Quarantine.EndedWell(r.identity(one, item))
+		r.Quarantine.RecordSuccess(r.identity(one, item))
 		return
 	}
 	if one.after > from || !forward.MayHaveEnded(err, 0) {
 		return
 	}
-	r.Quarantine.BrokeOff(ctx, quarantine.Replica{ID: chosen.ID, Born: chosen.Born, Address: chosen.Address}, quarantine.Run{Work: r.identity(one, item), Began: began})
+	r.Quarantine.RecordInterruption(ctx, quarantine.Replica{ID: chosen.ID, StartTime: chosen.Born, Address: chosen.Address}, quarantine.Run{Work: r.identity(one, item), SentAt: began})
 }
--- a/internal/jobs/harm_test.go
+++ b/internal/jobs/harm_test.go
@@ -31,9 +31,9 @@
 		return nil
 	}
 	refused := &quarantine.RefusedError{}
-	refused.Quarantined, refused.Limit, refused.Last = true, 3, time.Now()
+	refused.Quarantined, refused.Limit, refused.LastCrash = true, 3, time.Now()
 	if q.trial {
-		refused.Last = time.Time{}
+		refused.LastCrash = time.Time{}
 	}
 	return refused
 }
@@ -42,13 +42,13 @@
 	return q.Refuse(work)
 }
 
-func (q *countingQuarantine) EndedWell(quarantine.Work) {
+func (q *countingQuarantine) RecordSuccess(quarantine.Work) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.well++
 }
 
-func (q *countingQuarantine) BrokeOff(_ context.Context, _ quarantine.Replica, run quarantine.Run) {
+func (q *countingQuarantine) RecordInterruption(_ context.Context, _ quarantine.Replica, run quarantine.Run) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.broken == nil {
--- a/internal/node/gatewaypeers.go
+++ b/internal/node/gatewaypeers.go
@@ -26,8 +26,8 @@
 	socket.Handle(peer.KindNews, g.takeNews)
 	socket.Handle(peer.KindEvidence, g.takeEvidence)
 	socket.Handle(peer.KindHarm, g.takeHarm)
-	g.harm.publisher.Tell, g.harm.guard.Ask = g.tellHarm, g.askHarm
-	g.harm.publisher.Written = g.tellAllNews
+	g.harm.publisher.Broadcast, g.harm.guard.QueryPeers = g.tellHarm, g.askHarm
+	g.harm.publisher.OnWritten = g.tellAllNews
 	g.jobs.Tell = g.tellNews
 	g.quota.Sender = socket
 	g.answerCold(socket)
--- a/internal/node/gatewayquarantine.go
+++ b/internal/node/gatewayquarantine.go
@@ -69,7 +69,7 @@
 
 // tellHarm tells all other nodes what ended here, and what ended well. A word that is lost
 // comes by the table.
-func (g *Gateway) tellHarm(news quarantine.News) {
+func (g *Gateway) tellHarm(news quarantine.Update) {
 	now := clock.Now()
 	var told harmTold
 	works := 0
@@ -81,15 +81,15 @@
 		told, works = harmTold{}, 0
 	}
 	for _, report := range news.Reports {
-		rest, lasted := report.Told()
-		well := g.harm.WellBefore(rest, report.At)
+		rest, lasted := report.EncodeRuns()
+		well := g.harm.EncodeSuccesses(rest, report.At)
 		for len(rest) > 0 {
 			if works >= harmWorksAtOnce || len(told.Ends) >= harmEndsAtOnce {
 				flush()
 			}
 			count := min(len(rest), harmWorksAtOnce-works)
 			told.Ends = append(told.Ends, endTold{
-				Replica: report.Replica, Born: report.Born, Works: rest[:count], Lasted: lasted[:count], Well: well[:count],
+				Replica: report.Replica, Born: report.StartTime, Works: rest[:count], Lasted: lasted[:count], Well: well[:count],
 				AgeMs: now.Sub(report.At).Milliseconds(),
 			})
 			rest, lasted, well = rest[count:], lasted[count:], well[count:]
@@ -141,7 +141,7 @@
 // goes where the question came from: a node that has just started is not among those that this
 // one knows.
 func (g *Gateway) answerHarm(to *net.UDPAddr, work quarantine.Work) {
-	at, ok := g.harm.guard.Answer(work)
+	at, ok := g.harm.guard.AnswerQuery(work)
 	if !ok {
 		return
 	}
@@ -161,11 +161,11 @@
 	now := clock.Now()
 	for _, ended := range told.Ends {
 		at := ago(now, ended.AgeMs)
-		for _, one := range quarantine.WellOf(ended.Works, ended.Well, at) {
+		for _, one := range quarantine.DecodeSuccesses(ended.Works, ended.Well, at) {
 			g.harm.Clear(one.Work, one.At)
 		}
-		g.harm.guard.Take(quarantine.Report{
-			Replica: ended.Replica, Born: ended.Born, Runs: quarantine.RunsOf(ended.Works, ended.Lasted, at), At: at,
+		g.harm.guard.RecordCrash(quarantine.CrashReport{
+			Replica: ended.Replica, StartTime: ended.Born, Runs: quarantine.DecodeRuns(ended.Works, ended.Lasted, at), At: at,
 		})
 	}
 	for _, cleared := range told.Cleared {
--- a/internal/node/gatewayquarantine_test.go
+++ b/internal/node/gatewayquarantine_test.go
@@ -115,15 +115,15 @@
 		}
 	}
 	site.eventually("the other node knows that the work ends well", func() bool {
-		_, known := gateways[1].harm.EndedWell(work)
+		_, known := gateways[1].harm.LastSuccess(work)
 		return known
 	})
 	gateways[0].Kill()
-	for i := range quarantine.DefaultReplicas {
+	for i := range quarantine.DefaultCrashLimit {
 		began := time.Now()
 		time.Sleep(10 * time.Millisecond)
-		gateways[1].harm.guard.Take(quarantine.Report{
-			Replica: fmt.Sprintf("gone-%d", i), Runs: []quarantine.Run{{Work: work, Began: began}}, At: time.Now(),
+		gateways[1].harm.guard.RecordCrash(quarantine.CrashReport{
+			Replica: fmt.Sprintf("gone-%d", i), Runs: []quarantine.Run{{Work: work, SentAt: began}}, At: time.Now(),
 		})
 	}
 	if status := site.send(gateways[1], popular); status != http.StatusOK {
@@ -143,7 +143,7 @@
 	site := newHarmSite(t, 2)
 	gateway := site.gateway("a")
 	work := quarantine.Work{1}
-	gateway.harm.guard.EndedWell(work)
+	gateway.harm.guard.RecordSuccess(work)
 	stranger, source := listenStranger(t)
 	answers := make(chan harmTold, 1)
 	stranger.Handle(peer.KindHarm, func(_ string, _ *net.UDPAddr, body []byte) {
@@ -175,11 +175,11 @@
 		Replica: "r", Born: 1000, Works: []quarantine.Work{popular, other}, AgeMs: 100, Lasted: []int64{10, 10}, Well: []int64{500, 0},
 	}}}
 	g.takeHarm("a#1", nil, encoded(t, told))
-	at, known := c.harm.EndedWell(popular)
+	at, known := c.harm.LastSuccess(popular)
 	if age := time.Since(at); !known || age < 600*time.Millisecond || age > 10*time.Second {
 		t.Errorf("work that ended well 0.6 s ago: known %v, %v ago", known, age)
 	}
-	if _, known := c.harm.EndedWell(other); known {
+	if _, known := c.harm.LastSuccess(other); known {
 		t.Error("work counts as having ended well that nobody saw")
 	}
 	if verdict := c.harm.Check(popular, time.Now()); len(verdict.Replicas) != 1 {
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -33,15 +33,15 @@
 
 // buildQuarantine joins the parts that find and keep what ends replicas.
 func (c *core) buildQuarantine(service table.Service, declared settings.Quarantine) {
-	h := &harm{List: quarantine.List{Replicas: declared.Replicas, For: time.Duration(declared.For), Unread: true}}
+	h := &harm{List: quarantine.List{CrashLimit: declared.Replicas, Window: time.Duration(declared.For), RowsPending: true}}
 	h.guard = quarantine.Guard{List: &h.List, Replicas: standings{c}, Events: c}
-	h.rows = quarantine.Rows{Partition: jobs.QuarantinePartition(), Guard: &h.guard, Malformed: c.logMalformed}
+	h.rows = quarantine.Rows{Partition: jobs.QuarantinePartition(), Guard: &h.guard, OnMalformed: c.logMalformed}
 	h.publisher = quarantine.NewPublisher(service, &h.rows, c.session.ID)
-	h.publisher.Failed = func(err error) {
+	h.publisher.OnError = func(err error) {
 		c.log.Warn().Err(err).Msg("ends of replicas not written yet")
 	}
-	h.guard.Tries = func(work quarantine.Work) bool { return c.owners.Preferred(work.String()) == c.session.ID() }
-	h.publisher.Sweeps = func() bool { return c.owners.Preferred(jobs.QuarantinePartition()) == c.session.ID() }
+	h.guard.OwnsTrials = func(work quarantine.Work) bool { return c.owners.Preferred(work.String()) == c.session.ID() }
+	h.publisher.OwnsSweep = func() bool { return c.owners.Preferred(jobs.QuarantinePartition()) == c.session.ID() }
 	c.harm = h
 	c.forwarder.Quarantine = &h.guard
 }
@@ -53,10 +53,10 @@
 
 var _ quarantine.Replicas = standings{}
 
-// Standing implements quarantine.Replicas.
-func (s standings) Standing(asked quarantine.Replica) quarantine.Standing {
+// State implements quarantine.Replicas.
+func (s standings) State(asked quarantine.Replica) quarantine.ReplicaState {
 	known, before, listed := s.replicas.Starts(asked.ID)
-	start := replica.Info{ID: asked.ID, Born: asked.Born, Address: asked.Address}
+	start := replica.Info{ID: asked.ID, Born: asked.StartTime, Address: asked.Address}
 	switch {
 	case !listed:
 		return quarantine.Gone
@@ -72,7 +72,7 @@
 }
 
 // Probe implements quarantine.Replicas.
-func (s standings) Probe(ctx context.Context, address string) quarantine.Probe {
+func (s standings) Probe(ctx context.Context, address string) quarantine.ProbeResult {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var dialer net.Dialer
@@ -84,18 +84,18 @@
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return quarantine.Refused
 	default:
-		return quarantine.Unclear
+		return quarantine.Inconclusive
 	}
 }
 
-// Ended implements quarantine.Events.
-func (c *core) Ended(report quarantine.Report) {
+// ReplicaCrashed implements quarantine.Events.
+func (c *core) ReplicaCrashed(report quarantine.CrashReport) {
 	works := make([]string, len(report.Runs))
 	for i, run := range report.Runs {
 		works[i] = run.Work.String()
 	}
-	c.log.Warn().Str("replica", report.Replica).Int64("born", report.Born).Strs("works", works).Msg("replica ended under work of this node")
-	c.harm.publisher.Report(report)
+	c.log.Warn().Str("replica", report.Replica).Int64("born", report.StartTime).Strs("works", works).Msg("replica ended under work of this node")
+	c.harm.publisher.PublishCrash(report)
 }
 
 // Cleared implements quarantine.Events.
@@ -103,7 +103,7 @@
 	c.metrics.cleared.Inc()
 	c.log.Info().Stringer("work", before.Work).Strs("replicas", before.Replicas).
 		Bool("quarantined", before.Quarantined).Msg("suspected work ended well")
-	c.harm.publisher.Clear(quarantine.Clearing{Work: before.Work, At: at})
+	c.harm.publisher.PublishClearing(quarantine.Clearing{Work: before.Work, At: at})
 }
 
 // Quarantined implements quarantine.Events.
@@ -126,7 +126,7 @@
 func suspectOf(verdict quarantine.Verdict, now time.Time) v1.Suspect {
 	suspect := v1.Suspect{
 		Work: verdict.Work.String(), Replicas: verdict.Replicas, Quarantined: verdict.Quarantined,
-		SecondsSinceEnd: now.Sub(verdict.Last).Seconds(),
+		SecondsSinceEnd: now.Sub(verdict.LastCrash).Seconds(),
 	}
 	if verdict.Quarantined {
 		suspect.SecondsLeft = verdict.Until.Sub(now).Seconds()
@@ -147,6 +147,6 @@
 	}
 	c.metrics.released.Inc()
 	c.log.Warn().Stringer("work", work).Strs("replicas", before.Replicas).Msg("work released by an operator")
-	c.harm.publisher.Clear(quarantine.Clearing{Work: work, At: now})
+	c.harm.publisher.PublishClearing(quarantine.Clearing{Work: work, At: now})
 	return suspectOf(before, now), true
 }
--- a/internal/node/quarantinestart_test.go
+++ b/internal/node/quarantinestart_test.go
@@ -14,10 +14,10 @@
 	set := replica.NewSet()
 	asked := standings{&core{replicas: set}}
 	info := replica.Info{ID: "r", Born: 3000, Address: "a", Pool: "llm", Slots: 1}
-	start := func(born int64) quarantine.Replica { return quarantine.Replica{ID: "r", Born: born, Address: "a"} }
-	expect := func(born int64, want quarantine.Standing) {
+	start := func(born int64) quarantine.Replica { return quarantine.Replica{ID: "r", StartTime: born, Address: "a"} }
+	expect := func(born int64, want quarantine.ReplicaState) {
 		t.Helper()
-		if got := asked.Standing(start(born)); got != want {
+		if got := asked.State(start(born)); got != want {
 			t.Errorf("start %d stands as %d, not %d", born, got, want)
 		}
 	}
@@ -41,7 +41,7 @@
 	expect(2000, quarantine.Serving)
 	moved := start(2000)
 	moved.Address = "b"
-	if got := asked.Standing(moved); got != quarantine.Restarted {
+	if got := asked.State(moved); got != quarantine.Restarted {
 		t.Errorf("a replica at another address stands as %d", got)
 	}
 	set.Remove("r", time.Now())
--- a/internal/node/suspend_test.go
+++ b/internal/node/suspend_test.go
@@ -46,7 +46,7 @@
 	work := quarantine.Work{1}
 	for _, id := range []string{"a", "b", "c"} {
 		now := clock.Now()
-		c.harm.guard.Take(quarantine.Report{Replica: id, Runs: []quarantine.Run{{Work: work, Began: now}}, At: now})
+		c.harm.guard.RecordCrash(quarantine.CrashReport{Replica: id, Runs: []quarantine.Run{{Work: work, SentAt: now}}, At: now})
 	}
 	if !c.Suspects().Items[0].Quarantined {
 		t.Fatal("not quarantined")
--- a/internal/quarantine/fleetnode_test.go
+++ b/internal/quarantine/fleetnode_test.go
@@ -14,27 +14,27 @@
 // flakyTable answers nothing while it is away.
 type flakyTable struct {
 	*tabletest.Table
-	mu   sync.Mutex
-	away bool
+	mu          sync.Mutex
+	unavailable bool
 }
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("away")
 
-func (t *flakyTable) set(away bool) {
+func (t *flakyTable) setUnavailable(unavailable bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.away = away
+	t.unavailable = unavailable
 }
 
-func (t *flakyTable) isAway() bool {
+func (t *flakyTable) isUnavailable() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.away
+	return t.unavailable
 }
 
 func (t *flakyTable) Commit(ctx context.Context, operation string, writes ...table.Write) ([]uint64, error) {
-	if t.isAway() {
-		return nil, errAway
+	if t.isUnavailable() {
+		return nil, errUnavailable
 	}
 	return t.Table.Commit(ctx, operation, writes...)
 }
@@ -46,31 +46,31 @@
 }
 
 func (f flakyFeed) Page(ctx context.Context, cursor table.Cursor) (table.Changes, table.Cursor, error) {
-	if f.table.isAway() {
-		return table.Changes{}, cursor, errAway
+	if f.table.isUnavailable() {
+		return table.Changes{}, cursor, errUnavailable
 	}
 	return f.Feed.Page(ctx, cursor)
 }
 
 func (f flakyFeed) After(ctx context.Context, revision uint64, wait time.Duration) (table.Changes, error) {
-	if f.table.isAway() {
-		return table.Changes{}, errAway
+	if f.table.isUnavailable() {
+		return table.Changes{}, errUnavailable
 	}
 	changes, err := f.Feed.After(ctx, revision, wait)
-	if f.table.isAway() {
-		return table.Changes{}, errAway
+	if f.table.isUnavailable() {
+		return table.Changes{}, errUnavailable
 	}
 	return changes, err
 }
 
-// Standing implements quarantine.Replicas.
-func (n *fleetNode) Standing(replica quarantine.Replica) quarantine.Standing {
+// State implements quarantine.Replicas.
+func (n *fleetNode) State(replica quarantine.Replica) quarantine.ReplicaState {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
-	for _, one := range n.fleet.replicas {
-		switch start := one.start(); {
-		case one.gone || start.ID != replica.ID:
-		case start == replica:
+	for _, r := range n.fleet.replicas {
+		switch current := r.current(); {
+		case r.delisted || current.ID != replica.ID:
+		case current == replica:
 			return quarantine.Serving
 		default:
 			return quarantine.Restarted
@@ -80,71 +80,71 @@
 }
 
 // Probe implements quarantine.Replicas.
-func (n *fleetNode) Probe(_ context.Context, address string) quarantine.Probe {
-	time.Sleep(2 * fleetWay)
+func (n *fleetNode) Probe(_ context.Context, address string) quarantine.ProbeResult {
+	time.Sleep(2 * fleetLatency)
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
-	for _, one := range n.fleet.replicas {
-		if one.name == address && !one.down {
+	for _, r := range n.fleet.replicas {
+		if r.name == address && !r.down {
 			return quarantine.Accepted
 		}
 	}
 	return quarantine.Refused
 }
 
-// Ended implements quarantine.Events.
-func (n *fleetNode) Ended(report quarantine.Report) { n.publisher.Report(report) }
+// ReplicaCrashed implements quarantine.Events.
+func (n *fleetNode) ReplicaCrashed(report quarantine.CrashReport) { n.publisher.PublishCrash(report) }
 
 // Cleared implements quarantine.Events.
 func (n *fleetNode) Cleared(before quarantine.Verdict, at time.Time) {
-	n.publisher.Clear(quarantine.Clearing{Work: before.Work, At: at})
+	n.publisher.PublishClearing(quarantine.Clearing{Work: before.Work, At: at})
 }
 
 // Quarantined implements quarantine.Events: others are asked for what speaks for the work.
 func (n *fleetNode) Quarantined(verdict quarantine.Verdict) {
-	if n.fleet.unsaid {
+	if n.fleet.noMessages {
 		return
 	}
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	for _, other := range n.fleet.nodes {
-		if other == n || n.fleet.random.Float64() < n.fleet.lossy {
+		if other == n || n.fleet.random.Float64() < n.fleet.lossRate {
 			continue
 		}
-		time.AfterFunc(fleetWay, func() {
-			if at, ok := other.list.EndedWell(verdict.Work); ok {
-				time.AfterFunc(fleetWay, func() { n.list.Clear(verdict.Work, at) })
+		time.AfterFunc(fleetLatency, func() {
+			if at, ok := other.list.LastSuccess(verdict.Work); ok {
+				time.AfterFunc(fleetLatency, func() { n.list.Clear(verdict.Work, at) })
 			}
 		})
 	}
 }
 
-// tell sends news to the other nodes, in messages that are lost, doubled and late.
-func (n *fleetNode) tell(news quarantine.News) {
-	if n.fleet.unsaid {
+// broadcast sends news to the other nodes, in messages that are lost, doubled and late.
+func (n *fleetNode) broadcast(update quarantine.Update) {
+	if n.fleet.noMessages {
 		return
 	}
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	for _, other := range n.fleet.nodes {
-		if other == n || n.fleet.random.Float64() < n.fleet.lossy {
+		if other == n || n.fleet.random.Float64() < n.fleet.lossRate {
 			continue
 		}
 		for range 1 + n.fleet.random.IntN(2) {
-			late := fleetWay + time.Duration(n.fleet.random.Int64N(int64(100*time.Millisecond)))
-			time.AfterFunc(late, func() { other.take(news) })
+			delay := fleetLatency + time.Duration(n.fleet.random.Int64N(int64(100*time.Millisecond)))
+			time.AfterFunc(delay, func() { other.receive(update) })
 		}
 	}
 }
 
-func (n *fleetNode) take(news quarantine.News) {
-	if n.fleet.aloof {
+func (n *fleetNode) receive(update quarantine.Update) {
+	if n.fleet.ignorePeers {
 		return
 	}
-	for _, report := range news.Reports {
-		n.guard.Take(report)
+	for _, report := range update.Reports {
+		n.guard.RecordCrash(report)
 	}
-	for _, clearing := range news.Clearings {
+	for _, clearing := range update.Clearings {
 		n.list.Clear(clearing.Work, clearing.At)
 	}
 }
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -11,48 +11,48 @@
 )
 
 const (
-	// answerWithin bounds how long an attempt that broke off waits for word of its replica
+	// probeWait bounds how long an attempt that broke off waits for word of its replica
 	// before the next one is decided about: a refused connection takes one way there and
 	// back, 2 to 6 ms within a region.
-	answerWithin = 100 * time.Millisecond
-	// leaveWithin is how long after a broken answer the replica's leaving the list still
+	probeWait = 100 * time.Millisecond
+	// delistTimeout is how long after a broken answer the replica's leaving the list still
 	// shows that it ended: entries lapse after three heartbeats of silence, within a second
 	// on the users' platform.
-	leaveWithin = 5 * time.Second
-	// leaveLook is the time between two looks at the list for that.
-	leaveLook = 100 * time.Millisecond
-	// hearWithin is how long other nodes have to answer what speaks for a work: as long as a
+	delistTimeout = 5 * time.Second
+	// delistPollInterval is the time between two looks at the list for that.
+	delistPollInterval = 100 * time.Millisecond
+	// queryTimeout is how long other nodes have to answer what speaks for a work: as long as a
 	// replica has to answer a probe.
-	hearWithin = answerWithin
-	// askAgain is the time after which they are asked once more as long as the work comes: a
+	queryTimeout = probeWait
+	// requeryInterval is the time after which they are asked once more as long as the work comes: a
 	// node that has just started knows no others yet, and those may learn of a good end later.
-	askAgain = 5 * time.Second
+	requeryInterval = 5 * time.Second
 	// maxWatched bounds the replicas that are looked after at the same time.
 	maxWatched = 1000
-	// maxWanted bounds the works of which other nodes want to know whether they end well.
-	maxWanted = 1000
+	// maxUnanswered bounds the works of which other nodes want to know whether they end well.
+	maxUnanswered = 1000
 )
 
-// Probe tells what is at an address.
-type Probe int
+// ProbeResult tells what is at an address.
+type ProbeResult int
 
 // Answers of a probe.
 const (
-	// Unclear is no answer in time.
-	Unclear Probe = iota
+	// Inconclusive is no answer in time.
+	Inconclusive ProbeResult = iota
 	// Refused means that no process listens there.
 	Refused
 	// Accepted means that a process listens: the same one, or the next one there.
 	Accepted
 )
 
-// Standing is what the list says of a replica.
-type Standing int
+// ReplicaState is what the list says of a replica.
+type ReplicaState int
 
 // Standings of a replica.
 const (
 	// Gone replicas are not listed.
-	Gone Standing = iota
+	Gone ReplicaState = iota
 	// Leaving replicas have said that they will end.
 	Leaving
 	Serving
@@ -64,31 +64,31 @@
 // Replica is what the guard needs to know of a replica.
 type Replica struct {
 	ID string
-	// Born tells its starts under the same id apart; 0 if it does not say.
-	Born    int64
-	Address string
+	// StartTime tells its starts under the same id apart; 0 if it does not say.
+	StartTime int64
+	Address   string
 }
 
-// ended returns the report that the replica ended under some runs.
-func (r *Replica) ended(runs []Run, at time.Time) Report {
-	return Report{Replica: r.ID, Born: r.Born, Runs: runs, At: at}
+// crashReport returns the report that the replica crashReport under some runs.
+func (r *Replica) crashReport(runs []Run, at time.Time) CrashReport {
+	return CrashReport{Replica: r.ID, StartTime: r.StartTime, Runs: runs, At: at}
 }
 
 // Replicas tells about replicas. It is safe for concurrent use.
 type Replicas interface {
-	// Standing returns what the list says of a replica, of one start of it.
-	Standing(replica Replica) Standing
+	// State returns what the list says of a replica, of one start of it.
+	State(replica Replica) ReplicaState
 	// Probe tries a connection to an address.
-	Probe(ctx context.Context, address string) Probe
+	Probe(ctx context.Context, address string) ProbeResult
 }
 
 // Events is told of decisions, for logs and other nodes. It is safe for concurrent use.
 type Events interface {
-	// Ended tells of a replica that ended while this node's work ran there.
-	Ended(report Report)
+	// ReplicaCrashed tells of a replica that ended while this node's work ran there.
+	ReplicaCrashed(report CrashReport)
 	// Cleared tells of a run that ended well of work that was suspected, here or by a node that
 	// asked about it.
-	Cleared(before Verdict, at time.Time)
+	Cleared(previous Verdict, at time.Time)
 	// Quarantined tells of work that is refused from now on.
 	Quarantined(verdict Verdict)
 }
@@ -103,33 +103,35 @@
 	List     *List
 	Replicas Replicas
 	Events   Events
-	// Ask, if set, asks all other nodes what speaks for a work, or a few of them if they were
+	// QueryPeers, if set, asks all other nodes what speaks for a work, or a few of them if they were
 	// asked before. It reports whether any are known. Their answers come to the list.
-	Ask func(work Work, again bool) bool
-	// Tries, if set, reports whether this node is the one, of all, that tries quarantined
+	QueryPeers func(work Work, again bool) bool
+	// OwnsTrials, if set, reports whether this node is the one, of all, that tries quarantined
 	// work now and then.
-	Tries func(work Work) bool
+	OwnsTrials func(work Work) bool
 
-	repeats repeats
+	frequent frequentWork
 
 	mu      sync.Mutex
 	watched map[Replica]*watch
-	// wanted are works that others asked about in vain.
-	wanted map[Work]struct{}
+	// unanswered are works that others asked about in vain.
+	unanswered map[Work]struct{}
 }
 
 // watch looks after a replica whose answers broke off.
 type watch struct {
 	// probed is closed when the probe has answered.
 	probed chan struct{}
-	// ended is when the replica was found to have ended; zero if it was not.
-	ended time.Time
+	// crashedAt is when the replica was found to have crashedAt; zero if it was not.
+	crashedAt time.Time
 	// runs are those that broke off before it was known whether it ended.
 	runs []Run
 }
 
-// before reports whether the watch is about an earlier life of the replica.
-func (w *watch) before(now time.Time) bool { return !w.ended.IsZero() && now.Sub(w.ended) > sameEnd }
+// expired reports whether the watch is about an earlier life of the replica.
+func (w *watch) expired(now time.Time) bool {
+	return !w.crashedAt.IsZero() && now.Sub(w.crashedAt) > sameCrashWindow
+}
 
 // Refuse returns a RefusedError for work that is quarantined. The work is asked for only if
 // any is suspected.
@@ -141,8 +143,8 @@
 	if !verdict.Quarantined {
 		return nil
 	}
-	if verdict.Fresh {
-		g.condemned(verdict)
+	if verdict.NewlyQuarantined {
+		g.onQuarantined(verdict)
 	}
 	return &RefusedError{Verdict: verdict}
 }
@@ -153,10 +155,10 @@
 func (g *Guard) RefuseRequest(ctx context.Context, work func() Work) error {
 	err := g.Refuse(work)
 	var refused *RefusedError
-	if errors.As(err, &refused) && g.hear(ctx, refused.Verdict) {
+	if errors.As(err, &refused) && g.awaitAnswers(ctx, refused.Verdict) {
 		err = g.Refuse(work)
 	}
-	if !errors.As(err, &refused) || g.Tries == nil || !g.Tries(refused.Work) {
+	if !errors.As(err, &refused) || g.OwnsTrials == nil || !g.OwnsTrials(refused.Work) {
 		return err
 	}
 	if g.List.BeginTrial(refused.Work, clock.Now()) {
@@ -165,178 +167,178 @@
 	return err
 }
 
-// condemned tells of work that is quarantined from now on, and asks other nodes about it.
-func (g *Guard) condemned(verdict Verdict) {
+// onQuarantined tells of work that is quarantined from now on, and asks other nodes about it.
+func (g *Guard) onQuarantined(verdict Verdict) {
 	g.Events.Quarantined(verdict)
-	g.ask(verdict.Work, false)
+	g.queryPeers(verdict.Work, false)
 }
 
-// ask asks other nodes what speaks for a work. It reports whether any are known.
-func (g *Guard) ask(work Work, again bool) bool {
-	if g.Ask == nil || !g.Ask(work, again) {
+// queryPeers asks other nodes what speaks for a work. It reports whether any are known.
+func (g *Guard) queryPeers(work Work, again bool) bool {
+	if g.QueryPeers == nil || !g.QueryPeers(work, again) {
 		return false
 	}
-	g.List.noteAsked(work, clock.Now())
+	g.List.recordQuery(work, clock.Now())
 	return true
 }
 
-// hear waits for what other nodes answer who were asked about a work a moment ago, and asks them
+// awaitAnswers waits for what other nodes answer who were asked about a work a moment ago, and asks them
 // if that is long ago or could not be done. It reports whether answers may have come.
-func (g *Guard) hear(ctx context.Context, condemned Verdict) bool {
-	asked := condemned.Asked
-	if now := clock.Now(); now.Sub(asked) >= askAgain {
-		if !g.ask(condemned.Work, !asked.IsZero()) {
+func (g *Guard) awaitAnswers(ctx context.Context, verdict Verdict) bool {
+	queriedAt := verdict.QueriedAt
+	if now := clock.Now(); now.Sub(queriedAt) >= requeryInterval {
+		if !g.queryPeers(verdict.Work, !queriedAt.IsZero()) {
 			return false
 		}
-		asked = now
+		queriedAt = now
 	}
-	left := hearWithin - clock.Since(asked)
-	return left > 0 && retry.Sleep(ctx, left)
+	remaining := queryTimeout - clock.Since(queriedAt)
+	return remaining > 0 && retry.Sleep(ctx, remaining)
 }
 
-// EndedWell takes in a run that ended well.
-func (g *Guard) EndedWell(work Work) {
+// RecordSuccess takes in a run that ended well.
+func (g *Guard) RecordSuccess(work Work) {
 	now := clock.Now()
-	g.repeats.note(work, now)
-	if before := g.List.Clear(work, now); g.takeWanted(work) || len(before.Replicas) > 0 {
-		g.Events.Cleared(before, now)
+	g.frequent.record(work, now)
+	if previous := g.List.Clear(work, now); g.takeUnanswered(work) || len(previous.Replicas) > 0 {
+		g.Events.Cleared(previous, now)
 	}
 }
 
-// Answer returns when a work was last seen to end well, for another node that asks. If that is not
+// AnswerQuery returns when a work was last seen to end well, for another node that asks. If that is not
 // known, all are told once a run of it ends well here: this node may not have heard of the ends
 // that speak against it.
-func (g *Guard) Answer(work Work) (time.Time, bool) {
-	at, ok := g.List.EndedWell(work)
+func (g *Guard) AnswerQuery(work Work) (time.Time, bool) {
+	at, ok := g.List.LastSuccess(work)
 	if ok {
 		return at, true
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.wanted == nil || len(g.wanted) >= maxWanted {
-		g.wanted = map[Work]struct{}{}
+	if g.unanswered == nil || len(g.unanswered) >= maxUnanswered {
+		g.unanswered = map[Work]struct{}{}
 	}
-	g.wanted[work] = struct{}{}
+	g.unanswered[work] = struct{}{}
 	return time.Time{}, false
 }
 
-// takeWanted reports whether others asked about a work in vain, once.
-func (g *Guard) takeWanted(work Work) bool {
+// takeUnanswered reports whether others asked about a work in vain, once.
+func (g *Guard) takeUnanswered(work Work) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, wanted := g.wanted[work]
-	delete(g.wanted, work)
-	return wanted
+	_, found := g.unanswered[work]
+	delete(g.unanswered, work)
+	return found
 }
 
 // Proven returns up to so many works of which other nodes should know now that they end well
 // here again and again. What a node knows of that is gone when it restarts or is lost, and the
 // ends that it told of stay: without anybody who has seen the work end well, few of them have it
 // refused at all nodes.
-func (g *Guard) Proven(limit int) []Clearing { return g.repeats.due(clock.Now(), limit) }
+func (g *Guard) Proven(limit int) []Clearing { return g.frequent.due(clock.Now(), limit) }
 
-// BrokeOff takes in that a replica's answer to a run broke off. It returns when it is known
+// RecordInterruption takes in that a replica's answer to a run broke off. It returns when it is known
 // whether the replica ended, or after a short time.
-func (g *Guard) BrokeOff(ctx context.Context, replica Replica, run Run) {
-	known := g.attach(replica, run)
-	if known == nil {
+func (g *Guard) RecordInterruption(ctx context.Context, replica Replica, run Run) {
+	w := g.watchRun(replica, run)
+	if w == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, answerWithin)
+	ctx, cancel := context.WithTimeout(ctx, probeWait)
 	defer cancel()
 	select {
-	case <-known.probed:
+	case <-w.probed:
 	case <-ctx.Done():
 	}
 }
 
-// attach adds a run to the watch of a replica, and begins one if there is none. It returns
+// watchRun adds a run to the watch of a replica, and begins one if there is none. It returns
 // nil if the replica's end would be no news.
-func (g *Guard) attach(replica Replica, run Run) *watch {
+func (g *Guard) watchRun(replica Replica, run Run) *watch {
 	g.mu.Lock()
-	known := g.watched[replica]
-	if known == nil || known.before(clock.Now()) {
-		standing := g.Replicas.Standing(replica)
-		if standing == Restarted {
+	w := g.watched[replica]
+	if w == nil || w.expired(clock.Now()) {
+		state := g.Replicas.State(replica)
+		if state == Restarted {
 			g.mu.Unlock()
-			g.report(replica.ended([]Run{run}, clock.Now()))
+			g.reportCrash(replica.crashReport([]Run{run}, clock.Now()))
 			return nil
 		}
-		if len(g.watched) >= maxWatched || standing != Serving {
+		if len(g.watched) >= maxWatched || state != Serving {
 			g.mu.Unlock()
 			return nil
 		}
 		if g.watched == nil {
 			g.watched = map[Replica]*watch{}
 		}
-		known = &watch{probed: make(chan struct{})}
-		g.watched[replica] = known
-		go g.look(replica, known)
+		w = &watch{probed: make(chan struct{})}
+		g.watched[replica] = w
+		go g.monitor(replica, w)
 	}
-	if ended := known.ended; !ended.IsZero() {
+	if crashedAt := w.crashedAt; !crashedAt.IsZero() {
 		g.mu.Unlock()
-		g.report(replica.ended([]Run{run}, ended))
-		return known
+		g.reportCrash(replica.crashReport([]Run{run}, crashedAt))
+		return w
 	}
-	known.runs = append(known.runs, run)
+	w.runs = append(w.runs, run)
 	g.mu.Unlock()
-	return known
+	return w
 }
 
-// look finds out whether a replica ended, and forgets the watch when its answers that break
+// monitor finds out whether a replica ended, and forgets the watch when its answers that break
 // off can be due to that no more.
-func (g *Guard) look(replica Replica, known *watch) {
-	began := clock.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), leaveWithin)
+func (g *Guard) monitor(replica Replica, w *watch) {
+	started := clock.Now()
+	ctx, cancel := context.WithTimeout(context.Background(), delistTimeout)
 	defer cancel()
 	if g.Replicas.Probe(ctx, replica.Address) == Refused {
-		g.settle(replica, known, began)
+		g.confirmCrash(replica, w, started)
 	}
-	close(known.probed)
-	ticker := time.NewTicker(leaveLook)
+	close(w.probed)
+	ticker := time.NewTicker(delistPollInterval)
 	defer ticker.Stop()
-	for standing := Serving; standing == Serving && ctx.Err() == nil; {
+	for state := Serving; state == Serving && ctx.Err() == nil; {
 		<-ticker.C
-		if standing = g.Replicas.Standing(replica); standing == Gone || standing == Restarted {
-			g.settle(replica, known, began)
+		if state = g.Replicas.State(replica); state == Gone || state == Restarted {
+			g.confirmCrash(replica, w, started)
 		}
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.watched[replica] == known {
+	if g.watched[replica] == w {
 		delete(g.watched, replica)
 	}
 }
 
-// settle takes in that a replica ended, once.
-func (g *Guard) settle(replica Replica, known *watch, at time.Time) {
+// confirmCrash takes in that a replica ended, once.
+func (g *Guard) confirmCrash(replica Replica, w *watch, at time.Time) {
 	g.mu.Lock()
-	if !known.ended.IsZero() {
+	if !w.crashedAt.IsZero() {
 		g.mu.Unlock()
 		return
 	}
-	known.ended = at
-	runs := known.runs
+	w.crashedAt = at
+	runs := w.runs
 	g.mu.Unlock()
-	g.report(replica.ended(runs, at))
+	g.reportCrash(replica.crashReport(runs, at))
 }
 
-// report takes in an end that this node saw.
-func (g *Guard) report(report Report) {
-	g.Take(report)
-	g.Events.Ended(report)
+// reportCrash takes in an end that this node saw.
+func (g *Guard) reportCrash(report CrashReport) {
+	g.RecordCrash(report)
+	g.Events.ReplicaCrashed(report)
 }
 
-// Take takes in an end that this node or another one saw.
-func (g *Guard) Take(report Report) {
+// RecordCrash takes in an end that this node or another one saw.
+func (g *Guard) RecordCrash(report CrashReport) {
 	for _, verdict := range g.List.Add(report, clock.Now()) {
-		g.condemned(verdict)
+		g.onQuarantined(verdict)
 	}
 }
 
-// read takes in that all rows have been read once.
-func (g *Guard) read() {
-	for _, verdict := range g.List.read(clock.Now()) {
-		g.condemned(verdict)
+// rowsLoaded takes in that all rows have been rowsLoaded once.
+func (g *Guard) rowsLoaded() {
+	for _, verdict := range g.List.rowsLoaded(clock.Now()) {
+		g.onQuarantined(verdict)
 	}
 }
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// DefaultReplicas is how many replicas work may end until it is kept from all others.
+	// DefaultCrashLimit is how many replicas work may end until it is kept from all others.
 	// Two would condemn what two replicas that end by themselves happen to have had one
 	// after the other: a request and its one retry.
-	DefaultReplicas = 3
-	// DefaultFor is how long the end of a replica counts against the work that ran there.
-	DefaultFor = time.Hour
+	DefaultCrashLimit = 3
+	// DefaultWindow is how long the end of a replica counts against the work that ran there.
+	DefaultWindow = time.Hour
 	// maxWorks bounds the works that are remembered: what ran on some thousand replicas
 	// when they ended, of 8 to 17 slots each. The oldest ends are forgotten first.
 	maxWorks = 10000
@@ -23,23 +23,23 @@
 	// three within a second, maybe all of a small pool. Work that begins to do harm after it
 	// did none is found after as many ends.
 	provenFactor = 2
-	// sameEnd is how far apart two nodes may see the same end of a replica that does not say
+	// sameCrashWindow is how far apart two nodes may see the same end of a replica that does not say
 	// when it was born: one that was held up hears of it late. A replica is back no sooner
 	// than after some seconds.
-	sameEnd = 2 * time.Second
-	// beganSlack is how much earlier than an end a run may seem to have begun that was sent
+	sameCrashWindow = 2 * time.Second
+	// clockSkew is how much earlier than an end a run may seem to have begun that was sent
 	// after it, for their times come from different nodes.
-	beganSlack = 15 * time.Millisecond
-	// toldSlack is how much later than it was a time may seem that another node tells: a word
+	clockSkew = 15 * time.Millisecond
+	// reportDelay is how much later than it was a time may seem that another node tells: a word
 	// takes ms, a row of a slow table up to a second.
-	toldSlack = time.Second
+	reportDelay = time.Second
 )
 
-// Report tells that a replica ended while a node's requests ran there.
-type Report struct {
+// CrashReport tells that a replica ended while a node's requests ran there.
+type CrashReport struct {
 	// Replica is its id, Born tells its starts apart; 0 if the replica does not say.
-	Replica string
-	Born    int64
+	Replica   string
+	StartTime int64
 	// Runs are what the node had there.
 	Runs []Run
 	// At is when it ended.
@@ -49,8 +49,8 @@
 // Run is a run of a work.
 type Run struct {
 	Work Work
-	// Began is when it was sent.
-	Began time.Time
+	// SentAt is when it was sent.
+	SentAt time.Time
 }
 
 // List tells harmful work from the ends of replicas: a work may end Replicas of them within
@@ -61,31 +61,31 @@
 // was sent after an end is another try at it. The zero value goes by the defaults. It is safe
 // for concurrent use.
 type List struct {
-	// Replicas and For are set before use; zero means the default.
-	Replicas int
-	For      time.Duration
-	// Unread is set before use if rows that tell what ended well are yet to be read. Until then
+	// CrashLimit and For are set before use; zero means the default.
+	CrashLimit int
+	Window     time.Duration
+	// RowsPending is set before use if rows that tell what ended well are yet to be read. Until then
 	// all work counts as such that did: the node has seen little itself, and where all nodes
 	// start at once there is nobody to ask.
-	Unread bool
+	RowsPending bool
 
 	mu sync.Mutex
-	// ends are those of each replica.
-	ends  map[string][]*end
-	works map[Work]*suspect
-	// oldest are the ends in the order in which they were learned.
-	oldest []*end
-	// well is when works were last seen to end well, or were released.
-	well recent
-	// count is the number of works, for those who have nothing to look up.
-	count atomic.Int64
+	// crashes are those of each replica.
+	crashes  map[string][]*crash
+	suspects map[Work]*suspect
+	// byArrival are the ends in the order in which they were learned.
+	byArrival []*crash
+	// successes is when works were last seen to end successes, or were released.
+	successes recentTimes
+	// suspectCount is the number of works, for those who have nothing to look up.
+	suspectCount atomic.Int64
 }
 
-// end is that of a replica.
-type end struct {
+// crash is that of a replica.
+type crash struct {
 	replica string
-	// born is that of the start which ended; 0 as long as no report has told it.
-	born int64
+	// startTime is that of the start which ended; 0 as long as no report has told it.
+	startTime int64
 	// at is when a node saw it first.
 	at time.Time
 	// works are what ran there, by when the newest run began.
@@ -94,53 +94,53 @@
 
 // suspect is a work that ran on replicas which ended.
 type suspect struct {
-	ends        map[*end]struct{}
+	crashes     map[*crash]struct{}
 	quarantined bool
-	// asked is when other nodes were last asked about it.
-	asked time.Time
-	// tried is when a trial was last begun here.
-	tried time.Time
+	// queriedAt is when other nodes were last queriedAt about it.
+	queriedAt time.Time
+	// trialAt is when a trial was last begun here.
+	trialAt time.Time
 }
 
 // Limit is how many replicas work may end.
 func (l *List) Limit() int {
-	if l.Replicas > 0 {
-		return l.Replicas
+	if l.CrashLimit > 0 {
+		return l.CrashLimit
 	}
-	return DefaultReplicas
+	return DefaultCrashLimit
 }
 
-func (l *List) memory() time.Duration {
-	if l.For > 0 {
-		return l.For
+func (l *List) window() time.Duration {
+	if l.Window > 0 {
+		return l.Window
 	}
-	return DefaultFor
+	return DefaultWindow
 }
 
 // Empty reports whether nothing is suspected.
-func (l *List) Empty() bool { return l.count.Load() == 0 }
+func (l *List) Empty() bool { return l.suspectCount.Load() == 0 }
 
 // Add takes in a report and returns the verdicts on what it has quarantined. A report that
 // comes again changes nothing.
-func (l *List) Add(report Report, now time.Time) []Verdict {
+func (l *List) Add(report CrashReport, now time.Time) []Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.prune(now)
-	if now.Sub(report.At) >= l.memory() || len(report.Runs) == 0 {
+	if now.Sub(report.At) >= l.window() || len(report.Runs) == 0 {
 		return nil
 	}
-	l.note(report)
-	var condemned []Verdict
+	l.record(report)
+	var verdicts []Verdict
 	for work := range report.works() {
-		if verdict := l.check(work, now); verdict.Fresh {
-			condemned = append(condemned, verdict)
+		if verdict := l.check(work, now); verdict.NewlyQuarantined {
+			verdicts = append(verdicts, verdict)
 		}
 	}
-	return condemned
+	return verdicts
 }
 
 // works returns the works of a report, each once.
-func (r *Report) works() map[Work]struct{} {
+func (r *CrashReport) works() map[Work]struct{} {
 	works := make(map[Work]struct{}, len(r.Runs))
 	for _, run := range r.Runs {
 		works[run.Work] = struct{}{}
@@ -148,103 +148,103 @@
 	return works
 }
 
-// note notes what a report tells. The caller holds mu.
-func (l *List) note(report Report) {
-	known := l.endOf(report)
+// record notes what a report tells. The caller holds mu.
+func (l *List) record(report CrashReport) {
+	c := l.crashFor(report)
 	for _, run := range report.Runs {
-		if known.before(run.Began) {
+		if c.precedes(run.SentAt) {
 			continue
 		}
-		if began, ok := known.works[run.Work]; !ok || run.Began.After(began) {
-			known.works[run.Work] = run.Began
+		if sentAt, ok := c.works[run.Work]; !ok || run.SentAt.After(sentAt) {
+			c.works[run.Work] = run.SentAt
 		}
-		if l.works[run.Work] == nil {
-			l.works[run.Work] = &suspect{ends: map[*end]struct{}{}}
+		if l.suspects[run.Work] == nil {
+			l.suspects[run.Work] = &suspect{crashes: map[*crash]struct{}{}}
 		}
-		l.works[run.Work].ends[known] = struct{}{}
+		l.suspects[run.Work].crashes[c] = struct{}{}
 	}
-	for len(l.works) > maxWorks && len(l.oldest) > 1 {
-		l.forgetOldest()
+	for len(l.suspects) > maxWorks && len(l.byArrival) > 1 {
+		l.evictOldest()
 	}
-	l.count.Store(int64(len(l.works)))
+	l.suspectCount.Store(int64(len(l.suspects)))
 }
 
-// endOf returns the end that a report tells of. The caller holds mu.
-func (l *List) endOf(report Report) *end {
-	if l.ends == nil {
-		l.ends, l.works = map[string][]*end{}, map[Work]*suspect{}
+// crashFor returns the end that a report tells of. The caller holds mu.
+func (l *List) crashFor(report CrashReport) *crash {
+	if l.crashes == nil {
+		l.crashes, l.suspects = map[string][]*crash{}, map[Work]*suspect{}
 	}
-	for _, known := range l.ends[report.Replica] {
-		if known.tells(&report) {
-			known.born = cmp.Or(known.born, report.Born)
-			l.sawEarlier(known, &report)
-			return known
+	for _, c := range l.crashes[report.Replica] {
+		if c.matches(&report) {
+			c.startTime = cmp.Or(c.startTime, report.StartTime)
+			l.moveEarlier(c, &report)
+			return c
 		}
 	}
-	known := &end{replica: report.Replica, born: report.Born, at: report.At, works: map[Work]time.Time{}}
-	l.ends[report.Replica] = append(l.ends[report.Replica], known)
-	l.oldest = append(l.oldest, known)
-	return known
+	c := &crash{replica: report.Replica, startTime: report.StartTime, at: report.At, works: map[Work]time.Time{}}
+	l.crashes[report.Replica] = append(l.crashes[report.Replica], c)
+	l.byArrival = append(l.byArrival, c)
+	return c
 }
 
-// tells reports whether a report is about this end. A start of a replica ends once; where it
+// matches reports whether a report is about this end. A start of a replica ends once; where it
 // is not known which start ended, ends are told apart by their times.
-func (e *end) tells(report *Report) bool {
-	if e.born != 0 && report.Born != 0 {
-		return e.born == report.Born
+func (c *crash) matches(report *CrashReport) bool {
+	if c.startTime != 0 && report.StartTime != 0 {
+		return c.startTime == report.StartTime
 	}
-	return report.At.Sub(e.at).Abs() <= sameEnd
+	return report.At.Sub(c.at).Abs() <= sameCrashWindow
 }
 
-// before reports whether the end was over when a run was sent, so that it is not due to it: a
+// precedes reports whether the end was over when a run was sent, so that it is not due to it: a
 // node with an old list sends to a replica that is gone, and what is at its address now breaks
 // the answer off.
-func (e *end) before(sent time.Time) bool { return sent.After(e.at.Add(toldSlack)) }
+func (c *crash) precedes(sentAt time.Time) bool { return sentAt.After(c.at.Add(reportDelay)) }
 
-// sawEarlier takes in that a node saw an end earlier than it was known to be, and forgets what
+// moveEarlier takes in that a node saw an end earlier than it was known to be, and forgets what
 // was sent after it. The caller holds mu.
-func (l *List) sawEarlier(known *end, report *Report) {
-	if report.Born == 0 || !report.At.Before(known.at) {
+func (l *List) moveEarlier(c *crash, report *CrashReport) {
+	if report.StartTime == 0 || !report.At.Before(c.at) {
 		return
 	}
-	known.at = report.At
-	for work, sent := range known.works {
-		if known.before(sent) {
-			delete(known.works, work)
-			l.acquit(work, known)
+	c.at = report.At
+	for work, sentAt := range c.works {
+		if c.precedes(sentAt) {
+			delete(c.works, work)
+			l.unlink(work, c)
 		}
 	}
 }
 
-// acquit has an end count against a work no more. The caller holds mu.
-func (l *List) acquit(work Work, of *end) {
-	known := l.works[work]
-	delete(known.ends, of)
-	if len(known.ends) == 0 {
-		delete(l.works, work)
+// unlink has an end count against a work no more. The caller holds mu.
+func (l *List) unlink(work Work, c *crash) {
+	s := l.suspects[work]
+	delete(s.crashes, c)
+	if len(s.crashes) == 0 {
+		delete(l.suspects, work)
 	}
 }
 
 // prune forgets what is too long ago to count. The caller holds mu.
 func (l *List) prune(now time.Time) {
-	for len(l.oldest) > 0 && now.Sub(l.oldest[0].at) >= l.memory() {
-		l.forgetOldest()
+	for len(l.byArrival) > 0 && now.Sub(l.byArrival[0].at) >= l.window() {
+		l.evictOldest()
 	}
-	l.count.Store(int64(len(l.works)))
+	l.suspectCount.Store(int64(len(l.suspects)))
 }
 
-// forgetOldest forgets the end that was learned first. The caller holds mu.
-func (l *List) forgetOldest() {
-	forgotten := l.oldest[0]
-	l.oldest = l.oldest[1:]
-	for work := range forgotten.works {
-		l.acquit(work, forgotten)
+// evictOldest forgets the end that was learned first. The caller holds mu.
+func (l *List) evictOldest() {
+	evicted := l.byArrival[0]
+	l.byArrival = l.byArrival[1:]
+	for work := range evicted.works {
+		l.unlink(work, evicted)
 	}
-	left := slices.DeleteFunc(l.ends[forgotten.replica], func(one *end) bool { return one == forgotten })
-	if len(left) == 0 {
-		delete(l.ends, forgotten.replica)
+	remaining := slices.DeleteFunc(l.crashes[evicted.replica], func(c *crash) bool { return c == evicted })
+	if len(remaining) == 0 {
+		delete(l.crashes, evicted.replica)
 	} else {
-		l.ends[forgotten.replica] = left
+		l.crashes[evicted.replica] = remaining
 	}
 }
 
@@ -261,37 +261,37 @@
 // check returns the verdict on a work, and notes whether it is quarantined. The caller holds
 // mu.
 func (l *List) check(work Work, now time.Time) Verdict {
-	verdict := l.judge(work, now)
-	if known := l.works[work]; known != nil {
-		verdict.Fresh = verdict.Quarantined && !known.quarantined
-		known.quarantined, verdict.Asked = verdict.Quarantined, known.asked
+	verdict := l.evaluate(work, now)
+	if s := l.suspects[work]; s != nil {
+		verdict.NewlyQuarantined = verdict.Quarantined && !s.quarantined
+		s.quarantined, verdict.QueriedAt = verdict.Quarantined, s.queriedAt
 	}
 	return verdict
 }
 
-// read notes that rows have been read, and returns the verdicts on what is quarantined by that.
-func (l *List) read(now time.Time) []Verdict {
+// rowsLoaded notes that rows have been rowsLoaded, and returns the verdicts on what is quarantined by that.
+func (l *List) rowsLoaded(now time.Time) []Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.Unread {
+	if !l.RowsPending {
 		return nil
 	}
-	l.Unread = false
-	var condemned []Verdict
-	for work := range l.works {
-		if verdict := l.check(work, now); verdict.Fresh {
-			condemned = append(condemned, verdict)
+	l.RowsPending = false
+	var verdicts []Verdict
+	for work := range l.suspects {
+		if verdict := l.check(work, now); verdict.NewlyQuarantined {
+			verdicts = append(verdicts, verdict)
 		}
 	}
-	return condemned
+	return verdicts
 }
 
-// noteAsked notes that other nodes were asked about a work.
-func (l *List) noteAsked(work Work, now time.Time) {
+// recordQuery notes that other nodes were asked about a work.
+func (l *List) recordQuery(work Work, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if known := l.works[work]; known != nil {
-		known.asked = now
+	if s := l.suspects[work]; s != nil {
+		s.queriedAt = now
 	}
 }
 
@@ -300,12 +300,12 @@
 func (l *List) BeginTrial(work Work, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	verdict := l.judge(work, now)
-	known := l.works[work]
-	if !verdict.RareTrialDue(now) || now.Sub(known.tried) < trialLasts {
+	verdict := l.evaluate(work, now)
+	s := l.suspects[work]
+	if !verdict.RequestTrialDue(now) || now.Sub(s.trialAt) < trialTimeout {
 		return false
 	}
-	known.tried = now
+	s.trialAt = now
 	return true
 }
 
@@ -315,18 +315,18 @@
 func (l *List) Clear(work Work, at time.Time) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	before := l.judge(work, at)
-	l.well.note(work, at)
+	previous := l.evaluate(work, at)
+	l.successes.record(work, at)
 	l.check(work, at)
-	return before
+	return previous
 }
 
-// EndedWell returns when a work was last seen to end well, or was released; false if that is
+// LastSuccess returns when a work was last seen to end well, or was released; false if that is
 // not known.
-func (l *List) EndedWell(work Work) (time.Time, bool) {
+func (l *List) LastSuccess(work Work) (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := l.well.at(work)
+	at := l.successes.at(work)
 	return at, !at.IsZero()
 }
 
@@ -337,13 +337,13 @@
 	defer l.mu.Unlock()
 	l.prune(now)
 	var all []Verdict
-	for work := range l.works {
+	for work := range l.suspects {
 		if verdict := l.check(work, now); len(verdict.Replicas) > 0 {
 			all = append(all, verdict)
 		}
 	}
 	slices.SortFunc(all, func(a, b Verdict) int {
-		return cmp.Or(cmp.Compare(len(b.Replicas), len(a.Replicas)), b.Last.Compare(a.Last), cmp.Compare(a.Work.String(), b.Work.String()))
+		return cmp.Or(cmp.Compare(len(b.Replicas), len(a.Replicas)), b.LastCrash.Compare(a.LastCrash), cmp.Compare(a.Work.String(), b.Work.String()))
 	})
 	return all
 }
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -14,70 +14,70 @@
 	return content.Work()
 }
 
-// ended reports that a replica ended with works, some seconds after start.
-func ended(list *List, replica string, second int, works ...Work) []Verdict {
+// addCrash reports that a replica addCrash with works, some seconds after start.
+func addCrash(list *List, replica string, second int, works ...Work) []Verdict {
 	at := start.Add(time.Duration(second) * time.Second)
-	return list.Add(Report{Replica: replica, Runs: runsOf(at.Add(-100*time.Millisecond), works...), At: at}, at)
+	return list.Add(CrashReport{Replica: replica, Runs: runsOf(at.Add(-100*time.Millisecond), works...), At: at}, at)
 }
 
 // runsOf returns runs of works that began at a time.
-func runsOf(began time.Time, works ...Work) []Run {
+func runsOf(sentAt time.Time, works ...Work) []Run {
 	var runs []Run
 	for _, work := range works {
-		runs = append(runs, Run{Work: work, Began: began})
+		runs = append(runs, Run{Work: work, SentAt: sentAt})
 	}
 	return runs
 }
 
-func quarantined(list *List, work Work, second int) bool {
+func isQuarantined(list *List, work Work, second int) bool {
 	return list.Check(work, start.Add(time.Duration(second)*time.Second)).Quarantined
 }
 
-func TestList_QuarantinesWhatEndedThreeReplicas(t *testing.T) {
+func TestList_QuarantinesAfterThreeCrashes(t *testing.T) {
 	var list List
 	bad := work("bad")
 	for i := range 2 {
-		if got := ended(&list, fmt.Sprintf("r%d", i), i, bad, work(fmt.Sprintf("beside %d", i))); len(got) != 0 {
+		if got := addCrash(&list, fmt.Sprintf("r%d", i), i, bad, work(fmt.Sprintf("beside %d", i))); len(got) != 0 {
 			t.Fatalf("quarantined after %d replicas: %v", i+1, got)
 		}
 	}
-	got := ended(&list, "r2", 2, bad, work("beside"))
+	got := addCrash(&list, "r2", 2, bad, work("beside"))
 	if len(got) != 1 || got[0].Work != bad || len(got[0].Replicas) != 3 {
 		t.Fatalf("verdicts %v", got)
 	}
-	if !quarantined(&list, bad, 10) || quarantined(&list, work("beside"), 10) {
+	if !isQuarantined(&list, bad, 10) || isQuarantined(&list, work("beside"), 10) {
 		t.Fatal("the wrong work is quarantined")
 	}
 }
 
-func TestList_AReportThatComesAgainChangesNothing(t *testing.T) {
+func TestList_IgnoresDuplicateReports(t *testing.T) {
 	var list List
 	for range 5 {
-		ended(&list, "r", 0, work("w"))
+		addCrash(&list, "r", 0, work("w"))
 	}
 	if verdict := list.Check(work("w"), start); len(verdict.Replicas) != 1 {
 		t.Fatalf("%d replicas count", len(verdict.Replicas))
 	}
 }
 
-func TestList_AReplicaThatIsBackUnderTheSameIDCountsAgain(t *testing.T) {
+func TestList_CountsRepeatedCrashesOfOneReplica(t *testing.T) {
 	var list List
 	for i := range 3 {
-		ended(&list, "machine", 10*i, work("w"))
+		addCrash(&list, "machine", 10*i, work("w"))
 	}
-	if !quarantined(&list, work("w"), 21) {
+	if !isQuarantined(&list, work("w"), 21) {
 		t.Fatal("three ends of one replica count as fewer")
 	}
 }
 
-// TestList_EndsSideBySideCountOnce: a rack or a zone takes many replicas at once, and a popular
+// TestList_CountsConcurrentCrashesOnce: a rack or a zone takes many replicas at once, and a popular
 // request is on all of them.
-func TestList_EndsSideBySideCountOnce(t *testing.T) {
+func TestList_CountsConcurrentCrashesOnce(t *testing.T) {
 	var list List
 	popular := work("popular")
 	for i := range 6 {
 		at := start.Add(time.Duration(i) * 300 * time.Millisecond)
-		list.Add(Report{Replica: fmt.Sprintf("r%d", i), Runs: runsOf(start.Add(-time.Second), popular), At: at}, at)
+		list.Add(CrashReport{Replica: fmt.Sprintf("r%d", i), Runs: runsOf(start.Add(-time.Second), popular), At: at}, at)
 	}
 	if verdict := list.Check(popular, start.Add(2*time.Second)); len(verdict.Replicas) != 1 {
 		t.Fatalf("%d ends count", len(verdict.Replicas))
@@ -85,67 +85,67 @@
 	// What is sent after them and ends replicas again counts, a hair early by another clock.
 	for i := range 2 {
 		at := start.Add(time.Duration(1+i) * time.Second)
-		ends := start.Add(time.Duration(i) * time.Second)
-		list.Add(Report{Replica: fmt.Sprintf("again%d", i), Runs: runsOf(ends.Add(-beganSlack), popular), At: at}, at)
+		crashedAt := start.Add(time.Duration(i) * time.Second)
+		list.Add(CrashReport{Replica: fmt.Sprintf("again%d", i), Runs: runsOf(crashedAt.Add(-clockSkew), popular), At: at}, at)
 	}
-	if !quarantined(&list, popular, 3) {
+	if !isQuarantined(&list, popular, 3) {
 		t.Fatal("ends of runs that were sent after earlier ends do not count")
 	}
 }
 
-func TestList_ARunThatEndedWellClears(t *testing.T) {
+func TestList_SuccessClears(t *testing.T) {
 	var list List
 	popular := work("popular")
 	for i := range 10 {
-		ended(&list, fmt.Sprintf("r%d", i), 2*i, popular)
+		addCrash(&list, fmt.Sprintf("r%d", i), 2*i, popular)
 		list.Clear(popular, start.Add(time.Duration(2*i+1)*time.Second))
-		if quarantined(&list, popular, 2*i+1) {
+		if isQuarantined(&list, popular, 2*i+1) {
 			t.Fatalf("quarantined after %d ends with whole runs between", i+1)
 		}
 	}
 	// What ends after the clearing counts.
 	for i := range 6 {
-		ended(&list, fmt.Sprintf("later%d", i), 100+i, popular)
+		addCrash(&list, fmt.Sprintf("later%d", i), 100+i, popular)
 	}
-	if !quarantined(&list, popular, 106) {
+	if !isQuarantined(&list, popular, 106) {
 		t.Fatal("six ends in a row do not count")
 	}
 }
 
-// TestList_WorkThatEndedWellTakesMoreEnds: popular work meets three ends within a second, and
+// TestList_ProvenWorkNeedsMoreCrashes: popular work meets three ends within a second, and
 // ends well elsewhere soon.
-func TestList_WorkThatEndedWellTakesMoreEnds(t *testing.T) {
+func TestList_ProvenWorkNeedsMoreCrashes(t *testing.T) {
 	var list List
 	popular, fresh := work("popular"), work("fresh")
 	list.Clear(popular, start.Add(-time.Second))
 	for i := range 5 {
-		ended(&list, fmt.Sprintf("r%d", i), i, popular, fresh)
-		if quarantined(&list, popular, i) || quarantined(&list, fresh, i) != (i >= 2) {
-			t.Fatalf("after %d ends: proven work %v, other %v", i+1, quarantined(&list, popular, i), quarantined(&list, fresh, i))
+		addCrash(&list, fmt.Sprintf("r%d", i), i, popular, fresh)
+		if isQuarantined(&list, popular, i) || isQuarantined(&list, fresh, i) != (i >= 2) {
+			t.Fatalf("after %d ends: proven work %v, other %v", i+1, isQuarantined(&list, popular, i), isQuarantined(&list, fresh, i))
 		}
 	}
-	if got := ended(&list, "r5", 5, popular); len(got) != 1 || !quarantined(&list, popular, 5) {
+	if got := addCrash(&list, "r5", 5, popular); len(got) != 1 || !isQuarantined(&list, popular, 5) {
 		t.Fatal("work that ends replicas and nothing else is not quarantined")
 	}
 	list.Clear(popular, start.Add(6*time.Second))
-	if quarantined(&list, popular, 7) {
+	if isQuarantined(&list, popular, 7) {
 		t.Fatal("a run that ended well does not clear")
 	}
 }
 
-func TestList_AReportThatComesAfterTheClearingDoesNotCount(t *testing.T) {
+func TestList_IgnoresCrashBeforeClearing(t *testing.T) {
 	var list List
 	list.Clear(work("w"), start.Add(time.Minute))
-	ended(&list, "r", 0, work("w"))
+	addCrash(&list, "r", 0, work("w"))
 	if verdict := list.Check(work("w"), start.Add(time.Hour/2)); len(verdict.Replicas) != 0 {
 		t.Fatalf("%d ends count", len(verdict.Replicas))
 	}
 }
 
-func TestList_AClearingThatComesLateClearsWhatWasBefore(t *testing.T) {
+func TestList_LateClearingCoversEarlierCrashes(t *testing.T) {
 	var list List
 	for i := range 3 {
-		ended(&list, fmt.Sprintf("r%d", i), i, work("w"))
+		addCrash(&list, fmt.Sprintf("r%d", i), i, work("w"))
 	}
 	list.Clear(work("w"), start.Add(1500*time.Millisecond))
 	if verdict := list.Check(work("w"), start.Add(5*time.Second)); verdict.Quarantined || len(verdict.Replicas) != 1 {
@@ -153,22 +153,22 @@
 	}
 }
 
-// TestList_HarmfulWorkDoesNotHideBehindOthers guards that what ends replicas is found
+// TestList_FindsHarmfulWorkBesideQuarantinedWork guards that what ends replicas is found
 // though other work that ran beside it each time, or some of the times and elsewhere before,
 // was quarantined.
-func TestList_HarmfulWorkDoesNotHideBehindOthers(t *testing.T) {
+func TestList_FindsHarmfulWorkBesideQuarantinedWork(t *testing.T) {
 	var list List
 	bad, beside := work("bad"), work("beside")
 	for i := range 3 {
-		ended(&list, fmt.Sprintf("before%d", i), i-10, beside)
-		ended(&list, fmt.Sprintf("r%d", i), i, beside, bad)
+		addCrash(&list, fmt.Sprintf("before%d", i), i-10, beside)
+		addCrash(&list, fmt.Sprintf("r%d", i), i, beside, bad)
 	}
-	if !quarantined(&list, bad, 3) {
+	if !isQuarantined(&list, bad, 3) {
 		t.Fatal("harmful work is not quarantined")
 	}
 }
 
-// TestList_EndsOfHarmfulWorkCountForNoWorkThatEndedWell: popular work is on most replicas, so it
+// TestList_CrashesByHarmfulWorkSpareProvenWork: popular work is on most replicas, so it
 // meets the ends that several harmful works bring about, one after the other, and in a storm of
 // faults some more. Each counted against it as if nothing else had been there, and with six of
 // them it was refused everywhere for up to an hour.
@@ -179,60 +179,60 @@
 // of 1-2, 2-3) stand in the lines "replica ended under work of this node" with a harmful work
 // beside it, which "work quarantined" had named by then or named 0.5 s later, and which no node
 // ever saw end well.
-func TestList_EndsOfHarmfulWorkCountForNoWorkThatEndedWell(t *testing.T) {
+func TestList_CrashesByHarmfulWorkSpareProvenWork(t *testing.T) {
 	var list List
 	popular := work("popular")
 	list.Clear(popular, start.Add(-time.Second))
 	for i := range 9 {
 		harmful := work(fmt.Sprintf("harmful %d", i/3))
-		ended(&list, fmt.Sprintf("r%d", i), i, popular, harmful)
-		ended(&list, fmt.Sprintf("apart%d", i), i, harmful)
+		addCrash(&list, fmt.Sprintf("r%d", i), i, popular, harmful)
+		addCrash(&list, fmt.Sprintf("apart%d", i), i, harmful)
 	}
 	if verdict := list.Check(popular, start.Add(10*time.Second)); verdict.Quarantined || len(verdict.Replicas) != 0 {
 		t.Errorf("ends of three harmful works count: %+v", verdict)
 	}
 	for i := range 6 {
-		if quarantined(&list, popular, 20+i) {
+		if isQuarantined(&list, popular, 20+i) {
 			t.Errorf("quarantined after %d ends that nothing else explains", i)
 		}
-		ended(&list, fmt.Sprintf("alone%d", i), 20+i, popular, work(fmt.Sprintf("beside %d", i)))
+		addCrash(&list, fmt.Sprintf("alone%d", i), 20+i, popular, work(fmt.Sprintf("beside %d", i)))
 	}
-	if !quarantined(&list, popular, 26) {
+	if !isQuarantined(&list, popular, 26) {
 		t.Error("work that began to end replicas is not quarantined")
 	}
 }
 
-// TestList_WorkThatEndedWellExplainsNothing: popular work that is refused, also by mistake, hides
+// TestList_ProvenWorkExplainsNoCrash: popular work that is refused, also by mistake, hides
 // no harmful work, not even such that has ended well at times.
-func TestList_WorkThatEndedWellExplainsNothing(t *testing.T) {
+func TestList_ProvenWorkExplainsNoCrash(t *testing.T) {
 	var list List
 	popular, harmful := work("popular"), work("harmful at times")
 	list.Clear(popular, start.Add(-time.Second))
 	list.Clear(harmful, start.Add(-time.Second))
 	for i := range 6 {
-		ended(&list, fmt.Sprintf("r%d", i), i, popular, harmful)
+		addCrash(&list, fmt.Sprintf("r%d", i), i, popular, harmful)
 	}
-	if !quarantined(&list, harmful, 6) {
+	if !isQuarantined(&list, harmful, 6) {
 		t.Error("work that ended six replicas beside other work that ended well is not quarantined")
 	}
 }
 
-func TestList_FadesAndMayTryAgain(t *testing.T) {
-	list := List{Replicas: 3, For: time.Minute}
+func TestList_QuarantineExpires(t *testing.T) {
+	list := List{CrashLimit: 3, Window: time.Minute}
 	bad := work("bad")
 	for i := range 3 {
-		ended(&list, fmt.Sprintf("r%d", i), 10*i, bad)
+		addCrash(&list, fmt.Sprintf("r%d", i), 10*i, bad)
 	}
 	if verdict := list.Check(bad, start.Add(30*time.Second)); !verdict.Until.Equal(start.Add(time.Minute)) {
 		t.Fatalf("until %v", verdict.Until.Sub(start))
 	}
-	if !quarantined(&list, bad, 59) || quarantined(&list, bad, 60) {
+	if !isQuarantined(&list, bad, 59) || isQuarantined(&list, bad, 60) {
 		t.Fatal("the quarantine does not end when the oldest end is a minute ago")
 	}
-	if ended(&list, "again", 61, bad); !quarantined(&list, bad, 62) {
+	if addCrash(&list, "again", 61, bad); !isQuarantined(&list, bad, 62) {
 		t.Fatal("the next end does not count with those of the last minute")
 	}
-	if ended(&list, "late", 500, work("other")); quarantined(&list, bad, 500) {
+	if addCrash(&list, "late", 500, work("other")); isQuarantined(&list, bad, 500) {
 		t.Fatal("still quarantined")
 	}
 	if all := list.All(start.Add(10 * time.Hour)); len(all) != 0 || !list.Empty() {
@@ -240,70 +240,70 @@
 	}
 }
 
-func TestVerdict_TrialsAreFewAndApart(t *testing.T) {
+func TestVerdict_TrialsAreLimitedAndSpaced(t *testing.T) {
 	var list List
 	for i := range 3 {
-		ended(&list, fmt.Sprintf("r%d", i), i, work("w"))
+		addCrash(&list, fmt.Sprintf("r%d", i), i, work("w"))
 	}
 	second := 2
 	for i := range 3 {
 		verdict := list.Check(work("w"), start.Add(time.Duration(second)*time.Second))
-		if verdict.TrialDue(verdict.Last.Add(trialPause-1)) || !verdict.TrialDue(verdict.Last.Add(trialPause)) {
-			t.Fatalf("trial %d is not due %v after the newest end", i, trialPause)
+		if verdict.TrialDue(verdict.LastCrash.Add(trialDelay-1)) || !verdict.TrialDue(verdict.LastCrash.Add(trialDelay)) {
+			t.Fatalf("trial %d is not due %v after the newest end", i, trialDelay)
 		}
 		second += 5
-		ended(&list, fmt.Sprintf("t%d", i), second, work("w"))
+		addCrash(&list, fmt.Sprintf("t%d", i), second, work("w"))
 	}
 	if verdict := list.Check(work("w"), start.Add(time.Minute)); verdict.TrialDue(start.Add(time.Minute)) {
 		t.Fatal("a fourth trial is due")
 	}
 }
 
-// TestVerdict_ComeBackIsAfterTheNextTrial: what is told to refused callers is the time of the
+// TestVerdict_RetryAfterFollowsNextTrial: what is told to refused callers is the time of the
 // trial that may end the quarantine, and the end of it once no trial is left.
-func TestVerdict_ComeBackIsAfterTheNextTrial(t *testing.T) {
+func TestVerdict_RetryAfterFollowsNextTrial(t *testing.T) {
 	var list List
 	for i := range 3 {
-		ended(&list, fmt.Sprintf("r%d", i), i, work("w"))
+		addCrash(&list, fmt.Sprintf("r%d", i), i, work("w"))
 	}
-	comesBack := func(second int) time.Duration {
+	retryAfter := func(second int) time.Duration {
 		now := start.Add(time.Duration(second) * time.Second)
 		verdict := list.Check(work("w"), now)
-		return verdict.ComeBack(now)
+		return verdict.RetryAfter(now)
 	}
-	if wait := comesBack(4); wait != 3*time.Second+trialSettles {
+	if wait := retryAfter(4); wait != 3*time.Second+trialPropagation {
 		t.Errorf("with a trial due in 3 s: %v", wait)
 	}
-	if wait := comesBack(9); wait != trialSettles {
+	if wait := retryAfter(9); wait != trialPropagation {
 		t.Errorf("with a trial due: %v", wait)
 	}
-	ended(&list, "t0", 10, work("w"))
-	if wait := comesBack(12); wait != 18*time.Second+trialSettles {
+	addCrash(&list, "t0", 10, work("w"))
+	if wait := retryAfter(12); wait != 18*time.Second+trialPropagation {
 		t.Errorf("with the second trial due in 18 s: %v", wait)
 	}
 	for i := range 2 {
-		ended(&list, fmt.Sprintf("t%d", 1+i), 20+i, work("w"))
+		addCrash(&list, fmt.Sprintf("t%d", 1+i), 20+i, work("w"))
 	}
-	if wait := comesBack(30); wait != time.Hour-20*time.Second {
+	if wait := retryAfter(30); wait != time.Hour-20*time.Second {
 		t.Errorf("tried no more, and condemned until the third newest end is an hour ago: %v", wait)
 	}
 }
 
-func TestList_TrialsOfRequestsAreRareAndOneAtATime(t *testing.T) {
+func TestList_RequestTrialsAreSpacedAndExclusive(t *testing.T) {
 	var list List
 	for i := range 3 {
-		ended(&list, fmt.Sprintf("r%d", i), i, work("w"))
+		addCrash(&list, fmt.Sprintf("r%d", i), i, work("w"))
 	}
 	last := start.Add(2 * time.Second)
-	if list.BeginTrial(work("w"), last.Add(trialPause-1)) || !list.BeginTrial(work("w"), last.Add(trialPause)) {
+	if list.BeginTrial(work("w"), last.Add(trialDelay-1)) || !list.BeginTrial(work("w"), last.Add(trialDelay)) {
 		t.Fatal("the first trial is not after 5 s")
 	}
-	if list.BeginTrial(work("w"), last.Add(trialPause+1)) || !list.BeginTrial(work("w"), last.Add(trialPause+trialLasts)) {
+	if list.BeginTrial(work("w"), last.Add(trialDelay+1)) || !list.BeginTrial(work("w"), last.Add(trialDelay+trialTimeout)) {
 		t.Fatal("two trials at once, or none after one that brought no news")
 	}
-	ended(&list, "t0", 20, work("w"))
+	addCrash(&list, "t0", 20, work("w"))
 	at := start.Add(20 * time.Second)
-	if list.BeginTrial(work("w"), at.Add(4*trialPause-1)) || !list.BeginTrial(work("w"), at.Add(4*trialPause)) {
+	if list.BeginTrial(work("w"), at.Add(4*trialDelay-1)) || !list.BeginTrial(work("w"), at.Add(4*trialDelay)) {
 		t.Fatal("the second trial is not after 20 s")
 	}
 	if list.BeginTrial(work("other"), at) {
@@ -311,12 +311,12 @@
 	}
 }
 
-func TestList_ForgetsTheOldestBeyondItsBound(t *testing.T) {
+func TestList_EvictsOldestBeyondBound(t *testing.T) {
 	var list List
 	for i := range maxWorks + 100 {
-		ended(&list, fmt.Sprintf("r%d", i), 0, work(fmt.Sprint(i)))
+		addCrash(&list, fmt.Sprintf("r%d", i), 0, work(fmt.Sprint(i)))
 	}
-	if count := list.count.Load(); count != maxWorks {
+	if count := list.suspectCount.Load(); count != maxWorks {
 		t.Fatalf("%d works are remembered", count)
 	}
 	if len(list.Check(work("0"), start).Replicas) != 0 || len(list.Check(work(fmt.Sprint(maxWorks)), start).Replicas) != 1 {
@@ -324,15 +324,15 @@
 	}
 }
 
-// BenchmarkList_TenThousand measures the memory of a full list and the time of a look.
-func BenchmarkList_TenThousand(b *testing.B) {
+// BenchmarkList_CheckFull measures the memory of a full list and the time of a look.
+func BenchmarkList_CheckFull(b *testing.B) {
 	var list List
 	for i := range maxWorks / 8 {
 		var beside []Work
 		for slot := range 8 {
 			beside = append(beside, work(fmt.Sprint(8*i+slot)))
 		}
-		ended(&list, fmt.Sprintf("i-%010x", i), 0, beside...)
+		addCrash(&list, fmt.Sprintf("i-%010x", i), 0, beside...)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -348,9 +348,9 @@
 		runtime.ReadMemStats(&before)
 		var list List
 		for i := range maxWorks {
-			ended(&list, fmt.Sprintf("i-%010x", i/8), 0, work(fmt.Sprint(i)))
+			addCrash(&list, fmt.Sprintf("i-%010x", i/8), 0, work(fmt.Sprint(i)))
 		}
-		for i := range 2 * maxWell {
+		for i := range 2 * maxRecent {
 			list.Clear(work(fmt.Sprint("well", i)), start)
 		}
 		runtime.GC()
--- a/internal/quarantine/publisher.go
+++ b/internal/quarantine/publisher.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// gather is how long news waits for more of the same moment: the requests that a node
+	// batchDelay is how long news waits for more of the same moment: the requests that a node
 	// had at a replica see its end within a few ms.
-	gather = 20 * time.Millisecond
+	batchDelay = 20 * time.Millisecond
 	// writeTimeout bounds one write, writeRetryFirst and writeRetryMax the pauses between
 	// tries of it.
 	writeTimeout    = 2 * time.Second
 	writeRetryFirst = 100 * time.Millisecond
 	writeRetryMax   = time.Second
-	// maxPending bounds the reports and the clearings that wait while the table is away.
-	maxPending = 1000
-	// rowsAtOnce bounds the rows of one transaction.
-	rowsAtOnce = 50
-	// sweepEvery is the time between two looks for rows that count no more.
-	sweepEvery = time.Minute
-	// keepEvery is the time between two looks for works that end well often, keepAtOnce bounds
+	// maxUnwritten bounds the reports and the clearings that wait while the table is away.
+	maxUnwritten = 1000
+	// rowsPerCommit bounds the rows of one transaction.
+	rowsPerCommit = 50
+	// sweepInterval is the time between two looks for rows that count no more.
+	sweepInterval = time.Minute
+	// successInterval is the time between two looks for works that end well often, keepAtOnce bounds
 	// those that are written each time, and maxKept the rows of works that ended well: a node
 	// that starts reads some 50 KB of them at most.
-	keepEvery  = time.Second
-	keepAtOnce = 5
-	maxKept    = 500
+	successInterval = time.Second
+	successBatch    = 5
+	maxClearingRows = 500
 )
 
 // Clearing tells that nothing before a time counts against a work.
@@ -41,13 +41,13 @@
 	At   time.Time
 }
 
-// News is what a node has seen.
-type News struct {
-	Reports   []Report
+// Update is what a node has seen.
+type Update struct {
+	Reports   []CrashReport
 	Clearings []Clearing
 }
 
-func (n *News) empty() bool { return len(n.Reports)+len(n.Clearings) == 0 }
+func (u *Update) empty() bool { return len(u.Reports)+len(u.Clearings) == 0 }
 
 // Publisher lets all nodes know what this one has seen: at once by messages, which may be
 // lost, and for good by rows of the table, which every node follows and which outlive the
@@ -57,52 +57,52 @@
 	Rows  *Rows
 	// Session names this life of the node.
 	Session func() string
-	// Tell, if set, sends news to all other nodes.
-	Tell func(News)
-	// Written, if set, is told that rows have been written.
-	Written func()
-	// Failed, if set, is told of writes that failed and are tried again, and of news that
+	// Broadcast, if set, sends news to all other nodes.
+	Broadcast func(Update)
+	// OnWritten, if set, is told that rows have been written.
+	OnWritten func()
+	// OnError, if set, is told of writes that failed and are tried again, and of news that
 	// was dropped.
-	Failed func(error)
-	// Sweeps reports whether this node is the one to remove rows that count no more.
-	Sweeps func() bool
+	OnError func(error)
+	// OwnsSweep reports whether this node is the one to remove rows that count no more.
+	OwnsSweep func() bool
 
 	mu sync.Mutex
-	// pending is what is to be told and then written, told what is only to be written.
-	pending, told News
+	// unsent is what is to be unwritten and then written, unwritten what is only to be written.
+	unsent, unwritten Update
 	// wake and wakeWriter say that there is any of these.
 	wake, wakeWriter chan struct{}
-	// written counts the rows of reports, for their keys.
-	written int
+	// reportsWritten counts the rows of reports, for their keys.
+	reportsWritten int
 }
 
 // NewPublisher returns a publisher that has nothing to tell.
 func NewPublisher(service table.Service, rows *Rows, session func() string) *Publisher {
 	return &Publisher{
-		Table: service, Rows: rows, Session: session, Sweeps: func() bool { return false },
+		Table: service, Rows: rows, Session: session, OwnsSweep: func() bool { return false },
 		wake: make(chan struct{}, 1), wakeWriter: make(chan struct{}, 1),
 	}
 }
 
-// Report has all nodes learn of an end.
-func (p *Publisher) Report(report Report) {
+// PublishCrash has all nodes learn of an end.
+func (p *Publisher) PublishCrash(report CrashReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i := range p.pending.Reports {
-		if known := &p.pending.Reports[i]; known.Replica == report.Replica && known.Born == report.Born {
-			known.Runs = append(known.Runs, report.Runs...)
+	for i := range p.unsent.Reports {
+		if queued := &p.unsent.Reports[i]; queued.Replica == report.Replica && queued.StartTime == report.StartTime {
+			queued.Runs = append(queued.Runs, report.Runs...)
 			return
 		}
 	}
-	p.pending.Reports = append(p.pending.Reports, report)
+	p.unsent.Reports = append(p.unsent.Reports, report)
 	notify(p.wake)
 }
 
-// Clear has all nodes learn of a clearing.
-func (p *Publisher) Clear(clearing Clearing) {
+// PublishClearing has all nodes learn of a clearing.
+func (p *Publisher) PublishClearing(clearing Clearing) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pending.Clearings = append(p.pending.Clearings, clearing)
+	p.unsent.Clearings = append(p.unsent.Clearings, clearing)
 	notify(p.wake)
 }
 
@@ -118,65 +118,65 @@
 // long the table takes to answer: what they do not know yet has them count ends against work
 // that ended well here.
 func (p *Publisher) Run(ctx context.Context) {
-	var writing sync.WaitGroup
-	defer writing.Wait()
-	writing.Go(func() { p.writeAll(ctx) })
+	var writer sync.WaitGroup
+	defer writer.Wait()
+	writer.Go(func() { p.runWriter(ctx) })
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
 		case <-p.wake:
 		}
-		if !retry.Sleep(ctx, gather) {
+		if !retry.Sleep(ctx, batchDelay) {
 			return
 		}
-		p.tell()
+		p.flush()
 	}
 }
 
-// tell tells others what is new and has it written.
-func (p *Publisher) tell() {
+// flush tells others what is new and has it written.
+func (p *Publisher) flush() {
 	p.mu.Lock()
-	fresh := p.pending
-	p.pending = News{}
+	update := p.unsent
+	p.unsent = Update{}
 	p.mu.Unlock()
-	if fresh.empty() {
+	if update.empty() {
 		return
 	}
-	if p.Tell != nil {
-		p.Tell(fresh)
+	if p.Broadcast != nil {
+		p.Broadcast(update)
 	}
 	p.mu.Lock()
-	p.told.Reports = append(p.told.Reports, fresh.Reports...)
-	p.told.Clearings = append(p.told.Clearings, fresh.Clearings...)
+	p.unwritten.Reports = append(p.unwritten.Reports, update.Reports...)
+	p.unwritten.Clearings = append(p.unwritten.Clearings, update.Clearings...)
 	p.mu.Unlock()
 	notify(p.wakeWriter)
 }
 
-// writeAll writes what has been told until the context ends, and sweeps.
-func (p *Publisher) writeAll(ctx context.Context) {
-	sweeps, keeps := time.NewTicker(sweepEvery), time.NewTicker(keepEvery)
-	defer sweeps.Stop()
-	defer keeps.Stop()
-	var unwritten News
+// runWriter writes what has been told until the context ends, and sweeps.
+func (p *Publisher) runWriter(ctx context.Context) {
+	sweepTicker, successTicker := time.NewTicker(sweepInterval), time.NewTicker(successInterval)
+	defer sweepTicker.Stop()
+	defer successTicker.Stop()
+	var batch Update
 	delay := writeRetryFirst
 	for ctx.Err() == nil {
-		if unwritten.empty() {
+		if batch.empty() {
 			select {
 			case <-ctx.Done():
 				return
-			case <-sweeps.C:
+			case <-sweepTicker.C:
 				p.sweep(ctx)
 				continue
-			case <-keeps.C:
-				p.keep(ctx)
+			case <-successTicker.C:
+				p.persistSuccesses(ctx)
 				continue
 			case <-p.wakeWriter:
 			}
 		}
-		p.takeTold(&unwritten)
-		if err := p.write(ctx, &unwritten); err != nil {
-			p.failed(err)
+		p.takeUnwritten(&batch)
+		if err := p.write(ctx, &batch); err != nil {
+			p.reportError(err)
 			retry.Sleep(ctx, delay)
 			delay = min(2*delay, writeRetryMax)
 			continue
@@ -185,38 +185,38 @@
 	}
 }
 
-// takeTold adds what has been told to what is to be written.
-func (p *Publisher) takeTold(unwritten *News) {
+// takeUnwritten adds what has been told to what is to be written.
+func (p *Publisher) takeUnwritten(batch *Update) {
 	p.mu.Lock()
-	told := p.told
-	p.told = News{}
+	taken := p.unwritten
+	p.unwritten = Update{}
 	p.mu.Unlock()
-	unwritten.Reports = newest(p, "ends", append(unwritten.Reports, told.Reports...))
-	unwritten.Clearings = newest(p, "clearings", append(unwritten.Clearings, told.Clearings...))
+	batch.Reports = dropOldest(p, "ends", append(batch.Reports, taken.Reports...))
+	batch.Clearings = dropOldest(p, "clearings", append(batch.Clearings, taken.Clearings...))
 }
 
-// newest returns the newest maxPending of what waits to be written, and tells how many are
+// dropOldest returns the dropOldest maxPending of what waits to be written, and tells how many are
 // dropped.
-func newest[T any](p *Publisher, what string, waiting []T) []T {
-	dropped := len(waiting) - maxPending
+func dropOldest[T any](p *Publisher, kind string, queue []T) []T {
+	dropped := len(queue) - maxUnwritten
 	if dropped <= 0 {
-		return waiting
+		return queue
 	}
-	p.failed(Error.New("the table has been away for too long, %d %s are not written", dropped, what))
-	return waiting[dropped:]
+	p.reportError(Error.New("the table has been away for too long, %d %s are not written", dropped, kind))
+	return queue[dropped:]
 }
 
-func (p *Publisher) failed(err error) {
-	if p.Failed != nil {
-		p.Failed(err)
+func (p *Publisher) reportError(err error) {
+	if p.OnError != nil {
+		p.OnError(err)
 	}
 }
 
 // write writes all that is to be written and takes off what is.
-func (p *Publisher) write(ctx context.Context, unwritten *News) error {
-	for !unwritten.empty() {
-		reports := unwritten.Reports[:min(len(unwritten.Reports), rowsAtOnce)]
-		clearings := unwritten.Clearings[:min(len(unwritten.Clearings), rowsAtOnce-len(reports))]
+func (p *Publisher) write(ctx context.Context, batch *Update) error {
+	for !batch.empty() {
+		reports := batch.Reports[:min(len(batch.Reports), rowsPerCommit)]
+		clearings := batch.Clearings[:min(len(batch.Clearings), rowsPerCommit-len(reports))]
 		writes, err := p.encode(reports, clearings)
 		if err != nil {
 			return err
@@ -224,27 +224,27 @@
 		if err := p.commit(ctx, writes); err != nil {
 			return err
 		}
-		p.written += len(reports)
-		unwritten.Reports = unwritten.Reports[len(reports):]
-		unwritten.Clearings = unwritten.Clearings[len(clearings):]
-		if p.Written != nil {
-			p.Written()
+		p.reportsWritten += len(reports)
+		batch.Reports = batch.Reports[len(reports):]
+		batch.Clearings = batch.Clearings[len(clearings):]
+		if p.OnWritten != nil {
+			p.OnWritten()
 		}
 	}
 	return nil
 }
 
-func (p *Publisher) encode(reports []Report, clearings []Clearing) ([]table.Write, error) {
+func (p *Publisher) encode(reports []CrashReport, clearings []Clearing) ([]table.Write, error) {
 	writes := make([]table.Write, 0, len(reports)+len(clearings))
 	for i, report := range reports {
-		key := fmt.Sprintf("%s/%s/%d", report.Replica, p.Session(), p.written+i)
-		write, err := p.Rows.putEnd(key, report)
+		key := fmt.Sprintf("%s/%s/%d", report.Replica, p.Session(), p.reportsWritten+i)
+		write, err := p.Rows.putCrash(key, report)
 		if err != nil {
 			return nil, err
 		}
 		writes = append(writes, write)
 	}
-	for _, clearing := range newestOf(clearings) {
+	for _, clearing := range latestByWork(clearings) {
 		if !p.Rows.clearedAt(clearing.Work).Before(clearing.At) {
 			// Another node has written as much meanwhile.
 			continue
@@ -258,26 +258,26 @@
 	return writes, nil
 }
 
-// newestOf returns the newest clearing of each work.
-func newestOf(clearings []Clearing) map[Work]Clearing {
-	newest := map[Work]Clearing{}
-	for _, one := range clearings {
-		if !one.At.Before(newest[one.Work].At) {
-			newest[one.Work] = one
+// latestByWork returns the newest clearing of each work.
+func latestByWork(clearings []Clearing) map[Work]Clearing {
+	latest := map[Work]Clearing{}
+	for _, clearing := range clearings {
+		if !clearing.At.Before(latest[clearing.Work].At) {
+			latest[clearing.Work] = clearing
 		}
 	}
-	return newest
+	return latest
 }
 
-// keep has rows tell of works that end well often. Nobody waits for them, so nobody is told.
-func (p *Publisher) keep(ctx context.Context) {
-	writes, err := p.encode(nil, p.Rows.toKeep(keepAtOnce))
+// persistSuccesses has rows tell of works that end well often. Nobody waits for them, so nobody is told.
+func (p *Publisher) persistSuccesses(ctx context.Context) {
+	writes, err := p.encode(nil, p.Rows.successesToPersist(successBatch))
 	if err == nil {
 		err = p.commit(ctx, writes)
 	}
 	if err != nil {
 		// The next look tries again what no row tells then.
-		p.failed(err)
+		p.reportError(err)
 	}
 }
 
@@ -292,22 +292,22 @@
 	_, err := p.Table.Commit(callCtx, table.NewOperation(), writes...)
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
-		p.Rows.learn(conflict.Rows)
+		p.Rows.recordVersions(conflict.Rows)
 	}
 	return err
 }
 
 // sweep removes rows that count no more.
 func (p *Publisher) sweep(ctx context.Context) {
-	if !p.Sweeps() {
+	if !p.OwnsSweep() {
 		return
 	}
-	writes := p.Rows.outdated(rowsAtOnce)
+	writes := p.Rows.expired(rowsPerCommit)
 	if len(writes) == 0 {
 		return
 	}
 	if err := p.commit(ctx, writes); err != nil && outcome.Of(err) != outcome.NotDone {
 		// The next sweep looks again.
-		p.failed(err)
+		p.reportError(err)
 	}
 }
--- a/internal/quarantine/publisher_test.go
+++ b/internal/quarantine/publisher_test.go
@@ -10,15 +10,15 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// silentTable leaves all commits without an answer.
-type silentTable struct{ table.Service }
+// hangingTable leaves all commits without an answer.
+type hangingTable struct{ table.Service }
 
-func (silentTable) Commit(ctx context.Context, _ string, _ ...table.Write) ([]uint64, error) {
+func (hangingTable) Commit(ctx context.Context, _ string, _ ...table.Write) ([]uint64, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// TestPublisher_TellsAtOnceWhileTheTableIsSilent: other nodes hear in messages what a node has
+// TestPublisher_BroadcastsWhileTableHangs: other nodes hear in messages what a node has
 // seen, whether or not it can be written. The messages waited for the write of what was there
 // before, 2 s for each try that got no answer and up to a second between two tries; meanwhile
 // the other nodes counted ends against popular work that had ended well here after them, and
@@ -29,48 +29,48 @@
 // written yet: context deadline exceeded" at 45.801 and 47.923 s, so a write was under way all
 // the time between. Node-1 wrote "work quarantined" at 48.128 s, for these five ends and one
 // more, and refused the work.
-func TestPublisher_TellsAtOnceWhileTheTableIsSilent(t *testing.T) {
+func TestPublisher_BroadcastsWhileTableHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var list List
 		rows := &Rows{Partition: "g/q", Guard: &Guard{List: &list}}
 		rows.Apply(table.Changes{Now: time.Hour}, true)
-		publisher := NewPublisher(silentTable{}, rows, func() string { return "session" })
-		told := make(chan News, 10)
-		publisher.Tell = func(news News) { told <- news }
-		ended := make(chan struct{})
+		publisher := NewPublisher(hangingTable{}, rows, func() string { return "session" })
+		broadcasts := make(chan Update, 10)
+		publisher.Broadcast = func(update Update) { broadcasts <- update }
+		done := make(chan struct{})
 		go func() {
-			defer close(ended)
+			defer close(done)
 			publisher.Run(ctx)
 		}()
-		publisher.Report(Report{Replica: "r", Runs: runsOf(time.Now(), work("w")), At: time.Now()})
+		publisher.PublishCrash(CrashReport{Replica: "r", Runs: runsOf(time.Now(), work("w")), At: time.Now()})
 		time.Sleep(500 * time.Millisecond)
-		if news := <-told; len(news.Reports) != 1 {
-			t.Errorf("told first is %+v", news)
+		if update := <-broadcasts; len(update.Reports) != 1 {
+			t.Errorf("told first is %+v", update)
 		}
-		publisher.Clear(Clearing{Work: work("w"), At: time.Now()})
-		time.Sleep(2 * gather)
+		publisher.PublishClearing(Clearing{Work: work("w"), At: time.Now()})
+		time.Sleep(2 * batchDelay)
 		select {
-		case news := <-told:
-			if len(news.Clearings) != 1 {
-				t.Errorf("told next is %+v", news)
+		case update := <-broadcasts:
+			if len(update.Clearings) != 1 {
+				t.Errorf("told next is %+v", update)
 			}
 		default:
-			t.Errorf("nothing is told %v after a run ended well", 2*gather)
+			t.Errorf("nothing is told %v after a run ended well", 2*batchDelay)
 		}
 		cancel()
-		<-ended
+		<-done
 	})
 }
 
-// TestPublisher_TheNextFleetKnowsWhatEndedWell: nodes that all restart at once have nobody to ask,
+// TestPublisher_PersistsFrequentSuccesses: nodes that all restart at once have nobody to ask,
 // and the ends that a popular work meets then count as those of work that never ended well.
 //
 // Seen in a soak (--seed 7219 --nodes 7 --regions 2): all nodes were killed and started at 30.9 s of
 // the minute; the work of a tenant met the ends of three servers until 31.832 s, all by a harmful
 // work, and "work quarantined" stands for it at all seven nodes with the limit of work that never
 // ended well. 212 requests of it were refused until one was tried 5 s later and ended well.
-func TestPublisher_TheNextFleetKnowsWhatEndedWell(t *testing.T) {
+func TestPublisher_PersistsFrequentSuccesses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		service := tabletest.New()
@@ -78,18 +78,18 @@
 		rows := &Rows{Partition: "g/q", Guard: guard}
 		rows.Apply(table.Changes{Now: time.Hour}, true)
 		publisher := NewPublisher(service, rows, func() string { return "session" })
-		ended := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
-			defer close(ended)
+			defer close(done)
 			publisher.Run(ctx)
 		}()
-		for range lastingRuns {
-			guard.EndedWell(work("popular"))
+		for range persistAfter {
+			guard.RecordSuccess(work("popular"))
 		}
-		guard.EndedWell(work("rare"))
-		time.Sleep(2 * keepEvery)
+		guard.RecordSuccess(work("rare"))
+		time.Sleep(2 * successInterval)
 		cancel()
-		<-ended
+		<-done
 		written, err := table.ListAll(t.Context(), service, "g/q")
 		if err != nil || len(written) != 1 {
 			t.Fatalf("written are %v, %v", written, err)
@@ -100,15 +100,15 @@
 			read.Changes = append(read.Changes, table.Change{Row: row})
 		}
 		(&Rows{Partition: "g/q", Guard: next}).Apply(read, true)
-		if _, known := next.List.EndedWell(work("popular")); !known {
+		if _, known := next.List.LastSuccess(work("popular")); !known {
 			t.Error("a node that starts does not know that popular work ended well")
 		}
 	})
 }
 
-// TestPublisher_WritesTheNewestClearing: of two good ends of a work that wait to be written the
+// TestPublisher_WritesLatestClearing: of two good ends of a work that wait to be written the
 // newest counts, and one that another node has written later is not taken back.
-func TestPublisher_WritesTheNewestClearing(t *testing.T) {
+func TestPublisher_WritesLatestClearing(t *testing.T) {
 	guard, _, _ := newGuard(Refused)
 	rows := &Rows{Partition: "g/q", Guard: guard}
 	rows.Apply(table.Changes{Now: time.Hour}, true)
@@ -130,7 +130,7 @@
 		t.Fatalf("%d writes for one work", len(writes))
 	}
 	rows.Apply(table.Changes{Now: time.Hour, Changes: []table.Change{{Row: rowOf(writes[0])}}}, false)
-	if at, _ := guard.List.EndedWell(work("w")); now.Sub(at) > 1500*time.Millisecond {
+	if at, _ := guard.List.LastSuccess(work("w")); now.Sub(at) > 1500*time.Millisecond {
 		t.Errorf("written is a good end of %v ago, not the newest", now.Sub(at))
 	}
 	if writes := encode(time.Minute); len(writes) != 0 {
--- a/internal/quarantine/rows.go
+++ b/internal/quarantine/rows.go
@@ -15,26 +15,26 @@
 // Prefixes of the rows: one for each end and node that had work there, one for each work
 // that was cleared.
 const (
-	prefixEnd      = "end/"
+	prefixCrash    = "end/"
 	prefixClearing = "cleared/"
 )
 
 // errClockUnknown reports that the table's clock has not been seen yet.
 var errClockUnknown = Error.New("the table's clock is not known yet")
 
-// endRow is the body of the row of an end. Times are of the table's steady clock, in ms.
-type endRow struct {
+// crashRow is the body of the row of an end. Times are of the table's steady clock, in ms.
+type crashRow struct {
 	Replica string `cbor:"1,keyasint"`
 	Works   []Work `cbor:"2,keyasint"`
 	At      int64  `cbor:"3,keyasint"`
-	// Lasted is how long each of Works had run.
-	Lasted []int64 `cbor:"4,keyasint,omitempty"`
-	// Born tells which start of the replica ended; absent if that is not known.
-	Born int64 `cbor:"5,keyasint,omitempty"`
-	// Well is how long before the end each of Works was last seen to end well, in ms and at
+	// Durations is how long each of Works had run.
+	Durations []int64 `cbor:"4,keyasint,omitempty"`
+	// StartTime tells which start of the replica ended; absent if that is not known.
+	StartTime int64 `cbor:"5,keyasint,omitempty"`
+	// SuccessAges is how long before the end each of Works was last seen to end well, in ms and at
 	// least 1; 0 if the writer has not seen it. Without it a restart of all nodes, which forget
 	// that, would have a popular work refused for the ends that it met by chance.
-	Well []int64 `cbor:"6,keyasint,omitempty"`
+	SuccessAges []int64 `cbor:"6,keyasint,omitempty"`
 }
 
 // clearingRow is the body of the row of a clearing.
@@ -49,8 +49,8 @@
 	Partition string
 	// Guard takes in ends; its list takes in clearings.
 	Guard *Guard
-	// Malformed, if set, is told of rows that cannot be read; they are passed over.
-	Malformed func(key table.Key, err error)
+	// OnMalformed, if set, is told of rows that cannot be read; they are passed over.
+	OnMalformed func(key table.Key, err error)
 
 	mu sync.Mutex
 	// tableNow is the table's clock as of readAt.
@@ -66,41 +66,41 @@
 	at time.Time
 }
 
-// fact is what a row tells.
-type fact struct {
+// rowEvent is what a row tells.
+type rowEvent struct {
 	at       time.Time
-	report   *Report
+	report   *CrashReport
 	clearing *Clearing
 }
 
 // Apply takes in changes of the group that the partition belongs to.
-func (r *Rows) Apply(changes table.Changes, whole bool) {
-	facts := r.take(changes)
-	slices.SortStableFunc(facts, func(a, b fact) int { return a.at.Compare(b.at) })
+func (r *Rows) Apply(changes table.Changes, complete bool) {
+	events := r.applyRows(changes)
+	slices.SortStableFunc(events, func(a, b rowEvent) int { return a.at.Compare(b.at) })
 	// Clearings come first: no work is refused, for a moment, by ends that were cleared.
-	for _, one := range facts {
-		if one.clearing != nil {
-			r.Guard.List.Clear(one.clearing.Work, one.clearing.At)
+	for _, event := range events {
+		if event.clearing != nil {
+			r.Guard.List.Clear(event.clearing.Work, event.clearing.At)
 		}
 	}
-	for _, one := range facts {
-		if one.report != nil {
-			r.Guard.Take(*one.report)
+	for _, event := range events {
+		if event.report != nil {
+			r.Guard.RecordCrash(*event.report)
 		}
 	}
-	if whole {
-		r.Guard.read()
+	if complete {
+		r.Guard.rowsLoaded()
 	}
 }
 
-func (r *Rows) take(changes table.Changes) []fact {
+func (r *Rows) applyRows(changes table.Changes) []rowEvent {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tableNow, r.readAt = changes.Now, clock.Now()
 	if r.rows == nil {
 		r.rows = map[string]rowState{}
 	}
-	var facts []fact
+	var events []rowEvent
 	for _, change := range changes.Changes {
 		if change.Partition != r.Partition {
 			continue
@@ -109,21 +109,21 @@
 			delete(r.rows, change.Sort)
 			continue
 		}
-		told, err := r.decode(change.Row)
+		decoded, err := r.decode(change.Row)
 		if err != nil {
-			if r.Malformed != nil {
-				r.Malformed(change.Key, err)
+			if r.OnMalformed != nil {
+				r.OnMalformed(change.Key, err)
 			}
 			continue
 		}
-		r.rows[change.Sort] = rowState{version: change.Version, at: told[0].at}
-		facts = append(facts, told...)
+		r.rows[change.Sort] = rowState{version: change.Version, at: decoded[0].at}
+		events = append(events, decoded...)
 	}
-	return facts
+	return events
 }
 
 // decode reads a row. Of what it tells the row's own fact comes first. The caller holds mu.
-func (r *Rows) decode(row table.Row) ([]fact, error) {
+func (r *Rows) decode(row table.Row) ([]rowEvent, error) {
 	if name, ok := strings.CutPrefix(row.Sort, prefixClearing); ok {
 		work, err := ParseWork(name)
 		if err != nil {
@@ -133,24 +133,24 @@
 		if err := cbor.Unmarshal(row.Body, &body); err != nil {
 			return nil, Error.Wrap(err)
 		}
-		at := r.local(body.At)
-		return []fact{{at: at, clearing: &Clearing{Work: work, At: at}}}, nil
+		at := r.localTime(body.At)
+		return []rowEvent{{at: at, clearing: &Clearing{Work: work, At: at}}}, nil
 	}
-	var body endRow
+	var body crashRow
 	if err := cbor.Unmarshal(row.Body, &body); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	at := r.local(body.At)
-	report := &Report{Replica: body.Replica, Born: body.Born, Runs: RunsOf(body.Works, body.Lasted, at), At: at}
-	facts := []fact{{at: at, report: report}}
-	for _, clearing := range WellOf(body.Works, body.Well, at) {
-		facts = append(facts, fact{at: clearing.At, clearing: &clearing})
+	at := r.localTime(body.At)
+	report := &CrashReport{Replica: body.Replica, StartTime: body.StartTime, Runs: DecodeRuns(body.Works, body.Durations, at), At: at}
+	events := []rowEvent{{at: at, report: report}}
+	for _, clearing := range DecodeSuccesses(body.Works, body.SuccessAges, at) {
+		events = append(events, rowEvent{at: clearing.At, clearing: &clearing})
 	}
-	return facts, nil
+	return events, nil
 }
 
-// local returns a time of the table's clock by this node's. The caller holds mu.
-func (r *Rows) local(at int64) time.Time {
+// localTime returns a time of the table's clock by this node's. The caller holds mu.
+func (r *Rows) localTime(at int64) time.Time {
 	age := r.tableNow - time.Duration(at)*time.Millisecond
 	return r.readAt.Add(-max(0, age))
 }
@@ -163,61 +163,61 @@
 	return (r.tableNow + at.Sub(r.readAt)).Milliseconds(), nil
 }
 
-// Told returns the runs of a report as they are told: the works, and how long each had run, in
+// EncodeRuns returns the runs of a report as they are told: the works, and how long each had run, in
 // ms.
-func (r *Report) Told() (works []Work, lasted []int64) {
+func (r *CrashReport) EncodeRuns() (works []Work, durations []int64) {
 	for _, run := range r.Runs {
 		works = append(works, run.Work)
-		lasted = append(lasted, r.At.Sub(run.Began).Milliseconds())
+		durations = append(durations, r.At.Sub(run.SentAt).Milliseconds())
 	}
-	return works, lasted
+	return works, durations
 }
 
-// RunsOf returns runs that were told, at the end of a replica. One of which it is not told how
+// DecodeRuns returns runs that were told, at the end of a replica. One of which it is not told how
 // long it lasted counts as having begun with the replica's end.
-func RunsOf(works []Work, lasted []int64, at time.Time) []Run {
+func DecodeRuns(works []Work, durations []int64, at time.Time) []Run {
 	runs := make([]Run, len(works))
 	for i, work := range works {
-		runs[i] = Run{Work: work, Began: at}
-		if i < len(lasted) {
-			runs[i].Began = at.Add(-time.Duration(max(0, lasted[i])) * time.Millisecond)
+		runs[i] = Run{Work: work, SentAt: at}
+		if i < len(durations) {
+			runs[i].SentAt = at.Add(-time.Duration(max(0, durations[i])) * time.Millisecond)
 		}
 	}
 	return runs
 }
 
-// putEnd returns the write of the row of an end.
-func (r *Rows) putEnd(name string, report Report) (table.Write, error) {
+// putCrash returns the write of the row of an end.
+func (r *Rows) putCrash(name string, report CrashReport) (table.Write, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at, err := r.tableTime(report.At)
 	if err != nil {
 		return table.Write{}, err
 	}
-	works, lasted := report.Told()
-	return r.put(prefixEnd+name, endRow{
-		Replica: report.Replica, Works: works, At: at, Lasted: lasted, Born: report.Born, Well: r.Guard.List.WellBefore(works, report.At),
+	works, durations := report.EncodeRuns()
+	return r.put(prefixCrash+name, crashRow{
+		Replica: report.Replica, Works: works, At: at, Durations: durations, StartTime: report.StartTime, SuccessAges: r.Guard.List.EncodeSuccesses(works, report.At),
 	})
 }
 
-// WellBefore returns for each work how long before an end it was last seen here to end well, as
+// EncodeSuccesses returns for each work how long before an end it was last seen here to end well, as
 // that is told: in ms and at least 1, 0 if it was not.
-func (l *List) WellBefore(works []Work, end time.Time) []int64 {
-	well := make([]int64, len(works))
+func (l *List) EncodeSuccesses(works []Work, crashedAt time.Time) []int64 {
+	ages := make([]int64, len(works))
 	for i, work := range works {
-		if at, ok := l.EndedWell(work); ok && at.Before(end) {
-			well[i] = max(1, end.Sub(at).Milliseconds())
+		if at, ok := l.LastSuccess(work); ok && at.Before(crashedAt) {
+			ages[i] = max(1, crashedAt.Sub(at).Milliseconds())
 		}
 	}
-	return well
+	return ages
 }
 
-// WellOf returns the good ends of works that were told with the end of a replica.
-func WellOf(works []Work, well []int64, end time.Time) []Clearing {
+// DecodeSuccesses returns the good ends of works that were told with the end of a replica.
+func DecodeSuccesses(works []Work, ages []int64, crashedAt time.Time) []Clearing {
 	var clearings []Clearing
-	for i, before := range well[:min(len(well), len(works))] {
-		if before > 0 {
-			clearings = append(clearings, Clearing{Work: works[i], At: end.Add(-time.Duration(before) * time.Millisecond)})
+	for i, age := range ages[:min(len(ages), len(works))] {
+		if age > 0 {
+			clearings = append(clearings, Clearing{Work: works[i], At: crashedAt.Add(-time.Duration(age) * time.Millisecond)})
 		}
 	}
 	return clearings
@@ -241,23 +241,23 @@
 	return r.rows[prefixClearing+work.String()].at
 }
 
-// toKeep returns up to so many works that end well often here and of which rows are to tell: what
+// successesToPersist returns up to so many works that end well often here and of which rows are to tell: what
 // the nodes remember is gone when all of them restart, and the ends that work met stay.
-func (r *Rows) toKeep(limit int) []Clearing {
-	room := min(limit, maxKept-r.clearings())
-	if room <= 0 {
+func (r *Rows) successesToPersist(limit int) []Clearing {
+	available := min(limit, maxClearingRows-r.clearingCount())
+	if available <= 0 {
 		return nil
 	}
-	return r.Guard.repeats.lasting(clock.Now(), r.Guard.List.memory()/2, room, r.clearedAt)
+	return r.Guard.frequent.duePersist(clock.Now(), r.Guard.List.window()/2, available, r.clearedAt)
 }
 
-// clearings counts the rows of works that ended well; maxKept of them are taken to be there until
+// clearingCount counts the rows of works that ended well; maxKept of them are taken to be there until
 // the rows have been read.
-func (r *Rows) clearings() int {
+func (r *Rows) clearingCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.readAt.IsZero() {
-		return maxKept
+		return maxClearingRows
 	}
 	count := 0
 	for name := range r.rows {
@@ -278,37 +278,37 @@
 	return table.Write{Key: key, Kind: table.Put, Expect: r.rows[name].version, Body: encoded}, nil
 }
 
-// learn takes in the versions of rows that a write met.
-func (r *Rows) learn(rows []table.Row) {
+// recordVersions takes in the versions of rows that a write met.
+func (r *Rows) recordVersions(rows []table.Row) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, row := range rows {
-		known := r.rows[row.Sort]
-		known.version = max(known.version, row.Version)
-		if told, err := r.decode(row); err == nil {
-			known.at = told[0].at
-		} else if known.at.IsZero() {
-			known.at = clock.Now()
+		state := r.rows[row.Sort]
+		state.version = max(state.version, row.Version)
+		if decoded, err := r.decode(row); err == nil {
+			state.at = decoded[0].at
+		} else if state.at.IsZero() {
+			state.at = clock.Now()
 		}
 		if r.rows == nil {
 			r.rows = map[string]rowState{}
 		}
-		r.rows[row.Sort] = known
+		r.rows[row.Sort] = state
 	}
 }
 
-// outdated returns writes that remove up to so many rows that count no more.
-func (r *Rows) outdated(limit int) []table.Write {
+// expired returns writes that remove up to so many rows that count no more.
+func (r *Rows) expired(limit int) []table.Write {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var writes []table.Write
-	for name, known := range r.rows {
+	for name, state := range r.rows {
 		if len(writes) == limit {
 			break
 		}
-		if clock.Since(known.at) > r.Guard.List.memory() {
+		if clock.Since(state.at) > r.Guard.List.window() {
 			key := table.Key{Partition: r.Partition, Sort: name}
-			writes = append(writes, table.Write{Key: key, Kind: table.Delete, Expect: known.version})
+			writes = append(writes, table.Write{Key: key, Kind: table.Delete, Expect: state.version})
 		}
 	}
 	return writes
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// trialPause is the time between two trials of quarantined work: a few replicas that end
+	// trialDelay is the time between two trials of quarantined work: a few replicas that end
 	// one after the other by themselves are over by then.
-	trialPause = 5 * time.Second
-	// trialLasts is how long a trial of a request keeps others from being tried at the same
+	trialDelay = 5 * time.Second
+	// trialTimeout is how long a trial of a request keeps others from being tried at the same
 	// node: longer than requests of the users' deployments may take.
-	trialLasts = 10 * time.Second
-	// trialSettles is how long after the begin of a trial its outcome is known at all nodes, if
+	trialTimeout = 10 * time.Second
+	// trialPropagation is how long after the begin of a trial its outcome is known at all nodes, if
 	// the work is harmless.
-	trialSettles = time.Second
+	trialPropagation = time.Second
 )
 
-// rareTrialPauses are the times from the newest end to a trial of a request, by how many ends
+// requestTrialDelays are the times from the newest end to a trial of a request, by how many ends
 // more than the limit count against it: two trials at most within two minutes.
-var rareTrialPauses = []time.Duration{trialPause, 4 * trialPause, 12 * time.Minute}
+var requestTrialDelays = []time.Duration{trialDelay, 4 * trialDelay, 12 * time.Minute}
 
 // Verdict is what is known of a work.
 type Verdict struct {
@@ -30,45 +30,45 @@
 	// Quarantined work is sent to no replica, until Until.
 	Quarantined bool
 	Until       time.Time
-	// Asked is when other nodes were last asked what speaks for the work; zero if never.
-	Asked time.Time
-	// Last is the end of the newest of Replicas.
-	Last time.Time
+	// QueriedAt is when other nodes were last asked what speaks for the work; zero if never.
+	QueriedAt time.Time
+	// LastCrash is the end of the newest of Replicas.
+	LastCrash time.Time
 	// Limit is how many it may end.
 	Limit int
-	// Fresh is set on the first verdict by which the work is quarantined.
-	Fresh bool
+	// NewlyQuarantined is set on the first verdict by which the work is quarantined.
+	NewlyQuarantined bool
 }
 
 // TrialDue reports whether quarantined work may run once more to show that it is harmless:
 // some time after the newest end, and until as many ends more as it may bring about at first
 // speak against it. It is meant for work that is not sent by many at the same time.
 func (v *Verdict) TrialDue(now time.Time) bool {
-	return v.mayTry() && now.Sub(v.Last) >= trialPause
+	return v.trialsRemain() && now.Sub(v.LastCrash) >= trialDelay
 }
 
-// RareTrialDue is TrialDue with pauses that grow: for work that comes again by itself for as
+// RequestTrialDue is TrialDue with pauses that grow: for work that comes again by itself for as
 // long as its callers like.
-func (v *Verdict) RareTrialDue(now time.Time) bool {
-	return v.mayTry() && !now.Before(v.rareTrialAt())
+func (v *Verdict) RequestTrialDue(now time.Time) bool {
+	return v.trialsRemain() && !now.Before(v.nextRequestTrial())
 }
 
-// ComeBack returns how long a caller should wait whose request was refused: until the work has
+// RetryAfter returns how long a caller should wait whose request was refused: until the work has
 // been tried once more and may have been found harmless, or until what counts against it has
 // faded if it is tried no more.
-func (v *Verdict) ComeBack(now time.Time) time.Duration {
-	if !v.mayTry() {
-		return max(trialSettles, v.Until.Sub(now))
+func (v *Verdict) RetryAfter(now time.Time) time.Duration {
+	if !v.trialsRemain() {
+		return max(trialPropagation, v.Until.Sub(now))
 	}
-	return max(0, v.rareTrialAt().Sub(now)) + trialSettles
+	return max(0, v.nextRequestTrial().Sub(now)) + trialPropagation
 }
 
-func (v *Verdict) mayTry() bool { return v.Quarantined && len(v.Replicas) < 2*v.Limit }
+func (v *Verdict) trialsRemain() bool { return v.Quarantined && len(v.Replicas) < 2*v.Limit }
 
-// rareTrialAt is when the next trial of a request is due, for work that may be tried.
-func (v *Verdict) rareTrialAt() time.Time {
-	beyond := min(len(v.Replicas)-v.Limit, len(rareTrialPauses)-1)
-	return v.Last.Add(rareTrialPauses[beyond])
+// nextRequestTrial is when the next trial of a request is due, for work that may be tried.
+func (v *Verdict) nextRequestTrial() time.Time {
+	excess := min(len(v.Replicas)-v.Limit, len(requestTrialDelays)-1)
+	return v.LastCrash.Add(requestTrialDelays[excess])
 }
 
 // RefusedError reports work that is kept from all replicas. It did not run this time.
--- a/internal/quarantine/work_test.go
+++ b/internal/quarantine/work_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestWork_TellsContentsApart(t *testing.T) {
+func TestWork_DistinguishesContents(t *testing.T) {
 	base := Content{Caller: "c", Method: "POST", Host: "h", Target: "/t", Body: []byte("body")}
 	same := base
 	if base.Work() != same.Work() {
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestParseWork_ReadsWhatStringWrites(t *testing.T) {
+func TestParseWork_RoundTrip(t *testing.T) {
 	content := Content{Body: []byte("x")}
 	work := content.Work()
 	if got, err := ParseWork(work.String()); err != nil || got != work {
