--- a/internal/findings/findings.go
+++ b/internal/findings/findings.go
@@ -1,5 +1,5 @@
-// Package findings collects what is wrong with an input, each finding with its
-// place, so that all of them are reported together.
+// Package findings collects the problems of an input, each with its position, so that all of them
+// are reported together.
 package findings
 
 import (
@@ -8,19 +8,20 @@
 	"strings"
 )
 
-// Finding is one thing wrong at one place.
+// Finding is one problem at one position.
 type Finding struct {
-	// File, Line and Column locate the finding in a source; Line and Column
-	// count from 1 and are 0 when not known.
+	// File, Line and Column locate the finding in a source. Line and Column start at 1 and are 0 if
+	// not known.
 	File   string `json:"file,omitempty"`
 	Line   int    `json:"line,omitempty"`
 	Column int    `json:"column,omitempty"`
-	// Path locates it in the decoded value, for example "spec.replicas.min".
+	// Path locates the finding in the decoded value, for example "spec.replicas.min".
 	Path    string `json:"path,omitempty"`
 	Message string `json:"message"`
 }
 
-// String renders file:line:column: path: message, leaving out what is not known.
+// String formats the finding as "file:line:column: path: message", without the parts that are not
+// known.
 func (f Finding) String() string {
 	var builder strings.Builder
 	if f.File != "" {
@@ -41,17 +42,17 @@
 	return builder.String()
 }
 
-// List collects findings. The zero value is empty and ready.
+// List collects findings. The zero value is an empty list.
 type List struct {
 	items []Finding
 }
 
-// Error is the error form of a non-empty list.
+// Error is an error that holds one or more findings.
 type Error struct {
 	Findings []Finding
 }
 
-// Error implements error with one finding a line.
+// Error implements error with one line per finding.
 func (e *Error) Error() string {
 	lines := make([]string, len(e.Findings))
 	for i, finding := range e.Findings {
@@ -65,10 +66,11 @@
 	l.items = append(l.items, Finding{Path: path, Message: fmt.Sprintf(format, arguments...)})
 }
 
-// Append appends findings as they are.
+// Append appends existing findings.
 func (l *List) Append(found ...Finding) { l.items = append(l.items, found...) }
 
-// All returns the findings in the order of their places.
+// All returns the findings sorted by file, line and column. Findings at the same position keep
+// their order.
 func (l *List) All() []Finding {
 	sorted := append([]Finding(nil), l.items...)
 	sort.SliceStable(sorted, func(i, j int) bool {
@@ -84,7 +86,7 @@
 	return sorted
 }
 
-// Err returns nil when nothing was found.
+// Err returns an *Error with all findings, or nil if there are none.
 func (l *List) Err() error {
 	if len(l.items) == 0 {
 		return nil
--- a/internal/findings/yaml.go
+++ b/internal/findings/yaml.go
@@ -13,20 +13,21 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Position is a position in a source.
+// Position is a line and column in a source, both starting at 1; zero if not known.
 type Position struct {
 	Line   int
 	Column int
 }
 
-// Document is a YAML document whose values can be located.
+// Document is a YAML document that can locate its values by path.
 type Document struct {
 	file      string
 	node      ast.Node
 	positions map[string]Position
 }
 
-// ParseYAML splits a source into its documents. Empty documents are left out.
+// ParseYAML parses the documents of a source. Empty documents are omitted. A syntax error is
+// returned as *Error.
 func ParseYAML(file string, source []byte) ([]Document, error) {
 	parsed, err := parser.ParseBytes(source, 0)
 	if err != nil {
@@ -44,6 +45,7 @@
 	return documents, nil
 }
 
+// syntaxFinding converts a parser error to a finding, with its position if known.
 func syntaxFinding(file string, err error) Finding {
 	finding := Finding{File: file, Message: err.Error()}
 	var syntax yaml.Error
@@ -56,6 +58,8 @@
 	return finding
 }
 
+// index records the positions of node and of all values in it. For an entry of a mapping the
+// position is that of its key.
 func (d *Document) index(path string, node ast.Node) {
 	token := node.GetToken()
 	if _, known := d.positions[path]; !known && token != nil {
@@ -75,6 +79,7 @@
 	}
 }
 
+// indexEntry records the position of a mapping entry and of the values in it.
 func (d *Document) indexEntry(path string, entry *ast.MappingValueNode) {
 	child := join(path, entry.Key.String())
 	position := entry.Key.GetToken().Position
@@ -82,6 +87,7 @@
 	d.index(child, entry.Value)
 }
 
+// join appends a key to a path.
 func join(path, key string) string {
 	if path == "" {
 		return key
@@ -89,8 +95,8 @@
 	return path + "." + key
 }
 
-// Locate fills in the place of findings made about this document's values. A
-// path that is absent from the source gets the place of its nearest parent.
+// Locate returns copies of found with the file, line and column of their paths. A path that is not
+// in the source gets the position of its nearest parent.
 func (d *Document) Locate(found []Finding) []Finding {
 	located := make([]Finding, len(found))
 	for i, finding := range found {
@@ -102,6 +108,7 @@
 	return located
 }
 
+// nearestPosition returns the position of path, or of its nearest parent in the document.
 func (d *Document) nearestPosition(path string) Position {
 	for {
 		if position, ok := d.positions[path]; ok {
@@ -120,8 +127,8 @@
 	return yaml.YAMLToJSON([]byte(d.node.String()))
 }
 
-// Decode fills target, a pointer to a struct with json tags, from the
-// document and reports unknown keys and values of the wrong type.
+// Decode decodes the document into target, a pointer to a struct with json tags. It returns located
+// findings for unknown keys and for the first value of the wrong type.
 func (d *Document) Decode(target any) []Finding {
 	source, err := d.JSON()
 	if err != nil {
@@ -130,8 +137,8 @@
 	return d.Locate(DecodeJSON(source, target))
 }
 
-// DecodeJSON fills target from JSON and reports all unknown keys and the
-// first value of the wrong type, each with its path.
+// DecodeJSON decodes JSON into target, a pointer to a struct. It returns findings for all unknown
+// keys and for the first value of the wrong type, each with its path.
 func DecodeJSON(source []byte, target any) []Finding {
 	var found List
 	var generic any
@@ -153,6 +160,7 @@
 
 var rawMessage = reflect.TypeOf(json.RawMessage(nil))
 
+// typeName returns the name of a type for messages.
 func typeName(typ reflect.Type) string {
 	switch typ.Kind() {
 	case reflect.Slice:
@@ -164,6 +172,8 @@
 	}
 }
 
+// unknownKeys adds a finding for each key in value that typ has no field for. Types with their own
+// JSON decoding are skipped.
 func unknownKeys(found *List, path string, value any, typ reflect.Type) {
 	for typ.Kind() == reflect.Pointer {
 		typ = typ.Elem()
@@ -195,6 +205,7 @@
 	}
 }
 
+// jsonFields returns the field types of a struct by JSON name, including those of embedded structs.
 func jsonFields(typ reflect.Type) map[string]reflect.Type {
 	fields := map[string]reflect.Type{}
 	for i := range typ.NumField() {
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,25 +1,25 @@
-// Package outcome classifies the answer of a remote call that has an effect.
+// Package outcome classifies the result of a remote call that has an effect.
 //
-// A remote effect is done, not done, or unknown. Callers must never treat an
-// unknown outcome as either of the other two: they resolve it by reading back
-// their own operation id, or report it as unknown.
+// The effect took place, did not take place, or it is unknown whether it did. Callers must not
+// treat an unknown outcome as either of the others: they resolve it by reading back their own
+// operation id, or report it as unknown.
 package outcome
 
 import "errors"
 
-// Outcome tells whether the effect of a remote call took place.
+// Outcome states whether the effect of a remote call took place.
 type Outcome int
 
 const (
-	// Unknown means the request may or may not have taken effect.
+	// Unknown means that the effect may or may not have taken place.
 	Unknown Outcome = iota
-	// Done means the effect took place.
+	// Done means that the effect took place.
 	Done
-	// NotDone means the effect provably did not take place.
+	// NotDone means that the effect provably did not take place.
 	NotDone
 )
 
-// String returns the name used in logs and in the X-Wheelhoist-Executed header.
+// String returns the value used in logs and in the X-Wheelhoist-Executed header.
 func (o Outcome) String() string {
 	switch o {
 	case Done:
@@ -31,9 +31,8 @@
 	}
 }
 
-// Error is an error that carries the outcome of the call that failed.
+// Error adds the outcome of a failed call to its error.
 type Error struct {
-	// Outcome of the failed call.
 	Outcome Outcome
 	// Err is the cause.
 	Err error
@@ -45,14 +44,14 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Failed wraps err as a call that provably had no effect.
+// Failed wraps the error of a call that provably had no effect.
 func Failed(err error) error { return &Error{Outcome: NotDone, Err: err} }
 
-// Undecided wraps err as a call whose effect is not known.
+// Undecided wraps the error of a call that may have had an effect.
 func Undecided(err error) error { return &Error{Outcome: Unknown, Err: err} }
 
-// Of returns Done for a nil error, the carried outcome of an Error anywhere in
-// the chain, and Unknown for every other error.
+// Of returns the outcome of a call that returned err: Done for nil, the outcome of the first Error
+// in the chain, and Unknown for all other errors.
 func Of(err error) Outcome {
 	if err == nil {
 		return Done
--- a/internal/quarantine/evaluate.go
+++ b/internal/quarantine/evaluate.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// evaluate sums up what counts against a work. The caller holds mu.
+// evaluate returns the verdict on work. The caller holds mu.
 func (l *List) evaluate(work Work, now time.Time) Verdict {
 	lastSuccess := l.successes.at(work)
 	verdict := Verdict{Work: work, Limit: l.Limit()}
@@ -32,8 +32,8 @@
 	return verdict
 }
 
-// countedCrashes returns the ends of replicas on which a work ran that are later than a time and not too
-// long ago, in order. The caller holds mu.
+// countedCrashes returns the crashes during runs of work that are later than after and within the
+// window, in time order. The caller holds mu.
 func (l *List) countedCrashes(work Work, now, after time.Time) []*crash {
 	var crashes []*crash
 	for c := range l.suspects[work].crashes {
@@ -47,10 +47,10 @@
 	return crashes
 }
 
-// explainedByOther reports whether an end is due to other work that ran there: to one that ended its
-// full number of replicas, one of them without this work, and was never seen to end well. That
-// speaks for work which was, and for no other: popular work that nobody has seen end well yet
-// would explain the ends of the harmful work beside it. The caller holds mu.
+// explainedByOther reports whether other work that ran on the replica explains the crash: work that
+// reached the crash limit, at least once on a replica that did not run this work, and that never
+// succeeded. It applies to proven work only. Otherwise popular work that has not succeeded yet
+// would explain the crashes of harmful work that runs beside it. The caller holds mu.
 func (l *List) explainedByOther(c *crash, work Work, now time.Time) bool {
 	for other := range c.works {
 		if other == work || !l.successes.at(other).IsZero() || len(l.suspects[other].crashes) < l.Limit() {
@@ -65,13 +65,14 @@
 	return false
 }
 
+// hasWork reports whether work ran on the replica when it crashed.
 func (c *crash) hasWork(work Work) bool {
 	_, ran := c.works[work]
 	return ran
 }
 
-// longestSequence returns the most ends, of some in order, such that each befell a run of a
-// work that was sent after the one before.
+// longestSequence returns the longest subsequence of crashes, given in time order, in which each
+// run of work was sent after the previous crash.
 func longestSequence(crashes []*crash, work Work) []*crash {
 	var chain []*crash
 	for _, c := range crashes {
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -14,42 +14,45 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// Bounds of the property, those of the users' pages.
+// Bounds that the simulation checks.
 const (
+	// fleetConvergence is the time within which connected nodes must learn of crashes.
 	fleetConvergence = 3 * time.Second
-	fleetAllowed     = 3
-	fleetMaxLate     = 3
-	// fleetMaxCrashes bounds the replicas that end in all: the three, what is sent before any can
-	// know, and what is forgotten as nodes die that could not tell yet.
+	// fleetAllowed is the number of crashes before the work must be quarantined.
+	fleetAllowed = 3
+	// fleetMaxLate bounds the crashes by connected nodes after that.
+	fleetMaxLate = 3
+	// fleetMaxCrashes bounds all crashes: the allowed ones, those of runs sent before any node can
+	// know, and those whose reports were lost because a node stopped.
 	fleetMaxCrashes = 12
 )
 
-// Times of the fleet.
+// Times of the simulation.
 const (
 	fleetDuration     = 60 * time.Second
 	fleetLatency      = 2 * time.Millisecond
 	fleetPollInterval = time.Second
 	fleetRunTime      = 30 * time.Millisecond
 	fleetDowntime     = 2 * time.Second
-	// fleetDowntimeSameID is shorter than an entry takes to lapse.
+	// fleetDowntimeSameID is less than fleetEntryTTL.
 	fleetDowntimeSameID  = 300 * time.Millisecond
 	fleetEntryTTL        = 700 * time.Millisecond
 	fleetArrivalInterval = 60 * time.Millisecond
 	fleetRecovery        = 8 * time.Second
 )
 
-// mutation takes something away from the mechanism.
+// mutation disables parts of the mechanism.
 type mutation struct {
 	name string
-	// noMessages sends no messages, noRows writes no rows, ignorePeers has nodes hear nothing of
-	// others, skipInitialRows does not read what is written at a start.
+	// noMessages sends no messages, noRows ignores all rows, ignorePeers ignores messages and rows
+	// of other nodes, skipInitialRows ignores the rows read at the start of a node.
 	noMessages, noRows, ignorePeers, skipInitialRows bool
-	// sameIDs takes nothing away: replicas start again under the ids that they had.
+	// sameIDs disables nothing: replicas restart under their previous ids.
 	sameIDs bool
 }
 
-// fleet is nodes with the real guard, publisher and rows before replicas that a piece of
-// work ends.
+// fleet simulates nodes, with the real guard, publisher and rows, and replicas that one work
+// crashes.
 type fleet struct {
 	mutation
 	random *rand.Rand
@@ -59,28 +62,29 @@
 	nodes    []*fleetNode
 	replicas []*fleetReplica
 	crashes  []fleetCrash
-	// popular counts the requests of innocent work, refused those that were refused though
-	// the fleet remembered it: not within fleetHeals of a restart of all nodes, for if that
-	// comes while the whole pool is down, nobody has seen the work end well since, and a
-	// trial has to show it (seed 61, at 5 s).
+	// popular counts requests of harmless work. refused counts those of them that were refused,
+	// except within fleetRecovery of a restart of all nodes: if all replicas are down at that time,
+	// no node has seen the work succeed since, and only a trial can clear it (seed 61, at 5 s).
 	popular, refused int
-	// storm is when each node's messages are lost; badUntil when the table is away.
+	// lossRate is the share of messages that are lost.
 	lossRate float64
-	// tableRestored is when the table last came back, fullRestart when all nodes were last started.
+	// tableRestored is when the table last became available, fullRestart when all nodes last
+	// restarted.
 	tableRestored, fullRestart time.Time
 }
 
+// fleetReplica is a simulated replica.
 type fleetReplica struct {
 	name     string
 	restarts int
 	keepsID  bool
 	down     bool
-	// delisted is set once its row has lapsed.
+	// delisted is set once the entry of a replica that is down has expired.
 	delisted bool
 }
 
-// current returns the replica as the guard knows it: each current has an id of its own, or
-// keeps the one of the current before.
+// current returns the current start of the replica, as the guard sees it. Each start has a new id
+// unless keepsID is set.
 func (r *fleetReplica) current() quarantine.Replica {
 	if r.keepsID {
 		return quarantine.Replica{ID: r.name, StartTime: int64(1 + r.restarts), Address: r.name}
@@ -88,7 +92,7 @@
 	return quarantine.Replica{ID: fmt.Sprintf("%s-%d", r.name, r.restarts), Address: r.name}
 }
 
-// downtime is how long the replica is gone after an end.
+// downtime returns how long the replica is down after a crash.
 func (r *fleetReplica) downtime() time.Duration {
 	if r.keepsID {
 		return fleetDowntimeSameID
@@ -96,15 +100,15 @@
 	return fleetDowntime
 }
 
-// fleetCrash is the end of a replica under the work.
+// fleetCrash is a crash that the harmful work caused.
 type fleetCrash struct {
 	at, sent time.Time
 	node     string
-	// stableSince is when that node was last disturbed, or the table.
+	// stableSince is when the node started or the table last became available, whichever is later.
 	stableSince time.Time
 }
 
-// fleetNode is a life of a node.
+// fleetNode is one process of a node; a restart creates a new one.
 type fleetNode struct {
 	fleet     *fleet
 	name      string
@@ -117,7 +121,7 @@
 	watcher   *table.Watcher
 }
 
-// startNode begins a life of a node.
+// startNode starts a node.
 func (f *fleet) startNode(ctx context.Context, name string) *fleetNode {
 	ctx, cancel := context.WithCancel(ctx)
 	n := &fleetNode{fleet: f, name: name, started: time.Now(), cancel: cancel}
@@ -140,7 +144,7 @@
 	return n
 }
 
-// call is a call of a client with the work at a node: two attempts at most.
+// call sends the harmful work to a node, which makes up to two attempts.
 func (f *fleet) call(ctx context.Context, n *fleetNode, work quarantine.Work) {
 	for range 2 {
 		if n.guard.RefuseRequest(ctx, func() quarantine.Work { return work }) != nil {
@@ -159,7 +163,7 @@
 	}
 }
 
-// callPopular is a call with work that everybody sends, and that does no harm.
+// callPopular sends harmless work to a node.
 func (f *fleet) callPopular(ctx context.Context, n *fleetNode, work quarantine.Work) {
 	refused := n.guard.RefuseRequest(ctx, func() quarantine.Work { return work }) != nil
 	f.mu.Lock()
@@ -184,6 +188,7 @@
 	n.guard.RecordSuccess(work)
 }
 
+// pick returns a random replica that is up, or nil if it finds none.
 func (f *fleet) pick() (*fleetReplica, quarantine.Replica) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -195,7 +200,7 @@
 	return nil, quarantine.Replica{}
 }
 
-// crash ends a replica, unless it has ended meanwhile.
+// crash takes a replica down, unless it has crashed or restarted since target was picked.
 func (f *fleet) crash(ctx context.Context, r *fleetReplica, target quarantine.Replica, crash fleetCrash) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -222,7 +227,7 @@
 	return true
 }
 
-// injectFaults kills and starts nodes, and takes the table away, as the seed says.
+// injectFaults restarts nodes and makes the table unavailable at random times.
 func (f *fleet) injectFaults(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(2+f.intN(8)) * time.Second)
@@ -247,12 +252,14 @@
 	}
 }
 
+// intN returns a random number below n.
 func (f *fleet) intN(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.random.IntN(n)
 }
 
+// restart replaces a node by a new process with the same name.
 func (f *fleet) restart(ctx context.Context, i int) {
 	f.mu.Lock()
 	old := f.nodes[i]
@@ -264,9 +271,8 @@
 	f.mu.Unlock()
 }
 
-// simulateFleet plays a seed and returns how many replicas the work ended in all, and how many by
-// nodes in touch when all had to know of it, and how many requests of innocent work were
-// refused.
+// simulateFleet runs the simulation for a seed. It returns the number of crashes, the number of
+// late ones (see countCrashes), and the number of refused requests of harmless work.
 func simulateFleet(t *testing.T, seed uint64, m mutation) (all, late, refused int) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -306,6 +312,8 @@
 	return all, late, refused
 }
 
+// countCrashes returns the number of crashes, and how many of them come from runs that a connected
+// node sent after it had to know that the work is harmful.
 func (f *fleet) countCrashes() (all, late int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -321,44 +329,45 @@
 	return len(f.crashes), late
 }
 
-// TestFleet_LimitsCrashes drives the real parts with seeded schedules of calls at all nodes,
-// messages that are lost, doubled and late, nodes and whole fleets that restart, and a table
-// that is away: of what nodes in touch send when all must know, three replicas at most end.
+// TestFleet_LimitsCrashes runs seeded simulations with lost, duplicated and delayed messages,
+// restarts of single and of all nodes, and an unavailable table. Harmful work must crash few
+// replicas, and harmless work must not be refused.
 func TestFleet_LimitsCrashes(t *testing.T) {
 	highest := 0
 	for seed := range uint64(100) {
 		all, late, refused := simulateFleet(t, seed, mutation{})
 		highest = max(highest, all)
 		if late > fleetMaxLate || all > fleetMaxCrashes {
-			t.Errorf("seed %d: %d replicas ended, %d of them late", seed, all, late)
+			t.Errorf("seed %d: %d replicas crashed, %d of them late", seed, all, late)
 		}
 		if refused > 0 {
-			t.Errorf("seed %d: %d requests of innocent work were refused", seed, refused)
+			t.Errorf("seed %d: %d requests of harmless work were refused", seed, refused)
 		}
 	}
-	t.Logf("at most %d replicas ended in all", highest)
+	t.Logf("at most %d replicas crashed per seed", highest)
 }
 
-// TestFleet_LimitsCrashesWithStableIDs is the same where replicas start again under
-// their ids before their entries lapse.
+// TestFleet_LimitsCrashesWithStableIDs covers replicas that restart under the same id before their
+// entries expire.
 func TestFleet_LimitsCrashesWithStableIDs(t *testing.T) {
 	for seed := range uint64(50) {
 		all, late, refused := simulateFleet(t, seed, mutation{sameIDs: true})
 		if late > fleetMaxLate || all > fleetMaxCrashes {
-			t.Errorf("seed %d: %d replicas ended, %d of them late", seed, all, late)
+			t.Errorf("seed %d: %d replicas crashed, %d of them late", seed, all, late)
 		}
 		if refused > 0 {
-			t.Errorf("seed %d: %d requests of innocent work were refused", seed, refused)
+			t.Errorf("seed %d: %d requests of harmless work were refused", seed, refused)
 		}
 	}
 }
 
-// TestFleet_CatchesMutations takes away what makes it hold.
+// TestFleet_CatchesMutations checks that the simulation fails if parts of the mechanism are
+// disabled.
 func TestFleet_CatchesMutations(t *testing.T) {
 	for _, m := range []mutation{
-		{name: "neither words nor rows", noMessages: true, noRows: true},
-		{name: "each node counts alone", ignorePeers: true},
-		{name: "memory dropped at a start, and no words", skipInitialRows: true, noMessages: true},
+		{name: "no messages, no rows", noMessages: true, noRows: true},
+		{name: "no exchange between nodes", ignorePeers: true},
+		{name: "no messages, initial rows ignored", skipInitialRows: true, noMessages: true},
 	} {
 		caught := 0
 		for seed := range uint64(10) {
--- a/internal/quarantine/fleetnode_test.go
+++ b/internal/quarantine/fleetnode_test.go
@@ -11,14 +11,14 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// flakyTable answers nothing while it is away.
+// flakyTable fails all calls while it is unavailable.
 type flakyTable struct {
 	*tabletest.Table
 	mu          sync.Mutex
 	unavailable bool
 }
 
-var errUnavailable = errors.New("away")
+var errUnavailable = errors.New("table unavailable")
 
 func (t *flakyTable) setUnavailable(unavailable bool) {
 	t.mu.Lock()
@@ -39,7 +39,7 @@
 	return t.Table.Commit(ctx, operation, writes...)
 }
 
-// flakyFeed is a feed of it.
+// flakyFeed is the feed of a flakyTable.
 type flakyFeed struct {
 	table.Feed
 	table *flakyTable
@@ -100,7 +100,8 @@
 	n.publisher.PublishClearing(quarantine.Clearing{Work: before.Work, At: at})
 }
 
-// Quarantined implements quarantine.Events: others are asked for what speaks for the work.
+// Quarantined implements quarantine.Events. It queries the other nodes for the last success of the
+// work.
 func (n *fleetNode) Quarantined(verdict quarantine.Verdict) {
 	if n.fleet.noMessages {
 		return
@@ -119,7 +120,7 @@
 	}
 }
 
-// broadcast sends news to the other nodes, in messages that are lost, doubled and late.
+// broadcast sends an update to the other nodes; messages may be lost, duplicated or delayed.
 func (n *fleetNode) broadcast(update quarantine.Update) {
 	if n.fleet.noMessages {
 		return
@@ -137,6 +138,7 @@
 	}
 }
 
+// receive records an update from another node.
 func (n *fleetNode) receive(update quarantine.Update) {
 	if n.fleet.ignorePeers {
 		return
--- a/internal/quarantine/frequent.go
+++ b/internal/quarantine/frequent.go
@@ -6,35 +6,36 @@
 )
 
 const (
-	// broadcastAfter is how many runs of a work must end well here until others are told: most
-	// works come once, and nobody needs to know them.
+	// broadcastAfter is the number of successful runs after which peers are informed; most work
+	// runs only once and need not be known elsewhere.
 	broadcastAfter = 2
-	// persistAfter is how many runs of a work must end well here until a row tells it to whoever
-	// starts later: one call at the store for a work that all nodes are asked for.
+	// persistAfter is the number of successful runs after which the success is written to the
+	// table, for nodes that start later. Work that all nodes run costs one write, since nodes skip
+	// work with a recent row.
 	persistAfter = 4
-	// rebroadcastInterval is the time after which others are told once more of a work that still ends
-	// well: those that have started meanwhile do not know it.
+	// rebroadcastInterval is the time after which peers are informed again about work that still
+	// succeeds, for nodes that started in the meantime.
 	rebroadcastInterval = 10 * time.Second
-	// maxFrequent bounds the works that are remembered, twice.
+	// maxFrequent bounds each of the two maps of frequentWork.
 	maxFrequent = 2000
 )
 
-// frequentWork remembers which works end well at this node again and again. The zero value is ready
-// to use. It is safe for concurrent use.
+// frequentWork tracks work that succeeds repeatedly on this node. When newest is full it replaces
+// older. The zero value is ready to use. It is safe for concurrent use.
 type frequentWork struct {
 	mu            sync.Mutex
 	newest, older map[Work]workStats
 }
 
-// workStats is what is remembered of a work.
+// workStats holds the successes of one work.
 type workStats struct {
 	runs int
-	// lastSuccess is when a run lastSuccess ended well, broadcastAt when others were lastSuccess broadcastAt, persistedAt when it did by
-	// the row that was known lastSuccess.
+	// broadcastAt is when peers were last informed, persistedAt the success in the row that was
+	// last known.
 	lastSuccess, broadcastAt, persistedAt time.Time
 }
 
-// record takes in a run that ended well.
+// record counts a successful run.
 func (f *frequentWork) record(work Work, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,7 +52,8 @@
 	f.newest[work] = stats
 }
 
-// due returns up to so many works that others are to be told of now.
+// due returns the last successes of up to limit works that peers are due to be informed about, and
+// marks them as broadcast.
 func (f *frequentWork) due(now time.Time, limit int) []Clearing {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -64,8 +66,8 @@
 	})
 }
 
-// duePersist returns up to so many works that end well often, and of which no row is known to tell
-// that is younger than an age.
+// duePersist returns the last successes of up to limit works that succeed often and whose row,
+// according to rowAt, is missing or at least age old.
 func (f *frequentWork) duePersist(now time.Time, age time.Duration, limit int, rowAt func(Work) time.Time) []Clearing {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,8 +80,8 @@
 	})
 }
 
-// selectWorks returns the last good ends of up to so many works that are wanted, and keeps what wants
-// changes of what is remembered of each. The caller holds mu.
+// selectWorks returns the last successes of up to limit works that match reports true for. Changes
+// that match makes to the stats are stored. The caller holds mu.
 func (f *frequentWork) selectWorks(limit int, match func(Work, *workStats) bool) []Clearing {
 	var selected []Clearing
 	for _, works := range []map[Work]workStats{f.newest, f.older} {
@@ -97,6 +99,7 @@
 	return selected
 }
 
+// due reports whether peers are due to be informed about the work.
 func (s *workStats) due(now time.Time) bool {
 	return s.runs >= broadcastAfter && s.lastSuccess.After(s.broadcastAt) && now.Sub(s.broadcastAt) >= rebroadcastInterval
 }
--- a/internal/quarantine/frequent_test.go
+++ b/internal/quarantine/frequent_test.go
@@ -11,22 +11,22 @@
 	frequent.record(work("once"), start)
 	frequent.record(work("popular"), start)
 	if due := frequent.due(start, 10); len(due) != 0 {
-		t.Fatalf("works that came once are told: %v", due)
+		t.Fatalf("work that succeeded once is due: %v", due)
 	}
 	last := start.Add(time.Second)
 	frequent.record(work("popular"), last)
 	if due := frequent.due(last, 10); len(due) != 1 || due[0].Work != work("popular") || !due[0].At.Equal(last) {
-		t.Fatalf("told is %v", due)
+		t.Fatalf("due: %v", due)
 	}
 	if due := frequent.due(last.Add(rebroadcastInterval), 10); len(due) != 0 {
-		t.Fatalf("told again is %v, which has not come again", due)
+		t.Fatalf("due again without another success: %v", due)
 	}
 	frequent.record(work("popular"), last.Add(time.Second))
 	if due := frequent.due(last.Add(rebroadcastInterval-1), 10); len(due) != 0 {
-		t.Fatalf("told again too soon is %v", due)
+		t.Fatalf("due again too early: %v", due)
 	}
 	if due := frequent.due(last.Add(rebroadcastInterval), 10); len(due) != 1 {
-		t.Fatalf("told again is %v", due)
+		t.Fatalf("due again: %v, want the popular work", due)
 	}
 }
 
@@ -39,9 +39,9 @@
 		}
 	}
 	if all := len(frequent.newest) + len(frequent.older); all > 2*maxFrequent {
-		t.Errorf("%d works are remembered", all)
+		t.Errorf("%d works are tracked", all)
 	}
 	if due := frequent.due(start, 10); len(due) != 1 {
-		t.Errorf("told is %v, not the popular work alone", due)
+		t.Errorf("due: %v, want only the popular work", due)
 	}
 }
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -11,130 +11,130 @@
 )
 
 const (
-	// probeWait bounds how long an attempt that broke off waits for word of its replica
-	// before the next one is decided about: a refused connection takes one way there and
-	// back, 2 to 6 ms within a region.
+	// probeWait bounds how long an interrupted attempt waits for the probe of its replica before
+	// the retry is decided. A refused connection takes one round trip, 2 to 6 ms within a region.
 	probeWait = 100 * time.Millisecond
-	// delistTimeout is how long after a broken answer the replica's leaving the list still
-	// shows that it ended: entries lapse after three heartbeats of silence, within a second
-	// on the users' platform.
+	// delistTimeout is how long after an interrupted response the removal of the replica from the
+	// list still counts as a crash. Entries expire after three missed heartbeats, usually within a
+	// second.
 	delistTimeout = 5 * time.Second
-	// delistPollInterval is the time between two looks at the list for that.
+	// delistPollInterval is the time between two checks of the list during delistTimeout.
 	delistPollInterval = 100 * time.Millisecond
-	// queryTimeout is how long other nodes have to answer what speaks for a work: as long as a
-	// replica has to answer a probe.
+	// queryTimeout is how long peers have to answer a query about the successes of work.
 	queryTimeout = probeWait
-	// requeryInterval is the time after which they are asked once more as long as the work comes: a
-	// node that has just started knows no others yet, and those may learn of a good end later.
+	// requeryInterval is the time after which a query is repeated while the work is still
+	// requested: a node that has just started knows no peers yet, and peers may see a success
+	// later.
 	requeryInterval = 5 * time.Second
-	// maxWatched bounds the replicas that are looked after at the same time.
+	// maxWatched bounds the replicas watched at the same time.
 	maxWatched = 1000
-	// maxUnanswered bounds the works of which other nodes want to know whether they end well.
+	// maxUnanswered bounds the remembered queries that this node could not answer.
 	maxUnanswered = 1000
 )
 
-// ProbeResult tells what is at an address.
+// ProbeResult is the outcome of a connection attempt to an address.
 type ProbeResult int
 
-// Answers of a probe.
+// Results of a probe.
 const (
-	// Inconclusive is no answer in time.
+	// Inconclusive means that the attempt timed out or failed for another reason.
 	Inconclusive ProbeResult = iota
-	// Refused means that no process listens there.
+	// Refused means that no process listens at the address.
 	Refused
-	// Accepted means that a process listens: the same one, or the next one there.
+	// Accepted means that a process listens: the same replica or its successor.
 	Accepted
 )
 
-// ReplicaState is what the list says of a replica.
+// ReplicaState is the state of one start of a replica according to the list of replicas.
 type ReplicaState int
 
-// Standings of a replica.
+// States of a replica.
 const (
 	// Gone replicas are not listed.
 	Gone ReplicaState = iota
-	// Leaving replicas have said that they will end.
+	// Leaving replicas have announced their shutdown.
 	Leaving
 	Serving
-	// Restarted replicas have started again under their id, without having said that they
-	// would end.
+	// Restarted replicas have started again under the same id without announcing a shutdown.
 	Restarted
 )
 
-// Replica is what the guard needs to know of a replica.
+// Replica identifies one start of a replica and its address.
 type Replica struct {
 	ID string
-	// StartTime tells its starts under the same id apart; 0 if it does not say.
+	// StartTime distinguishes starts under one id, in Unix milliseconds; 0 if the replica does not
+	// report it. Clocks differ between machines, so it is only compared for equality.
 	StartTime int64
 	Address   string
 }
 
-// crashReport returns the report that the replica crashReport under some runs.
+// crashReport returns the report of a crash during the given runs.
 func (r *Replica) crashReport(runs []Run, at time.Time) CrashReport {
 	return CrashReport{Replica: r.ID, StartTime: r.StartTime, Runs: runs, At: at}
 }
 
-// Replicas tells about replicas. It is safe for concurrent use.
+// Replicas provides the state of replicas. Implementations must be safe for concurrent use.
 type Replicas interface {
-	// State returns what the list says of a replica, of one start of it.
+	// State returns the listed state of one start of a replica.
 	State(replica Replica) ReplicaState
-	// Probe tries a connection to an address.
+	// Probe attempts a connection to address.
 	Probe(ctx context.Context, address string) ProbeResult
 }
 
-// Events is told of decisions, for logs and other nodes. It is safe for concurrent use.
+// Events receives the decisions of a Guard, to log and publish them. Implementations must be safe
+// for concurrent use.
 type Events interface {
-	// ReplicaCrashed tells of a replica that ended while this node's work ran there.
+	// ReplicaCrashed reports a replica that crashed while it ran work of this node.
 	ReplicaCrashed(report CrashReport)
-	// Cleared tells of a run that ended well of work that was suspected, here or by a node that
-	// asked about it.
+	// Cleared reports a successful run of work that was suspect here or that a peer had queried.
+	// previous is the verdict before that run.
 	Cleared(previous Verdict, at time.Time)
-	// Quarantined tells of work that is refused from now on.
+	// Quarantined reports work that is refused from now on.
 	Quarantined(verdict Verdict)
 }
 
-// Guard finds out which replicas ended under which work of this node, and refuses work that
-// is quarantined. A broken answer alone is no end: connections are reset and cut, and answers
-// come garbled, while the replica goes on. It is one if nothing listens at the replica's
-// address any more, or if the replica leaves the list soon, or starts again, without having
-// said that it would end.
-// It is safe for concurrent use.
+// Guard detects replica crashes during runs of this node's work and refuses quarantined work. An
+// interrupted response alone is no crash, since connections can be reset or corrupted while the
+// replica keeps running. It counts as one if nothing listens at the replica's address, or if the
+// replica leaves the list or restarts within delistTimeout without having announced a shutdown. A
+// Guard is safe for concurrent use.
 type Guard struct {
 	List     *List
 	Replicas Replicas
 	Events   Events
-	// QueryPeers, if set, asks all other nodes what speaks for a work, or a few of them if they were
-	// asked before. It reports whether any are known. Their answers come to the list.
+	// QueryPeers, if set, asks all peers for the last success of work, or only a few of them if
+	// again is set. It reports whether any peers are known. Answers are recorded in List.
 	QueryPeers func(work Work, again bool) bool
-	// OwnsTrials, if set, reports whether this node is the one, of all, that tries quarantined
-	// work now and then.
+	// OwnsTrials, if set, reports whether this is the one node that runs trials of the quarantined
+	// work.
 	OwnsTrials func(work Work) bool
 
 	frequent frequentWork
 
 	mu      sync.Mutex
 	watched map[Replica]*watch
-	// unanswered are works that others asked about in vain.
+	// unanswered holds work that peers queried and that had not succeeded here.
 	unanswered map[Work]struct{}
 }
 
-// watch looks after a replica whose answers broke off.
+// watch tracks a replica whose responses were interrupted.
 type watch struct {
-	// probed is closed when the probe has answered.
+	// probed is closed when the probe is done.
 	probed chan struct{}
-	// crashedAt is when the replica was found to have crashedAt; zero if it was not.
+	// crashedAt is when the replica was found to have crashed; zero if it was not.
 	crashedAt time.Time
-	// runs are those that broke off before it was known whether it ended.
+	// runs were interrupted before it was known whether the replica crashed.
 	runs []Run
 }
 
-// expired reports whether the watch is about an earlier life of the replica.
+// expired reports whether the crash is so old that an interruption now concerns a later start of
+// the replica.
 func (w *watch) expired(now time.Time) bool {
 	return !w.crashedAt.IsZero() && now.Sub(w.crashedAt) > sameCrashWindow
 }
 
-// Refuse returns a RefusedError for work that is quarantined. The work is asked for only if
-// any is suspected.
+// Refuse returns a RefusedError if the work is quarantined. It calls work only if any work is
+// suspect.
 func (g *Guard) Refuse(work func() Work) error {
 	if g.List.Empty() {
 		return nil
@@ -149,9 +149,9 @@
 	return &RefusedError{Verdict: verdict}
 }
 
-// RefuseRequest is Refuse for a request, which may come at any node: work that is quarantined
-// is tried now and then, for it may be harmless, at one node; and what has just been condemned
-// here is neither sent nor refused before other nodes could speak for it.
+// RefuseRequest is like Refuse, for a request, which may arrive at any node. Newly quarantined work
+// is held for up to queryTimeout, so that peers can report successes before it is refused, and the
+// node that owns the trials of the work lets a request through when one is due.
 func (g *Guard) RefuseRequest(ctx context.Context, work func() Work) error {
 	err := g.Refuse(work)
 	var refused *RefusedError
@@ -167,13 +167,13 @@
 	return err
 }
 
-// onQuarantined tells of work that is quarantined from now on, and asks other nodes about it.
+// onQuarantined reports newly quarantined work and queries peers about it.
 func (g *Guard) onQuarantined(verdict Verdict) {
 	g.Events.Quarantined(verdict)
 	g.queryPeers(verdict.Work, false)
 }
 
-// queryPeers asks other nodes what speaks for a work. It reports whether any are known.
+// queryPeers asks peers for the last success of work. It reports whether any peers are known.
 func (g *Guard) queryPeers(work Work, again bool) bool {
 	if g.QueryPeers == nil || !g.QueryPeers(work, again) {
 		return false
@@ -182,8 +182,8 @@
 	return true
 }
 
-// awaitAnswers waits for what other nodes answer who were asked about a work a moment ago, and asks them
-// if that is long ago or could not be done. It reports whether answers may have come.
+// awaitAnswers waits for the answers to a recent query about the work, and sends a new query if
+// there was none or it is older than requeryInterval. It reports whether answers may have arrived.
 func (g *Guard) awaitAnswers(ctx context.Context, verdict Verdict) bool {
 	queriedAt := verdict.QueriedAt
 	if now := clock.Now(); now.Sub(queriedAt) >= requeryInterval {
@@ -196,7 +196,8 @@
 	return remaining > 0 && retry.Sleep(ctx, remaining)
 }
 
-// RecordSuccess takes in a run that ended well.
+// RecordSuccess records a successful run. It reports an event if the work was suspect or if a peer
+// had queried it.
 func (g *Guard) RecordSuccess(work Work) {
 	now := clock.Now()
 	g.frequent.record(work, now)
@@ -205,9 +206,9 @@
 	}
 }
 
-// AnswerQuery returns when a work was last seen to end well, for another node that asks. If that is not
-// known, all are told once a run of it ends well here: this node may not have heard of the ends
-// that speak against it.
+// AnswerQuery returns the last success of work, for a peer that queries it. If none is known, the
+// next success here is reported as an event, so that all nodes learn of it: this node may not have
+// received the crash reports that make the work suspect.
 func (g *Guard) AnswerQuery(work Work) (time.Time, bool) {
 	at, ok := g.List.LastSuccess(work)
 	if ok {
@@ -222,7 +223,7 @@
 	return time.Time{}, false
 }
 
-// takeUnanswered reports whether others asked about a work in vain, once.
+// takeUnanswered reports whether a peer's query about work is unanswered, and forgets the query.
 func (g *Guard) takeUnanswered(work Work) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -231,14 +232,14 @@
 	return found
 }
 
-// Proven returns up to so many works of which other nodes should know now that they end well
-// here again and again. What a node knows of that is gone when it restarts or is lost, and the
-// ends that it told of stay: without anybody who has seen the work end well, few of them have it
-// refused at all nodes.
+// Proven returns the last successes of up to limit works that succeed here repeatedly and that are
+// due to be sent to peers. A node forgets successes when it restarts, but the crashes it reported
+// remain: if no other node knew of the successes, a few crashes would quarantine the work
+// everywhere.
 func (g *Guard) Proven(limit int) []Clearing { return g.frequent.due(clock.Now(), limit) }
 
-// RecordInterruption takes in that a replica's answer to a run broke off. It returns when it is known
-// whether the replica ended, or after a short time.
+// RecordInterruption records that the response of a replica to a run was interrupted. It returns
+// when the replica has been probed, or after probeWait.
 func (g *Guard) RecordInterruption(ctx context.Context, replica Replica, run Run) {
 	w := g.watchRun(replica, run)
 	if w == nil {
@@ -252,8 +253,9 @@
 	}
 }
 
-// watchRun adds a run to the watch of a replica, and begins one if there is none. It returns
-// nil if the replica's end would be no news.
+// watchRun adds a run to the watch of its replica, and starts the watch if there is none. It
+// returns nil if there is nothing to wait for: the replica has already restarted, its shutdown is
+// not a crash, or too many replicas are watched.
 func (g *Guard) watchRun(replica Replica, run Run) *watch {
 	g.mu.Lock()
 	w := g.watched[replica]
@@ -285,8 +287,8 @@
 	return w
 }
 
-// monitor finds out whether a replica ended, and forgets the watch when its answers that break
-// off can be due to that no more.
+// monitor finds out whether a replica crashed, and removes the watch after delistTimeout or once
+// the replica is no longer serving.
 func (g *Guard) monitor(replica Replica, w *watch) {
 	started := clock.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), delistTimeout)
@@ -310,7 +312,7 @@
 	}
 }
 
-// confirmCrash takes in that a replica ended, once.
+// confirmCrash reports that a watched replica crashed, unless that has been reported.
 func (g *Guard) confirmCrash(replica Replica, w *watch, at time.Time) {
 	g.mu.Lock()
 	if !w.crashedAt.IsZero() {
@@ -323,20 +325,20 @@
 	g.reportCrash(replica.crashReport(runs, at))
 }
 
-// reportCrash takes in an end that this node saw.
+// reportCrash records a crash that this node detected, and reports it as an event.
 func (g *Guard) reportCrash(report CrashReport) {
 	g.RecordCrash(report)
 	g.Events.ReplicaCrashed(report)
 }
 
-// RecordCrash takes in an end that this node or another one saw.
+// RecordCrash records a crash that this node or a peer detected.
 func (g *Guard) RecordCrash(report CrashReport) {
 	for _, verdict := range g.List.Add(report, clock.Now()) {
 		g.onQuarantined(verdict)
 	}
 }
 
-// rowsLoaded takes in that all rows have been rowsLoaded once.
+// rowsLoaded records that all rows of the table have been read once.
 func (g *Guard) rowsLoaded() {
 	for _, verdict := range g.List.rowsLoaded(clock.Now()) {
 		g.onQuarantined(verdict)
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// fakeReplicas answers probes as told.
+// fakeReplicas returns configured states and probe results. Replicas without a state are serving.
 type fakeReplicas struct {
 	mu     sync.Mutex
 	states map[string]ReplicaState
@@ -40,7 +40,7 @@
 	f.states[id] = state
 }
 
-// recordedEvents records events.
+// recordedEvents implements Events.
 type recordedEvents struct {
 	mu          sync.Mutex
 	crashed     []CrashReport
@@ -77,6 +77,7 @@
 	return &Guard{List: &List{}, Replicas: replicas, Events: events}, replicas, events
 }
 
+// interrupt records an interrupted run on a replica.
 func (g *Guard) interrupt(ctx context.Context, replica string, work Work) {
 	g.RecordInterruption(ctx, Replica{ID: replica, Address: replica}, Run{Work: work, SentAt: time.Now()})
 }
@@ -96,11 +97,11 @@
 		t.Fatalf("got %v", err)
 	}
 	if events.crashCount() != 3 || len(events.quarantined) != 1 {
-		t.Fatalf("told of %d ends, %d verdicts", events.crashCount(), len(events.quarantined))
+		t.Fatalf("%d crashes and %d quarantines reported", events.crashCount(), len(events.quarantined))
 	}
 	guard.interrupt(t.Context(), "a", work("beside"))
 	if replicas.probes != 3 || events.crashCount() != 4 {
-		t.Fatalf("%d probes, %d reports: what breaks off later at the same replica is reported without a probe", replicas.probes, events.crashCount())
+		t.Fatalf("%d probes, %d reports: a later interruption on the same replica must be reported without another probe", replicas.probes, events.crashCount())
 	}
 }
 
@@ -112,7 +113,7 @@
 		}
 		time.Sleep(3 * delistPollInterval)
 		if events.crashCount() != 0 || guard.Refuse(func() Work { return work("w") }) != nil {
-			t.Errorf("probe %v: an end was taken from a broken answer alone", probe)
+			t.Errorf("probe %v: an interrupted response alone counts as a crash", probe)
 		}
 	}
 }
@@ -126,7 +127,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if verdict := guard.List.Check(work("w"), time.Now()); len(verdict.Replicas) != 1 {
-		t.Fatalf("%d ends count", len(verdict.Replicas))
+		t.Fatalf("%d crashes count, want 1", len(verdict.Replicas))
 	}
 }
 
@@ -137,7 +138,7 @@
 		guard.interrupt(t.Context(), id, work("w"))
 	}
 	if events.crashCount() != 0 || replicas.probes != 0 {
-		t.Fatal("an answer that broke off at a replica about to leave counts")
+		t.Fatal("an interruption on a replica that is shutting down counts as a crash")
 	}
 }
 
@@ -149,7 +150,7 @@
 	replicas.setState("a", Gone)
 	time.Sleep(2 * delistPollInterval)
 	if events.crashCount() != 0 {
-		t.Fatal("a planned leave counts as an end")
+		t.Fatal("a planned shutdown counts as a crash")
 	}
 }
 
@@ -160,19 +161,15 @@
 	guard.RecordSuccess(work("other"))
 	guard.RecordSuccess(work("w"))
 	if len(events.cleared) != 1 || events.cleared[0].Work != work("w") {
-		t.Fatalf("told of %v", events.cleared)
+		t.Fatalf("cleared events %v", events.cleared)
 	}
 }
 
-// TestGuard_QueriesPeersBeforeRefusing: a node that has just started knows of no
-// work that it ended well. It condemns popular work after three ends and asks the other nodes,
-// whose word is there some ms later; the requests that came in between were refused.
-//
-// Seen in a soak (seed 7215): node-1, started at 40.169 s, wrote "work quarantined" for the work of
-// a tenant at 43.317 s, after three ends, and refused the next request of it, "quarantined: 3
-// replicas ended", the only one of 3,094 in that play: the answers set the work free at once.
+// TestGuard_QueriesPeersBeforeRefusing covers a node that has just started, knows no successes and
+// quarantines popular work after three crashes. Requests must wait for the answers of its peers
+// instead of being refused (soak seed 7215).
 func TestGuard_QueriesPeersBeforeRefusing(t *testing.T) {
-	for name, succeededElsewhere := range map[string]bool{"others saw it end well": true, "nobody did": false} {
+	for name, succeededElsewhere := range map[string]bool{"succeeded elsewhere": true, "never succeeded": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				guard, _, _ := newGuard(Refused)
@@ -191,51 +188,48 @@
 					time.Sleep(10 * time.Millisecond)
 					guard.RecordCrash(CrashReport{Replica: fmt.Sprint(i), Runs: runsOf(sentAt, work("w")), At: time.Now()})
 				}
-				// It had heard of the ends before it knew the other nodes.
+				// The node received the crash reports before it knew its peers.
 				hasPeers = true
 				started := time.Now()
 				err := guard.RefuseRequest(t.Context(), func() Work { return work("w") })
 				if (err != nil) == succeededElsewhere {
-					t.Errorf("refused with %v", err)
+					t.Errorf("first request: got error %v", err)
 				}
 				if elapsed := time.Since(started); elapsed > queryTimeout || queries != 1 {
-					t.Errorf("held for %v, %d questions asked", elapsed, queries)
+					t.Errorf("held for %v, %d queries sent", elapsed, queries)
 				}
 				started = time.Now()
 				if err := guard.RefuseRequest(t.Context(), func() Work { return work("w") }); (err != nil) == succeededElsewhere || time.Since(started) > 0 {
-					t.Errorf("later refused with %v after %v", err, time.Since(started))
+					t.Errorf("second request: got error %v after %v", err, time.Since(started))
 				}
 			})
 		})
 	}
 }
 
-// TestGuard_ReportsSuccessOfQueriedWork: a node that has not heard of the ends which speak against
-// a work tells nobody that it ends well, and a node that condemns it learns of it too late.
-//
-// Seen in a soak (--seed 7219 --nodes 7 --regions 2): after all nodes were started, node-6 met four ends
-// under the work of a tenant before it knew the others, condemned it at 29.425 s of the minute, once it
-// had read its rows, and asked. Node-2 saw the work end well at 29.463 s and told nobody; node-6
-// refused a request of it at 29.526 s.
+// TestGuard_ReportsSuccessOfQueriedWork covers a node that could not answer a query because the
+// work had not succeeded there, and that does not consider the work suspect. It must still report
+// the next success, or the peer that asked keeps refusing the work (soak --seed 7219 --nodes 7
+// --regions 2).
 func TestGuard_ReportsSuccessOfQueriedWork(t *testing.T) {
 	guard, _, events := newGuard(Refused)
 	guard.RecordSuccess(work("other"))
 	if _, known := guard.AnswerQuery(work("w")); known {
-		t.Fatal("work that never ran is known")
+		t.Fatal("work that never ran has a success")
 	}
 	guard.RecordSuccess(work("other"))
 	guard.RecordSuccess(work("w"))
 	guard.RecordSuccess(work("w"))
 	if len(events.cleared) != 1 || events.cleared[0].Work != work("w") {
-		t.Errorf("told of %v, once of the work that was asked for", events.cleared)
+		t.Errorf("cleared events %v, want one for the queried work", events.cleared)
 	}
 	if _, known := guard.AnswerQuery(work("w")); !known {
-		t.Error("work that ended well is not known")
+		t.Error("work that succeeded has no success")
 	}
 	for i := range 3 * maxUnanswered {
 		guard.AnswerQuery(work(fmt.Sprint(i)))
 	}
 	if len(guard.unanswered) > maxUnanswered {
-		t.Errorf("%d works are wanted", len(guard.unanswered))
+		t.Errorf("%d unanswered queries are kept", len(guard.unanswered))
 	}
 }
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -9,100 +9,99 @@
 )
 
 const (
-	// DefaultCrashLimit is how many replicas work may end until it is kept from all others.
-	// Two would condemn what two replicas that end by themselves happen to have had one
-	// after the other: a request and its one retry.
+	// DefaultCrashLimit is the number of replica crashes after which work is quarantined. With a
+	// limit of two, two unrelated crashes would quarantine a request that was on the first replica
+	// and was then retried on the second.
 	DefaultCrashLimit = 3
-	// DefaultWindow is how long the end of a replica counts against the work that ran there.
+	// DefaultWindow is how long a crash counts against the work that ran on the replica.
 	DefaultWindow = time.Hour
-	// maxWorks bounds the works that are remembered: what ran on some thousand replicas
-	// when they ended, of 8 to 17 slots each. The oldest ends are forgotten first.
+	// maxWorks bounds the suspects: the work of about a thousand crashed replicas with 8 to 17
+	// slots each. The crashes that arrived first are evicted first.
 	maxWorks = 10000
-	// provenFactor is how many times as many ends it takes for work that is remembered to have
-	// ended well: popular work runs on most replicas, and so on those that other work ends,
-	// three within a second, maybe all of a small pool. Work that begins to do harm after it
-	// did none is found after as many ends.
+	// provenFactor multiplies the crash limit of proven work. Popular work runs on most replicas,
+	// so it is present at crashes that other work causes: three within a second, or all replicas of
+	// a small pool. Proven work that starts to crash replicas is found at the higher limit.
 	provenFactor = 2
-	// sameCrashWindow is how far apart two nodes may see the same end of a replica that does not say
-	// when it was born: one that was held up hears of it late. A replica is back no sooner
-	// than after some seconds.
+	// sameCrashWindow is how far apart two reports of the same crash may be if the replica does not
+	// report its start time: a node that was stalled notices the crash late. A replica takes longer
+	// than that to start again.
 	sameCrashWindow = 2 * time.Second
-	// clockSkew is how much earlier than an end a run may seem to have begun that was sent
-	// after it, for their times come from different nodes.
+	// clockSkew is how much earlier than a crash a run that was sent after it may appear to start,
+	// since their times come from different nodes.
 	clockSkew = 15 * time.Millisecond
-	// reportDelay is how much later than it was a time may seem that another node tells: a word
-	// takes ms, a row of a slow table up to a second.
+	// reportDelay is how much later than it was the time of an event may appear when another node
+	// reports it: a message takes milliseconds, a row of a slow table up to a second.
 	reportDelay = time.Second
 )
 
-// CrashReport tells that a replica ended while a node's requests ran there.
+// CrashReport reports a replica that crashed while it ran requests of one node.
 type CrashReport struct {
-	// Replica is its id, Born tells its starts apart; 0 if the replica does not say.
+	// Replica is the replica's id. StartTime distinguishes its starts; 0 if it is not known.
 	Replica   string
 	StartTime int64
-	// Runs are what the node had there.
+	// Runs are the runs of the reporting node on that replica.
 	Runs []Run
-	// At is when it ended.
+	// At is the time of the crash.
 	At time.Time
 }
 
-// Run is a run of a work.
+// Run is one run of work on a replica.
 type Run struct {
 	Work Work
-	// SentAt is when it was sent.
+	// SentAt is when the request was sent to the replica.
 	SentAt time.Time
 }
 
-// List tells harmful work from the ends of replicas: a work may end Replicas of them within
-// For, and then runs nowhere until the oldest of these ends is For ago. An end counts against
-// all that ran there, until a run of the work ends well, but not against work that ended well
-// before if work beside it explains the end. Of ends that befell runs side by side
-// one counts, for they may have had a cause in common: a rack, a zone, a link; only a run that
-// was sent after an end is another try at it. The zero value goes by the defaults. It is safe
+// List identifies harmful work from replica crashes. Work with CrashLimit crashes within Window is
+// quarantined until the oldest of the crashes that reach the limit is Window ago. A crash counts
+// against all work that ran on the replica, until a later run of the work succeeds. It does not
+// count against proven work if other work on the replica explains it. Of crashes during concurrent
+// runs one counts, since they may have a common cause such as a rack, a zone or a link; only a run
+// that was sent after a crash is a new attempt. The zero value uses the defaults. A List is safe
 // for concurrent use.
 type List struct {
-	// CrashLimit and For are set before use; zero means the default.
+	// CrashLimit and Window are set before use; zero means the default.
 	CrashLimit int
 	Window     time.Duration
-	// RowsPending is set before use if rows that tell what ended well are yet to be read. Until then
-	// all work counts as such that did: the node has seen little itself, and where all nodes
-	// start at once there is nobody to ask.
+	// RowsPending is set before use if rows with past successes have yet to be read. Until then all
+	// work counts as proven: the node has seen little itself, and if all nodes start at the same
+	// time there are no peers to ask.
 	RowsPending bool
 
 	mu sync.Mutex
-	// crashes are those of each replica.
+	// crashes holds the crashes of each replica, by its id.
 	crashes  map[string][]*crash
 	suspects map[Work]*suspect
-	// byArrival are the ends in the order in which they were learned.
+	// byArrival holds all crashes in the order in which they were added.
 	byArrival []*crash
-	// successes is when works were last seen to end successes, or were released.
+	// successes holds when work last succeeded or was released by an operator.
 	successes recentTimes
-	// suspectCount is the number of works, for those who have nothing to look up.
+	// suspectCount is len(suspects), so that Empty needs no lock.
 	suspectCount atomic.Int64
 }
 
-// crash is that of a replica.
+// crash is one crash of a replica.
 type crash struct {
 	replica string
-	// startTime is that of the start which ended; 0 as long as no report has told it.
+	// startTime is that of the start that crashed; 0 until a report contains it.
 	startTime int64
-	// at is when a node saw it first.
+	// at is when a node first noticed the crash.
 	at time.Time
-	// works are what ran there, by when the newest run began.
+	// works holds the work that ran on the replica, with the time its newest run was sent.
 	works map[Work]time.Time
 }
 
-// suspect is a work that ran on replicas which ended.
+// suspect is work that ran on replicas that crashed.
 type suspect struct {
 	crashes     map[*crash]struct{}
 	quarantined bool
-	// queriedAt is when other nodes were last queriedAt about it.
+	// queriedAt is when peers were last queried about it.
 	queriedAt time.Time
-	// trialAt is when a trial was last begun here.
+	// trialAt is when the last trial on this node started.
 	trialAt time.Time
 }
 
-// Limit is how many replicas work may end.
+// Limit returns the number of crashes after which work is quarantined, before provenFactor.
 func (l *List) Limit() int {
 	if l.CrashLimit > 0 {
 		return l.CrashLimit
@@ -110,6 +109,7 @@
 	return DefaultCrashLimit
 }
 
+// window returns how long a crash counts.
 func (l *List) window() time.Duration {
 	if l.Window > 0 {
 		return l.Window
@@ -117,11 +117,11 @@
 	return DefaultWindow
 }
 
-// Empty reports whether nothing is suspected.
+// Empty reports whether no work is suspect.
 func (l *List) Empty() bool { return l.suspectCount.Load() == 0 }
 
-// Add takes in a report and returns the verdicts on what it has quarantined. A report that
-// comes again changes nothing.
+// Add records a report and returns the verdicts on newly quarantined work. Duplicate reports have
+// no effect.
 func (l *List) Add(report CrashReport, now time.Time) []Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,7 +139,7 @@
 	return verdicts
 }
 
-// works returns the works of a report, each once.
+// works returns the set of works in the report.
 func (r *CrashReport) works() map[Work]struct{} {
 	works := make(map[Work]struct{}, len(r.Runs))
 	for _, run := range r.Runs {
@@ -148,7 +148,7 @@
 	return works
 }
 
-// record notes what a report tells. The caller holds mu.
+// record adds the runs of a report to its crash and to the suspects. The caller holds mu.
 func (l *List) record(report CrashReport) {
 	c := l.crashFor(report)
 	for _, run := range report.Runs {
@@ -169,7 +169,7 @@
 	l.suspectCount.Store(int64(len(l.suspects)))
 }
 
-// crashFor returns the end that a report tells of. The caller holds mu.
+// crashFor returns the crash that a report is about, and adds it if it is new. The caller holds mu.
 func (l *List) crashFor(report CrashReport) *crash {
 	if l.crashes == nil {
 		l.crashes, l.suspects = map[string][]*crash{}, map[Work]*suspect{}
@@ -187,8 +187,8 @@
 	return c
 }
 
-// matches reports whether a report is about this end. A start of a replica ends once; where it
-// is not known which start ended, ends are told apart by their times.
+// matches reports whether a report is about this crash. One start of a replica crashes once. If the
+// start is not known, crashes are distinguished by time.
 func (c *crash) matches(report *CrashReport) bool {
 	if c.startTime != 0 && report.StartTime != 0 {
 		return c.startTime == report.StartTime
@@ -196,12 +196,12 @@
 	return report.At.Sub(c.at).Abs() <= sameCrashWindow
 }
 
-// precedes reports whether the end was over when a run was sent, so that it is not due to it: a
-// node with an old list sends to a replica that is gone, and what is at its address now breaks
-// the answer off.
+// precedes reports whether the crash happened before a run was sent, so that the run cannot have
+// caused it: a node with an outdated list still sends to a crashed replica, and the connection
+// fails at whatever is at its address now.
 func (c *crash) precedes(sentAt time.Time) bool { return sentAt.After(c.at.Add(reportDelay)) }
 
-// moveEarlier takes in that a node saw an end earlier than it was known to be, and forgets what
+// moveEarlier corrects the time of a crash if a report has an earlier one, and removes work that
 // was sent after it. The caller holds mu.
 func (l *List) moveEarlier(c *crash, report *CrashReport) {
 	if report.StartTime == 0 || !report.At.Before(c.at) {
@@ -216,7 +216,7 @@
 	}
 }
 
-// unlink has an end count against a work no more. The caller holds mu.
+// unlink removes a crash from the ones that count against work. The caller holds mu.
 func (l *List) unlink(work Work, c *crash) {
 	s := l.suspects[work]
 	delete(s.crashes, c)
@@ -225,7 +225,7 @@
 	}
 }
 
-// prune forgets what is too long ago to count. The caller holds mu.
+// prune removes crashes that are older than the window. The caller holds mu.
 func (l *List) prune(now time.Time) {
 	for len(l.byArrival) > 0 && now.Sub(l.byArrival[0].at) >= l.window() {
 		l.evictOldest()
@@ -233,7 +233,7 @@
 	l.suspectCount.Store(int64(len(l.suspects)))
 }
 
-// evictOldest forgets the end that was learned first. The caller holds mu.
+// evictOldest removes the crash that was added first. The caller holds mu.
 func (l *List) evictOldest() {
 	evicted := l.byArrival[0]
 	l.byArrival = l.byArrival[1:]
@@ -248,7 +248,8 @@
 	}
 }
 
-// Check returns the verdict on a work. It is Fresh if the work was not known to be quarantined.
+// Check returns the verdict on work, with NewlyQuarantined set if it was not known to be
+// quarantined.
 func (l *List) Check(work Work, now time.Time) Verdict {
 	if l.Empty() {
 		return Verdict{Work: work}
@@ -258,8 +259,7 @@
 	return l.check(work, now)
 }
 
-// check returns the verdict on a work, and notes whether it is quarantined. The caller holds
-// mu.
+// check evaluates work and records whether it is quarantined. The caller holds mu.
 func (l *List) check(work Work, now time.Time) Verdict {
 	verdict := l.evaluate(work, now)
 	if s := l.suspects[work]; s != nil {
@@ -269,7 +269,7 @@
 	return verdict
 }
 
-// rowsLoaded notes that rows have been rowsLoaded, and returns the verdicts on what is quarantined by that.
+// rowsLoaded ends RowsPending and returns the verdicts on work that this quarantines.
 func (l *List) rowsLoaded(now time.Time) []Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -286,7 +286,7 @@
 	return verdicts
 }
 
-// recordQuery notes that other nodes were asked about a work.
+// recordQuery records that peers were queried about work.
 func (l *List) recordQuery(work Work, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -295,8 +295,8 @@
 	}
 }
 
-// BeginTrial reports whether quarantined work may be tried at this node now, which it is then
-// taken to be.
+// BeginTrial reports whether a trial of quarantined work is due on this node, and records its start
+// if so.
 func (l *List) BeginTrial(work Work, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -309,9 +309,9 @@
 	return true
 }
 
-// Clear has nothing before a time count against a work: a run of it ended well then, or an
-// operator released it. It returns the verdict until then, which holds no replicas if there
-// was nothing to clear.
+// Clear discards the crashes before at that count against work: a run succeeded at that time, or an
+// operator released the work. It returns the previous verdict, which has no replicas if there was
+// nothing to clear.
 func (l *List) Clear(work Work, at time.Time) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -321,8 +321,7 @@
 	return previous
 }
 
-// LastSuccess returns when a work was last seen to end well, or was released; false if that is
-// not known.
+// LastSuccess returns when work last succeeded or was released, and false if that is not known.
 func (l *List) LastSuccess(work Work) (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -330,7 +329,7 @@
 	return at, !at.IsZero()
 }
 
-// All returns the verdicts on all works against which something counts, the most suspected
+// All returns the verdicts on all work that crashes count against, those with the most crashes
 // first.
 func (l *List) All(now time.Time) []Verdict {
 	l.mu.Lock()
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -9,18 +9,19 @@
 
 var start = time.Unix(1000, 0)
 
+// work returns a Work derived from name.
 func work(name string) Work {
 	content := Content{Target: name}
 	return content.Work()
 }
 
-// addCrash reports that a replica addCrash with works, some seconds after start.
+// addCrash reports a crash of a replica that ran works, at second after start.
 func addCrash(list *List, replica string, second int, works ...Work) []Verdict {
 	at := start.Add(time.Duration(second) * time.Second)
 	return list.Add(CrashReport{Replica: replica, Runs: runsOf(at.Add(-100*time.Millisecond), works...), At: at}, at)
 }
 
-// runsOf returns runs of works that began at a time.
+// runsOf returns one run per work, all sent at the same time.
 func runsOf(sentAt time.Time, works ...Work) []Run {
 	var runs []Run
 	for _, work := range works {
@@ -29,6 +30,7 @@
 	return runs
 }
 
+// isQuarantined reports whether work is quarantined at second after start.
 func isQuarantined(list *List, work Work, second int) bool {
 	return list.Check(work, start.Add(time.Duration(second)*time.Second)).Quarantined
 }
@@ -38,7 +40,7 @@
 	bad := work("bad")
 	for i := range 2 {
 		if got := addCrash(&list, fmt.Sprintf("r%d", i), i, bad, work(fmt.Sprintf("beside %d", i))); len(got) != 0 {
-			t.Fatalf("quarantined after %d replicas: %v", i+1, got)
+			t.Fatalf("quarantined after %d crashes: %v", i+1, got)
 		}
 	}
 	got := addCrash(&list, "r2", 2, bad, work("beside"))
@@ -56,7 +58,7 @@
 		addCrash(&list, "r", 0, work("w"))
 	}
 	if verdict := list.Check(work("w"), start); len(verdict.Replicas) != 1 {
-		t.Fatalf("%d replicas count", len(verdict.Replicas))
+		t.Fatalf("%d crashes count, want 1", len(verdict.Replicas))
 	}
 }
 
@@ -66,12 +68,12 @@
 		addCrash(&list, "machine", 10*i, work("w"))
 	}
 	if !isQuarantined(&list, work("w"), 21) {
-		t.Fatal("three ends of one replica count as fewer")
+		t.Fatal("three crashes of one replica count as fewer")
 	}
 }
 
-// TestList_CountsConcurrentCrashesOnce: a rack or a zone takes many replicas at once, and a popular
-// request is on all of them.
+// TestList_CountsConcurrentCrashesOnce covers a failing rack or zone, which takes down many
+// replicas that all run a popular request.
 func TestList_CountsConcurrentCrashesOnce(t *testing.T) {
 	var list List
 	popular := work("popular")
@@ -80,16 +82,16 @@
 		list.Add(CrashReport{Replica: fmt.Sprintf("r%d", i), Runs: runsOf(start.Add(-time.Second), popular), At: at}, at)
 	}
 	if verdict := list.Check(popular, start.Add(2*time.Second)); len(verdict.Replicas) != 1 {
-		t.Fatalf("%d ends count", len(verdict.Replicas))
+		t.Fatalf("%d crashes count, want 1", len(verdict.Replicas))
 	}
-	// What is sent after them and ends replicas again counts, a hair early by another clock.
+	// Runs sent after a crash count again, even if clock skew makes them appear slightly earlier.
 	for i := range 2 {
 		at := start.Add(time.Duration(1+i) * time.Second)
 		crashedAt := start.Add(time.Duration(i) * time.Second)
 		list.Add(CrashReport{Replica: fmt.Sprintf("again%d", i), Runs: runsOf(crashedAt.Add(-clockSkew), popular), At: at}, at)
 	}
 	if !isQuarantined(&list, popular, 3) {
-		t.Fatal("ends of runs that were sent after earlier ends do not count")
+		t.Fatal("crashes of runs sent after earlier crashes do not count")
 	}
 }
 
@@ -100,20 +102,20 @@
 		addCrash(&list, fmt.Sprintf("r%d", i), 2*i, popular)
 		list.Clear(popular, start.Add(time.Duration(2*i+1)*time.Second))
 		if isQuarantined(&list, popular, 2*i+1) {
-			t.Fatalf("quarantined after %d ends with whole runs between", i+1)
+			t.Fatalf("quarantined after %d crashes with successes between them", i+1)
 		}
 	}
-	// What ends after the clearing counts.
+	// Crashes after the clearing count.
 	for i := range 6 {
 		addCrash(&list, fmt.Sprintf("later%d", i), 100+i, popular)
 	}
 	if !isQuarantined(&list, popular, 106) {
-		t.Fatal("six ends in a row do not count")
+		t.Fatal("six consecutive crashes do not quarantine")
 	}
 }
 
-// TestList_ProvenWorkNeedsMoreCrashes: popular work meets three ends within a second, and
-// ends well elsewhere soon.
+// TestList_ProvenWorkNeedsMoreCrashes covers popular work that is present at three crashes in short
+// succession.
 func TestList_ProvenWorkNeedsMoreCrashes(t *testing.T) {
 	var list List
 	popular, fresh := work("popular"), work("fresh")
@@ -121,15 +123,15 @@
 	for i := range 5 {
 		addCrash(&list, fmt.Sprintf("r%d", i), i, popular, fresh)
 		if isQuarantined(&list, popular, i) || isQuarantined(&list, fresh, i) != (i >= 2) {
-			t.Fatalf("after %d ends: proven work %v, other %v", i+1, isQuarantined(&list, popular, i), isQuarantined(&list, fresh, i))
+			t.Fatalf("after %d crashes: proven work quarantined %v, other %v", i+1, isQuarantined(&list, popular, i), isQuarantined(&list, fresh, i))
 		}
 	}
 	if got := addCrash(&list, "r5", 5, popular); len(got) != 1 || !isQuarantined(&list, popular, 5) {
-		t.Fatal("work that ends replicas and nothing else is not quarantined")
+		t.Fatal("proven work is not quarantined after six crashes")
 	}
 	list.Clear(popular, start.Add(6*time.Second))
 	if isQuarantined(&list, popular, 7) {
-		t.Fatal("a run that ended well does not clear")
+		t.Fatal("a success does not clear")
 	}
 }
 
@@ -138,7 +140,7 @@
 	list.Clear(work("w"), start.Add(time.Minute))
 	addCrash(&list, "r", 0, work("w"))
 	if verdict := list.Check(work("w"), start.Add(time.Hour/2)); len(verdict.Replicas) != 0 {
-		t.Fatalf("%d ends count", len(verdict.Replicas))
+		t.Fatalf("%d crashes count, want 0", len(verdict.Replicas))
 	}
 }
 
@@ -153,9 +155,8 @@
 	}
 }
 
-// TestList_FindsHarmfulWorkBesideQuarantinedWork guards that what ends replicas is found
-// though other work that ran beside it each time, or some of the times and elsewhere before,
-// was quarantined.
+// TestList_FindsHarmfulWorkBesideQuarantinedWork checks that harmful work is quarantined even if
+// other work that ran beside it each time already is.
 func TestList_FindsHarmfulWorkBesideQuarantinedWork(t *testing.T) {
 	var list List
 	bad, beside := work("bad"), work("beside")
@@ -168,17 +169,9 @@
 	}
 }
 
-// TestList_CrashesByHarmfulWorkSpareProvenWork: popular work is on most replicas, so it
-// meets the ends that several harmful works bring about, one after the other, and in a storm of
-// faults some more. Each counted against it as if nothing else had been there, and with six of
-// them it was refused everywhere for up to an hour.
-//
-// Seen in a soak (seed 7215): "work quarantined" for the work of a route at all eight nodes from
-// 47.870 s on, after server-5-2, 0-1, 5-3, 1-2, 1-2 and 2-3 had ended since its last good end
-// at 41.3 s; 65 requests refused until the end of the run. Three of the six ends (5-2, the second
-// of 1-2, 2-3) stand in the lines "replica ended under work of this node" with a harmful work
-// beside it, which "work quarantined" had named by then or named 0.5 s later, and which no node
-// ever saw end well.
+// TestList_CrashesByHarmfulWorkSpareProvenWork covers popular work that is present at the crashes
+// of several harmful works. These crashes must not add up against it, or it is refused on all nodes
+// for up to DefaultWindow (soak seed 7215).
 func TestList_CrashesByHarmfulWorkSpareProvenWork(t *testing.T) {
 	var list List
 	popular := work("popular")
@@ -189,21 +182,21 @@
 		addCrash(&list, fmt.Sprintf("apart%d", i), i, harmful)
 	}
 	if verdict := list.Check(popular, start.Add(10*time.Second)); verdict.Quarantined || len(verdict.Replicas) != 0 {
-		t.Errorf("ends of three harmful works count: %+v", verdict)
+		t.Errorf("crashes by three harmful works count: %+v", verdict)
 	}
 	for i := range 6 {
 		if isQuarantined(&list, popular, 20+i) {
-			t.Errorf("quarantined after %d ends that nothing else explains", i)
+			t.Errorf("quarantined after %d unexplained crashes", i)
 		}
 		addCrash(&list, fmt.Sprintf("alone%d", i), 20+i, popular, work(fmt.Sprintf("beside %d", i)))
 	}
 	if !isQuarantined(&list, popular, 26) {
-		t.Error("work that began to end replicas is not quarantined")
+		t.Error("proven work that starts to crash replicas is not quarantined")
 	}
 }
 
-// TestList_ProvenWorkExplainsNoCrash: popular work that is refused, also by mistake, hides
-// no harmful work, not even such that has ended well at times.
+// TestList_ProvenWorkExplainsNoCrash checks that proven work, even if it is quarantined by mistake,
+// does not hide harmful work that has succeeded at times.
 func TestList_ProvenWorkExplainsNoCrash(t *testing.T) {
 	var list List
 	popular, harmful := work("popular"), work("harmful at times")
@@ -213,7 +206,7 @@
 		addCrash(&list, fmt.Sprintf("r%d", i), i, popular, harmful)
 	}
 	if !isQuarantined(&list, harmful, 6) {
-		t.Error("work that ended six replicas beside other work that ended well is not quarantined")
+		t.Error("work present at six crashes is not quarantined beside other proven work")
 	}
 }
 
@@ -227,16 +220,16 @@
 		t.Fatalf("until %v", verdict.Until.Sub(start))
 	}
 	if !isQuarantined(&list, bad, 59) || isQuarantined(&list, bad, 60) {
-		t.Fatal("the quarantine does not end when the oldest end is a minute ago")
+		t.Fatal("the quarantine does not end when the oldest crash is a minute old")
 	}
 	if addCrash(&list, "again", 61, bad); !isQuarantined(&list, bad, 62) {
-		t.Fatal("the next end does not count with those of the last minute")
+		t.Fatal("a new crash does not count together with those of the last minute")
 	}
 	if addCrash(&list, "late", 500, work("other")); isQuarantined(&list, bad, 500) {
 		t.Fatal("still quarantined")
 	}
 	if all := list.All(start.Add(10 * time.Hour)); len(all) != 0 || !list.Empty() {
-		t.Fatalf("%d works are remembered", len(all))
+		t.Fatalf("%d suspects are left", len(all))
 	}
 }
 
@@ -249,7 +242,7 @@
 	for i := range 3 {
 		verdict := list.Check(work("w"), start.Add(time.Duration(second)*time.Second))
 		if verdict.TrialDue(verdict.LastCrash.Add(trialDelay-1)) || !verdict.TrialDue(verdict.LastCrash.Add(trialDelay)) {
-			t.Fatalf("trial %d is not due %v after the newest end", i, trialDelay)
+			t.Fatalf("trial %d is not due %v after the newest crash", i, trialDelay)
 		}
 		second += 5
 		addCrash(&list, fmt.Sprintf("t%d", i), second, work("w"))
@@ -259,8 +252,8 @@
 	}
 }
 
-// TestVerdict_RetryAfterFollowsNextTrial: what is told to refused callers is the time of the
-// trial that may end the quarantine, and the end of it once no trial is left.
+// TestVerdict_RetryAfterFollowsNextTrial checks that refused callers are asked to wait until the next
+// trial, or until the end of the quarantine if no trials remain.
 func TestVerdict_RetryAfterFollowsNextTrial(t *testing.T) {
 	var list List
 	for i := range 3 {
@@ -285,7 +278,7 @@
 		addCrash(&list, fmt.Sprintf("t%d", 1+i), 20+i, work("w"))
 	}
 	if wait := retryAfter(30); wait != time.Hour-20*time.Second {
-		t.Errorf("tried no more, and condemned until the third newest end is an hour ago: %v", wait)
+		t.Errorf("without remaining trials, until the third newest crash is an hour old: %v", wait)
 	}
 }
 
@@ -296,18 +289,18 @@
 	}
 	last := start.Add(2 * time.Second)
 	if list.BeginTrial(work("w"), last.Add(trialDelay-1)) || !list.BeginTrial(work("w"), last.Add(trialDelay)) {
-		t.Fatal("the first trial is not after 5 s")
+		t.Fatal("the first trial is not due after 5 s")
 	}
 	if list.BeginTrial(work("w"), last.Add(trialDelay+1)) || !list.BeginTrial(work("w"), last.Add(trialDelay+trialTimeout)) {
-		t.Fatal("two trials at once, or none after one that brought no news")
+		t.Fatal("two concurrent trials, or none after a trial without a result")
 	}
 	addCrash(&list, "t0", 20, work("w"))
 	at := start.Add(20 * time.Second)
 	if list.BeginTrial(work("w"), at.Add(4*trialDelay-1)) || !list.BeginTrial(work("w"), at.Add(4*trialDelay)) {
-		t.Fatal("the second trial is not after 20 s")
+		t.Fatal("the second trial is not due after 20 s")
 	}
 	if list.BeginTrial(work("other"), at) {
-		t.Fatal("work that is not quarantined is tried")
+		t.Fatal("a trial of work that is not quarantined started")
 	}
 }
 
@@ -317,14 +310,14 @@
 		addCrash(&list, fmt.Sprintf("r%d", i), 0, work(fmt.Sprint(i)))
 	}
 	if count := list.suspectCount.Load(); count != maxWorks {
-		t.Fatalf("%d works are remembered", count)
+		t.Fatalf("%d suspects, want maxWorks", count)
 	}
 	if len(list.Check(work("0"), start).Replicas) != 0 || len(list.Check(work(fmt.Sprint(maxWorks)), start).Replicas) != 1 {
-		t.Fatal("not the oldest were forgotten")
+		t.Fatal("crashes other than the oldest were evicted")
 	}
 }
 
-// BenchmarkList_CheckFull measures the memory of a full list and the time of a look.
+// BenchmarkList_CheckFull measures the time and allocations of Check on a full list.
 func BenchmarkList_CheckFull(b *testing.B) {
 	var list List
 	for i := range maxWorks / 8 {
@@ -340,7 +333,7 @@
 	}
 }
 
-// BenchmarkList_Memory measures what a full list holds, in bytes.
+// BenchmarkList_Memory measures the heap size of a full list in bytes.
 func BenchmarkList_Memory(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
--- a/internal/quarantine/publisher.go
+++ b/internal/quarantine/publisher.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// batchDelay is how long news waits for more of the same moment: the requests that a node
-	// had at a replica see its end within a few ms.
+	// batchDelay is how long an update waits for others to be sent with it: the requests that a
+	// node had on a replica notice its crash within a few ms.
 	batchDelay = 20 * time.Millisecond
-	// writeTimeout bounds one write, writeRetryFirst and writeRetryMax the pauses between
-	// tries of it.
+	// writeTimeout bounds one write, writeRetryFirst and writeRetryMax the delays between attempts.
 	writeTimeout    = 2 * time.Second
 	writeRetryFirst = 100 * time.Millisecond
 	writeRetryMax   = time.Second
-	// maxUnwritten bounds the reports and the clearings that wait while the table is away.
+	// maxUnwritten bounds the crash reports, and the clearings, that are kept while the table is
+	// unavailable.
 	maxUnwritten = 1000
 	// rowsPerCommit bounds the rows of one transaction.
 	rowsPerCommit = 50
-	// sweepInterval is the time between two looks for rows that count no more.
+	// sweepInterval is the time between two removals of expired rows.
 	sweepInterval = time.Minute
-	// successInterval is the time between two looks for works that end well often, keepAtOnce bounds
-	// those that are written each time, and maxKept the rows of works that ended well: a node
-	// that starts reads some 50 KB of them at most.
+	// successInterval is the time between two writes of successes of frequent work, successBatch
+	// bounds the rows of each, and maxClearingRows the clearing rows in the table: at most about 50
+	// KB that a starting node reads.
 	successInterval = time.Second
 	successBatch    = 5
 	maxClearingRows = 500
 )
 
-// Clearing tells that nothing before a time counts against a work.
+// Clearing states that no crash before At counts against Work.
 type Clearing struct {
 	Work Work
 	At   time.Time
 }
 
-// Update is what a node has seen.
+// Update holds what a node publishes to the others.
 type Update struct {
 	Reports   []CrashReport
 	Clearings []Clearing
@@ -49,34 +49,33 @@
 
 func (u *Update) empty() bool { return len(u.Reports)+len(u.Clearings) == 0 }
 
-// Publisher lets all nodes know what this one has seen: at once by messages, which may be
-// lost, and for good by rows of the table, which every node follows and which outlive the
-// restart of all. It is safe for concurrent use.
+// Publisher publishes this node's crash reports and clearings to all nodes: immediately in
+// messages, which may be lost, and durably in rows of the table, which every node follows and which
+// survive a restart of all nodes. A Publisher is safe for concurrent use.
 type Publisher struct {
 	Table table.Service
 	Rows  *Rows
-	// Session names this life of the node.
+	// Session returns the id of the node's session, which makes the keys of its rows unique.
 	Session func() string
-	// Broadcast, if set, sends news to all other nodes.
+	// Broadcast, if set, sends an update to all other nodes.
 	Broadcast func(Update)
-	// OnWritten, if set, is told that rows have been written.
+	// OnWritten, if set, is called after rows have been written.
 	OnWritten func()
-	// OnError, if set, is told of writes that failed and are tried again, and of news that
-	// was dropped.
+	// OnError, if set, is called for failed writes, which are retried, and for dropped updates.
 	OnError func(error)
-	// OwnsSweep reports whether this node is the one to remove rows that count no more.
+	// OwnsSweep reports whether this is the node that removes expired rows.
 	OwnsSweep func() bool
 
 	mu sync.Mutex
-	// unsent is what is to be unwritten and then written, unwritten what is only to be written.
+	// unsent has yet to be broadcast and then written, unwritten only to be written.
 	unsent, unwritten Update
-	// wake and wakeWriter say that there is any of these.
+	// wake and wakeWriter signal that unsent and unwritten are not empty.
 	wake, wakeWriter chan struct{}
-	// reportsWritten counts the rows of reports, for their keys.
+	// reportsWritten counts the written crash rows, for their keys.
 	reportsWritten int
 }
 
-// NewPublisher returns a publisher that has nothing to tell.
+// NewPublisher returns a Publisher without optional functions that sweeps no rows.
 func NewPublisher(service table.Service, rows *Rows, session func() string) *Publisher {
 	return &Publisher{
 		Table: service, Rows: rows, Session: session, OwnsSweep: func() bool { return false },
@@ -84,7 +83,7 @@
 	}
 }
 
-// PublishCrash has all nodes learn of an end.
+// PublishCrash queues a crash report, merged with an unsent one about the same crash.
 func (p *Publisher) PublishCrash(report CrashReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +97,7 @@
 	notify(p.wake)
 }
 
-// PublishClearing has all nodes learn of a clearing.
+// PublishClearing queues a clearing.
 func (p *Publisher) PublishClearing(clearing Clearing) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,7 +105,7 @@
 	notify(p.wake)
 }
 
-// notify wakes whoever waits at a channel, now or later.
+// notify wakes the receiver of a channel with a buffer of one. It does not block.
 func notify(wake chan<- struct{}) {
 	select {
 	case wake <- struct{}{}:
@@ -114,9 +113,8 @@
 	}
 }
 
-// Run tells and writes what there is until the context ends. Others are told at once, however
-// long the table takes to answer: what they do not know yet has them count ends against work
-// that ended well here.
+// Run broadcasts and writes updates until ctx is done. Broadcasts do not wait for the table,
+// because nodes that do not know of a success here count crashes against that work.
 func (p *Publisher) Run(ctx context.Context) {
 	var writer sync.WaitGroup
 	defer writer.Wait()
@@ -134,7 +132,7 @@
 	}
 }
 
-// flush tells others what is new and has it written.
+// flush broadcasts the unsent update and hands it to the writer.
 func (p *Publisher) flush() {
 	p.mu.Lock()
 	update := p.unsent
@@ -153,7 +151,8 @@
 	notify(p.wakeWriter)
 }
 
-// runWriter writes what has been told until the context ends, and sweeps.
+// runWriter writes updates until ctx is done. While there are none, it sweeps expired rows and
+// persists successes.
 func (p *Publisher) runWriter(ctx context.Context) {
 	sweepTicker, successTicker := time.NewTicker(sweepInterval), time.NewTicker(successInterval)
 	defer sweepTicker.Stop()
@@ -185,24 +184,23 @@
 	}
 }
 
-// takeUnwritten adds what has been told to what is to be written.
+// takeUnwritten moves the unwritten update to batch.
 func (p *Publisher) takeUnwritten(batch *Update) {
 	p.mu.Lock()
 	taken := p.unwritten
 	p.unwritten = Update{}
 	p.mu.Unlock()
-	batch.Reports = dropOldest(p, "ends", append(batch.Reports, taken.Reports...))
+	batch.Reports = dropOldest(p, "crash reports", append(batch.Reports, taken.Reports...))
 	batch.Clearings = dropOldest(p, "clearings", append(batch.Clearings, taken.Clearings...))
 }
 
-// dropOldest returns the dropOldest maxPending of what waits to be written, and tells how many are
-// dropped.
+// dropOldest returns the newest maxUnwritten entries of queue, and reports how many it drops.
 func dropOldest[T any](p *Publisher, kind string, queue []T) []T {
 	dropped := len(queue) - maxUnwritten
 	if dropped <= 0 {
 		return queue
 	}
-	p.reportError(Error.New("the table has been away for too long, %d %s are not written", dropped, kind))
+	p.reportError(Error.New("table unavailable for too long: dropped %d %s", dropped, kind))
 	return queue[dropped:]
 }
 
@@ -212,7 +210,8 @@
 	}
 }
 
-// write writes all that is to be written and takes off what is.
+// write writes batch in transactions of up to rowsPerCommit rows, and removes what has been
+// written.
 func (p *Publisher) write(ctx context.Context, batch *Update) error {
 	for !batch.empty() {
 		reports := batch.Reports[:min(len(batch.Reports), rowsPerCommit)]
@@ -234,6 +233,7 @@
 	return nil
 }
 
+// encode returns the writes of the rows for reports and clearings.
 func (p *Publisher) encode(reports []CrashReport, clearings []Clearing) ([]table.Write, error) {
 	writes := make([]table.Write, 0, len(reports)+len(clearings))
 	for i, report := range reports {
@@ -246,7 +246,7 @@
 	}
 	for _, clearing := range latestByWork(clearings) {
 		if !p.Rows.clearedAt(clearing.Work).Before(clearing.At) {
-			// Another node has written as much meanwhile.
+			// Another node has written the same or a later clearing.
 			continue
 		}
 		write, err := p.Rows.putClearing(clearing)
@@ -258,7 +258,7 @@
 	return writes, nil
 }
 
-// latestByWork returns the newest clearing of each work.
+// latestByWork returns the latest clearing of each work.
 func latestByWork(clearings []Clearing) map[Work]Clearing {
 	latest := map[Work]Clearing{}
 	for _, clearing := range clearings {
@@ -269,20 +269,21 @@
 	return latest
 }
 
-// persistSuccesses has rows tell of works that end well often. Nobody waits for them, so nobody is told.
+// persistSuccesses writes clearings for work that succeeds frequently. They are not broadcast here.
 func (p *Publisher) persistSuccesses(ctx context.Context) {
 	writes, err := p.encode(nil, p.Rows.successesToPersist(successBatch))
 	if err == nil {
 		err = p.commit(ctx, writes)
 	}
 	if err != nil {
-		// The next look tries again what no row tells then.
+		// The next interval retries work that still has no recent row.
 		p.reportError(err)
 	}
 }
 
-// commit makes one try of a write. A conflict tells that an earlier try, whose answer was
-// lost, was done, or that another node has cleared a work, so the versions are learned.
+// commit attempts a write once. A conflict means that an earlier attempt, whose response was lost,
+// succeeded, or that another node cleared the work; the versions found are recorded for the next
+// attempt.
 func (p *Publisher) commit(ctx context.Context, writes []table.Write) error {
 	if len(writes) == 0 {
 		return nil
@@ -297,7 +298,7 @@
 	return err
 }
 
-// sweep removes rows that count no more.
+// sweep removes expired rows if this node owns the sweep.
 func (p *Publisher) sweep(ctx context.Context) {
 	if !p.OwnsSweep() {
 		return
@@ -307,7 +308,7 @@
 		return
 	}
 	if err := p.commit(ctx, writes); err != nil && outcome.Of(err) != outcome.NotDone {
-		// The next sweep looks again.
+		// The next sweep retries.
 		p.reportError(err)
 	}
 }
--- a/internal/quarantine/recent.go
+++ b/internal/quarantine/recent.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// maxRecent bounds the works that are remembered to have ended well, twice: some minutes of
-// a node's requests.
+// maxRecent bounds each of the two maps of recentTimes; together they cover some minutes of a
+// node's requests.
 const maxRecent = 4000
 
-// recentTimes remembers times of works, of the newest maxWell at least. The zero value is ready to
-// use.
+// recentTimes holds the latest time of each work, for at least the newest maxRecent works. When
+// newest is full it replaces older. The zero value is ready to use.
 type recentTimes struct{ newest, older map[Work]time.Time }
 
+// record sets the time of work, unless a later one is known.
 func (r *recentTimes) record(work Work, at time.Time) {
 	if !at.After(r.at(work)) {
 		return
@@ -20,7 +21,7 @@
 	r.newest[work] = at
 }
 
-// at returns the time of a work, zero if none is remembered.
+// at returns the time of work, or zero if it is not known.
 func (r *recentTimes) at(work Work) time.Time {
 	if at, ok := r.newest[work]; ok {
 		return at
--- a/internal/quarantine/rows.go
+++ b/internal/quarantine/rows.go
@@ -12,72 +12,72 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// Prefixes of the rows: one for each end and node that had work there, one for each work
-// that was cleared.
+// Prefixes of row keys. There is one crash row per crash and node that had runs on the replica, and
+// one clearing row per cleared work.
 const (
 	prefixCrash    = "end/"
 	prefixClearing = "cleared/"
 )
 
-// errClockUnknown reports that the table's clock has not been seen yet.
+// errClockUnknown is returned for writes before the first read of the table.
 var errClockUnknown = Error.New("the table's clock is not known yet")
 
-// crashRow is the body of the row of an end. Times are of the table's steady clock, in ms.
+// crashRow is the body of a crash row. Times are in milliseconds of the table's monotonic clock.
 type crashRow struct {
 	Replica string `cbor:"1,keyasint"`
 	Works   []Work `cbor:"2,keyasint"`
 	At      int64  `cbor:"3,keyasint"`
-	// Durations is how long each of Works had run.
+	// Durations is how long each of Works had run before the crash, in ms.
 	Durations []int64 `cbor:"4,keyasint,omitempty"`
-	// StartTime tells which start of the replica ended; absent if that is not known.
+	// StartTime identifies the start that crashed; absent if it is not known.
 	StartTime int64 `cbor:"5,keyasint,omitempty"`
-	// SuccessAges is how long before the end each of Works was last seen to end well, in ms and at
-	// least 1; 0 if the writer has not seen it. Without it a restart of all nodes, which forget
-	// that, would have a popular work refused for the ends that it met by chance.
+	// SuccessAges is how long before the crash each of Works last succeeded, in ms and at least 1;
+	// 0 if the writer has not seen a success. Without it, popular work would be refused after a
+	// restart of all nodes because of crashes it was merely present at.
 	SuccessAges []int64 `cbor:"6,keyasint,omitempty"`
 }
 
-// clearingRow is the body of the row of a clearing.
+// clearingRow is the body of a clearing row.
 type clearingRow struct {
 	At int64 `cbor:"1,keyasint"`
 }
 
-// Rows are the rows of ends and clearings in the table, as the node follows them. It is safe
-// for concurrent use.
+// Rows follows the crash and clearing rows of the table. It is safe for concurrent use.
 type Rows struct {
-	// Partition is where the rows are; rows of others are passed over.
+	// Partition is the partition of the rows; rows of other partitions are ignored.
 	Partition string
-	// Guard takes in ends; its list takes in clearings.
+	// Guard receives crashes, and its list clearings.
 	Guard *Guard
-	// OnMalformed, if set, is told of rows that cannot be read; they are passed over.
+	// OnMalformed, if set, is called for rows that cannot be decoded; they are skipped.
 	OnMalformed func(key table.Key, err error)
 
 	mu sync.Mutex
-	// tableNow is the table's clock as of readAt.
+	// tableNow is the table's clock at readAt.
 	tableNow time.Duration
 	readAt   time.Time
 	rows     map[string]rowState
 }
 
-// rowState is what is known of a row.
+// rowState is the last known state of a row.
 type rowState struct {
 	version uint64
-	// at is the time that the row tells, by this node's clock.
+	// at is the time of the crash or clearing, on this node's clock.
 	at time.Time
 }
 
-// rowEvent is what a row tells.
+// rowEvent is a crash report or a clearing from a row.
 type rowEvent struct {
 	at       time.Time
 	report   *CrashReport
 	clearing *Clearing
 }
 
-// Apply takes in changes of the group that the partition belongs to.
+// Apply records changes of the table group that contains the partition. complete means that all
+// rows have been read.
 func (r *Rows) Apply(changes table.Changes, complete bool) {
 	events := r.applyRows(changes)
 	slices.SortStableFunc(events, func(a, b rowEvent) int { return a.at.Compare(b.at) })
-	// Clearings come first: no work is refused, for a moment, by ends that were cleared.
+	// Clearings come first, so that crashes they clear never quarantine work.
 	for _, event := range events {
 		if event.clearing != nil {
 			r.Guard.List.Clear(event.clearing.Work, event.clearing.At)
@@ -93,6 +93,7 @@
 	}
 }
 
+// applyRows updates the row states and returns the events of the changed rows.
 func (r *Rows) applyRows(changes table.Changes) []rowEvent {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,7 +123,8 @@
 	return events
 }
 
-// decode reads a row. Of what it tells the row's own fact comes first. The caller holds mu.
+// decode returns the events of a row: first its own crash or clearing, then the successes that a
+// crash row contains. The caller holds mu.
 func (r *Rows) decode(row table.Row) ([]rowEvent, error) {
 	if name, ok := strings.CutPrefix(row.Sort, prefixClearing); ok {
 		work, err := ParseWork(name)
@@ -149,13 +151,14 @@
 	return events, nil
 }
 
-// localTime returns a time of the table's clock by this node's. The caller holds mu.
+// localTime converts a time of the table's clock to this node's clock. Later times than the table's
+// current one become readAt. The caller holds mu.
 func (r *Rows) localTime(at int64) time.Time {
 	age := r.tableNow - time.Duration(at)*time.Millisecond
 	return r.readAt.Add(-max(0, age))
 }
 
-// tableTime returns a time of this node's clock by the table's. The caller holds mu.
+// tableTime converts a time of this node's clock to the table's clock. The caller holds mu.
 func (r *Rows) tableTime(at time.Time) (int64, error) {
 	if r.readAt.IsZero() {
 		return 0, errClockUnknown
@@ -163,8 +166,8 @@
 	return (r.tableNow + at.Sub(r.readAt)).Milliseconds(), nil
 }
 
-// EncodeRuns returns the runs of a report as they are told: the works, and how long each had run, in
-// ms.
+// EncodeRuns returns the runs of the report in the form used in rows and messages: the works, and
+// how long each had run before the crash, in ms.
 func (r *CrashReport) EncodeRuns() (works []Work, durations []int64) {
 	for _, run := range r.Runs {
 		works = append(works, run.Work)
@@ -173,8 +176,8 @@
 	return works, durations
 }
 
-// DecodeRuns returns runs that were told, at the end of a replica. One of which it is not told how
-// long it lasted counts as having begun with the replica's end.
+// DecodeRuns returns the runs that EncodeRuns encoded, for a crash at the given time. A run without
+// a duration counts as sent at the time of the crash.
 func DecodeRuns(works []Work, durations []int64, at time.Time) []Run {
 	runs := make([]Run, len(works))
 	for i, work := range works {
@@ -186,7 +189,7 @@
 	return runs
 }
 
-// putCrash returns the write of the row of an end.
+// putCrash returns the write of a crash row.
 func (r *Rows) putCrash(name string, report CrashReport) (table.Write, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -200,8 +203,8 @@
 	})
 }
 
-// EncodeSuccesses returns for each work how long before an end it was last seen here to end well, as
-// that is told: in ms and at least 1, 0 if it was not.
+// EncodeSuccesses returns how long before a crash each of works last succeeded, in the form used in
+// rows and messages: in ms and at least 1, or 0 if no success is known.
 func (l *List) EncodeSuccesses(works []Work, crashedAt time.Time) []int64 {
 	ages := make([]int64, len(works))
 	for i, work := range works {
@@ -212,7 +215,7 @@
 	return ages
 }
 
-// DecodeSuccesses returns the good ends of works that were told with the end of a replica.
+// DecodeSuccesses returns the successes that EncodeSuccesses encoded, as clearings.
 func DecodeSuccesses(works []Work, ages []int64, crashedAt time.Time) []Clearing {
 	var clearings []Clearing
 	for i, age := range ages[:min(len(ages), len(works))] {
@@ -223,7 +226,7 @@
 	return clearings
 }
 
-// putClearing returns the write of the row of a clearing.
+// putClearing returns the write of a clearing row.
 func (r *Rows) putClearing(clearing Clearing) (table.Write, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -234,15 +237,16 @@
 	return r.put(prefixClearing+clearing.Work.String(), clearingRow{At: at})
 }
 
-// clearedAt is when a work ended well by the row that tells it; zero if none is known.
+// clearedAt returns the time in the clearing row of work, or zero if there is none.
 func (r *Rows) clearedAt(work Work) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rows[prefixClearing+work.String()].at
 }
 
-// successesToPersist returns up to so many works that end well often here and of which rows are to tell: what
-// the nodes remember is gone when all of them restart, and the ends that work met stay.
+// successesToPersist returns the last successes of up to limit works that succeed frequently and
+// have no recent clearing row. When all nodes restart, only rows preserve successes, while the
+// crashes remain in the table.
 func (r *Rows) successesToPersist(limit int) []Clearing {
 	available := min(limit, maxClearingRows-r.clearingCount())
 	if available <= 0 {
@@ -251,8 +255,8 @@
 	return r.Guard.frequent.duePersist(clock.Now(), r.Guard.List.window()/2, available, r.clearedAt)
 }
 
-// clearingCount counts the rows of works that ended well; maxKept of them are taken to be there until
-// the rows have been read.
+// clearingCount returns the number of clearing rows, or maxClearingRows if the rows have not been
+// read, so that none are added before.
 func (r *Rows) clearingCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -268,7 +272,7 @@
 	return count
 }
 
-// put returns a write that takes the place of what is known of a row. The caller holds mu.
+// put returns a write of a row that expects its last known version. The caller holds mu.
 func (r *Rows) put(name string, body any) (table.Write, error) {
 	encoded, err := cbor.Marshal(body)
 	if err != nil {
@@ -278,7 +282,7 @@
 	return table.Write{Key: key, Kind: table.Put, Expect: r.rows[name].version, Body: encoded}, nil
 }
 
-// recordVersions takes in the versions of rows that a write met.
+// recordVersions records the rows that a conflicting write found.
 func (r *Rows) recordVersions(rows []table.Row) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -297,7 +301,7 @@
 	}
 }
 
-// expired returns writes that remove up to so many rows that count no more.
+// expired returns writes that remove up to limit rows older than the window.
 func (r *Rows) expired(limit int) []table.Write {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/quarantine/rows_test.go
+++ b/internal/quarantine/rows_test.go
@@ -8,8 +8,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// rowsOf returns the rows of what befell a work: ends at some times of the table's clock, and
-// one clearing.
+// rowsOf returns the rows of crashes of one work and of one clearing, at the given times of the
+// table's clock.
 func rowsOf(t *testing.T, cleared time.Duration, crashes ...time.Duration) table.Changes {
 	t.Helper()
 	var list List
@@ -36,17 +36,17 @@
 	return read
 }
 
-// TestRows_AppliesClearingsBeforeCrashes: one row has the newest clearing, which
-// comes after all ends, so these must not be judged before it.
+// TestRows_AppliesClearingsBeforeCrashes checks that a starting node does not briefly quarantine
+// work because it applies crashes before the clearing that covers them.
 func TestRows_AppliesClearingsBeforeCrashes(t *testing.T) {
 	guard, _, events := newGuard(Refused)
 	rows := &Rows{Partition: "g/q", Guard: guard}
 	rows.Apply(rowsOf(t, 30*time.Minute, 10*time.Minute, 15*time.Minute, 20*time.Minute, 25*time.Minute), true)
 	if len(events.quarantined) != 0 {
-		t.Fatalf("quarantined for a moment: %+v", events.quarantined)
+		t.Fatalf("temporarily quarantined: %+v", events.quarantined)
 	}
 	if verdict := guard.List.Check(work("w"), time.Now()); len(verdict.Replicas) != 0 {
-		t.Fatalf("%d ends count", len(verdict.Replicas))
+		t.Fatalf("%d crashes count, want 0", len(verdict.Replicas))
 	}
 }
 
@@ -60,14 +60,14 @@
 		t.Fatalf("verdicts %+v", events.quarantined)
 	}
 	if writes := rows.expired(100); len(writes) != 0 {
-		t.Fatalf("%d rows are to be removed that count", len(writes))
+		t.Fatalf("%d rows within the window are to be removed", len(writes))
 	}
-	// All is an hour later: nothing counts, and the rows go.
+	// An hour later nothing counts, and all rows are removed.
 	late := &Rows{Partition: "g/q", Guard: &Guard{List: &List{}, Events: events}}
 	read.Now = 2 * time.Hour
 	late.Apply(read, true)
 	if all := late.Guard.List.All(time.Now()); len(all) != 0 || len(late.expired(100)) != 7 {
-		t.Fatalf("%d suspects, %d rows to be removed of 7", len(all), len(late.expired(100)))
+		t.Fatalf("%d suspects, %d of 7 rows to be removed", len(all), len(late.expired(100)))
 	}
 }
 
@@ -81,20 +81,20 @@
 	}
 	rows.Apply(read, true)
 	if malformed != 3 || !guard.List.Empty() {
-		t.Fatalf("%d of 3 rows were told to be malformed", malformed)
+		t.Fatalf("%d of 3 rows were reported as malformed", malformed)
 	}
 }
 
-// rowOf is the row that a write leaves.
+// rowOf returns the row that a write creates.
 func rowOf(write table.Write) table.Row {
 	return table.Row{Key: write.Key, Version: 1, Body: write.Body}
 }
 
-// TestRows_StartingNodeRestoresSuccesses: nodes forget by a restart what has ended well. A
-// popular work met six ends by chance, one after the other, under another's work; without its
-// proof it would be refused until the ends are an hour old, for so many allow no trial.
+// TestRows_StartingNodeRestoresSuccesses covers proven work that was present at six crashes. A
+// starting node must restore its last success from the crash rows, because unproven work with six
+// crashes gets no trial and would be refused until the crashes expire.
 func TestRows_StartingNodeRestoresSuccesses(t *testing.T) {
-	for name, proven := range map[string]bool{"ended well before": true, "never ended well": false} {
+	for name, proven := range map[string]bool{"succeeded before": true, "never succeeded": false} {
 		t.Run(name, func(t *testing.T) {
 			var list List
 			writer := &Rows{Partition: "g/q", Guard: &Guard{List: &list}}
@@ -117,20 +117,16 @@
 			(&Rows{Partition: "g/q", Guard: guard}).Apply(read, true)
 			verdict := guard.List.Check(work("w"), now)
 			if len(verdict.Replicas) != 6 || !verdict.Quarantined || verdict.RequestTrialDue(now) != proven {
-				t.Fatalf("verdict is %+v, trial due %v, want %v", verdict, verdict.RequestTrialDue(now), proven)
+				t.Fatalf("verdict %+v, trial due %v, want %v", verdict, verdict.RequestTrialDue(now), proven)
 			}
 		})
 	}
 }
 
-// TestRows_PendingRowsRaiseLimit: a node that starts beside a slow store serves
-// by what other nodes know, which says nothing of work. What it hears of ends then counted against
-// popular work as against work that never ended well.
-//
-// Seen in soaks (--seed 7219 --nodes 7, --seed 990118 --nodes 20, --seed 7244 --nodes 20, one play each
-// beside load): all ten requests that were refused as harmful in these plays came to four nodes which
-// had started less than 1.6 s before and had written "the table's clock is not known yet" or "started
-// by what another node knows", and "work quarantined" for known harmful work, from its rows, only later.
+// TestRows_PendingRowsRaiseLimit covers a node that serves requests before it has read the rows
+// from a slow table. It receives crash reports but knows no successes, so it must not quarantine
+// popular work at the limit of unproven work (soak --seed 7219 --nodes 7, --seed 990118 --nodes 20,
+// --seed 7244 --nodes 20).
 func TestRows_PendingRowsRaiseLimit(t *testing.T) {
 	guard, _, events := newGuard(Refused)
 	guard.List.RowsPending = true
@@ -144,29 +140,29 @@
 		recordCrash(fmt.Sprint("r", i), time.Duration(10-i)*time.Second)
 	}
 	if verdict := guard.List.Check(work("w"), now); verdict.Quarantined {
-		t.Errorf("quarantined by %v before rows were read that may speak for it", verdict.Replicas)
+		t.Errorf("quarantined by %v before the rows were read", verdict.Replicas)
 	}
 	rows.Apply(table.Changes{Now: time.Hour}, false)
 	if verdict := guard.List.Check(work("w"), now); verdict.Quarantined {
-		t.Error("quarantined by rows that are not all read")
+		t.Error("quarantined before all rows were read")
 	}
 	rows.Apply(table.Changes{Now: time.Hour}, true)
 	if verdict := guard.List.Check(work("w"), now); !verdict.Quarantined || len(events.quarantined) != 1 {
-		t.Errorf("no row speaks for it, and it is not quarantined: %+v, told %v", verdict, events.quarantined)
+		t.Errorf("not quarantined after all rows were read: %+v, events %v", verdict, events.quarantined)
 	}
 }
 
-// TestRows_PendingRowsStillQuarantine: without rows it takes as many ends as of work that
-// ended well, and no more.
+// TestRows_PendingRowsStillQuarantine checks that before the rows are read work is quarantined at
+// the limit of proven work.
 func TestRows_PendingRowsStillQuarantine(t *testing.T) {
 	list := List{RowsPending: true}
 	for i := range provenFactor * DefaultCrashLimit {
 		if isQuarantined(&list, work("w"), i) {
-			t.Fatalf("quarantined after %d ends", i)
+			t.Fatalf("quarantined after %d crashes", i)
 		}
 		addCrash(&list, fmt.Sprint("r", i), i, work("w"))
 	}
 	if !isQuarantined(&list, work("w"), 6) {
-		t.Error("not quarantined after six ends")
+		t.Error("not quarantined after six crashes")
 	}
 }
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -6,56 +6,54 @@
 )
 
 const (
-	// trialDelay is the time between two trials of quarantined work: a few replicas that end
-	// one after the other by themselves are over by then.
+	// trialDelay is the time from the newest crash to a trial of quarantined work; a short series
+	// of unrelated crashes is over by then.
 	trialDelay = 5 * time.Second
-	// trialTimeout is how long a trial of a request keeps others from being tried at the same
-	// node: longer than requests of the users' deployments may take.
+	// trialTimeout is how long a trial of a request prevents another one on the same node; it
+	// exceeds the usual duration of a request.
 	trialTimeout = 10 * time.Second
-	// trialPropagation is how long after the begin of a trial its outcome is known at all nodes, if
-	// the work is harmless.
+	// trialPropagation is how long after its start the success of a trial is known on all nodes.
 	trialPropagation = time.Second
 )
 
-// requestTrialDelays are the times from the newest end to a trial of a request, by how many ends
-// more than the limit count against it: two trials at most within two minutes.
+// requestTrialDelays are the times from the newest crash to a trial of a request, indexed by the
+// number of crashes beyond the limit. They allow at most two trials within two minutes.
 var requestTrialDelays = []time.Duration{trialDelay, 4 * trialDelay, 12 * time.Minute}
 
-// Verdict is what is known of a work.
+// Verdict is the current assessment of work.
 type Verdict struct {
 	Work Work
-	// Replicas are those whose ends count against it, the oldest first; one that ended twice
-	// stands there twice.
+	// Replicas are the ids of the replicas whose crashes count, oldest first; a replica that
+	// crashed twice occurs twice.
 	Replicas []string
-	// Quarantined work is sent to no replica, until Until.
+	// Quarantined work is sent to no replica before Until.
 	Quarantined bool
 	Until       time.Time
-	// QueriedAt is when other nodes were last asked what speaks for the work; zero if never.
+	// QueriedAt is when peers were last queried about the work; zero if never.
 	QueriedAt time.Time
-	// LastCrash is the end of the newest of Replicas.
+	// LastCrash is the time of the newest crash that counts.
 	LastCrash time.Time
-	// Limit is how many it may end.
+	// Limit is the number of crashes at which the work is quarantined.
 	Limit int
-	// NewlyQuarantined is set on the first verdict by which the work is quarantined.
+	// NewlyQuarantined is set on the first verdict that quarantines the work.
 	NewlyQuarantined bool
 }
 
 // TrialDue reports whether quarantined work may run once more to show that it is harmless:
-// some time after the newest end, and until as many ends more as it may bring about at first
-// speak against it. It is meant for work that is not sent by many at the same time.
+// trialDelay after the newest crash, and as long as fewer than twice Limit crashes count. It is
+// meant for work with a single sender.
 func (v *Verdict) TrialDue(now time.Time) bool {
 	return v.trialsRemain() && now.Sub(v.LastCrash) >= trialDelay
 }
 
-// RequestTrialDue is TrialDue with pauses that grow: for work that comes again by itself for as
-// long as its callers like.
+// RequestTrialDue is like TrialDue, with increasing delays, for requests, which callers may repeat
+// at any rate.
 func (v *Verdict) RequestTrialDue(now time.Time) bool {
 	return v.trialsRemain() && !now.Before(v.nextRequestTrial())
 }
 
-// RetryAfter returns how long a caller should wait whose request was refused: until the work has
-// been tried once more and may have been found harmless, or until what counts against it has
-// faded if it is tried no more.
+// RetryAfter returns how long the caller of a refused request should wait: until the result of the
+// next trial is known, or until the quarantine ends if no trials remain.
 func (v *Verdict) RetryAfter(now time.Time) time.Duration {
 	if !v.trialsRemain() {
 		return max(trialPropagation, v.Until.Sub(now))
@@ -63,15 +61,16 @@
 	return max(0, v.nextRequestTrial().Sub(now)) + trialPropagation
 }
 
+// trialsRemain reports whether the work is quarantined and may still be tried.
 func (v *Verdict) trialsRemain() bool { return v.Quarantined && len(v.Replicas) < 2*v.Limit }
 
-// nextRequestTrial is when the next trial of a request is due, for work that may be tried.
+// nextRequestTrial returns when the next trial of a request is due, if trials remain.
 func (v *Verdict) nextRequestTrial() time.Time {
 	excess := min(len(v.Replicas)-v.Limit, len(requestTrialDelays)-1)
 	return v.LastCrash.Add(requestTrialDelays[excess])
 }
 
-// RefusedError reports work that is kept from all replicas. It did not run this time.
+// RefusedError reports that work was not sent because it is quarantined.
 type RefusedError struct{ Verdict }
 
 // Error implements error.
--- a/internal/quarantine/work.go
+++ b/internal/quarantine/work.go
@@ -1,8 +1,13 @@
-// Package quarantine keeps work away from replicas that ends every replica which runs it.
+// Package quarantine keeps work that crashes replicas away from the remaining ones.
 //
-// A request that crashes the engine it runs on is sent again: by the node within one call,
-// by its caller under a new id, at any node. Health checks and ejection protect requests
-// from bad replicas; this package protects replicas from bad requests.
+// A request that crashes the engine it runs on is sent again: by the node as a retry, or by its
+// caller under a new id, to any node. Health checks and ejection protect requests from bad
+// replicas; this package protects replicas from bad requests.
+//
+// A crash is any end of a replica that it did not announce. Nodes report crashes, together with the
+// work that ran there, and successful runs to each other, in messages and in rows of the table.
+// Work is quarantined once enough crashes count against it. A success clears the crashes before it,
+// and work with a remembered success is called proven.
 package quarantine
 
 import (
@@ -17,26 +22,26 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("quarantine")
 
-// workBytes is the length of a Work: 128 bits of a hash that nobody can aim, so that no
-// caller can have the work of another one condemned.
+// workBytes is the length of a Work: 128 bits of a cryptographic hash, so that no caller can craft
+// a request that collides with the work of another one and have it quarantined.
 const workBytes = 16
 
-// Work identifies a piece of work by its content, whatever id it comes under. It holds
-// nothing of the content itself and may be logged.
+// Work identifies a request or item by a hash of its content, independent of its id. The content
+// cannot be recovered from it, so it may be logged.
 type Work [workBytes]byte
 
-// Content is what makes two requests the same work.
+// Content holds the parts of a request that are hashed into its Work.
 type Content struct {
-	// Caller is the tenant; empty where callers are not told apart.
+	// Caller is the tenant; empty where callers are not distinguished.
 	Caller string
 	Method string
 	Host   string
-	// Target is the path with its query.
+	// Target is the path with the query.
 	Target string
 	Body   []byte
 }
 
-// Work returns the identity of a content.
+// Work returns the identity of the content.
 func (c *Content) Work() Work {
 	digest := sha256.New()
 	for _, text := range []string{c.Caller, c.Method, c.Host, c.Target} {
@@ -46,11 +51,12 @@
 	return Work(digest.Sum(nil)[:workBytes])
 }
 
-// writeField writes a text behind its length, so that no two lists of texts are alike.
+// writeField writes text prefixed by its length, so that different fields never hash the same
+// bytes.
 func writeField(digest io.Writer, text string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(text)))
-	// A hash takes all that is written to it.
+	// Writing to a hash never fails.
 	_, _ = digest.Write(length[:])
 	_, _ = io.WriteString(digest, text)
 }
@@ -58,7 +64,7 @@
 // String returns the hexadecimal form.
 func (w Work) String() string { return hex.EncodeToString(w[:]) }
 
-// ParseWork reads the hexadecimal form.
+// ParseWork parses the hexadecimal form that String returns.
 func ParseWork(text string) (Work, error) {
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != workBytes {
--- a/internal/quarantine/work_test.go
+++ b/internal/quarantine/work_test.go
@@ -6,7 +6,7 @@
 	base := Content{Caller: "c", Method: "POST", Host: "h", Target: "/t", Body: []byte("body")}
 	same := base
 	if base.Work() != same.Work() {
-		t.Fatal("the same content is other work")
+		t.Fatal("equal contents are different work")
 	}
 	others := map[string]Content{
 		"caller": {Caller: "d", Method: "POST", Host: "h", Target: "/t", Body: []byte("body")},
@@ -18,7 +18,7 @@
 	}
 	for name, other := range others {
 		if other.Work() == base.Work() {
-			t.Errorf("another %s is the same work", name)
+			t.Errorf("contents with a different %s are the same work", name)
 		}
 	}
 }
@@ -31,7 +31,7 @@
 	}
 	for _, bad := range []string{"", "zz", work.String() + "00"} {
 		if _, err := ParseWork(bad); err == nil {
-			t.Errorf("%q was read", bad)
+			t.Errorf("%q was parsed", bad)
 		}
 	}
 }
