--- a/internal/findings/yaml.go
+++ b/internal/findings/yaml.go
@@ -13,37 +13,39 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Place is a position in a source.
-type Place struct {
+// Position is a line and column in a source, both starting at 1; zero if not known.
+type Position struct {
 	Line   int
 	Column int
 }
 
-// Document is a YAML document whose values can be located.
+// Document is a YAML document that can locate its values by path.
 type Document struct {
-	file   string
-	node   ast.Node
-	places map[string]Place
+	file      string
+	node      ast.Node
+	positions map[string]Position
 }
 
-// ParseYAML splits a source into its documents. Empty documents are left out.
+// ParseYAML parses the documents of a source. Empty documents are omitted. A syntax error is
+// returned as *Error.
 func ParseYAML(file string, source []byte) ([]Document, error) {
 	parsed, err := parser.ParseBytes(source, 0)
 	if err != nil {
 		return nil, &Error{Findings: []Finding{syntaxFinding(file, err)}}
 	}
 	var documents []Document
-	for _, document := range parsed.Docs {
-		if document.Body == nil || document.Body.Type() == ast.NullType {
+	for _, doc := range parsed.Docs {
+		if doc.Body == nil || doc.Body.Type() == ast.NullType {
 			continue
 		}
-		located := Document{file: file, node: document.Body, places: map[string]Place{}}
-		located.index("", document.Body)
-		documents = append(documents, located)
+		document := Document{file: file, node: doc.Body, positions: map[string]Position{}}
+		document.index("", doc.Body)
+		documents = append(documents, document)
 	}
 	return documents, nil
 }
 
+// syntaxFinding converts a parser error to a finding, with its position if known.
 func syntaxFinding(file string, err error) Finding {
 	finding := Finding{File: file, Message: err.Error()}
 	var syntax yaml.Error
@@ -56,10 +58,12 @@
 	return finding
 }
 
+// index records the positions of node and of all values in it. For an entry of a mapping the
+// position is that of its key.
 func (d *Document) index(path string, node ast.Node) {
 	token := node.GetToken()
-	if _, known := d.places[path]; !known && token != nil {
-		d.places[path] = Place{Line: token.Position.Line, Column: token.Position.Column}
+	if _, known := d.positions[path]; !known && token != nil {
+		d.positions[path] = Position{Line: token.Position.Line, Column: token.Position.Column}
 	}
 	switch typed := node.(type) {
 	case *ast.MappingNode:
@@ -75,13 +79,15 @@
 	}
 }
 
+// indexEntry records the position of a mapping entry and of the values in it.
 func (d *Document) indexEntry(path string, entry *ast.MappingValueNode) {
 	child := join(path, entry.Key.String())
 	position := entry.Key.GetToken().Position
-	d.places[child] = Place{Line: position.Line, Column: position.Column}
+	d.positions[child] = Position{Line: position.Line, Column: position.Column}
 	d.index(child, entry.Value)
 }
 
+// join appends a key to a path.
 func join(path, key string) string {
 	if path == "" {
 		return key
@@ -89,27 +95,28 @@
 	return path + "." + key
 }
 
-// Locate fills in the place of findings made about this document's values. A
-// path that is absent from the source gets the place of its nearest parent.
+// Locate returns copies of found with the file, line and column of their paths. A path that is not
+// in the source gets the position of its nearest parent.
 func (d *Document) Locate(found []Finding) []Finding {
 	located := make([]Finding, len(found))
 	for i, finding := range found {
 		finding.File = d.file
-		place := d.nearest(finding.Path)
-		finding.Line, finding.Column = place.Line, place.Column
+		position := d.nearestPosition(finding.Path)
+		finding.Line, finding.Column = position.Line, position.Column
 		located[i] = finding
 	}
 	return located
 }
 
-func (d *Document) nearest(path string) Place {
+// nearestPosition returns the position of path, or of its nearest parent in the document.
+func (d *Document) nearestPosition(path string) Position {
 	for {
-		if place, ok := d.places[path]; ok {
-			return place
+		if position, ok := d.positions[path]; ok {
+			return position
 		}
 		cut := strings.LastIndexAny(path, ".[")
 		if cut < 0 {
-			return d.places[""]
+			return d.positions[""]
 		}
 		path = path[:cut]
 	}
@@ -120,8 +127,8 @@
 	return yaml.YAMLToJSON([]byte(d.node.String()))
 }
 
-// Decode fills target, a pointer to a struct with json tags, from the
-// document and reports unknown keys and values of the wrong type.
+// Decode decodes the document into target, a pointer to a struct with json tags. It returns located
+// findings for unknown keys and for the first value of the wrong type.
 func (d *Document) Decode(target any) []Finding {
 	source, err := d.JSON()
 	if err != nil {
@@ -130,8 +137,8 @@
 	return d.Locate(DecodeJSON(source, target))
 }
 
-// DecodeJSON fills target from JSON and reports all unknown keys and the
-// first value of the wrong type, each with its path.
+// DecodeJSON decodes JSON into target, a pointer to a struct. It returns findings for all unknown
+// keys and for the first value of the wrong type, each with its path.
 func DecodeJSON(source []byte, target any) []Finding {
 	var found List
 	var generic any
@@ -153,30 +160,33 @@
 
 var rawMessage = reflect.TypeOf(json.RawMessage(nil))
 
-func typeName(kind reflect.Type) string {
-	switch kind.Kind() {
+// typeName returns the name of a type for messages.
+func typeName(typ reflect.Type) string {
+	switch typ.Kind() {
 	case reflect.Slice:
 		return "a list"
 	case reflect.Struct, reflect.Map:
 		return "a mapping"
 	default:
-		return kind.Kind().String()
+		return typ.Kind().String()
 	}
 }
 
-func unknownKeys(found *List, path string, value any, kind reflect.Type) {
-	for kind.Kind() == reflect.Pointer {
-		kind = kind.Elem()
+// unknownKeys adds a finding for each key in value that typ has no field for. Types with their own
+// JSON decoding are skipped.
+func unknownKeys(found *List, path string, value any, typ reflect.Type) {
+	for typ.Kind() == reflect.Pointer {
+		typ = typ.Elem()
 	}
-	if kind == rawMessage || reflect.PointerTo(kind).Implements(reflect.TypeFor[json.Unmarshaler]()) {
+	if typ == rawMessage || reflect.PointerTo(typ).Implements(reflect.TypeFor[json.Unmarshaler]()) {
 		return
 	}
 	switch typed := value.(type) {
 	case map[string]any:
-		if kind.Kind() != reflect.Struct {
+		if typ.Kind() != reflect.Struct {
 			return
 		}
-		fields := jsonFields(kind)
+		fields := jsonFields(typ)
 		for key, child := range typed {
 			field, ok := fields[key]
 			if !ok {
@@ -186,23 +196,24 @@
 			unknownKeys(found, join(path, key), child, field)
 		}
 	case []any:
-		if kind.Kind() != reflect.Slice {
+		if typ.Kind() != reflect.Slice {
 			return
 		}
 		for i, child := range typed {
-			unknownKeys(found, path+"["+strconv.Itoa(i)+"]", child, kind.Elem())
+			unknownKeys(found, path+"["+strconv.Itoa(i)+"]", child, typ.Elem())
 		}
 	}
 }
 
-func jsonFields(kind reflect.Type) map[string]reflect.Type {
+// jsonFields returns the field types of a struct by JSON name, including those of embedded structs.
+func jsonFields(typ reflect.Type) map[string]reflect.Type {
 	fields := map[string]reflect.Type{}
-	for i := range kind.NumField() {
-		field := kind.Field(i)
+	for i := range typ.NumField() {
+		field := typ.Field(i)
 		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 		if field.Anonymous && name == "" {
-			for inner, innerKind := range jsonFields(field.Type) {
-				fields[inner] = innerKind
+			for inner, innerType := range jsonFields(field.Type) {
+				fields[inner] = innerType
 			}
 			continue
 		}
--- /dev/null
+++ b/internal/quarantine/evaluate.go
@@ -0,0 +1,84 @@
+package quarantine
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// evaluate returns the verdict on work. The caller holds mu.
+func (l *List) evaluate(work Work, now time.Time) Verdict {
+	lastSuccess := l.successes.at(work)
+	verdict := Verdict{Work: work, Limit: l.Limit()}
+	var crashes []*crash
+	if l.suspects[work] != nil {
+		crashes = l.countedCrashes(work, now, lastSuccess)
+	}
+	if !lastSuccess.IsZero() {
+		crashes = slices.DeleteFunc(crashes, func(c *crash) bool { return l.explainedByOther(c, work, now) })
+	}
+	crashes = longestSequence(crashes, work)
+	if !lastSuccess.IsZero() || l.RowsPending {
+		verdict.Limit *= provenFactor
+	}
+	for _, c := range crashes {
+		verdict.Replicas = append(verdict.Replicas, c.replica)
+		verdict.LastCrash = c.at
+	}
+	if excess := len(crashes) - verdict.Limit; excess >= 0 {
+		verdict.Quarantined = true
+		verdict.Until = crashes[excess].at.Add(l.window())
+	}
+	return verdict
+}
+
+// countedCrashes returns the crashes during runs of work that are later than after and within the
+// window, in time order. The caller holds mu.
+func (l *List) countedCrashes(work Work, now, after time.Time) []*crash {
+	var crashes []*crash
+	for c := range l.suspects[work].crashes {
+		if c.at.After(after) && now.Sub(c.at) < l.window() {
+			crashes = append(crashes, c)
+		}
+	}
+	slices.SortFunc(crashes, func(a, b *crash) int {
+		return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.replica, b.replica))
+	})
+	return crashes
+}
+
+// explainedByOther reports whether other work that ran on the replica explains the crash: work that
+// reached the crash limit, at least once on a replica that did not run this work, and that never
+// succeeded. It applies to proven work only. Otherwise popular work that has not succeeded yet
+// would explain the crashes of harmful work that runs beside it. The caller holds mu.
+func (l *List) explainedByOther(c *crash, work Work, now time.Time) bool {
+	for other := range c.works {
+		if other == work || !l.successes.at(other).IsZero() || len(l.suspects[other].crashes) < l.Limit() {
+			continue
+		}
+		crashes := l.countedCrashes(other, now, time.Time{})
+		elsewhere := slices.ContainsFunc(crashes, func(candidate *crash) bool { return !candidate.hasWork(work) })
+		if elsewhere && len(longestSequence(crashes, other)) >= l.Limit() {
+			return true
+		}
+	}
+	return false
+}
+
+// hasWork reports whether work ran on the replica when it crashed.
+func (c *crash) hasWork(work Work) bool {
+	_, ran := c.works[work]
+	return ran
+}
+
+// longestSequence returns the longest subsequence of crashes, given in time order, in which each
+// run of work was sent after the previous crash.
+func longestSequence(crashes []*crash, work Work) []*crash {
+	var chain []*crash
+	for _, c := range crashes {
+		if len(chain) == 0 || !c.works[work].Before(chain[len(chain)-1].at.Add(-clockSkew)) {
+			chain = append(chain, c)
+		}
+	}
+	return chain
+}
