--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -54,7 +54,7 @@
 	peers  *peer.Socket
 	roster *lease.Roster
 	near   *neighbours
-	quota  *quota.Exchange
+	quota  *quota.Coordinator
 	// toldAll bounds how often all nodes are told of news.
 	toldAll *rate.Limiter
 
--- a/internal/node/gatewayfront.go
+++ b/internal/node/gatewayfront.go
@@ -59,7 +59,7 @@
 	}
 	result, err := g.forward(r.Context(), target, request, sink)
 	if err != nil && outcome.Of(err) == outcome.NotDone {
-		g.quota.Gate.GiveBack(request.Tenant)
+		g.quota.Limiter.Refund(request.Tenant)
 	}
 	return result, err
 }
--- a/internal/node/gatewayquota.go
+++ b/internal/node/gatewayquota.go
@@ -27,11 +27,11 @@
 
 func (g *Gateway) buildQuota(roster *lease.Roster) {
 	declared := g.settings.Gateway.Quota
-	g.quota = quota.NewExchange(quota.Tolerance{
-		Slack: declared.Slack, Window: time.Duration(declared.Window), Over: declared.Over,
+	g.quota = quota.NewCoordinator(quota.Tolerance{
+		Slack: declared.Slack, Window: time.Duration(declared.Window), SlackRatio: declared.Over,
 	}, &quotaFleet{session: g.session, self: g.settings.Node.ID, roster: roster})
 	g.quota.Session, g.quota.Sender, g.quota.Limit = g.session.ID(), noPeers{}, g.tenantLimit
-	g.quota.Failed = func(err error) { g.sampled.Warn().Err(err).Msg("message between nodes failed") }
+	g.quota.OnError = func(err error) { g.sampled.Warn().Err(err).Msg("message between nodes failed") }
 }
 
 // tenantLimit returns a tenant's limit by the configuration in force.
@@ -62,8 +62,8 @@
 	entry := g.sampled.Info().Str("request", request.ID).Str("tenant", request.Tenant).Dur("took_ms", clock.Since(began))
 	var refusal *quota.RefusalError
 	if errors.As(err, &refusal) {
-		entry.Float64("rate", limit.Rate).Float64("burst", limit.Burst).Float64("part", refusal.Part).
-			Dur("told_age_ms", refusal.ToldAge).Dur("retry_after_ms", refusal.RetryAfter)
+		entry.Float64("rate", limit.Rate).Float64("burst", limit.Burst).Float64("part", refusal.Share).
+			Dur("told_age_ms", refusal.GrantAge).Dur("retry_after_ms", refusal.RetryAfter)
 	}
 	entry.Msg("request over its tenant's limit")
 	return Error.Wrap(outcome.Failed(err))
@@ -72,10 +72,10 @@
 // tenantUses returns the use that tenants make of their limits, by name.
 func (g *Gateway) tenantUses() []server.TenantUse {
 	var uses []server.TenantUse
-	for _, one := range g.quota.Gate.Uses(clock.Now()) {
+	for _, one := range g.quota.Limiter.Usage(clock.Now()) {
 		uses = append(uses, server.TenantUse{
 			Name: one.Tenant, Rate: one.Limit.Rate, Burst: one.Limit.Burst, Demand: one.Demand,
-			Admitted: one.Admitted, Part: one.Part, ToldAge: one.ToldAge.Seconds(),
+			Admitted: one.Admitted, Part: one.Share, ToldAge: one.GrantAge.Seconds(),
 		})
 	}
 	slices.SortFunc(uses, func(a, b server.TenantUse) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/node/gatewaystop.go
+++ b/internal/node/gatewaystop.go
@@ -41,7 +41,7 @@
 		_ = server.Shutdown(ctx)
 	}
 	<-handedBack
-	g.quota.Leave()
+	g.quota.AnnounceStop()
 	g.cancel()
 	g.closePeers()
 	g.store.Close()
--- a/internal/node/quotafleet.go
+++ b/internal/node/quotafleet.go
@@ -73,24 +73,24 @@
 	f.all = append(f.roster.Nodes(), f.away...)
 }
 
-// Away implements quota.Fleet.
-func (f *quotaFleet) Away(node string) bool {
+// SessionLost implements quota.Fleet.
+func (f *quotaFleet) SessionLost(node string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.refresh()
 	return slices.Contains(f.away, node)
 }
 
-// Others implements quota.Fleet.
-func (f *quotaFleet) Others() []quota.Other {
+// Peers implements quota.Fleet.
+func (f *quotaFleet) Peers() []quota.Peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.refresh()
-	others := make([]quota.Other, 0, len(f.all))
+	others := make([]quota.Peer, 0, len(f.all))
 	for i, node := range f.all {
 		if node != f.self {
-			others = append(others, quota.Other{
-				Node: node, Address: f.roster.Address(node), Away: i >= len(f.all)-len(f.away),
+			others = append(others, quota.Peer{
+				Node: node, Address: f.roster.Address(node), SessionLost: i >= len(f.all)-len(f.away),
 			})
 		}
 	}
@@ -105,5 +105,5 @@
 	return max(1, len(f.all))
 }
 
-// Unconfirmed implements quota.Fleet.
-func (f *quotaFleet) Unconfirmed() time.Duration { return f.session.Unconfirmed() }
+// SinceConfirmed implements quota.Fleet.
+func (f *quotaFleet) SinceConfirmed() time.Duration { return f.session.Unconfirmed() }
--- /dev/null
+++ b/internal/quota/peers_test.go
@@ -0,0 +1,43 @@
+package quota
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"github.com/wheelhoist/wheelhoist/internal/peer"
+)
+
+// unconfirmedNode is a node whose session is in doubt, with three others.
+type unconfirmedNode struct{ pair }
+
+func (unconfirmedNode) SinceConfirmed() time.Duration { return probeAfter }
+func (unconfirmedNode) Peers() []Peer {
+	return []Peer{{Node: "x", Address: "127.0.0.1:1"}, {Node: "y", Address: "127.0.0.1:2"}, {Node: "z", Address: "127.0.0.1:3"}}
+}
+
+// sentCounts counts messages by kind.
+type sentCounts map[peer.Kind]int
+
+func (s sentCounts) Send(_ *net.UDPAddr, kind peer.Kind, _ any) error {
+	s[kind]++
+	return nil
+}
+
+// TestCoordinator_ProbesOnlyIfCounting has a node's session in doubt. In a sweep of 300
+// machines without tenants each probed all others three times a second.
+func TestCoordinator_ProbesOnlyIfCounting(t *testing.T) {
+	sent := sentCounts{}
+	node := NewCoordinator(tolerance, unconfirmedNode{pair{"b"}})
+	node.Session, node.Sender = "b#1", sent
+	now := time.Now()
+	node.probeIfDue(now)
+	if sent[peer.KindQuotaProbe] != 0 {
+		t.Errorf("%d probes of a node that counts for nobody", sent[peer.KindQuotaProbe])
+	}
+	node.Allocator.HandleReport("a#1", Report{Tenant: "t", Number: 1, Demand: 1}, Limit{Rate: 10, Burst: 10}, now)
+	node.probeIfDue(now)
+	if sent[peer.KindQuotaProbe] != 3 {
+		t.Errorf("%d probes of a node that counts for a tenant, want 3", sent[peer.KindQuotaProbe])
+	}
+}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -37,8 +37,8 @@
 	Slack float64
 	// Window is the length of the windows over which a limit is judged.
 	Window time.Duration
-	// Over is a share of what a limit allows in a window.
-	Over float64
+	// SlackRatio is a share of what a limit allows in a window.
+	SlackRatio float64
 }
 
 // toleranceShare is the part of the tolerance that is given to tenants, so that reports
@@ -50,9 +50,9 @@
 	// askTimeout bounds the wait for an owner's answer: a way there and back takes some
 	// 3 ms, a node with a small share of a core may be held up for a few times 10 ms.
 	askTimeout = 60 * time.Millisecond
-	// askAgain is the wait after which the owner is asked once more, for datagrams are
+	// askRetryDelay is the wait after which the owner is asked once more, for datagrams are
 	// lost now and then.
-	askAgain = 20 * time.Millisecond
+	askRetryDelay = 20 * time.Millisecond
 )
 
 // window is the length of the windows.
@@ -66,27 +66,27 @@
 // defaultWindow is what the users' deployments state.
 const defaultWindow = 5 * time.Second
 
-// stated is how many requests a limit allows in a window.
-func (t Tolerance) stated(limit Limit) float64 {
+// nominal is how many requests a limit allows in a window.
+func (t Tolerance) nominal(limit Limit) float64 {
 	return limit.Rate*t.window().Seconds() + limit.Burst
 }
 
 // capacity is how many requests are let through in a window, at least one.
 func (t Tolerance) capacity(limit Limit) float64 {
-	return max(1, t.stated(limit)+toleranceShare*t.beyond(limit))
+	return max(1, t.nominal(limit)+toleranceShare*t.overshoot(limit))
 }
 
-// beyond is how many requests in a window may be let through beyond a limit.
-func (t Tolerance) beyond(limit Limit) float64 { return t.Over*t.stated(limit) + t.Slack }
+// overshoot is how many requests in a window may be let through overshoot a limit.
+func (t Tolerance) overshoot(limit Limit) float64 { return t.SlackRatio*t.nominal(limit) + t.Slack }
 
 // RefusalError is a refusal of a request beyond a limit; the request did not run.
 type RefusalError struct {
 	Tenant string
 	Limit  Limit
-	// Part is this node's part of the limit, ToldAge how long ago its owner answered;
+	// Share is this node's part of the limit, ToldAge how long ago its owner answered;
 	// negative if it never did.
-	Part    float64
-	ToldAge time.Duration
+	Share    float64
+	GrantAge time.Duration
 	// RetryAfter is when there is room again at this node.
 	RetryAfter time.Duration
 }
@@ -97,19 +97,19 @@
 }
 
 const (
-	// steps is the number of pieces that a window is counted in.
-	steps = 50
-	// spans is the number of longer pieces by which a node tells of its window.
-	spans = 5
+	// numBuckets is the number of pieces that a window is counted in.
+	numBuckets = 50
+	// numSpans is the number of longer pieces by which a node tells of its window.
+	numSpans = 5
 )
 
 // window counts events of a sliding window, up to a piece longer than that.
 type window struct {
-	counts [steps + 1]float64
+	counts [numBuckets + 1]float64
 	total  float64
-	// at is the number of the newest piece. Pieces are counted from origin by the steady
+	// newest is the number of the newest piece. Pieces are counted from origin by the steady
 	// clock: the time of day may jump.
-	at     int64
+	newest int64
 	origin time.Time
 }
 
@@ -119,14 +119,14 @@
 		// What others tell of the time before has room below the first piece.
 		w.origin = now.Add(-length)
 	}
-	at := int64(now.Sub(w.origin) / (length / steps))
-	if at-w.at > steps {
-		*w = window{at: at, origin: w.origin}
+	newest := int64(now.Sub(w.origin) / (length / numBuckets))
+	if newest-w.newest > numBuckets {
+		*w = window{newest: newest, origin: w.origin}
 		return
 	}
-	for w.at < at {
-		w.at++
-		oldest := &w.counts[w.at%int64(len(w.counts))]
+	for w.newest < newest {
+		w.newest++
+		oldest := &w.counts[w.newest%int64(len(w.counts))]
 		w.total -= *oldest
 		*oldest = 0
 	}
@@ -134,62 +134,62 @@
 
 // add counts events as of now.
 func (w *window) add(count float64) {
-	w.counts[w.at%int64(len(w.counts))] += count
+	w.counts[w.newest%int64(len(w.counts))] += count
 	w.total += count
 }
 
-// spans returns the events of the window by spans of it, the newest first.
-func (w *window) spans() []uint32 {
-	told := make([]uint32, spans)
-	for back := range int64(steps) {
-		if piece := w.at - back; piece >= 0 {
-			told[back*spans/steps] += uint32(max(0, w.counts[piece%int64(len(w.counts))]))
+// spanCounts returns the events of the window by spanCounts of it, the newest first.
+func (w *window) spanCounts() []uint32 {
+	counts := make([]uint32, numSpans)
+	for age := range int64(numBuckets) {
+		if bucket := w.newest - age; bucket >= 0 {
+			counts[age*numSpans/numBuckets] += uint32(max(0, w.counts[bucket%int64(len(w.counts))]))
 		}
 	}
-	return told
+	return counts
 }
 
-// takeSpans takes in what another has told of its window. Each span counts as of its
+// addSpans takes in what another has told of its window. Each span counts as of its
 // end, so that none leaves the window too early.
-func (w *window) takeSpans(told []uint32) {
-	for i, count := range told[:min(len(told), spans)] {
-		if piece := w.at - int64(i)*steps/spans; piece >= 0 {
-			w.counts[piece%int64(len(w.counts))] += float64(count)
+func (w *window) addSpans(counts []uint32) {
+	for i, count := range counts[:min(len(counts), numSpans)] {
+		if bucket := w.newest - int64(i)*numBuckets/numSpans; bucket >= 0 {
+			w.counts[bucket%int64(len(w.counts))] += float64(count)
 			w.total += float64(count)
 		}
 	}
 }
 
-// takeBack takes the newest events out again. Taken from the present instead, they
+// removeNewest takes the newest events out again. Taken from the present instead, they
 // would be missing there once those that they stand for have left the window.
-func (w *window) takeBack(count float64) {
-	for piece := w.at; piece > w.at-int64(len(w.counts)) && piece >= 0 && count > 0; piece-- {
-		counted := &w.counts[piece%int64(len(w.counts))]
-		taken := min(count, *counted)
-		*counted -= taken
-		w.total -= taken
-		count -= taken
+func (w *window) removeNewest(count float64) {
+	for bucket := w.newest; bucket > w.newest-int64(len(w.counts)) && bucket >= 0 && count > 0; bucket-- {
+		inBucket := &w.counts[bucket%int64(len(w.counts))]
+		removed := min(count, *inBucket)
+		*inBucket -= removed
+		w.total -= removed
+		count -= removed
 	}
 }
 
-// meterMemory is how far back demand is looked at: long enough to see a few requests
+// meterTimeConstant is how far back demand is looked at: long enough to see a few requests
 // of a small tenant, short enough to follow a pulse of some seconds.
-const meterMemory = 2 * time.Second
+const meterTimeConstant = 2 * time.Second
 
 // meter estimates a rate of events, by an exponentially weighted mean.
 type meter struct {
-	rate float64
-	at   time.Time
+	rate      float64
+	updatedAt time.Time
 }
 
 func (m *meter) add(now time.Time) {
-	m.rate = m.value(now) + 1/meterMemory.Seconds()
-	m.at = now
+	m.rate = m.value(now) + 1/meterTimeConstant.Seconds()
+	m.updatedAt = now
 }
 
 func (m *meter) value(now time.Time) float64 {
 	if m.rate == 0 {
 		return 0
 	}
-	return m.rate * math.Exp(-float64(max(0, now.Sub(m.at)))/float64(meterMemory))
+	return m.rate * math.Exp(-float64(max(0, now.Sub(m.updatedAt)))/float64(meterTimeConstant))
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -11,168 +11,168 @@
 )
 
 // tolerance is what the users' shifted deployment states.
-var tolerance = Tolerance{Window: 5 * time.Second, Over: 0.1, Slack: 20}
+var tolerance = Tolerance{Window: 5 * time.Second, SlackRatio: 0.1, Slack: 20}
 
-// fleet drives gates and the ledgers of owners by a clock of its own, with messages
+// simulation drives gates and the ledgers of owners by a clock of its own, with messages
 // that may be lost, late or doubled.
-type fleet struct {
-	t       *rapid.T
-	now     time.Time
-	gates   []*Gate
-	ledgers []*Ledger
+type simulation struct {
+	t          *rapid.T
+	now        time.Time
+	limiters   []*Limiter
+	allocators []*Allocator
 	// owner is the ledger in charge; cut nodes exchange no messages.
 	owner int
 	cut   map[int]bool
 	limit Limit
-	// lose and late are shares of the messages.
-	lose, late float64
-	random     *rand.Rand
-	mail       []message
-	ran        []time.Time
-	refused    int
-	// single is one count for all nodes, and beyond counts what that would refuse.
-	single window
-	beyond int
+	// lossRate and delayRate are shares of the messages.
+	lossRate, delayRate float64
+	random              *rand.Rand
+	inFlight            []message
+	admittedAt          []time.Time
+	refused             int
+	// reference is one count for all nodes, and beyond counts what that would refuse.
+	reference        window
+	referenceRefused int
 }
 
 type message struct {
-	due    time.Time
-	arrive func()
+	due     time.Time
+	deliver func()
 }
 
 const step = 10 * time.Millisecond
 
-func newFleet(t *rapid.T, nodes int, limit Limit) *fleet {
-	f := &fleet{t: t, now: time.Unix(1000, 0), limit: limit, cut: map[int]bool{}}
-	f.random = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
+func newSimulation(t *rapid.T, nodes int, limit Limit) *simulation {
+	s := &simulation{t: t, now: time.Unix(1000, 0), limit: limit, cut: map[int]bool{}}
+	s.random = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 	for range nodes {
-		f.gates = append(f.gates, &Gate{Tolerance: tolerance, Nodes: func() int { return nodes }})
+		s.limiters = append(s.limiters, &Limiter{Tolerance: tolerance, Nodes: func() int { return nodes }})
 	}
 	for range 2 {
-		f.ledgers = append(f.ledgers, &Ledger{Tolerance: tolerance, Outside: func(string) Outside { return Outside{Nodes: nodes} }})
+		s.allocators = append(s.allocators, &Allocator{Tolerance: tolerance, Reachability: func(string) Reachability { return Reachability{Nodes: nodes} }})
 	}
-	return f
+	return s
 }
 
-func (f *fleet) post(node int, arrive func()) {
-	for range 1 + f.random.IntN(2) {
+func (s *simulation) send(node int, deliver func()) {
+	for range 1 + s.random.IntN(2) {
 		delay := 5 * time.Millisecond
-		if f.random.Float64() < f.late {
-			delay += time.Duration(f.random.Int64N(int64(400 * time.Millisecond)))
+		if s.random.Float64() < s.delayRate {
+			delay += time.Duration(s.random.Int64N(int64(400 * time.Millisecond)))
 		}
-		if f.cut[node] || f.random.Float64() < f.lose {
+		if s.cut[node] || s.random.Float64() < s.lossRate {
 			continue
 		}
-		f.mail = append(f.mail, message{f.now.Add(delay), arrive})
+		s.inFlight = append(s.inFlight, message{s.now.Add(delay), deliver})
 	}
 }
 
-func (f *fleet) exchange() {
-	for node, gate := range f.gates {
-		for _, report := range gate.Due(f.now) {
-			ledger := f.ledgers[f.owner]
-			f.post(node, func() {
-				if grant, ok := ledger.Report(fmt.Sprint(node), report, f.limit, f.now); ok {
-					f.post(node, func() { gate.Granted(grant, f.now) })
+func (s *simulation) deliverMessages() {
+	for node, limiter := range s.limiters {
+		for _, report := range limiter.DueReports(s.now) {
+			allocator := s.allocators[s.owner]
+			s.send(node, func() {
+				if grant, ok := allocator.HandleReport(fmt.Sprint(node), report, s.limit, s.now); ok {
+					s.send(node, func() { limiter.RecordGrant(grant, s.now) })
 				}
 			})
 		}
 	}
-	held := f.mail
-	f.mail = nil
-	for _, one := range held {
-		if one.due.After(f.now) {
-			f.mail = append(f.mail, one)
+	pending := s.inFlight
+	s.inFlight = nil
+	for _, message := range pending {
+		if message.due.After(s.now) {
+			s.inFlight = append(s.inFlight, message)
 		} else {
-			one.arrive()
+			message.deliver()
 		}
 	}
 }
 
-// pass lets time pass while requests come at the given rates, one a node.
-func (f *fleet) pass(length time.Duration, rates []float64) {
-	for end := f.now.Add(length); f.now.Before(end); f.now = f.now.Add(step) {
+// runFor lets time runFor while requests come at the given rates, one a node.
+func (s *simulation) runFor(duration time.Duration, rates []float64) {
+	for end := s.now.Add(duration); s.now.Before(end); s.now = s.now.Add(step) {
 		for node, rate := range rates {
 			for expected := rate * step.Seconds(); expected > 0; expected-- {
-				if f.random.Float64() < expected {
-					f.ask(node)
+				if s.random.Float64() < expected {
+					s.sendRequest(node)
 				}
 			}
 		}
-		f.exchange()
+		s.deliverMessages()
 	}
 }
 
-// ask brings a request to a node. Where the node has to ask the owner, it waits for
+// sendRequest brings a request to a node. Where the node has to sendRequest the owner, it waits for
 // the answer or until askTimeout.
-func (f *fleet) ask(node int) {
-	if f.single.advance(tolerance.Window, f.now); f.single.total+1 > tolerance.stated(f.limit) {
-		f.beyond++
+func (s *simulation) sendRequest(node int) {
+	if s.reference.advance(tolerance.Window, s.now); s.reference.total+1 > tolerance.nominal(s.limit) {
+		s.referenceRefused++
 	} else {
-		f.single.add(1)
+		s.reference.add(1)
 	}
-	gate, ledger := f.gates[node], f.ledgers[f.owner]
-	report, admitted := gate.Begin("t", f.limit, f.now)
+	limiter, allocator := s.limiters[node], s.allocators[s.owner]
+	report, admitted := limiter.TryAdmit("t", s.limit, s.now)
 	if admitted {
-		f.ran = append(f.ran, f.now)
+		s.admittedAt = append(s.admittedAt, s.now)
 		return
 	}
 	answered := false
-	send := func(report Report) {
-		f.post(node, func() {
-			grant, ok := ledger.Report(fmt.Sprint(node), report, f.limit, f.now)
+	sendReport := func(report Report) {
+		s.send(node, func() {
+			grant, ok := allocator.HandleReport(fmt.Sprint(node), report, s.limit, s.now)
 			if !ok {
 				return
 			}
-			f.post(node, func() {
+			s.send(node, func() {
 				if !answered {
 					answered = true
-					f.decided(gate.Settle(grant, f.now))
+					s.recordDecision(limiter.Decide(grant, s.now))
 				}
 			})
 		})
 	}
-	send(report)
-	f.mail = append(f.mail, message{f.now.Add(askAgain), func() {
-		if again, ok := gate.Again("t", f.now); ok && !answered {
-			send(again)
+	sendReport(report)
+	s.inFlight = append(s.inFlight, message{s.now.Add(askRetryDelay), func() {
+		if retry, ok := limiter.RetryReport("t", s.now); ok && !answered {
+			sendReport(retry)
 		}
-	}}, message{f.now.Add(askTimeout), func() {
+	}}, message{s.now.Add(askTimeout), func() {
 		if !answered {
 			answered = true
-			f.decided(gate.Alone("t", f.now))
+			s.recordDecision(limiter.DecideWithoutOwner("t", s.now))
 		}
 	}})
 }
 
-func (f *fleet) decided(err error) {
+func (s *simulation) recordDecision(err error) {
 	var refusal *RefusalError
 	switch {
 	case err == nil:
-		f.ran = append(f.ran, f.now)
+		s.admittedAt = append(s.admittedAt, s.now)
 	case errors.As(err, &refusal) && refusal.RetryAfter > 0:
-		f.refused++
+		s.refused++
 	default:
-		f.t.Fatalf("refusal without a time to come back: %v", err)
+		s.t.Fatalf("refusal without a time to come back: %v", err)
 	}
 }
 
-// check fails if any window held more than the rule allows.
-func (f *fleet) check() {
-	allowed := tolerance.stated(f.limit) + tolerance.beyond(f.limit)
+// checkWindows fails if any window held more than the rule allows.
+func (s *simulation) checkWindows() {
+	allowed := tolerance.nominal(s.limit) + tolerance.overshoot(s.limit)
 	first := 0
-	for i, at := range f.ran {
-		for at.Sub(f.ran[first]) > tolerance.Window {
+	for i, at := range s.admittedAt {
+		for at.Sub(s.admittedAt[first]) > tolerance.Window {
 			first++
 		}
 		if got := i - first + 1; float64(got) > allowed {
-			f.t.Fatalf("%d requests ran in a window, %.1f are allowed (limit %+v, lost %.2f, late %.2f)", got, allowed, f.limit, f.lose, f.late)
+			s.t.Fatalf("%d requests ran in a window, %.1f are allowed (limit %+v, lost %.2f, late %.2f)", got, allowed, s.limit, s.lossRate, s.delayRate)
 		}
 	}
 }
 
-func (f *fleet) rates(t *rapid.T, total float64, busy int) []float64 {
-	rates := make([]float64, len(f.gates))
+func (s *simulation) randomRates(t *rapid.T, total float64, busy int) []float64 {
+	rates := make([]float64, len(s.limiters))
 	sum := 0.0
 	for i := range busy {
 		rates[i] = rapid.Float64Range(0.05, 1).Draw(t, "share")
@@ -181,96 +181,96 @@
 	for i := range rates {
 		rates[i] *= total / sum
 	}
-	f.random.Shuffle(len(rates), func(i, j int) { rates[i], rates[j] = rates[j], rates[i] })
+	s.random.Shuffle(len(rates), func(i, j int) { rates[i], rates[j] = rates[j], rates[i] })
 	return rates
 }
 
-// TestQuota_HoldsOverAnyWindow lets far more come than fits, in phases that move
+// TestQuota_HoldsInEveryWindow lets far more come than fits, in phases that move
 // between nodes, while messages are lost, late and doubled, nodes are cut off and the
 // owner changes.
-func TestQuota_HoldsOverAnyWindow(t *testing.T) {
+func TestQuota_HoldsInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(1, 60).Draw(t, "rate")
-		f := newFleet(t, rapid.IntRange(1, 24).Draw(t, "nodes"), Limit{Rate: rate, Burst: rate * rapid.Float64Range(0, 1).Draw(t, "burst")})
-		f.lose = rapid.Float64Range(0, 0.05).Draw(t, "lose")
-		f.late = rapid.Float64Range(0, 0.2).Draw(t, "late")
-		f.pass(3*time.Second, f.rates(t, rate/2, min(3, len(f.gates))))
+		s := newSimulation(t, rapid.IntRange(1, 24).Draw(t, "nodes"), Limit{Rate: rate, Burst: rate * rapid.Float64Range(0, 1).Draw(t, "burst")})
+		s.lossRate = rapid.Float64Range(0, 0.05).Draw(t, "lose")
+		s.delayRate = rapid.Float64Range(0, 0.2).Draw(t, "late")
+		s.runFor(3*time.Second, s.randomRates(t, rate/2, min(3, len(s.limiters))))
 		for range 4 {
-			busy := rapid.IntRange(1, min(6, len(f.gates))).Draw(t, "busy")
-			rates := f.rates(t, rate*rapid.Float64Range(0.5, 3).Draw(t, "times"), busy)
-			f.pass(time.Second, rates)
-			f.cut = map[int]bool{rapid.IntRange(0, len(f.gates)-1).Draw(t, "cut"): true}
-			f.pass(3*time.Second, rates)
-			f.cut = nil
-			f.pass(time.Second, rates)
+			busy := rapid.IntRange(1, min(6, len(s.limiters))).Draw(t, "busy")
+			rates := s.randomRates(t, rate*rapid.Float64Range(0.5, 3).Draw(t, "times"), busy)
+			s.runFor(time.Second, rates)
+			s.cut = map[int]bool{rapid.IntRange(0, len(s.limiters)-1).Draw(t, "cut"): true}
+			s.runFor(3*time.Second, rates)
+			s.cut = nil
+			s.runFor(time.Second, rates)
 		}
-		f.owner = 1
-		f.pass(6*time.Second, f.rates(t, 3*rate, min(4, len(f.gates))))
-		f.check()
+		s.owner = 1
+		s.runFor(6*time.Second, s.randomRates(t, 3*rate, min(4, len(s.limiters))))
+		s.checkWindows()
 	})
 }
 
-// TestQuota_RefusesNobodyBelowTheLimit plays pulses of 1.87 times the mean under a
+// TestQuota_AdmitsPulsesBelowLimit plays pulses of 1.87 times the mean under a
 // limit of 1.6 times: over any 5 s nearly all of it fits. Equal parts of 61 nodes
 // would refuse most of it, for a tenant's callers reach few nodes.
-func TestQuota_RefusesNobodyBelowTheLimit(t *testing.T) {
+func TestQuota_AdmitsPulsesBelowLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		mean := rapid.Float64Range(0.5, 40).Draw(t, "mean")
-		f := newFleet(t, 61, Limit{Rate: 1.6 * mean, Burst: 1.6 * mean})
-		f.lose = 0.01
-		rates := f.rates(t, mean, rapid.IntRange(1, 6).Draw(t, "busy"))
+		s := newSimulation(t, 61, Limit{Rate: 1.6 * mean, Burst: 1.6 * mean})
+		s.lossRate = 0.01
+		rates := s.randomRates(t, mean, rapid.IntRange(1, 6).Draw(t, "busy"))
 		pulse, pause := make([]float64, len(rates)), make([]float64, len(rates))
 		for i, rate := range rates {
 			pulse[i], pause[i] = 1.87*rate, 0.383*rate
 		}
-		f.pass(3*time.Second, pause)
+		s.runFor(3*time.Second, pause)
 		for range 5 {
-			f.pass(3400*time.Millisecond, pause)
-			f.pass(2400*time.Millisecond, pulse)
+			s.runFor(3400*time.Millisecond, pause)
+			s.runFor(2400*time.Millisecond, pulse)
 		}
-		if total := len(f.ran) + f.refused; float64(f.refused-f.beyond) > 0.01*float64(total)+2 {
-			t.Fatalf("%d of %d requests were refused where one count refuses %d (mean %.1f)", f.refused, total, f.beyond, mean)
+		if total := len(s.admittedAt) + s.refused; float64(s.refused-s.referenceRefused) > 0.01*float64(total)+2 {
+			t.Fatalf("%d of %d requests were refused where one count refuses %d (mean %.1f)", s.refused, total, s.referenceRefused, mean)
 		}
-		f.check()
+		s.checkWindows()
 	})
 }
 
-// TestQuota_ALowerLimitTakesHold lowers a limit far below what comes: one window
+// TestQuota_AppliesLoweredLimit lowers a limit far below what comes: one window
 // later no more than it allows runs.
-func TestQuota_ALowerLimitTakesHold(t *testing.T) {
+func TestQuota_AppliesLoweredLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet(t, 12, Limit{Rate: 80, Burst: 80})
-		rates := f.rates(t, 50, rapid.IntRange(1, 8).Draw(t, "busy"))
-		f.pass(5*time.Second, rates)
-		f.limit = Limit{Rate: 5, Burst: 5}
-		f.ran = nil
-		f.pass(15*time.Second, rates)
-		f.check()
+		s := newSimulation(t, 12, Limit{Rate: 80, Burst: 80})
+		rates := s.randomRates(t, 50, rapid.IntRange(1, 8).Draw(t, "busy"))
+		s.runFor(5*time.Second, rates)
+		s.limit = Limit{Rate: 5, Burst: 5}
+		s.admittedAt = nil
+		s.runFor(15*time.Second, rates)
+		s.checkWindows()
 	})
 }
 
-func TestGate_WhatDidNotRunIsGivenBack(t *testing.T) {
-	gate, ledger := &Gate{}, &Ledger{}
+func TestLimiter_Refund(t *testing.T) {
+	limiter, allocator := &Limiter{}, &Allocator{}
 	now := time.Unix(1000, 0)
 	limit := Limit{Rate: 0.001, Burst: 1.2}
 	admit := func() error {
-		report, admitted := gate.Begin("t", limit, now)
+		report, admitted := limiter.TryAdmit("t", limit, now)
 		if admitted {
 			return nil
 		}
-		grant, ok := ledger.Report("n", report, limit, now)
+		grant, ok := allocator.HandleReport("n", report, limit, now)
 		if !ok {
 			t.Fatal("the report was not taken")
 		}
-		return gate.Settle(grant, now)
+		return limiter.Decide(grant, now)
 	}
 	for range 10 {
 		if err := admit(); err != nil {
 			t.Fatal(err)
 		}
-		gate.GiveBack("t")
+		limiter.Refund("t")
 		// A new owner lets little through at first.
-		now = now.Add(2 * hearing)
+		now = now.Add(2 * warmup)
 	}
 	if err := admit(); err != nil {
 		t.Fatal(err)
@@ -280,41 +280,41 @@
 	}
 }
 
-func TestGate_NoLimit(t *testing.T) {
-	gate := &Gate{}
+func TestLimiter_NoLimit(t *testing.T) {
+	limiter := &Limiter{}
 	for range 1000 {
-		if _, admitted := gate.Begin("t", Limit{}, time.Unix(1000, 0)); !admitted {
+		if _, admitted := limiter.TryAdmit("t", Limit{}, time.Unix(1000, 0)); !admitted {
 			t.Fatal("a tenant without a limit is asked about")
 		}
 	}
 }
 
-// TestWindow_TakesWhatAnotherTells: what is told of the time before is counted, and
+// TestWindow_AddSpans: what is told of the time before is counted, and
 // leaves the window as it would have at the node that counted it.
-func TestWindow_TakesWhatAnotherTells(t *testing.T) {
+func TestWindow_AddSpans(t *testing.T) {
 	const length = 5 * time.Second
 	now := time.Now()
-	var counted, told window
+	var counted, received window
 	counted.advance(length, now)
 	for range 4 {
 		counted.add(3)
 		now = now.Add(time.Second)
 		counted.advance(length, now)
 	}
-	told.advance(length, now)
-	told.takeSpans(counted.spans())
-	if told.total != counted.total || told.total != 12 {
-		t.Fatalf("%v were counted, %v are told", counted.total, told.total)
+	received.advance(length, now)
+	received.addSpans(counted.spanCounts())
+	if received.total != counted.total || received.total != 12 {
+		t.Fatalf("%v were counted, %v are told", counted.total, received.total)
 	}
 	for range 6 {
 		now = now.Add(time.Second)
 		counted.advance(length, now)
-		told.advance(length, now)
-		if told.total < counted.total {
-			t.Fatalf("%v are left where %v were counted", told.total, counted.total)
+		received.advance(length, now)
+		if received.total < counted.total {
+			t.Fatalf("%v are left where %v were counted", received.total, counted.total)
 		}
 	}
-	if told.total != 0 {
-		t.Fatalf("%v never leave", told.total)
+	if received.total != 0 {
+		t.Fatalf("%v never leave", received.total)
 	}
 }
