--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -9,75 +9,82 @@
 )
 
 const (
-	// shareExpiry is how long a part that was told holds without another word: as long as a
-	// lost session is waited for. A node that dies holds its part back from others until
-	// that would have left the window, or until its next run reports.
+	// shareExpiry is how long a node may use its last granted share without a new grant. It is
+	// the time after which a lost session ends at the earliest. The share of a node that dies
+	// stays reserved until it would have left the window, or until the node restarts and reports.
 	shareExpiry = 3 * time.Second
-	// equalShareExpiry is how long a node that was told a part once goes on alone with an equal
-	// part of the limit, without another word: as long as cuts of nodes have been seen
-	// to last (12 s). An owner holds that part back for as long.
+	// equalShareExpiry is how long a node that once received a grant may use an equal share of the
+	// limit without a new one. It covers network partitions of up to 12 s. The owner reserves
+	// that share for as long.
 	equalShareExpiry = 4 * shareExpiry
-	// forgetNodeAfter is the silence after which nothing of a node's counts any more: what it
-	// let through alone has left all windows.
+	// forgetNodeAfter is the time since a node's last report after which the node is forgotten.
+	// The requests that it admitted without the owner have left all windows by then.
 	forgetNodeAfter = 2 * equalShareExpiry
-	// reservedShare is the share of the capacity that is given out to those who ask only; what
-	// is above it, nodes use by their parts without asking.
+	// reservedShare is the fraction of the capacity that is granted only in answer to queries.
+	// Nodes use their shares of the rest without a query.
 	reservedShare = 0.5
-	// warmup is how long a new owner waits to hear from all nodes, which report each
-	// half second. Until then it lets through what the owner before it had room for, or
-	// half of what tolerance is left.
+	// warmup is how long a new owner waits for reports from all nodes, which report every half
+	// second. Until then it admits no more than the capacity that its predecessor had available
+	// or, if that is unknown, half of the tolerance that is not granted to tenants.
 	warmup = 800 * time.Millisecond
-	// maxSilence is how long a node that has requests may be silent before it is taken
-	// to decide alone: one report and a late answer. One with many requests, which asks
-	// for each, is after silentLeast and the time of silentRequests of them.
-	maxSilence      = 650 * time.Millisecond
+	// maxSilence is how long a node with requests may send no report before the owner assumes
+	// that the node decides without it. It covers one report interval and a late answer.
+	maxSilence = 650 * time.Millisecond
+	// minSilence and silenceRequests apply to a node that sends a query for each request: it may
+	// be silent for minSilence and the time in which silenceRequests requests arrive, but not
+	// longer than maxSilence.
 	minSilence      = 200 * time.Millisecond
 	silenceRequests = 3
 )
 
-// Report is what a node tells the owner of a tenant.
+// Report is a node's report on one tenant to the tenant's owner.
 type Report struct {
 	Tenant string `cbor:"1,keyasint"`
-	// Number rises with each report of a node, over all tenants.
+	// Number increases with each report of a node, across all tenants.
 	Number uint64 `cbor:"2,keyasint"`
-	// Admitted is the number of requests that were let through since the node's start.
+	// Admitted is the number of requests admitted since the node started.
 	Admitted int64 `cbor:"3,keyasint"`
-	// Recent counts the requests that were let through in the last window, by spans of
-	// it, the newest first.
+	// Recent holds the number of requests admitted in each span of the last window, newest
+	// first.
 	Recent []uint32 `cbor:"4,keyasint,omitempty"`
-	// Available is what an owner told a moment ago; 0 if none did.
+	// Available is the available capacity in the node's last grant, or 0 if there was none
+	// recently. A new owner uses it during warmup.
 	Available float64 `cbor:"8,keyasint,omitempty"`
-	// Demand is the rate of requests that came, refused ones included, per second.
+	// Demand is the rate of requests per second, including refused ones.
 	Demand float64 `cbor:"5,keyasint"`
-	// Query says that one more request waits for the answer, Asking how many others of
-	// the node do.
-	Query   bool  `cbor:"6,keyasint,omitempty"`
+	// Query reports that a request waits for the grant of this report.
+	Query bool `cbor:"6,keyasint,omitempty"`
+	// Pending is the number of the node's other requests that wait for a grant.
 	Pending int64 `cbor:"7,keyasint,omitempty"`
-	// Allowance is what the node's own window may come to without another word, as the
-	// answer to the report with the number Granted told it.
+	// Allowance is the number of requests that the node may admit in a window without another
+	// grant.
 	Allowance float64 `cbor:"9,keyasint,omitempty"`
-	LastGrant uint64  `cbor:"10,keyasint,omitempty"`
+	// LastGrant is the report number of the last grant that the node applied.
+	LastGrant uint64 `cbor:"10,keyasint,omitempty"`
 }
 
-// Grant is the owner's answer.
+// Grant is the owner's answer to a Report.
 type Grant struct {
 	Tenant string `cbor:"1,keyasint"`
-	// Number is the report's, Counted what the owner has counted of the node's requests.
-	Number  uint64 `cbor:"2,keyasint"`
-	Counted int64  `cbor:"3,keyasint"`
-	// Available is how many more requests may run now, over all nodes, Part the node's part
-	// of the demand.
+	// Number is the number of the report.
+	Number uint64 `cbor:"2,keyasint"`
+	// Counted is how many of the requests that the node admitted the owner has counted.
+	Counted int64 `cbor:"3,keyasint"`
+	// Available is the number of requests that may still run now, across all nodes.
 	Available float64 `cbor:"4,keyasint"`
-	Share     float64 `cbor:"5,keyasint"`
-	// Allowed says that the request which waits may run; it is counted.
+	// Share is the node's share of the tenant's demand, from 0 to 1.
+	Share float64 `cbor:"5,keyasint"`
+	// Allowed reports that the request that waits for this grant may run. The owner has counted
+	// it.
 	Allowed bool `cbor:"6,keyasint,omitempty"`
 }
 
-// Allocator counts the requests of the tenants that this node owns. The zero value owns
-// nothing yet. It is safe for concurrent use.
+// Allocator counts the requests of the tenants that this node owns and grants capacity to the
+// nodes that serve them. The zero value owns no tenants. It is safe for concurrent use.
 type Allocator struct {
 	Tolerance Tolerance
-	// Reachability, if set, tells which nodes may be serving a tenant by another owner.
+	// Reachability, if set, returns which nodes may admit a tenant's requests without reporting
+	// to this node.
 	Reachability func(tenant string) Reachability
 
 	mu        sync.Mutex
@@ -85,50 +92,57 @@
 	lastSweep time.Time
 }
 
-// Reachability is the part of a fleet that an owner cannot count for.
+// Reachability describes the nodes from which an owner may receive no reports.
 type Reachability struct {
-	// Nodes is the number of all nodes.
+	// Nodes is the number of all nodes in the fleet.
 	Nodes int
-	// Unreachable are the names of nodes that do not answer this one and may serve by the
-	// word of another owner, or alone.
+	// Unreachable holds the names of the nodes that do not answer this one. They may use grants
+	// of another owner or decide without one.
 	Unreachable []string
 }
 
+// tenantEntry is an owner's state of one tenant.
 type tenantEntry struct {
-	// nodes are those that have reported, by the session of the node.
+	// nodes holds the nodes that have reported, by session.
 	nodes map[string]*nodeUsage
-	// ownedSince is when this node became the owner, allowed counts the requests that it has
-	// let through for those who asked since, inherited is the least room that its
-	// predecessor had as nodes tell, 0 if none does.
+	// ownedSince is when this node began to count the tenant's requests, lastReport is when the
+	// last report arrived.
 	ownedSince, lastReport time.Time
-	granted, inherited     float64
+	// granted counts the queried requests allowed since ownedSince. inherited is the least
+	// available capacity that nodes reported from the previous owner, 0 if there was none.
+	granted, inherited float64
 }
 
-// nodeUsage is what a node has told.
+// nodeUsage is an owner's state of one node that serves a tenant.
 type nodeUsage struct {
+	// lastNumber is the number of the last report.
 	lastNumber uint64
-	counted    int64
-	// used counts the node's requests of the last window.
+	// counted is the number of requests counted for the node.
+	counted int64
+	// used counts the node's requests in the last window.
 	used window
-	// localBudget is the node's part of what it may use without asking.
+	// localBudget is the number of requests that the last grant allowed without a query.
 	localBudget float64
 	demand      float64
-	// allowance is what the node's window may come to without another word as it told,
-	// promised what answers that it has not confirmed would raise that to.
-	allowance   float64
+	// allowance is the number of requests that the node may admit in a window without another
+	// grant, by the grants that it has confirmed.
+	allowance float64
+	// outstanding holds the grants that the node has not confirmed.
 	outstanding []outstandingGrant
-	// share is the node's share of the limit as it was told.
+	// share is the node's share in the last grant.
 	share      float64
 	lastReport time.Time
 }
 
-// outstandingGrant is what an answer lets a node's window come to without another word.
+// outstandingGrant is a grant that its receiver has not confirmed.
 type outstandingGrant struct {
-	number    uint64
+	number uint64
+	// allowance is the number of requests that the grant allows in a window without another
+	// grant.
 	allowance float64
 }
 
-// recentTotal returns the number of requests of the last window that a report tells of.
+// recentTotal returns the number of requests in the last window of the report.
 func (r *Report) recentTotal() float64 {
 	total := 0.0
 	for _, count := range r.Recent[:min(len(r.Recent), numSpans)] {
@@ -137,8 +151,8 @@
 	return total
 }
 
-// HandleReport takes in a report of a node's session. ok is false if it is older than what
-// is known already.
+// HandleReport records a report of the node with the given session and returns the grant for it.
+// ok is false if the report is not newer than the last one of the session.
 func (a *Allocator) HandleReport(session string, report Report, limit Limit, now time.Time) (grant Grant, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -178,7 +192,8 @@
 	}, true
 }
 
-// retireOtherSessions notes that earlier runs of a session's node are over: one run lives at a time.
+// retireOtherSessions clears the demand of other sessions of the same node: only one run of a node
+// is alive at a time.
 func (a *Allocator) retireOtherSessions(entry *tenantEntry, session string) {
 	for other, node := range entry.nodes {
 		if other != session && lease.SameNode(other, session) {
@@ -187,7 +202,8 @@
 	}
 }
 
-// available is how many more requests may run now.
+// available returns how many more requests of a tenant may run now, across all nodes. It may be
+// negative. The caller holds mu.
 func (a *Allocator) available(entry *tenantEntry, tenant string, limit Limit, now time.Time) float64 {
 	capacity := a.Tolerance.capacity(limit)
 	var view Reachability
@@ -219,8 +235,9 @@
 	return remaining
 }
 
-// assumedUse is what a node has let through in the last window. One that is silent is taken to
-// have done what Gate.mayAlone lets it, until that has left the window.
+// assumedUse returns the number of requests that a node is assumed to have admitted in the last
+// window. A silent node is assumed to have admitted all that Limiter.mayAdmitWithoutOwner allows,
+// until that has left the window.
 func (a *Allocator) assumedUse(node *nodeUsage, equalShare float64, now time.Time) float64 {
 	node.used.advance(a.Tolerance.window(), now)
 	silence := now.Sub(node.lastReport)
@@ -236,7 +253,7 @@
 	return node.used.total
 }
 
-// addOutstanding notes what the answer to a report lets a node do alone.
+// addOutstanding records the allowance of the grant for a report.
 func (u *nodeUsage) addOutstanding(report Report, allowed bool) {
 	allowance := report.recentTotal() + u.localBudget
 	if allowed {
@@ -245,13 +262,14 @@
 	u.outstanding = append(u.outstanding, outstandingGrant{number: report.Number, allowance: allowance})
 }
 
-// confirmGrants takes in which answers a node has taken in.
+// confirmGrants updates the allowance and drops the outstanding grants that a report confirms.
 func (u *nodeUsage) confirmGrants(report Report) {
 	u.allowance = max(report.Allowance, report.recentTotal())
 	u.outstanding = slices.DeleteFunc(u.outstanding, func(grant outstandingGrant) bool { return grant.number <= report.LastGrant })
 }
 
-// maxWithoutOwner is what a node's window may come to by any of the answers that it may hold.
+// maxWithoutOwner returns the largest number of requests in a window that any grant the node may
+// have applied allows it without another grant.
 func (u *nodeUsage) maxWithoutOwner() float64 {
 	highest := u.allowance
 	for _, grant := range u.outstanding {
@@ -260,7 +278,7 @@
 	return highest
 }
 
-// allowedSilence is how long nothing need be heard of a node that can be reached.
+// allowedSilence returns how long a reachable node may send no report.
 func (u *nodeUsage) allowedSilence() time.Duration {
 	if u.localBudget > 0 {
 		return maxSilence
@@ -268,8 +286,8 @@
 	return min(maxSilence, minSilence+time.Duration(silenceRequests/u.demand*float64(time.Second)))
 }
 
-// addReport takes in what the node let through since its last report. If it has let through
-// less than was counted, answers to it were lost, unless they are under way.
+// addReport counts the requests that the node admitted since its last report. If the node admitted
+// fewer than were counted, grants to it were lost, or are in flight if requests are pending.
 func (u *nodeUsage) addReport(report Report) {
 	more := report.Admitted - u.counted
 	switch {
@@ -278,12 +296,13 @@
 	case more < 0:
 		u.used.removeNewest(float64(-more))
 	default:
-		// What a node that was silent let through longer ago than a window counts no more.
+		// After a long silence, part of the admitted requests may have left the window.
 		u.used.add(min(float64(more), report.recentTotal()))
 	}
 	u.counted = report.Admitted
 }
 
+// entry returns the tenant's entry, creating it if needed. The caller holds mu.
 func (a *Allocator) entry(tenant string, now time.Time) *tenantEntry {
 	if a.tenants == nil {
 		a.tenants = map[string]*tenantEntry{}
@@ -299,26 +318,26 @@
 	return entry
 }
 
-// hasTenants reports whether this node hasTenants for any tenant.
+// hasTenants reports whether this node counts requests of any tenant.
 func (a *Allocator) hasTenants() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.tenants) > 0
 }
 
-// sweep forgets tenants that nobody has reported for long. The caller holds mu.
+// sweep drops tenants without recent reports. The caller holds mu.
 func (a *Allocator) sweep(now time.Time) {
 	a.lastSweep = now
 	for name, entry := range a.tenants {
-		// After a window nothing of it counts any more.
+		// All of the tenant's requests have left the window by then.
 		if now.Sub(entry.lastReport) > forgetNodeAfter {
 			delete(a.tenants, name)
 		}
 	}
 }
 
-// shareOf is a node's shareOf of the demand. Nodes that have fallen silent count for as long
-// as they keep to the shareOf that they were told.
+// shareOf returns a node's share of the tenant's demand. The demand of a silent node counts until
+// its share expires. Nodes that have been silent for forgetNodeAfter are dropped.
 func (e *tenantEntry) shareOf(node *nodeUsage, now time.Time) float64 {
 	total := 0.0
 	for session, other := range e.nodes {
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -18,75 +18,78 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("quota")
 
-// errInvalidReport reports a message with figures that cannot be.
-var errInvalidReport = errors.New("report with figures that cannot be")
+// errInvalidReport reports that a received report fails validation.
+var errInvalidReport = errors.New("report has a negative, infinite or NaN value")
 
 const (
-	// reportCheckInterval is how often due reports are looked for.
+	// reportCheckInterval is the time between checks for due probes and reports.
 	reportCheckInterval = 100 * time.Millisecond
-	// maxReportsPerDatagram bounds the reports of one datagram; each has some 60 bytes.
+	// maxReportsPerDatagram bounds the size of a datagram. A report takes about 60 bytes.
 	maxReportsPerDatagram = 16
-	// silentOwnerBackoff is how long an owner that has not answered a request in time is not
-	// asked again.
+	// silentOwnerBackoff is how long an owner is not queried again after a query timed out.
 	silentOwnerBackoff = 300 * time.Millisecond
 )
 
-// Fleet tells which nodes there are.
+// Fleet provides the membership of the fleet as this node sees it. A node that lost its session
+// remains a member for some time, because it may be cut off from the store only.
 type Fleet interface {
-	// Self is this node's name.
+	// Self returns this node's name.
 	Self() string
-	// Owner returns the node that owns a tenant, and its address; empty if it is not
-	// known. A node whose session was lost a short time ago remains an owner: it may be
-	// cut off from the store alone.
+	// Owner returns the node that owns a tenant, and its address, which is empty if it is not
+	// known. A member that lost its session remains an owner.
 	Owner(tenant string) (node, address string)
-	// Successor returns the node that stands in for an owner whose session was lost.
+	// Successor returns the node that takes over a tenant if its owner lost its session, and the
+	// node's address.
 	Successor(tenant string) (node, address string)
-	// SessionLost reports whether a node's session was lost a short time ago.
+	// SessionLost reports whether node is a member that lost its session.
 	SessionLost(node string) bool
-	// Peers returns all other nodes, those that are away included.
+	// Peers returns all members except this node, including those that lost their sessions.
 	Peers() []Peer
-	// Count returns the number of nodes, those that are away included.
+	// Count returns the number of members, including those that lost their sessions.
 	Count() int
-	// SinceConfirmed is how long this node's own session has not been confirmed by the
-	// store.
+	// SinceConfirmed returns the time since the store last confirmed this node's session.
 	SinceConfirmed() time.Duration
 }
 
-// Peer is another node.
+// Peer is another member of the fleet.
 type Peer struct {
 	Node, Address string
-	// SessionLost says that its session was lost a short time ago.
+	// SessionLost reports that the peer lost its session recently.
 	SessionLost bool
 }
 
-// Sender sends a message to a node.
+// Sender sends messages to other nodes.
 type Sender interface {
 	Send(to *net.UDPAddr, kind peer.Kind, body any) error
 }
 
-// Coordinator decides about requests together with the other nodes. Its fields are set
-// before use; Limit tells a tenant's limit by the configuration in force.
+// Coordinator admits requests in cooperation with the other nodes. It combines this node's
+// Limiter and Allocator and exchanges reports and grants with its peers. The exported fields must
+// be set before use and not changed afterwards.
 type Coordinator struct {
 	Limiter   *Limiter
 	Allocator *Allocator
 	Fleet     Fleet
 	Sender    Sender
-	Limit     func(tenant string) (Limit, bool)
-	// Session names this node's run.
+	// Limit returns a tenant's limit in the current configuration.
+	Limit func(tenant string) (Limit, bool)
+	// Session identifies the current run of this node.
 	Session string
-	// OnError, if set, is told of messages that could not be sent or read.
+	// OnError, if set, is called with errors of sending and decoding messages.
 	OnError func(err error)
 
 	mu sync.Mutex
-	// waiters are the requests that wait for an answer, by the number of a report.
-	waiters     map[uint64]chan Grant
+	// waiters holds the channels of requests that wait for a grant, by report number.
+	waiters map[uint64]chan Grant
+	// silentSince is when a query to a node last timed out.
 	silentSince map[string]time.Time
-	wake        chan struct{}
+	// wake makes Run check for due reports at once.
+	wake chan struct{}
 
-	peers peerTracker
+	tracker peerTracker
 }
 
-// NewCoordinator returns an exchange of a gate and a ledger.
+// NewCoordinator returns a Coordinator with a new Limiter and Allocator.
 func NewCoordinator(tolerance Tolerance, fleet Fleet) *Coordinator {
 	c := &Coordinator{
 		Limiter: &Limiter{Tolerance: tolerance, Nodes: fleet.Count}, Allocator: &Allocator{Tolerance: tolerance}, Fleet: fleet,
@@ -102,8 +105,8 @@
 	return c
 }
 
-// Admit decides about a request of a tenant. Its error is a RefusalError. It waits for
-// the owner's answer if the tenant is near its limit, for askTimeout at most.
+// Admit admits a request of a tenant or returns a RefusalError. If the request cannot be admitted
+// locally, it waits for the owner's answer for at most queryTimeout.
 func (c *Coordinator) Admit(ctx context.Context, tenant string, limit Limit) error {
 	report, admitted := c.Limiter.TryAdmit(tenant, limit, clock.Now())
 	if admitted {
@@ -128,8 +131,8 @@
 	return c.Limiter.Decide(grant, clock.Now())
 }
 
-// queryAddress returns where a node is to be asked; nil if that is not known or the node
-// did not answer a moment ago.
+// queryAddress returns the address to query a node at, or nil if the address is unknown or a
+// query to the node timed out recently.
 func (c *Coordinator) queryAddress(node, address string) *net.UDPAddr {
 	if address == "" {
 		return nil
@@ -148,20 +151,21 @@
 	return to
 }
 
+// recordNoAnswer records that a query to node timed out.
 func (c *Coordinator) recordNoAnswer(node string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.silentSince[node] = clock.Now()
 }
 
-// query sends a report and waits for the answer; it sends a second one if that is late.
+// query sends a report and waits for the grant. If the grant is late, it sends a second report.
 func (c *Coordinator) query(ctx context.Context, to *net.UDPAddr, report Report) (Grant, bool) {
 	answers := make(chan Grant, 2)
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	defer c.addWaiter(report.Number, answers)()
 	c.send(to, peer.KindQuotaReport, []Report{report})
-	retryTimer := time.NewTimer(askRetryDelay)
+	retryTimer := time.NewTimer(queryRetryDelay)
 	defer retryTimer.Stop()
 	for {
 		select {
@@ -178,7 +182,8 @@
 	}
 }
 
-// addWaiter has the answer to a report go to a channel until the returned function is called.
+// addWaiter sends the grant for the report with the given number to answers until the returned
+// function is called.
 func (c *Coordinator) addWaiter(number uint64, answers chan Grant) (remove func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -202,7 +207,7 @@
 	}
 }
 
-// Run reports to owners until the context ends.
+// Run sends probes and reports to other nodes until ctx is done.
 func (c *Coordinator) Run(ctx context.Context) {
 	ticker := time.NewTicker(reportCheckInterval)
 	defer ticker.Stop()
@@ -218,6 +223,8 @@
 	}
 }
 
+// sendDueReports reports tenants that are due to their owners. Reports on tenants that this node
+// counts are processed locally.
 func (c *Coordinator) sendDueReports() {
 	now := clock.Now()
 	byOwner := map[string][]Report{}
@@ -234,7 +241,7 @@
 	for address, reports := range byOwner {
 		to, err := net.ResolveUDPAddr("udp4", address)
 		if err != nil {
-			// The owner has not told its address yet.
+			// The owner has not published its address yet.
 			continue
 		}
 		for len(reports) > 0 {
@@ -245,14 +252,15 @@
 	}
 }
 
-// AnnounceStop tells owners that this node stops: nothing more comes from here.
+// AnnounceStop sends the final reports and tells all peers that this node is stopping. The node
+// must admit no requests afterwards.
 func (c *Coordinator) AnnounceStop() {
 	c.Limiter.prepareFinalReports()
 	c.sendDueReports()
 	c.broadcast(c.Fleet.Peers(), peer.KindQuotaContact, NodeStatus{Stopping: true})
 }
 
-// processReport takes in a report if this node owns the tenant.
+// processReport passes a report to the Allocator if this node counts the tenant's requests.
 func (c *Coordinator) processReport(session string, report Report, now time.Time) (Grant, bool) {
 	limit, known := c.Limit(report.Tenant)
 	if !known || limit.Rate <= 0 || !c.isCounting(report.Tenant, now) {
@@ -261,20 +269,21 @@
 	return c.Allocator.HandleReport(session, report, limit, now)
 }
 
-// valid reports whether a report of another process can be taken.
+// valid reports whether all values of a received report are finite and not negative.
 func (r *Report) valid() bool {
 	return r.Admitted >= 0 && r.Pending >= 0 && r.Available >= 0 && !math.IsInf(r.Available, 0) &&
 		r.Demand >= 0 && !math.IsInf(r.Demand, 0) && r.Allowance >= 0 && !math.IsInf(r.Allowance, 0)
 }
 
-// HandleReports handles messages of peer.KindQuotaReport, which carry []Report.
+// HandleReports handles messages of peer.KindQuotaReport, which carry []Report, and replies with
+// the grants.
 func (c *Coordinator) HandleReports(from string, source *net.UDPAddr, body []byte) {
 	var reports []Report
 	if err := cbor.Unmarshal(body, &reports); err != nil {
 		c.notifyError(err)
 		return
 	}
-	c.peers.update(from, NodeStatus{}, clock.Now())
+	c.tracker.update(from, NodeStatus{}, clock.Now())
 	var grants []Grant
 	for _, report := range reports[:min(len(reports), maxReportsPerDatagram)] {
 		if !report.valid() {
@@ -290,7 +299,8 @@
 	}
 }
 
-// HandleGrants handles messages of peer.KindQuotaGrant, which carry []Grant.
+// HandleGrants handles messages of peer.KindQuotaGrant, which carry []Grant. Grants that no
+// request waits for are recorded.
 func (c *Coordinator) HandleGrants(_ string, _ *net.UDPAddr, body []byte) {
 	var grants []Grant
 	if err := cbor.Unmarshal(body, &grants); err != nil {
--- a/internal/quota/coordinator_test.go
+++ b/internal/quota/coordinator_test.go
@@ -11,7 +11,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/peer"
 )
 
-// pair is a fleet of two nodes, of which "b" owns all tenants.
+// pair is a fleet of the nodes "a" and "b", in which "b" owns all tenants.
 type pair struct{ self string }
 
 func (p pair) Self() string                  { return p.self }
@@ -23,33 +23,35 @@
 func (p pair) Peers() []Peer                            { return nil }
 func (p pair) SinceConfirmed() time.Duration            { return 0 }
 
-// encodedLink carries messages between two exchanges through their encoding.
+// encodedLink delivers messages from one coordinator to another and encodes them as on the wire.
 type encodedLink struct {
-	t        testing.TB
-	from     string
-	to       *Coordinator
+	t    testing.TB
+	from string
+	to   *Coordinator
+	// dropNext is the number of messages to drop.
 	dropNext int
 }
 
-func (w *encodedLink) Send(_ *net.UDPAddr, kind peer.Kind, body any) error {
-	if w.dropNext > 0 {
-		w.dropNext--
+func (l *encodedLink) Send(_ *net.UDPAddr, kind peer.Kind, body any) error {
+	if l.dropNext > 0 {
+		l.dropNext--
 		return nil
 	}
 	encoded, err := cbor.Marshal(body)
 	if err != nil {
-		w.t.Fatal(err)
+		l.t.Fatal(err)
 	}
 	switch kind {
 	case peer.KindQuotaReport:
-		w.to.HandleReports(w.from, &net.UDPAddr{}, encoded)
+		l.to.HandleReports(l.from, &net.UDPAddr{}, encoded)
 	case peer.KindQuotaGrant:
-		w.to.HandleGrants(w.from, &net.UDPAddr{}, encoded)
+		l.to.HandleGrants(l.from, &net.UDPAddr{}, encoded)
 	}
 	return nil
 }
 
-func newPair(t testing.TB) (sender *Coordinator, link *encodedLink) {
+// newPair returns the coordinator of "a" and its link to the owner.
+func newPair(t testing.TB) (coordinator *Coordinator, link *encodedLink) {
 	limit := Limit{Rate: 10, Burst: 10}
 	a, b := NewCoordinator(tolerance, pair{"a"}), NewCoordinator(tolerance, pair{"b"})
 	a.Session, b.Session = "a#1", "b#1"
@@ -66,11 +68,11 @@
 		t.Fatal(err)
 	}
 	if usage := coordinator.Limiter.Usage(time.Now())[0]; usage.GrantAge < 0 || usage.Share != 1 || usage.Admitted != 1 {
-		t.Fatalf("after an answer: %+v", usage)
+		t.Fatalf("usage after a grant: %+v", usage)
 	}
 }
 
-// TestCoordinator_RetriesLostQuery loses the first datagram.
+// TestCoordinator_RetriesLostQuery checks that a query is sent again if the first datagram is lost.
 func TestCoordinator_RetriesLostQuery(t *testing.T) {
 	coordinator, link := newPair(t)
 	link.dropNext = 1
@@ -78,29 +80,30 @@
 		t.Fatal(err)
 	}
 	if usage := coordinator.Limiter.Usage(time.Now())[0]; usage.GrantAge < 0 {
-		t.Fatalf("the owner was not heard: %+v", usage)
+		t.Fatalf("no grant received: %+v", usage)
 	}
 }
 
-// TestCoordinator_BacksOffFromSilentOwner: one request waits for it, the next ones
-// are decided at once by this node's own part.
+// TestCoordinator_BacksOffFromSilentOwner checks that only one request waits for an owner that does
+// not answer; the next ones are decided at once by this node's allowance.
 func TestCoordinator_BacksOffFromSilentOwner(t *testing.T) {
 	coordinator, link := newPair(t)
 	link.dropNext = 1 << 30
 	limit := Limit{Rate: 10, Burst: 10}
 	if err := coordinator.Admit(t.Context(), "t", limit); err != nil {
-		t.Fatalf("the first request of a tenant: %v", err)
+		t.Fatalf("first request of a tenant refused: %v", err)
 	}
 	sent := 1<<30 - link.dropNext
 	for range 5 {
-		// Whether these fit is for the model to show; here they must ask nobody.
+		// The requests may be admitted or refused, but must not query the owner.
 		_ = coordinator.Admit(t.Context(), "t", limit)
 	}
 	if more := 1<<30 - link.dropNext - sent; more > 0 {
-		t.Fatalf("a silent owner was asked %d times more", more)
+		t.Fatalf("silent owner received %d more queries, want 0", more)
 	}
 }
 
+// FuzzTakeReports checks that no received message leaves NaN or infinite values in the state.
 func FuzzTakeReports(f *testing.F) {
 	body, err := cbor.Marshal([]Report{{Tenant: "t", Number: 1, Admitted: 3, Recent: []uint32{3}, Demand: 1, Query: true}})
 	if err != nil {
@@ -114,7 +117,7 @@
 		coordinator.HandleGrants("x#1", &net.UDPAddr{}, body)
 		for tenant, entry := range link.to.Allocator.tenants {
 			if share := entry.shareOf(&nodeUsage{}, time.Now()); math.IsNaN(share) || math.IsNaN(entry.inherited) || math.IsInf(entry.inherited, 0) {
-				t.Fatalf("tenant %q is counted as %+v", tenant, entry)
+				t.Fatalf("tenant %q has invalid state %+v", tenant, entry)
 			}
 		}
 	})
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -8,68 +8,71 @@
 )
 
 const (
-	// maxGrantAge is the age up to which an answer tells how much room there is: two
-	// reports that were answered late or not at all fit into it.
+	// maxGrantAge is how long the available capacity in a grant is used. It covers two reports
+	// whose grants are late or lost.
 	maxGrantAge = time.Second
-	// forgetTenantAfter is the pause after which a node drops a tenant.
+	// forgetTenantAfter is the time without requests after which a node drops a tenant.
 	forgetTenantAfter = time.Minute
-	// reportInterval is the time between two reports; reportLeast bounds those that are
-	// made early because much was let through.
 	reportInterval    = 500 * time.Millisecond
+	// minReportInterval is the interval for reports that are sent early because the local budget
+	// is used up.
 	minReportInterval = 30 * time.Millisecond
-	// idleDemand, in requests a second, is not worth a report.
+	// idleDemand is the rate, in requests per second, below which demand is reported as zero.
 	idleDemand = 0.1
-	// minRetryAfter and retryMost bound the time that a refused caller is told, and
-	// retrySpread is the share of it by which callers are spread.
+	// minRetryAfter and maxRetryAfter bound RefusalError.RetryAfter.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
-	retryJitter   = 0.5
+	// retryJitter is the maximum random increase of a retry delay, as a fraction of it.
+	retryJitter = 0.5
 )
 
-// Limiter decides about requests at a node. Its fields are set before use.
+// Limiter admits requests at one node, within the grants of the tenants' owners. The exported
+// fields must be set before use. It is safe for concurrent use.
 type Limiter struct {
 	Tolerance Tolerance
-	// Nodes returns the number of nodes.
+	// Nodes returns the number of nodes in the fleet.
 	Nodes func() int
-	// WakeReporter, if set, is told that a report should be made soon. It must not block.
+	// WakeReporter, if set, is called when a report should be sent soon. It must not block.
 	WakeReporter func()
 
 	mu       sync.Mutex
 	accounts map[string]*account
-	number   uint64
+	// number is the number of the last report.
+	number uint64
 }
 
-// account is what a node knows of a tenant.
+// account is the state of one tenant at this node.
 type account struct {
 	limit Limit
-	// budget is what may be let through without asking, as of the last answer.
+	// budget is the number of requests that may still be admitted without a query.
 	budget float64
-	// recent counts the requests let through in the last window, allowance is what it
-	// may come to where the owner does not answer.
-	recent    window
+	// recent counts the requests admitted in the last window.
+	recent window
+	// allowance is the total that recent may reach while the owner does not answer.
 	allowance float64
 	demand    meter
-	// admitted counts the requests let through, counted those that an owner counted,
-	// pending those that wait for its answer.
+	// admitted counts the requests admitted, counted those of them that the owner has counted,
+	// pending the requests that wait for a grant.
 	admitted, counted, pending int64
-	// share is the node's share of the demand as last told; roomy says that there was
-	// much room then.
-	share     float64
+	// share is the node's share of the tenant's demand in the last grant.
+	share float64
+	// localMode reports whether the last grant allowed requests without a query.
 	localMode bool
-	// available is all available as last told.
+	// available is the fleet-wide available capacity in the last grant.
 	available float64
-	// grantedAt is when the owner answered last, granted the number of the report that it
-	// answered; lastRequest is when the tenant last came.
+	// grantedAt is the time of the last grant, lastRequest that of the last request.
 	grantedAt, lastRequest time.Time
-	grantNumber            uint64
-	// reportedDemand is what the last report said.
+	// grantNumber is the report number of the last grant.
+	grantNumber uint64
+	// reportedDemand is the demand in the last report.
 	reportedDemand float64
-	// reportedAt is when the last report was made.
+	// reportedAt is the time of the last report.
 	reportedAt time.Time
 }
 
-// TryAdmit decides about a request of a tenant if that can be done at once. If not, the
-// owner is to be asked by the report; Settle or Alone then decides.
+// TryAdmit admits a request of a tenant if the local budget allows it or the tenant has no limit.
+// Otherwise the caller must send the returned report to the owner, and then call Decide with the
+// grant, or DecideWithoutOwner if there is none.
 func (l *Limiter) TryAdmit(tenant string, limit Limit, now time.Time) (report Report, admitted bool) {
 	if limit.Rate <= 0 {
 		return Report{}, true
@@ -90,7 +93,8 @@
 	return l.queryReport(tenant, acct, now), false
 }
 
-// RetryReport returns another report for a request whose first one was not answered.
+// RetryReport returns another report for a request whose first report was not answered in time.
+// ok is false if the tenant is not known.
 func (l *Limiter) RetryReport(tenant string, now time.Time) (report Report, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,20 +105,21 @@
 	return l.queryReport(tenant, acct, now), true
 }
 
-// queryReport makes a report for one of the requests that wait. The caller holds mu.
+// queryReport returns a report that queries the owner for one pending request. The caller holds
+// mu.
 func (l *Limiter) queryReport(tenant string, acct *account, now time.Time) Report {
 	report := l.newReport(tenant, acct, now)
 	report.Query, report.Pending = true, acct.pending-1
 	return report
 }
 
-// recordAdmission counts a request that is recordAdmission through. The caller holds mu.
+// recordAdmission counts an admitted request. The caller holds mu.
 func (l *Limiter) recordAdmission(acct *account) {
 	acct.admitted++
 	acct.recent.add(1)
 }
 
-// Decide decides by the owner's answer. Its error is a RefusalError.
+// Decide admits a pending request if grant allows it, or returns a RefusalError.
 func (l *Limiter) Decide(grant Grant, now time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,7 +138,8 @@
 	return acct.refusal(grant.Tenant, 1, (1-grant.Available)/acct.limit.Rate, now)
 }
 
-// DecideWithoutOwner decides where the owner does not answer, by this node's part of the demand.
+// DecideWithoutOwner decides about a pending request whose owner does not answer, by this node's
+// allowance. It returns a RefusalError if the request is not admitted.
 func (l *Limiter) DecideWithoutOwner(tenant string, now time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -150,17 +156,17 @@
 	return acct.refusal(tenant, share, 1/(share*acct.limit.Rate), now)
 }
 
-// mayAdmitWithoutOwner reports whether a request may run without an owner's word. For partKept after
-// the last answer the node replaces what leaves its own window, and uses its part of
-// what is not only given out to those who ask: the owner counts that. After it, the node
-// has an equal part of the limit for soloKept, which the owner holds back. The node has
-// one request in a window where no owner knows of it. The caller holds mu.
+// mayAdmitWithoutOwner reports whether a request may run without a grant. For shareExpiry after
+// the last grant, the node may replace the requests that leave its window and use its share of
+// the unreserved capacity; the owner accounts for both. After that, until equalShareExpiry, it may
+// use an equal share of the limit, which the owner reserves. In any case it may admit one request
+// per window. The caller holds mu.
 func (l *Limiter) mayAdmitWithoutOwner(acct *account, now time.Time) bool {
 	return acct.recent.total+1 <= max(1, l.allowance(acct, now))
 }
 
-// allowance is what a node's window may come to without an owner's word. The caller
-// holds mu.
+// allowance returns the number of requests that the node may admit in a window without another
+// grant. The caller holds mu.
 func (l *Limiter) allowance(acct *account, now time.Time) float64 {
 	switch age := acct.grantAge(now); {
 	case age < 0 || age >= equalShareExpiry:
@@ -171,17 +177,19 @@
 	return l.Tolerance.capacity(acct.limit) / l.nodes()
 }
 
+// refusal returns a RefusalError for a tenant that has capacity again after the given seconds.
 func (a *account) refusal(tenant string, share, seconds float64, now time.Time) error {
 	return &RefusalError{Tenant: tenant, Limit: a.limit, Share: share, GrantAge: a.grantAge(now), RetryAfter: retryAfter(seconds)}
 }
 
-// retryAfter spreads the callers who were refused together.
+// retryAfter returns a retry delay of about the given seconds. It adds jitter, so that callers
+// refused at the same time do not retry together.
 func retryAfter(seconds float64) time.Duration {
 	wait := time.Duration(min(seconds, maxRetryAfter.Seconds()) * (1 + retryJitter*rand.Float64()) * float64(time.Second))
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// Refund takes back that a request was let through: it did not run.
+// Refund uncounts an admitted request that did not run.
 func (l *Limiter) Refund(tenant string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -191,6 +199,7 @@
 	}
 }
 
+// nodes returns the number of nodes, at least one.
 func (l *Limiter) nodes() float64 {
 	if l.Nodes == nil {
 		return 1
@@ -198,6 +207,7 @@
 	return float64(max(1, l.Nodes()))
 }
 
+// account returns the tenant's account, with limit and window updated. The caller holds mu.
 func (l *Limiter) account(tenant string, limit Limit, now time.Time) *account {
 	if l.accounts == nil {
 		l.accounts = map[string]*account{}
@@ -208,7 +218,7 @@
 		l.accounts[tenant] = acct
 	}
 	if acct.limit != limit {
-		// What was told is about another limit.
+		// The last grant was computed for another limit.
 		acct.localMode = false
 	}
 	acct.lastRequest, acct.limit = now, limit
@@ -216,12 +226,12 @@
 	return acct
 }
 
-// localModeAt reports whether there was much room a moment ago.
+// localModeAt reports whether a recent grant allows requests without a query.
 func (a *account) localModeAt(now time.Time) bool {
 	return a.localMode && now.Sub(a.grantedAt) < maxGrantAge
 }
 
-// shareAt is the node's part of the demand as told, or an equal one.
+// shareAt returns the share in the last grant, or an equal share if the grant has expired.
 func (a *account) shareAt(nodes float64, now time.Time) float64 {
 	if !a.grantedAt.IsZero() && now.Sub(a.grantedAt) < shareExpiry {
 		return a.share
@@ -229,6 +239,7 @@
 	return 1 / nodes
 }
 
+// grantAge returns the time since the last grant, or -1 if there was none.
 func (a *account) grantAge(now time.Time) time.Duration {
 	if a.grantedAt.IsZero() {
 		return -1
@@ -236,7 +247,7 @@
 	return now.Sub(a.grantedAt)
 }
 
-// prepareFinalReports makes all tenants due for a last report, without demand.
+// prepareFinalReports makes a final report with no demand due for every tenant.
 func (l *Limiter) prepareFinalReports() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -245,7 +256,7 @@
 	}
 }
 
-// DueReports returns the reports that are to be made now.
+// DueReports returns the reports that are due, and drops tenants without recent requests.
 func (l *Limiter) DueReports(now time.Time) []Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -261,7 +272,7 @@
 	return due
 }
 
-// newReport makes a newReport of a tenant. The caller holds mu.
+// newReport returns the next report for a tenant. The caller holds mu.
 func (l *Limiter) newReport(tenant string, acct *account, now time.Time) Report {
 	l.number++
 	acct.recent.advance(l.Tolerance.window(), now)
@@ -273,7 +284,7 @@
 	}
 }
 
-// availableAt is the room that the owner told a moment ago; 0 if it did not.
+// availableAt returns the available capacity in the last grant, or 0 if that is too old.
 func (a *account) availableAt(now time.Time) float64 {
 	if a.grantedAt.IsZero() || now.Sub(a.grantedAt) >= maxGrantAge {
 		return 0
@@ -281,8 +292,7 @@
 	return max(0, a.available)
 }
 
-// reportableDemand is the demand that is worth a report; once there is none the last report
-// says so.
+// reportableDemand returns the demand, or 0 if it is below idleDemand.
 func (a *account) reportableDemand(now time.Time) float64 {
 	if demand := a.demand.value(now); demand >= idleDemand {
 		return demand
@@ -290,6 +300,8 @@
 	return 0
 }
 
+// reportDue reports whether a report is due. An idle tenant is reported once more with no demand.
+// The caller holds mu.
 func (l *Limiter) reportDue(acct *account, now time.Time) bool {
 	if acct.admitted == acct.counted && acct.reportableDemand(now) == 0 && acct.reportedDemand == 0 {
 		return false
@@ -298,7 +310,7 @@
 	return age >= reportInterval || (age >= minReportInterval && acct.localMode && acct.budget < 1)
 }
 
-// RecordGrant takes in an owner's answer to a report that nobody waits for.
+// RecordGrant applies a grant that no request waits for.
 func (l *Limiter) RecordGrant(grant Grant, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -307,7 +319,8 @@
 	}
 }
 
-// applyGrant takes in what an answer tells, unless a later one has come. The caller holds mu.
+// applyGrant updates acct from a grant. It ignores invalid grants and those older than the last
+// one. The caller holds mu.
 func (l *Limiter) applyGrant(acct *account, grant Grant, now time.Time) {
 	if grant.Number <= acct.grantNumber || !validGrant(grant) {
 		return
@@ -323,23 +336,26 @@
 	acct.allowance = acct.recent.total + max(0, acct.budget)
 }
 
-// validGrant reports whether an answer of another process can be taken.
+// validGrant reports whether the values of a received grant are in range.
 func validGrant(grant Grant) bool {
 	return grant.Share >= 0 && !math.IsNaN(grant.Available) && !math.IsInf(grant.Available, 0)
 }
 
-// TenantUsage is a tenant's use of its limit as a node sees it.
+// TenantUsage describes how a tenant uses its limit at one node.
 type TenantUsage struct {
 	Tenant string
 	Limit  Limit
-	// Demand is in requests a second, at this node.
-	Demand   float64
+	// Demand is the rate of requests at this node per second, including refused ones.
+	Demand float64
+	// Admitted is the number of requests admitted at this node.
 	Admitted int64
-	Share    float64
+	// Share is this node's share of the limit.
+	Share float64
+	// GrantAge is the time since the owner's last grant, negative if there was none.
 	GrantAge time.Duration
 }
 
-// Usage returns the tenants seen of late.
+// Usage returns the usage of all tenants with recent requests, in no particular order.
 func (l *Limiter) Usage(now time.Time) []TenantUsage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/quota/partition_test.go
+++ b/internal/quota/partition_test.go
@@ -18,37 +18,42 @@
 	"github.com/wheelhoist/wheelhoist/internal/peer"
 )
 
-// cluster is a fleet of real exchanges whose nodes may lose the store, each other, or both.
+// cluster simulates a fleet of coordinators whose nodes may be cut off from the store, from each
+// other, or both.
 type cluster struct {
 	t testing.TB
-	// networkRandom plays the network, under mu, calls the callers.
+	// networkRandom drives the network and is guarded by mu. callRandom drives the callers.
 	networkRandom *rand.Rand
 	callRandom    *rand.Rand
 	limit         Limit
 	mu            sync.Mutex
 	nodes         []*clusterNode
-	// members are the nodes with a session in the store, gone those that lost it, since
-	// when.
-	members          map[string]bool
-	lostAt           map[string]time.Time
-	admittedAt       []time.Time
-	refused          int
+	// members holds the nodes with a session in the store. lostAt is when each other node lost
+	// its session.
+	members map[string]bool
+	lostAt  map[string]time.Time
+	// admittedAt holds the times of the admitted requests.
+	admittedAt []time.Time
+	refused    int
+	// reference is a single counter for all nodes, which would refuse referenceRefused requests.
 	reference        window
 	referenceRefused int
 }
 
-// clusterNode is a node of a world. Nodes exchange datagrams within an island only.
+// clusterNode is a node of a cluster.
 type clusterNode struct {
 	cluster     *cluster
 	name        string
 	coordinator *Coordinator
-	storeCut    bool
-	group       int
-	dead        bool
-	renewedAt   time.Time
-	// sessionTimeout is how long after its last renewal others end its session.
+	// storeCut reports whether the node is cut off from the store.
+	storeCut bool
+	// group is the network partition of the node. Datagrams between groups are lost.
+	group     int
+	dead      bool
+	renewedAt time.Time
+	// sessionTimeout is the time since renewedAt after which other nodes end the session.
 	sessionTimeout time.Duration
-	// members and gone are what the feed told last.
+	// members and lostAt are the cluster's, as of the node's last contact with the store.
 	members []string
 	lostAt  map[string]time.Time
 }
@@ -75,7 +80,8 @@
 	return c
 }
 
-// updateSessions plays the store and its feed.
+// updateSessions simulates the store: it renews and ends sessions, and updates the nodes that reach
+// the store.
 func (c *cluster) updateSessions() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,7 +96,7 @@
 		}
 	}
 	for _, node := range c.nodes {
-		// While the store is away from all nobody can end a session.
+		// If no node reaches the store, no node can end a session.
 		if c.members[node.name] && !allCut && now.Sub(node.renewedAt) > node.sessionTimeout {
 			delete(c.members, node.name)
 			c.lostAt[node.name] = now
@@ -111,6 +117,7 @@
 
 func (n *clusterNode) Self() string { return n.name }
 
+// membership returns the nodes with a session and those that lost theirs, as seen by n.
 func (n *clusterNode) membership() (present, lost []string) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -197,7 +204,7 @@
 	return nil
 }
 
-// runFor lets time runFor while requests come at the given rates, one a node.
+// runFor sends requests for duration, at the given rate per second for each node.
 func (c *cluster) runFor(duration time.Duration, rates []float64) {
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(step) {
 		c.updateSessions()
@@ -211,6 +218,7 @@
 	}
 }
 
+// sendRequest sends a request to node and records whether it is admitted.
 func (c *cluster) sendRequest(node *clusterNode) {
 	if c.reference.advance(tolerance.Window, time.Now()); c.reference.total+1 > tolerance.nominal(c.limit) {
 		c.referenceRefused++
@@ -229,7 +237,7 @@
 	}()
 }
 
-// maxInWindow returns the maxInWindow requests that ran in a window.
+// maxInWindow returns the largest number of requests admitted in any window.
 func (c *cluster) maxInWindow() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -243,6 +251,7 @@
 	return highest
 }
 
+// randomRates distributes a total rate randomly over the given nodes.
 func (c *cluster) randomRates(total float64, nodes []int) []float64 {
 	rates := make([]float64, len(c.nodes))
 	sum := 0.0
@@ -256,7 +265,7 @@
 	return rates
 }
 
-// partitions are the ways in which nodes are cut off.
+// partitions lists the ways in which nodes are cut off.
 var partitions = []struct {
 	name                        string
 	storeCut, isolated          bool
@@ -275,9 +284,9 @@
 	{name: "both, as a group, the owner among them", storeCut: true, separateGroup: true, includeOwner: true},
 }
 
-// TestQuota_HoldsDuringPartitions cuts up to a third of the nodes off for 12 s, from
-// the store, from other nodes, or from both, while far more comes than fits. Two nodes
-// then hold themselves for the owner.
+// TestQuota_HoldsDuringPartitions checks that no window exceeds the limit and its tolerance while
+// up to a third of the nodes, or all, are cut off from the store, from other nodes, or from both.
+// Two nodes may then act as the owner, and most callers exceed the limit.
 func TestQuota_HoldsDuringPartitions(t *testing.T) {
 	for number, partition := range partitions {
 		t.Run(partition.name, func(t *testing.T) {
@@ -293,24 +302,25 @@
 					c.runPartition(number, random)
 					total, refused, referenceRefused = total+len(c.admittedAt)+c.refused, refused+c.refused, referenceRefused+c.referenceRefused
 					if highest, allowed := c.maxInWindow(), tolerance.nominal(c.limit)+tolerance.overshoot(c.limit); float64(highest) > allowed {
-						failure = fmt.Sprintf("seed %d: %d requests ran in a window, %.1f are allowed (%d nodes, limit %+v)", seed, highest, allowed, len(c.nodes), c.limit)
+						failure = fmt.Sprintf("seed %d: %d requests admitted in a window, want at most %.1f (%d nodes, limit %+v)", seed, highest, allowed, len(c.nodes), c.limit)
 					}
 				})
 				if failure != "" {
 					t.Error(failure)
 				}
 			}
-			t.Logf("%d requests, %d refused, %d beyond one count", total, refused, referenceRefused)
+			t.Logf("%d requests, %d refused, a single counter would refuse %d", total, refused, referenceRefused)
 		})
 	}
 }
 
-// partitionSeeds is the number of runs of each way of cutting, partitionFrom the first.
+// partitionSeeds is the number of seeds to run for each partition, partitionFrom the first seed.
 var (
 	partitionSeeds = flag.Uint64("partition.seeds", 6, "runs of each way of cutting nodes off")
 	partitionFrom  = flag.Uint64("partition.from", 0, "seed of the first run")
 )
 
+// runPartition runs the cluster through the partition with the given index and its end.
 func (c *cluster) runPartition(number int, random *rand.Rand) {
 	partition := partitions[number]
 	ctx, stop := context.WithCancel(c.t.Context())
--- a/internal/quota/peers.go
+++ b/internal/quota/peers.go
@@ -12,83 +12,88 @@
 	"github.com/wheelhoist/wheelhoist/internal/peer"
 )
 
-// An owner whose session is lost may be dead, cut off from the store alone, or cut off
-// from everything. While it is reached by other nodes it remains the owner. Where it is
-// not, its successor stands in. Both may then be at work, each for the nodes that it
-// reaches: each holds an equal part of the limit back for every node that does not
-// answer it, so that together they give out the limit once.
+// A node whose session is lost may be dead, cut off from the store only, or cut off from other
+// nodes too. It remains the owner of its tenants for the nodes that still reach it; its successor
+// takes over for the others. Both may count at the same time, each for the nodes that it reaches.
+// Each reserves an equal share of the limit for every node that does not answer it, so that
+// together they grant the limit only once.
 const (
-	// sessionTrustedFor is how long a node may take its session for granted after the store
-	// confirmed it: others end it after 3 s at the earliest.
+	// sessionTrustedFor is how long after the store's last confirmation a node relies on its
+	// session. Other nodes end a session after 3 s at the earliest.
 	sessionTrustedFor = 2 * time.Second
-	// probeAfter is when a node begins to probe the others, before it is sure no more.
-	// Sessions are confirmed each second.
-	probeAfter = 1500 * time.Millisecond
-	// probeInterval is the time between two probes, contactFresh how long an answer counts:
-	// three probes may be lost.
+	// probeAfter is the time since the last confirmation after which a node starts to probe its
+	// peers. It is shorter than sessionTrustedFor, so that replies are there when they are needed.
+	// Sessions are confirmed every second.
+	probeAfter    = 1500 * time.Millisecond
 	probeInterval = 300 * time.Millisecond
-	reachableFor  = 1200 * time.Millisecond
-	// takeoverDelay is the time between the first question to a successor and its first
-	// answer: the owner answers a probe in it if it can be reached.
+	// reachableFor is how long a peer counts as reachable after a message from it. Three
+	// consecutive probes may be lost.
+	reachableFor = 1200 * time.Millisecond
+	// takeoverDelay is the time from the first query to a successor until it answers. An owner
+	// that is reachable answers a probe within it.
 	takeoverDelay = 350 * time.Millisecond
-	// takeoverExpiry is the pause between questions after which it begins anew.
+	// takeoverExpiry is the time without queries after which a takeover ends; the next query
+	// starts a new one.
 	takeoverExpiry = 2 * time.Second
-	// lostOwnerBackoff is how long an owner that is away and did not answer is not asked
-	// again.
+	// lostOwnerBackoff is how long an owner that lost its session and did not answer is not
+	// queried again.
 	lostOwnerBackoff = 2 * time.Second
-	// stopNoticeExpiry is how long the word of a node that ends counts: it starts again within
-	// seconds, or is forgotten.
+	// stopNoticeExpiry is how long a stop notice is valid. A node that stops either restarts
+	// within seconds or is removed from the fleet.
 	stopNoticeExpiry = 5 * time.Second
-	// maxUnconfirmed is how long an owner goes on without a session where others have theirs.
-	// Those forget it after 30 s.
+	// maxUnconfirmed is how long an owner keeps counting without a session while its peers have
+	// theirs. It is shorter than the 30 s after which they remove the owner from the fleet.
 	maxUnconfirmed = 25 * time.Second
 )
 
-// NodeStatus is the answer to a probe.
+// NodeStatus is the reply to a probe. A node also sends it to its peers when it stops.
 type NodeStatus struct {
-	// Confirmed says that the node's session is confirmed, Stops that the node ends.
+	// Confirmed reports whether the store confirmed the node's session recently.
 	Confirmed bool `cbor:"1,keyasint,omitempty"`
-	Stopping  bool `cbor:"2,keyasint,omitempty"`
+	// Stopping reports that the node is shutting down.
+	Stopping bool `cbor:"2,keyasint,omitempty"`
 }
 
-// peerTracker is what a node knows of whom it reaches.
+// peerTracker records which peers are reachable and which have stopped.
 type peerTracker struct {
 	mu sync.Mutex
-	// lastHeard is when nodes answered last, sure when one said that its session is
-	// confirmed, stopped the nodes that said that they end.
-	lastHeard       map[string]time.Time
+	// lastHeard is the time of the last message from each node.
+	lastHeard map[string]time.Time
+	// peerConfirmedAt is when any peer last reported that its session is confirmed.
 	peerConfirmedAt time.Time
-	stopped         map[string]stopNotice
-	// inDoubtAt is when this node's session was last in doubt, probedAt when the last probes
-	// were sent.
+	// stopped holds the stop notices by node.
+	stopped map[string]stopNotice
+	// inDoubtAt is when this node's session was last unconfirmed for sessionTrustedFor, probedAt
+	// is when the last probes were sent.
 	inDoubtAt, probedAt time.Time
-	// takeovers are the tenants for whose owners this node was asked to stand in.
+	// takeovers holds the takeovers requested from this node, by tenant.
 	takeovers map[string]takeover
 }
 
-// stopNotice is the end of a session.
+// stopNotice records that a node announced the end of a session.
 type stopNotice struct {
 	session string
 	at      time.Time
 }
 
-// takeover is when a successor was first and last asked.
+// takeover holds the times of the first and the last query that this node received as the
+// successor of a tenant's owner.
 type takeover struct{ first, last time.Time }
 
-// isReachable reports whether a node has answered a moment ago. The caller holds mu.
+// isReachable reports whether a message from node arrived recently. The caller holds mu.
 func (t *peerTracker) isReachable(node string, now time.Time) bool {
 	at, ok := t.lastHeard[node]
 	return ok && now.Sub(at) < reachableFor
 }
 
-// hasStopped reports whether a node has ended and did not come back. The caller holds mu.
+// hasStopped reports whether node stopped recently and has not restarted. The caller holds mu.
 func (t *peerTracker) hasStopped(node string, now time.Time) bool {
 	notice, ok := t.stopped[node]
 	return ok && now.Sub(notice.at) < stopNoticeExpiry
 }
 
-// requestTakeover notes that this node was requestTakeover to stand in, and reports whether it has probed
-// the owner for long enough.
+// requestTakeover records that this node was queried as the successor of owner, and reports
+// whether it may answer: the owner has stopped, or did not answer probes for takeoverDelay.
 func (t *peerTracker) requestTakeover(tenant, owner string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,7 +109,7 @@
 	return t.hasStopped(owner, now) || (now.Sub(request.first) >= takeoverDelay && !t.isReachable(owner, now))
 }
 
-// hasTakeover reports whether this node was asked to stand in of late. The caller holds mu.
+// hasTakeover reports whether this node was recently queried as a successor. The caller holds mu.
 func (t *peerTracker) hasTakeover(now time.Time) bool {
 	for tenant, request := range t.takeovers {
 		if now.Sub(request.last) <= takeoverExpiry {
@@ -115,8 +120,8 @@
 	return false
 }
 
-// countingNode returns the node to ask about a tenant: the owner, or the one that stands in
-// for it.
+// countingNode returns the node to query about a tenant: the owner, or its successor if the
+// owner's session is lost and the owner is unreachable.
 func (c *Coordinator) countingNode(tenant string, now time.Time) (node, address string) {
 	owner, address := c.Fleet.Owner(tenant)
 	if !c.Fleet.SessionLost(owner) || !c.ownerUnreachable(owner, now) {
@@ -125,7 +130,8 @@
 	return c.Fleet.Successor(tenant)
 }
 
-// ownerUnreachable reports whether an owner that is away is not worth a question.
+// ownerUnreachable reports whether an owner that lost its session did not answer recently or has
+// stopped.
 func (c *Coordinator) ownerUnreachable(owner string, now time.Time) bool {
 	c.mu.Lock()
 	since, silent := c.silentSince[owner]
@@ -133,39 +139,41 @@
 	if silent && now.Sub(since) < lostOwnerBackoff {
 		return true
 	}
-	c.peers.mu.Lock()
-	defer c.peers.mu.Unlock()
-	return c.peers.hasStopped(owner, now)
+	c.tracker.mu.Lock()
+	defer c.tracker.mu.Unlock()
+	return c.tracker.hasStopped(owner, now)
 }
 
-// isCounting reports whether this node isCounting a tenant's requests now.
+// isCounting reports whether this node counts a tenant's requests, as the owner or as the
+// successor.
 func (c *Coordinator) isCounting(tenant string, now time.Time) bool {
 	self := c.Fleet.Self()
 	owner, _ := c.Fleet.Owner(tenant)
 	if owner != self {
 		successor, _ := c.Fleet.Successor(tenant)
-		if successor != self || !c.Fleet.SessionLost(owner) || !c.peers.requestTakeover(tenant, owner, now) {
+		if successor != self || !c.Fleet.SessionLost(owner) || !c.tracker.requestTakeover(tenant, owner, now) {
 			return false
 		}
 	}
 	return c.mayCount(now)
 }
 
-// mayCount reports whether this node may act as an owner at all: not if its session is
-// lost for so long that others have forgotten it.
+// mayCount reports whether this node may act as an owner. After maxUnconfirmed without a
+// confirmed session, other nodes may have removed it from the fleet. It then may count only if it
+// reaches at least half of its peers and none of them reports a confirmed session.
 func (c *Coordinator) mayCount(now time.Time) bool {
 	if c.Fleet.SinceConfirmed() < maxUnconfirmed {
 		return true
 	}
 	unreachable, peers := c.unreachable(now, false), c.Fleet.Peers()
-	c.peers.mu.Lock()
-	defer c.peers.mu.Unlock()
-	return now.Sub(c.peers.peerConfirmedAt) > reachableFor && len(unreachable) <= len(peers)/2
+	c.tracker.mu.Lock()
+	defer c.tracker.mu.Unlock()
+	return now.Sub(c.tracker.peerConfirmedAt) > reachableFor && len(unreachable) <= len(peers)/2
 }
 
-// reachability tells which nodes may serve a tenant by another owner: while this node's
-// session is in doubt, all that do not answer; where it stands in, those that are away
-// and do not.
+// reachability returns the nodes that may admit a tenant's requests unknown to this node: all
+// unreachable nodes while this node's session is in doubt, or the unreachable nodes that lost
+// their sessions if this node counts as a successor.
 func (c *Coordinator) reachability(tenant string) Reachability {
 	now := clock.Now()
 	view := Reachability{Nodes: c.Fleet.Count()}
@@ -179,43 +187,45 @@
 	return view
 }
 
-// sessionInDoubt reports whether this node's session may be lost, or was until a moment ago:
-// nodes that another has counted for have to report first.
+// sessionInDoubt reports whether this node's session may be lost, or may have been lost within
+// the last warmup. Nodes that reported to another owner meanwhile have to report here first.
 func (c *Coordinator) sessionInDoubt(now time.Time) bool {
 	unconfirmed := c.Fleet.SinceConfirmed() >= sessionTrustedFor
-	c.peers.mu.Lock()
-	defer c.peers.mu.Unlock()
+	c.tracker.mu.Lock()
+	defer c.tracker.mu.Unlock()
 	if unconfirmed {
-		c.peers.inDoubtAt = now
+		c.tracker.inDoubtAt = now
 	}
-	return now.Sub(c.peers.inDoubtAt) < warmup
+	return now.Sub(c.tracker.inDoubtAt) < warmup
 }
 
-// unreachable returns the other nodes, or those of them that are away, that do not answer.
+// unreachable returns the peers that neither answered recently nor stopped. With lostOnly set,
+// it returns only those that lost their sessions.
 func (c *Coordinator) unreachable(now time.Time, lostOnly bool) []string {
 	peers := c.Fleet.Peers()
-	c.peers.mu.Lock()
-	defer c.peers.mu.Unlock()
+	c.tracker.mu.Lock()
+	defer c.tracker.mu.Unlock()
 	var names []string
-	for _, peer := range peers {
-		if (peer.SessionLost || !lostOnly) && !c.peers.hasStopped(peer.Node, now) && !c.peers.isReachable(peer.Node, now) {
-			names = append(names, peer.Node)
+	for _, p := range peers {
+		if (p.SessionLost || !lostOnly) && !c.tracker.hasStopped(p.Node, now) && !c.tracker.isReachable(p.Node, now) {
+			names = append(names, p.Node)
 		}
 	}
 	return names
 }
 
-// probeIfDue probes other nodes if this one has to know which of them it reaches. One that
-// counts for no tenant need not: each probes all others, which grows as the square of the
-// nodes, and what it does not hear it holds back for anyway.
+// probeIfDue probes peers if this node has to know which of them are reachable. A node that
+// counts for no tenant sends no probes because of its own session: if all nodes did, the number
+// of probes would grow with the square of the nodes, and an owner reserves shares for peers that
+// it has not heard from anyway.
 func (c *Coordinator) probeIfDue(now time.Time) {
 	inDoubt := c.Allocator.hasTenants() && (c.Fleet.SinceConfirmed() >= probeAfter || c.sessionInDoubt(now))
-	c.peers.mu.Lock()
-	due := now.Sub(c.peers.probedAt) >= probeInterval && (inDoubt || c.peers.hasTakeover(now))
+	c.tracker.mu.Lock()
+	due := now.Sub(c.tracker.probedAt) >= probeInterval && (inDoubt || c.tracker.hasTakeover(now))
 	if due {
-		c.peers.probedAt = now
+		c.tracker.probedAt = now
 	}
-	c.peers.mu.Unlock()
+	c.tracker.mu.Unlock()
 	if !due {
 		return
 	}
@@ -228,19 +238,19 @@
 	c.broadcast(to, peer.KindQuotaProbe, struct{}{})
 }
 
-// broadcast sends a message to nodes.
+// broadcast sends a message to each of the given peers.
 func (c *Coordinator) broadcast(to []Peer, kind peer.Kind, body any) {
 	for _, recipient := range to {
 		address, err := net.ResolveUDPAddr("udp4", recipient.Address)
 		if err != nil {
-			// The node has not told its address.
+			// The peer has not published its address.
 			continue
 		}
 		c.send(address, kind, body)
 	}
 }
 
-// Handlers returns what takes the messages of this package.
+// Handlers returns the handlers for the message kinds of this package.
 func (c *Coordinator) Handlers() map[peer.Kind]peer.Handler {
 	return map[peer.Kind]peer.Handler{
 		peer.KindQuotaReport: c.HandleReports, peer.KindQuotaGrant: c.HandleGrants, peer.KindQuotaProbe: c.handleProbe, peer.KindQuotaContact: c.handleStatus,
@@ -259,10 +269,10 @@
 		c.notifyError(err)
 		return
 	}
-	c.peers.update(from, status, clock.Now())
+	c.tracker.update(from, status, clock.Now())
 }
 
-// update notes what a node's session has told.
+// update records a message with the given status from a node's session.
 func (t *peerTracker) update(session string, status NodeStatus, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -276,7 +286,7 @@
 		return
 	}
 	if t.stopped[node].session == session {
-		// It came late.
+		// A late message of the session that has stopped.
 		return
 	}
 	delete(t.stopped, node)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,22 +1,21 @@
-// Package quota keeps tenants' limits of requests over all nodes together.
+// Package quota enforces request limits per tenant across all nodes.
 //
-// A limit bounds the requests in any window of time, so that a tenant may use in a
-// short pulse what it leaves in the pause. Each tenant has an owner among the nodes,
-// found by rendezvous hashing, which counts the tenant's requests of the last window
-// (Ledger). While there is much room, a node decides about a request at once (Gate), by
-// the part of the room that it was told, and tells the owner afterwards what it let
-// through. As the room shrinks, and for a tenant that is new at the node, it asks the
-// owner first, which takes a few milliseconds.
+// A limit bounds the requests in any sliding window, so a tenant may use in a burst what it did
+// not use before. Each tenant has an owner node, chosen by rendezvous hashing, whose Allocator
+// counts the tenant's requests in the last window. While much capacity is available, a node's
+// Limiter admits requests locally, within its share of that capacity, and reports them to the
+// owner afterwards. When little is available, or the tenant is new to the node, the node
+// queries the owner before it admits a request, which takes a few milliseconds.
 //
-// Messages carry sums since the node's start, so one that is lost, late or doubled
-// changes nothing for good. A node that hears nothing of an owner keeps to its part of
-// the demand as it was told last for partKept, and then to an equal part of all nodes'
-// until soloKept. The owner presumes either of it until that has left the window. A node
-// that was never told has one request in a window.
+// Messages carry cumulative counts since the node started, so lost, late and duplicate messages
+// cause no lasting error. A node that receives no grants keeps to its last share of the demand
+// for shareExpiry, then to an equal share of the limit until equalShareExpiry. The owner assumes
+// that the node uses these shares until they have left the window. A node that never received a
+// grant may admit one request per window.
 //
-// An owner that is cut off from the store alone goes on counting for all who reach it.
-// One that is cut off from other nodes too has a successor, and each of the two holds
-// back an equal part of the limit for every node that does not answer it.
+// An owner that loses only the store keeps counting for every node that reaches it. If it is cut
+// off from other nodes too, a successor counts for those. Each of the two then reserves an equal
+// share of the limit for every node that does not answer it.
 package quota
 
 import (
@@ -25,37 +24,38 @@
 	"time"
 )
 
-// Limit is a tenant's limit over all nodes.
+// Limit is a tenant's request limit across all nodes.
 type Limit struct {
-	// Rate is in requests a second, Burst in requests.
+	// Rate is in requests per second, Burst in requests.
 	Rate, Burst float64
 }
 
-// Tolerance is what may be let through beyond a limit for keeping it by many nodes.
+// Tolerance is how far distributed enforcement may exceed a limit.
 type Tolerance struct {
-	// Slack is a number of requests in any window.
+	// Slack is the number of extra requests allowed in any window.
 	Slack float64
-	// Window is the length of the windows over which a limit is judged.
+	// Window is the length of the sliding window over which a limit is enforced. If it is not
+	// positive, defaultWindow is used.
 	Window time.Duration
-	// SlackRatio is a share of what a limit allows in a window.
+	// SlackRatio is the number of extra requests as a fraction of the limit for a window. It is
+	// added to Slack.
 	SlackRatio float64
 }
 
-// toleranceShare is the part of the tolerance that is given to tenants, so that reports
-// that come half a second late refuse nobody below the limit; the rest is left for
-// messages under way.
+// toleranceShare is the fraction of the tolerance that is granted to tenants, so that reports
+// delayed by half a second cause no refusals below the limit. The rest covers messages in flight.
 const toleranceShare = 0.25
 
 const (
-	// askTimeout bounds the wait for an owner's answer: a way there and back takes some
-	// 3 ms, a node with a small share of a core may be held up for a few times 10 ms.
-	askTimeout = 60 * time.Millisecond
-	// askRetryDelay is the wait after which the owner is asked once more, for datagrams are
-	// lost now and then.
-	askRetryDelay = 20 * time.Millisecond
+	// queryTimeout bounds the wait for the owner's answer. A round trip takes about 3 ms, but a
+	// node with a small share of a core may stall for some tens of milliseconds.
+	queryTimeout = 60 * time.Millisecond
+	// queryRetryDelay is the time after which an unanswered query is sent again, because
+	// datagrams may be lost.
+	queryRetryDelay = 20 * time.Millisecond
 )
 
-// window is the length of the windows.
+// window returns the length of the sliding window.
 func (t Tolerance) window() time.Duration {
 	if t.Window <= 0 {
 		return defaultWindow
@@ -63,60 +63,62 @@
 	return t.Window
 }
 
-// defaultWindow is what the users' deployments state.
+// defaultWindow is the window length if none is configured.
 const defaultWindow = 5 * time.Second
 
-// nominal is how many requests a limit allows in a window.
+// nominal returns the number of requests that limit allows in a window, without tolerance.
 func (t Tolerance) nominal(limit Limit) float64 {
 	return limit.Rate*t.window().Seconds() + limit.Burst
 }
 
-// capacity is how many requests are let through in a window, at least one.
+// capacity returns the number of requests that the owner grants in a window, at least one.
 func (t Tolerance) capacity(limit Limit) float64 {
 	return max(1, t.nominal(limit)+toleranceShare*t.overshoot(limit))
 }
 
-// overshoot is how many requests in a window may be let through overshoot a limit.
+// overshoot returns the number of requests that may be admitted beyond limit in a window.
 func (t Tolerance) overshoot(limit Limit) float64 { return t.SlackRatio*t.nominal(limit) + t.Slack }
 
-// RefusalError is a refusal of a request beyond a limit; the request did not run.
+// RefusalError reports that a request was refused because its tenant exceeds its limit. The
+// request did not run.
 type RefusalError struct {
 	Tenant string
 	Limit  Limit
-	// Share is this node's part of the limit, ToldAge how long ago its owner answered;
-	// negative if it never did.
-	Share    float64
+	// Share is this node's share of the limit, or 1 if the owner refused the request.
+	Share float64
+	// GrantAge is the time since the owner's last answer, negative if there was none.
 	GrantAge time.Duration
-	// RetryAfter is when there is room again at this node.
+	// RetryAfter is the time after which this node is expected to have capacity again.
 	RetryAfter time.Duration
 }
 
 // Error implements error.
 func (e *RefusalError) Error() string {
-	return fmt.Sprintf("tenant %s is beyond %g requests a second, come back in %s", e.Tenant, e.Limit.Rate, e.RetryAfter.Round(time.Millisecond))
+	return fmt.Sprintf("tenant %s exceeds its limit of %g requests per second, retry after %s", e.Tenant, e.Limit.Rate, e.RetryAfter.Round(time.Millisecond))
 }
 
 const (
-	// numBuckets is the number of pieces that a window is counted in.
+	// numBuckets is the number of buckets in a window.
 	numBuckets = 50
-	// numSpans is the number of longer pieces by which a node tells of its window.
+	// numSpans is the number of spans in a reported window. A span combines several buckets, to
+	// keep reports small.
 	numSpans = 5
 )
 
-// window counts events of a sliding window, up to a piece longer than that.
+// window counts events in a sliding window. It may include up to one bucket of older events.
 type window struct {
 	counts [numBuckets + 1]float64
 	total  float64
-	// newest is the number of the newest piece. Pieces are counted from origin by the steady
-	// clock: the time of day may jump.
+	// newest is the number of the newest bucket. Buckets are numbered from origin by the
+	// monotonic clock, because the wall clock may jump.
 	newest int64
 	origin time.Time
 }
 
-// advance drops what has left the window.
+// advance moves the window to now and drops the events that have left it.
 func (w *window) advance(length time.Duration, now time.Time) {
 	if w.origin.IsZero() {
-		// What others tell of the time before has room below the first piece.
+		// Leave one window of buckets before now for counts that addSpans receives.
 		w.origin = now.Add(-length)
 	}
 	newest := int64(now.Sub(w.origin) / (length / numBuckets))
@@ -132,27 +134,27 @@
 	}
 }
 
-// add counts events as of now.
+// add counts events in the newest bucket.
 func (w *window) add(count float64) {
 	w.counts[w.newest%int64(len(w.counts))] += count
 	w.total += count
 }
 
-// spanCounts returns the events of the window by spanCounts of it, the newest first.
+// spanCounts returns the number of events in each span of the window, newest first.
 func (w *window) spanCounts() []uint32 {
-	counts := make([]uint32, numSpans)
+	spans := make([]uint32, numSpans)
 	for age := range int64(numBuckets) {
 		if bucket := w.newest - age; bucket >= 0 {
-			counts[age*numSpans/numBuckets] += uint32(max(0, w.counts[bucket%int64(len(w.counts))]))
+			spans[age*numSpans/numBuckets] += uint32(max(0, w.counts[bucket%int64(len(w.counts))]))
 		}
 	}
-	return counts
+	return spans
 }
 
-// addSpans takes in what another has told of its window. Each span counts as of its
-// end, so that none leaves the window too early.
-func (w *window) addSpans(counts []uint32) {
-	for i, count := range counts[:min(len(counts), numSpans)] {
+// addSpans adds the counts that another node reported by spanCounts. Each span is counted at its
+// end, so that no event leaves the window too early.
+func (w *window) addSpans(spans []uint32) {
+	for i, count := range spans[:min(len(spans), numSpans)] {
 		if bucket := w.newest - int64(i)*numBuckets/numSpans; bucket >= 0 {
 			w.counts[bucket%int64(len(w.counts))] += float64(count)
 			w.total += float64(count)
@@ -160,8 +162,9 @@
 	}
 }
 
-// removeNewest takes the newest events out again. Taken from the present instead, they
-// would be missing there once those that they stand for have left the window.
+// removeNewest removes count events, starting with the newest. Subtracting them all from the
+// newest bucket could make it negative and undercount after the original events have left the
+// window.
 func (w *window) removeNewest(count float64) {
 	for bucket := w.newest; bucket > w.newest-int64(len(w.counts)) && bucket >= 0 && count > 0; bucket-- {
 		inBucket := &w.counts[bucket%int64(len(w.counts))]
@@ -172,21 +175,23 @@
 	}
 }
 
-// meterTimeConstant is how far back demand is looked at: long enough to see a few requests
-// of a small tenant, short enough to follow a pulse of some seconds.
+// meterTimeConstant is long enough to cover a few requests of a small tenant and short enough to
+// follow a burst of some seconds.
 const meterTimeConstant = 2 * time.Second
 
-// meter estimates a rate of events, by an exponentially weighted mean.
+// meter estimates an event rate per second as an exponentially weighted moving average.
 type meter struct {
 	rate      float64
 	updatedAt time.Time
 }
 
+// add records one event.
 func (m *meter) add(now time.Time) {
 	m.rate = m.value(now) + 1/meterTimeConstant.Seconds()
 	m.updatedAt = now
 }
 
+// value returns the rate, decayed to now.
 func (m *meter) value(now time.Time) float64 {
 	if m.rate == 0 {
 		return 0
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -10,40 +10,43 @@
 	"pgregory.net/rapid"
 )
 
-// tolerance is what the users' shifted deployment states.
+// tolerance is the tolerance used by the tests of this package.
 var tolerance = Tolerance{Window: 5 * time.Second, SlackRatio: 0.1, Slack: 20}
 
-// simulation drives gates and the ledgers of owners by a clock of its own, with messages
-// that may be lost, late or doubled.
+// simulation runs limiters and the allocators of owners on a simulated clock, with messages that
+// may be lost, delayed or duplicated.
 type simulation struct {
 	t          *rapid.T
 	now        time.Time
 	limiters   []*Limiter
 	allocators []*Allocator
-	// owner is the ledger in charge; cut nodes exchange no messages.
+	// owner is the index of the current owner's allocator.
 	owner int
-	cut   map[int]bool
-	limit Limit
-	// lossRate and delayRate are shares of the messages.
+	// isolated holds the nodes that exchange no messages.
+	isolated map[int]bool
+	limit    Limit
+	// lossRate and delayRate are the fractions of messages that are lost and delayed.
 	lossRate, delayRate float64
 	random              *rand.Rand
 	inFlight            []message
 	admittedAt          []time.Time
 	refused             int
-	// reference is one count for all nodes, and beyond counts what that would refuse.
+	// reference is a single counter for all nodes, which would refuse referenceRefused requests.
 	reference        window
 	referenceRefused int
 }
 
+// message is a message in flight or a timer.
 type message struct {
 	due     time.Time
 	deliver func()
 }
 
+// step is the resolution of the simulated clock.
 const step = 10 * time.Millisecond
 
 func newSimulation(t *rapid.T, nodes int, limit Limit) *simulation {
-	s := &simulation{t: t, now: time.Unix(1000, 0), limit: limit, cut: map[int]bool{}}
+	s := &simulation{t: t, now: time.Unix(1000, 0), limit: limit, isolated: map[int]bool{}}
 	s.random = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 	for range nodes {
 		s.limiters = append(s.limiters, &Limiter{Tolerance: tolerance, Nodes: func() int { return nodes }})
@@ -54,19 +57,21 @@
 	return s
 }
 
+// send delivers one or two copies of a message from or to node, unless they are lost.
 func (s *simulation) send(node int, deliver func()) {
 	for range 1 + s.random.IntN(2) {
 		delay := 5 * time.Millisecond
 		if s.random.Float64() < s.delayRate {
 			delay += time.Duration(s.random.Int64N(int64(400 * time.Millisecond)))
 		}
-		if s.cut[node] || s.random.Float64() < s.lossRate {
+		if s.isolated[node] || s.random.Float64() < s.lossRate {
 			continue
 		}
 		s.inFlight = append(s.inFlight, message{s.now.Add(delay), deliver})
 	}
 }
 
+// deliverMessages sends the due reports and delivers the messages that have arrived.
 func (s *simulation) deliverMessages() {
 	for node, limiter := range s.limiters {
 		for _, report := range limiter.DueReports(s.now) {
@@ -89,7 +94,7 @@
 	}
 }
 
-// runFor lets time runFor while requests come at the given rates, one a node.
+// runFor sends requests for duration, at the given rate per second for each node.
 func (s *simulation) runFor(duration time.Duration, rates []float64) {
 	for end := s.now.Add(duration); s.now.Before(end); s.now = s.now.Add(step) {
 		for node, rate := range rates {
@@ -103,8 +108,8 @@
 	}
 }
 
-// sendRequest brings a request to a node. Where the node has to sendRequest the owner, it waits for
-// the answer or until askTimeout.
+// sendRequest sends a request to a node. If the node has to query the owner, the request waits for
+// the grant or until queryTimeout.
 func (s *simulation) sendRequest(node int) {
 	if s.reference.advance(tolerance.Window, s.now); s.reference.total+1 > tolerance.nominal(s.limit) {
 		s.referenceRefused++
@@ -133,11 +138,11 @@
 		})
 	}
 	sendReport(report)
-	s.inFlight = append(s.inFlight, message{s.now.Add(askRetryDelay), func() {
+	s.inFlight = append(s.inFlight, message{s.now.Add(queryRetryDelay), func() {
 		if retry, ok := limiter.RetryReport("t", s.now); ok && !answered {
 			sendReport(retry)
 		}
-	}}, message{s.now.Add(askTimeout), func() {
+	}}, message{s.now.Add(queryTimeout), func() {
 		if !answered {
 			answered = true
 			s.recordDecision(limiter.DecideWithoutOwner("t", s.now))
@@ -145,6 +150,7 @@
 	}})
 }
 
+// recordDecision records whether a request was admitted. A refusal must have a retry delay.
 func (s *simulation) recordDecision(err error) {
 	var refusal *RefusalError
 	switch {
@@ -153,11 +159,12 @@
 	case errors.As(err, &refusal) && refusal.RetryAfter > 0:
 		s.refused++
 	default:
-		s.t.Fatalf("refusal without a time to come back: %v", err)
+		s.t.Fatalf("refusal without a retry delay: %v", err)
 	}
 }
 
-// checkWindows fails if any window held more than the rule allows.
+// checkWindows fails the test if more requests than the limit and its tolerance were admitted in
+// any window.
 func (s *simulation) checkWindows() {
 	allowed := tolerance.nominal(s.limit) + tolerance.overshoot(s.limit)
 	first := 0
@@ -166,11 +173,12 @@
 			first++
 		}
 		if got := i - first + 1; float64(got) > allowed {
-			s.t.Fatalf("%d requests ran in a window, %.1f are allowed (limit %+v, lost %.2f, late %.2f)", got, allowed, s.limit, s.lossRate, s.delayRate)
+			s.t.Fatalf("%d requests admitted in a window, want at most %.1f (limit %+v, loss %.2f, delay %.2f)", got, allowed, s.limit, s.lossRate, s.delayRate)
 		}
 	}
 }
 
+// randomRates distributes a total rate randomly over the given number of nodes.
 func (s *simulation) randomRates(t *rapid.T, total float64, busy int) []float64 {
 	rates := make([]float64, len(s.limiters))
 	sum := 0.0
@@ -185,9 +193,9 @@
 	return rates
 }
 
-// TestQuota_HoldsInEveryWindow lets far more come than fits, in phases that move
-// between nodes, while messages are lost, late and doubled, nodes are cut off and the
-// owner changes.
+// TestQuota_HoldsInEveryWindow checks that no window exceeds the limit and its tolerance under
+// excess load that moves between nodes, while messages are lost, delayed and duplicated, nodes are
+// cut off and the owner changes.
 func TestQuota_HoldsInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(1, 60).Draw(t, "rate")
@@ -199,9 +207,9 @@
 			busy := rapid.IntRange(1, min(6, len(s.limiters))).Draw(t, "busy")
 			rates := s.randomRates(t, rate*rapid.Float64Range(0.5, 3).Draw(t, "times"), busy)
 			s.runFor(time.Second, rates)
-			s.cut = map[int]bool{rapid.IntRange(0, len(s.limiters)-1).Draw(t, "cut"): true}
+			s.isolated = map[int]bool{rapid.IntRange(0, len(s.limiters)-1).Draw(t, "cut"): true}
 			s.runFor(3*time.Second, rates)
-			s.cut = nil
+			s.isolated = nil
 			s.runFor(time.Second, rates)
 		}
 		s.owner = 1
@@ -210,9 +218,9 @@
 	})
 }
 
-// TestQuota_AdmitsPulsesBelowLimit plays pulses of 1.87 times the mean under a
-// limit of 1.6 times: over any 5 s nearly all of it fits. Equal parts of 61 nodes
-// would refuse most of it, for a tenant's callers reach few nodes.
+// TestQuota_AdmitsPulsesBelowLimit checks that bursts of 1.87 times the mean rate are admitted under
+// a limit of 1.6 times the mean: nearly all of the load fits into any 5 s window. Equal shares for
+// 61 nodes would refuse most of it, because a tenant's callers reach only a few nodes.
 func TestQuota_AdmitsPulsesBelowLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		mean := rapid.Float64Range(0.5, 40).Draw(t, "mean")
@@ -229,14 +237,14 @@
 			s.runFor(2400*time.Millisecond, pulse)
 		}
 		if total := len(s.admittedAt) + s.refused; float64(s.refused-s.referenceRefused) > 0.01*float64(total)+2 {
-			t.Fatalf("%d of %d requests were refused where one count refuses %d (mean %.1f)", s.refused, total, s.referenceRefused, mean)
+			t.Fatalf("%d of %d requests refused, a single counter would refuse %d (mean %.1f)", s.refused, total, s.referenceRefused, mean)
 		}
 		s.checkWindows()
 	})
 }
 
-// TestQuota_AppliesLoweredLimit lowers a limit far below what comes: one window
-// later no more than it allows runs.
+// TestQuota_AppliesLoweredLimit lowers a limit far below the load and checks that no window after
+// that exceeds the new limit and its tolerance.
 func TestQuota_AppliesLoweredLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t, 12, Limit{Rate: 80, Burst: 80})
@@ -249,6 +257,7 @@
 	})
 }
 
+// TestLimiter_Refund checks that a refunded request does not count toward the limit.
 func TestLimiter_Refund(t *testing.T) {
 	limiter, allocator := &Limiter{}, &Allocator{}
 	now := time.Unix(1000, 0)
@@ -260,7 +269,7 @@
 		}
 		grant, ok := allocator.HandleReport("n", report, limit, now)
 		if !ok {
-			t.Fatal("the report was not taken")
+			t.Fatal("report rejected")
 		}
 		return limiter.Decide(grant, now)
 	}
@@ -269,14 +278,14 @@
 			t.Fatal(err)
 		}
 		limiter.Refund("t")
-		// A new owner lets little through at first.
+		// A new owner admits few requests during its warmup.
 		now = now.Add(2 * warmup)
 	}
 	if err := admit(); err != nil {
 		t.Fatal(err)
 	}
 	if err := admit(); err == nil {
-		t.Fatal("a request beyond the limit was let through")
+		t.Fatal("request beyond the limit admitted")
 	}
 }
 
@@ -284,13 +293,13 @@
 	limiter := &Limiter{}
 	for range 1000 {
 		if _, admitted := limiter.TryAdmit("t", Limit{}, time.Unix(1000, 0)); !admitted {
-			t.Fatal("a tenant without a limit is asked about")
+			t.Fatal("tenant without a limit requires a query")
 		}
 	}
 }
 
-// TestWindow_AddSpans: what is told of the time before is counted, and
-// leaves the window as it would have at the node that counted it.
+// TestWindow_AddSpans checks that counts added from another window are complete, leave the window
+// no earlier than there, and all leave in the end.
 func TestWindow_AddSpans(t *testing.T) {
 	const length = 5 * time.Second
 	now := time.Now()
@@ -304,17 +313,17 @@
 	received.advance(length, now)
 	received.addSpans(counted.spanCounts())
 	if received.total != counted.total || received.total != 12 {
-		t.Fatalf("%v were counted, %v are told", counted.total, received.total)
+		t.Fatalf("counted %v, received %v", counted.total, received.total)
 	}
 	for range 6 {
 		now = now.Add(time.Second)
 		counted.advance(length, now)
 		received.advance(length, now)
 		if received.total < counted.total {
-			t.Fatalf("%v are left where %v were counted", received.total, counted.total)
+			t.Fatalf("received window has %v left, less than the original's %v", received.total, counted.total)
 		}
 	}
 	if received.total != 0 {
-		t.Fatalf("%v never leave", received.total)
+		t.Fatalf("%v events did not leave the window", received.total)
 	}
 }
