--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -44,8 +44,8 @@
 const (
 	// burstSeconds is how much of a rate may be used at once.
 	burstSeconds = 1.0
-	// concurrencyRetry is the time to come back after a concurrency refusal.
-	concurrencyRetry = 500 * time.Millisecond
+	// concurrencyRetryAfter is the time to come back after a concurrency refusal.
+	concurrencyRetryAfter = 500 * time.Millisecond
 	// maxRetryAfter bounds the time told to a caller.
 	maxRetryAfter = 30 * time.Second
 )
@@ -56,9 +56,9 @@
 	tokens   *rate.Limiter
 	limits   Limits
 	share    float64
-	open     int
+	inFlight int
 	demand   meter
-	used     meter
+	admitted meter
 }
 
 // Controller enforces this node's share of all tenants' limits. It is safe for
@@ -67,9 +67,9 @@
 	// share returns the part of a tenant's limits that this node may use.
 	share func(tenant string) float64
 
-	mu      sync.Mutex
-	tenants map[string]*tenant
-	used    meter
+	mu       sync.Mutex
+	tenants  map[string]*tenant
+	admitted meter
 }
 
 // NewController returns a controller; share returns a node's part, 0 to 1.
@@ -92,29 +92,29 @@
 	defer c.mu.Unlock()
 	state := c.state(name, limits, share)
 	state.demand.add(now, 1)
-	if limits.Concurrency > 0 && state.open >= portion(limits.Concurrency, share) {
-		return nil, &RefusalError{Reason: ReasonConcurrency, RetryAfter: concurrencyRetry}
+	if limits.Concurrency > 0 && state.inFlight >= nodeLimit(limits.Concurrency, share) {
+		return nil, &RefusalError{Reason: ReasonConcurrency, RetryAfter: concurrencyRetryAfter}
 	}
-	if wait, ok := take(state.requests, 1, now); !ok {
+	if wait, ok := takeTokens(state.requests, 1, now); !ok {
 		return nil, &RefusalError{Reason: ReasonRequestRate, RetryAfter: wait}
 	}
-	if wait, ok := take(state.tokens, tokens, now); !ok {
+	if wait, ok := takeTokens(state.tokens, tokens, now); !ok {
 		return nil, &RefusalError{Reason: ReasonTokenRate, RetryAfter: wait}
 	}
-	state.open++
-	state.used.add(now, 1)
-	c.used.add(now, 1)
+	state.inFlight++
+	state.admitted.add(now, 1)
+	c.admitted.add(now, 1)
 	return &Ticket{controller: c, tenant: state}, nil
 }
 
-// portion is a node's part of a count; at least one, so that no tenant is
+// nodeLimit is a node's part of a count; at least one, so that no tenant is
 // locked out of a node.
-func portion(count int, share float64) int {
+func nodeLimit(count int, share float64) int {
 	return max(1, int(float64(count)*share+0.999))
 }
 
-// take uses n of a limiter at once or returns the time to come back.
-func take(limiter *rate.Limiter, n int, now time.Time) (time.Duration, bool) {
+// takeTokens uses n of a limiter at once or returns the time to come back.
+func takeTokens(limiter *rate.Limiter, n int, now time.Time) (time.Duration, bool) {
 	if limiter == nil {
 		return 0, true
 	}
@@ -137,14 +137,14 @@
 		c.tenants[name] = state
 	}
 	if !ok || state.limits != limits || state.share != share {
-		state.requests = adjust(state.requests, limits.RequestsPerSecond*share)
-		state.tokens = adjust(state.tokens, limits.TokensPerSecond*share)
+		state.requests = updateLimiter(state.requests, limits.RequestsPerSecond*share)
+		state.tokens = updateLimiter(state.tokens, limits.TokensPerSecond*share)
 		state.limits, state.share = limits, share
 	}
 	return state
 }
 
-func adjust(limiter *rate.Limiter, perSecond float64) *rate.Limiter {
+func updateLimiter(limiter *rate.Limiter, perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
 	}
@@ -162,7 +162,7 @@
 	t.once.Do(func() {
 		t.controller.mu.Lock()
 		defer t.controller.mu.Unlock()
-		t.tenant.open--
+		t.tenant.inFlight--
 	})
 }
 
@@ -176,35 +176,35 @@
 		rate := state.demand.rate(now)
 		if rate > idleRate {
 			demand[name] = rate
-		} else if state.open == 0 {
+		} else if state.inFlight == 0 {
 			delete(c.tenants, name)
 		}
 	}
 	return demand
 }
 
-// Overloaded decides about a request that a replica is predicted to begin only
+// CheckOverload decides about a request that a replica is predicted to begin only
 // after the given time. Tenants that use more than their weight's share are
 // refused earlier, so that the others keep their service.
-func (c *Controller) Overloaded(name string, predicted, limit time.Duration, now time.Time) error {
-	if limit <= 0 {
+func (c *Controller) CheckOverload(name string, predictedWait, maxWait time.Duration, now time.Time) error {
+	if maxWait <= 0 {
 		return nil
 	}
 	c.mu.Lock()
-	allowed := time.Duration(float64(limit) * c.patience(name, now))
+	allowed := time.Duration(float64(maxWait) * c.waitFraction(name, now))
 	c.mu.Unlock()
-	if predicted <= allowed {
+	if predictedWait <= allowed {
 		return nil
 	}
-	return &RefusalError{Reason: ReasonOverload, RetryAfter: min(max(predicted-allowed, time.Second), maxRetryAfter)}
+	return &RefusalError{Reason: ReasonOverload, RetryAfter: min(max(predictedWait-allowed, time.Second), maxRetryAfter)}
 }
 
-// patience is the part of the limit that a tenant gets, from 0.25 for a heavy
+// waitFraction is the part of the limit that a tenant gets, from 0.25 for a heavy
 // user to 1. The caller holds mu.
-func (c *Controller) patience(name string, now time.Time) float64 {
-	const least = 0.25
+func (c *Controller) waitFraction(name string, now time.Time) float64 {
+	const minFraction = 0.25
 	state, ok := c.tenants[name]
-	total := c.used.rate(now)
+	total := c.admitted.rate(now)
 	if !ok || total <= 0 {
 		return 1
 	}
@@ -214,12 +214,12 @@
 			weights += other.weight()
 		}
 	}
-	usedShare := state.used.rate(now) / total
-	if usedShare <= 0 || weights <= 0 {
+	admittedShare := state.admitted.rate(now) / total
+	if admittedShare <= 0 || weights <= 0 {
 		return 1
 	}
 	fairShare := state.weight() / weights
-	return min(1, max(least, fairShare/usedShare))
+	return min(1, max(minFraction, fairShare/admittedShare))
 }
 
 func (t *tenant) weight() float64 {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func full(string) float64 { return 1 }
+func fullShare(string) float64 { return 1 }
 
 func TestAdmit_Limits(t *testing.T) {
 	now := time.Unix(100, 0)
@@ -21,7 +21,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			controller := NewController(full)
+			controller := NewController(fullShare)
 			for range 2 {
 				if _, err := controller.Admit("a", test.limits, 10, now); err != nil {
 					t.Fatal(err)
@@ -40,7 +40,7 @@
 }
 
 func TestAdmit_ReleaseFreesOnce(t *testing.T) {
-	controller := NewController(full)
+	controller := NewController(fullShare)
 	limits := Limits{Concurrency: 1}
 	now := time.Unix(100, 0)
 	ticket, err := controller.Admit("a", limits, 1, now)
@@ -58,8 +58,8 @@
 }
 
 // Under overload a heavy user is refused at a wait that others still get.
-func TestOverloaded_HeavyUserFirst(t *testing.T) {
-	controller := NewController(full)
+func TestCheckOverload_RefusesHeavyTenantFirst(t *testing.T) {
+	controller := NewController(fullShare)
 	now := time.Unix(100, 0)
 	for i := range 100 {
 		name := "heavy"
@@ -70,11 +70,11 @@
 			t.Fatal(err)
 		}
 	}
-	limit, predicted := 2*time.Second, 1500*time.Millisecond
-	if err := controller.Overloaded("heavy", predicted, limit, now); err == nil {
+	maxWait, predictedWait := 2*time.Second, 1500*time.Millisecond
+	if err := controller.CheckOverload("heavy", predictedWait, maxWait, now); err == nil {
 		t.Error("the heavy user is let in")
 	}
-	if err := controller.Overloaded("light", predicted, limit, now); err != nil {
+	if err := controller.CheckOverload("light", predictedWait, maxWait, now); err != nil {
 		t.Errorf("the light user is refused: %v", err)
 	}
 }
--- a/internal/admission/meter.go
+++ b/internal/admission/meter.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// meterWindow is the time constant of the rates.
-	meterWindow = 2 * time.Second
+	// meterTimeConstant is the time constant of the rates.
+	meterTimeConstant = 2 * time.Second
 	// idleRate is the rate, a second, below which a tenant counts as idle.
 	idleRate = 0.02
 )
@@ -20,12 +20,12 @@
 
 func (m *meter) add(now time.Time, n float64) {
 	m.decay(now)
-	m.value += n / meterWindow.Seconds()
+	m.value += n / meterTimeConstant.Seconds()
 }
 
 func (m *meter) decay(now time.Time) {
 	if elapsed := now.Sub(m.last); elapsed > 0 && !m.last.IsZero() {
-		m.value *= math.Exp(-elapsed.Seconds() / meterWindow.Seconds())
+		m.value *= math.Exp(-elapsed.Seconds() / meterTimeConstant.Seconds())
 	}
 	m.last = now
 }
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -85,7 +85,7 @@
 // Do carries out a request. A nil error means that a replica's whole answer
 // reached the sink. The outcome of an error tells whether the request ran.
 func (f *Forwarder) Do(ctx context.Context, target *route.Route, request *Request, sink Sink) (Result, error) {
-	f.Budget.Request()
+	f.Budget.RecordRequest()
 	one := &call{forwarder: f, route: target, request: request, sink: sink, after: request.After}
 	one.deadline = deadlineOf(target, request)
 	one.result.Pool = target.Pool()
@@ -236,7 +236,7 @@
 	if c.result.Started && c.route.Kind != route.Stream {
 		return false
 	}
-	return c.forwarder.Budget.Retry()
+	return c.forwarder.Budget.TryRetry()
 }
 
 // mayRepeat reports whether the request may run more than once.
--- a/internal/idempotency/claims.go
+++ b/internal/idempotency/claims.go
@@ -33,8 +33,8 @@
 
 const (
 	partition = "claims"
-	// maxRecorded bounds a recorded answer, so that the row stays small.
-	maxRecorded = 128 << 10
+	// maxAnswerBytes bounds a recorded answer, so that the row stays small.
+	maxAnswerBytes = 128 << 10
 )
 
 // State is the state of a claim.
@@ -92,11 +92,11 @@
 		// the request did not run.
 		return nil, Error.Wrap(outcome.Failed(fmt.Errorf("%w: %w", ErrStoreUnavailable, err)))
 	}
-	return s.existing(ctx, claim)
+	return s.resumeExisting(ctx, claim)
 }
 
-// existing decides about a key that has been claimed before.
-func (s *Store) existing(ctx context.Context, claim *Claim) (*Claim, error) {
+// resumeExisting decides about a key that has been claimed before.
+func (s *Store) resumeExisting(ctx context.Context, claim *Claim) (*Claim, error) {
 	row, err := s.service.Get(ctx, claim.key)
 	if err != nil {
 		return nil, Error.Wrap(outcome.Failed(fmt.Errorf("%w: %w", ErrStoreUnavailable, err)))
@@ -137,10 +137,10 @@
 	return err
 }
 
-// Answer records the answer of a claimed request for later sendings. An answer
+// RecordAnswer records the answer of a claimed request for later sendings. An answer
 // too large to keep leaves the claim started: a resend is then refused.
-func (s *Store) Answer(ctx context.Context, claim *Claim, contentType string, body []byte) error {
-	if len(body) > maxRecorded {
+func (s *Store) RecordAnswer(ctx context.Context, claim *Claim, contentType string, body []byte) error {
+	if len(body) > maxAnswerBytes {
 		return nil
 	}
 	claim.State, claim.ContentType, claim.Body = Answered, contentType, body
--- a/internal/idempotency/unreadable_test.go
+++ b/internal/idempotency/unreadable_test.go
@@ -9,18 +9,18 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestBegin_AClaimThatCannotBeReadIsUndecided damages the claim of a request: it may have run,
+// TestBegin_UnreadableClaimIsUndecided damages the claim of a request: it may have run,
 // so it must neither run again nor be promised not to have.
-func TestBegin_AClaimThatCannotBeReadIsUndecided(t *testing.T) {
-	shared := tabletest.New()
-	store := NewStore(shared)
-	told := 0
-	store.Unreadable = &table.Unreadable{Tell: func(*table.UnreadableError) { told++ }}
+func TestBegin_UnreadableClaimIsUndecided(t *testing.T) {
+	service := tabletest.New()
+	store := NewStore(service)
+	reported := 0
+	store.Unreadable = &table.Unreadable{Tell: func(*table.UnreadableError) { reported++ }}
 	claim, err := store.Begin(t.Context(), "tenant", "key", []byte("body"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := shared.Commit(t.Context(), "other", table.Write{Key: claim.key, Expect: 1, Body: []byte{0xff}}); err != nil {
+	if _, err := service.Commit(t.Context(), "other", table.Write{Key: claim.key, Expect: 1, Body: []byte{0xff}}); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
@@ -29,8 +29,8 @@
 			t.Errorf("begun again: %v, %v", err, outcome.Of(err))
 		}
 	}
-	if told != 1 {
-		t.Errorf("told %d times", told)
+	if reported != 1 {
+		t.Errorf("told %d times", reported)
 	}
 	if _, err := store.Begin(t.Context(), "tenant", "other", []byte("body")); err != nil {
 		t.Errorf("another key: %v", err)
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -248,9 +248,9 @@
 	if !t.Keyed {
 		return nil, nil
 	}
-	key, err := tenant.KeyOf(header)
+	key, err := tenant.BearerKey(header)
 	if err == nil {
-		if found, ok := t.byKey.Find(key); ok {
+		if found, ok := t.byKey.Lookup(key); ok {
 			return found, nil
 		}
 		err = tenant.Error.Wrap(tenant.ErrUnknownKey)
--- a/internal/server/completion.go
+++ b/internal/server/completion.go
@@ -171,7 +171,7 @@
 	case err == nil && recording.refused:
 		err = s.options.Claims.Release(ctx, claim)
 	case err == nil:
-		err = s.options.Claims.Answer(ctx, claim, recording.contentType, recording.body())
+		err = s.options.Claims.RecordAnswer(ctx, claim, recording.contentType, recording.body())
 	case outcome.Of(err) == outcome.NotDone:
 		err = s.options.Claims.Release(ctx, claim)
 	default:
@@ -223,7 +223,7 @@
 		// The forwarder waits for a replica, and answers with its own error.
 		return nil
 	}
-	return s.options.Admission.Overloaded(caller(ctx).name, predicted, target.MaxWait, now)
+	return s.options.Admission.CheckOverload(caller(ctx).name, predicted, target.MaxWait, now)
 }
 
 // reconnect continues an answer whose caller lost its node. The attempt is
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -34,9 +34,9 @@
 	Name string
 	// Keys are the hashes of the tenant's keys; without any, nobody is the tenant.
 	Keys []Hash
-	// Ranked says that Priority takes precedence over that of a route.
-	Ranked   bool
-	Priority int
+	// HasPriority says that Priority takes precedence over that of a route.
+	HasPriority bool
+	Priority    int
 	// Rate is the number of requests a second that the tenant may make over all nodes,
 	// Burst how many on top of it; a rate of 0 means no limit.
 	Rate, Burst float64
@@ -47,8 +47,8 @@
 // Hash is the SHA-256 of a key.
 type Hash [sha256.Size]byte
 
-// HashOf returns the hash of a key.
-func HashOf(key string) Hash { return sha256.Sum256([]byte(key)) }
+// HashKey returns the hash of a key.
+func HashKey(key string) Hash { return sha256.Sum256([]byte(key)) }
 
 // ParseHash reads the hexadecimal form of a hash.
 func ParseHash(text string) (Hash, error) {
@@ -72,34 +72,34 @@
 	if d.byKey == nil {
 		d.byKey = map[Hash]T{}
 	}
-	_, known := d.byKey[key]
+	_, exists := d.byKey[key]
 	d.byKey[key] = value
-	return !known
+	return !exists
 }
 
-// Find returns what a key leads to.
-func (d *Directory[T]) Find(key string) (T, bool) {
-	value, ok := d.byKey[HashOf(key)]
+// Lookup returns what a key leads to.
+func (d *Directory[T]) Lookup(key string) (T, bool) {
+	value, ok := d.byKey[HashKey(key)]
 	return value, ok
 }
 
 const (
 	headerAuthorization = "Authorization"
-	scheme              = "Bearer"
+	bearerScheme        = "Bearer"
 	// maxKeyBytes bounds what is taken for a key; longer ones are not hashed.
 	maxKeyBytes = 1024
 )
 
-// KeyOf returns the key that a request carries as a bearer token (RFC 6750), or
+// BearerKey returns the key that a request carries as a bearer token (RFC 6750), or
 // ErrNoKey if it carries none, more than one, or another kind of credentials.
-func KeyOf(header http.Header) (string, error) {
+func BearerKey(header http.Header) (string, error) {
 	values := header.Values(headerAuthorization)
 	if len(values) != 1 {
 		return "", Error.Wrap(ErrNoKey)
 	}
-	given, key, _ := strings.Cut(values[0], " ")
+	scheme, key, _ := strings.Cut(values[0], " ")
 	key = strings.TrimSpace(key)
-	if !strings.EqualFold(given, scheme) || key == "" || len(key) > maxKeyBytes || strings.ContainsAny(key, " \t,") {
+	if !strings.EqualFold(scheme, bearerScheme) || key == "" || len(key) > maxKeyBytes || strings.ContainsAny(key, " \t,") {
 		return "", Error.Wrap(ErrNoKey)
 	}
 	return key, nil
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestKeyOf(t *testing.T) {
+func TestBearerKey(t *testing.T) {
 	cases := []struct {
 		name   string
 		values []string
@@ -24,11 +24,11 @@
 		{"scheme only", []string{"Bearer"}, ""},
 		{"ten kilobytes", []string{"Bearer " + strings.Repeat("k", 10<<10)}, ""},
 	}
-	for _, one := range cases {
-		t.Run(one.name, func(t *testing.T) {
-			key, err := KeyOf(http.Header{headerAuthorization: one.values})
-			if key != one.key || (key == "") != errors.Is(err, ErrNoKey) {
-				t.Fatalf("got %q, %v, want %q", key, err, one.key)
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			key, err := BearerKey(http.Header{headerAuthorization: test.values})
+			if key != test.key || (key == "") != errors.Is(err, ErrNoKey) {
+				t.Fatalf("got %q, %v, want %q", key, err, test.key)
 			}
 		})
 	}
@@ -36,22 +36,22 @@
 
 func TestDirectory(t *testing.T) {
 	var directory Directory[int]
-	if _, ok := directory.Find(""); ok {
+	if _, ok := directory.Lookup(""); ok {
 		t.Error("an empty directory knows a key")
 	}
-	if !directory.Add(HashOf("a"), 1) || !directory.Add(HashOf("b"), 1) || directory.Add(HashOf("a"), 2) {
+	if !directory.Add(HashKey("a"), 1) || !directory.Add(HashKey("b"), 1) || directory.Add(HashKey("a"), 2) {
 		t.Error("only a key's first addition is new")
 	}
-	if value, ok := directory.Find("a"); !ok || value != 2 {
+	if value, ok := directory.Lookup("a"); !ok || value != 2 {
 		t.Errorf("got %d, %v", value, ok)
 	}
-	if _, ok := directory.Find("c"); ok {
+	if _, ok := directory.Lookup("c"); ok {
 		t.Error("an unknown key is found")
 	}
 }
 
 func TestParseHash(t *testing.T) {
-	want := HashOf("k")
+	want := HashKey("k")
 	for _, text := range []string{"", "00", "zz"} {
 		if _, err := ParseHash(text); err == nil {
 			t.Errorf("%q is taken", text)
