--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission decides whether an online request may enter: within its
-// tenant's limits, and while a replica can begin it in time. What cannot be
-// served is refused as early as possible, with the time to come back.
+// Package admission decides whether an online request is admitted: it must be within its tenant's
+// limits, and a replica must be able to start it in time. Other requests are refused as early as
+// possible, with a retry delay.
 package admission
 
 import (
@@ -11,18 +11,20 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits are a tenant's limits over all nodes; zero means no limit.
+// Limits are a tenant's limits across all nodes. Zero means no limit.
 type Limits struct {
 	RequestsPerSecond float64
 	TokensPerSecond   float64
-	Concurrency       int
-	Weight            float64
+	// Concurrency is the number of requests in flight.
+	Concurrency int
+	// Weight is the tenant's weight for fair sharing under overload; zero means 1.
+	Weight float64
 }
 
-// Reason says why a request was refused.
+// Reason is the reason why a request was refused.
 type Reason string
 
-// Reasons.
+// The reasons of a RefusalError.
 const (
 	ReasonRequestRate Reason = "request_rate"
 	ReasonTokenRate   Reason = "token_rate"
@@ -30,9 +32,10 @@
 	ReasonOverload    Reason = "overload"
 )
 
-// RefusalError is a refusal; the request did not run.
+// RefusalError reports that a request was refused and did not run.
 type RefusalError struct {
-	Reason     Reason
+	Reason Reason
+	// RetryAfter is the time after which the caller should retry.
 	RetryAfter time.Duration
 }
 
@@ -42,50 +45,54 @@
 }
 
 const (
-	// burstSeconds is how much of a rate may be used at once.
+	// burstSeconds is the burst size of a rate limit, in seconds of the rate.
 	burstSeconds = 1.0
-	// concurrencyRetryAfter is the time to come back after a concurrency refusal.
+	// concurrencyRetryAfter is the retry delay of a concurrency refusal.
 	concurrencyRetryAfter = 500 * time.Millisecond
-	// maxRetryAfter bounds the time told to a caller.
+	// maxRetryAfter bounds RefusalError.RetryAfter.
 	maxRetryAfter = 30 * time.Second
 )
 
 // tenant is the state of one tenant at this node.
 type tenant struct {
+	// requests and tokens are nil if the tenant has no such limit.
 	requests *rate.Limiter
 	tokens   *rate.Limiter
 	limits   Limits
+	// share is the fraction of limits that this node enforces.
 	share    float64
 	inFlight int
+	// demand measures all requests, admitted only those admitted.
 	demand   meter
 	admitted meter
 }
 
-// Controller enforces this node's share of all tenants' limits. It is safe for
-// concurrent use.
+// Controller enforces this node's share of the limits of all tenants. It is safe for concurrent
+// use.
 type Controller struct {
-	// share returns the part of a tenant's limits that this node may use.
+	// share returns this node's share of a tenant's limits, from 0 to 1.
 	share func(tenant string) float64
 
-	mu       sync.Mutex
-	tenants  map[string]*tenant
+	mu      sync.Mutex
+	tenants map[string]*tenant
+	// admitted measures the admitted requests of all tenants.
 	admitted meter
 }
 
-// NewController returns a controller; share returns a node's part, 0 to 1.
+// NewController returns a Controller. The function share must return this node's share of a tenant's
+// limits, from 0 to 1.
 func NewController(share func(tenant string) float64) *Controller {
 	return &Controller{share: share, tenants: map[string]*tenant{}}
 }
 
-// Ticket is an admitted request.
+// Ticket represents an admitted request until Release is called.
 type Ticket struct {
 	controller *Controller
 	tenant     *tenant
 	once       sync.Once
 }
 
-// Admit lets a request of an estimated number of tokens in, or returns a
-// RefusalError.
+// Admit admits a request with an estimated number of tokens, or returns a RefusalError.
 func (c *Controller) Admit(name string, limits Limits, tokens int, now time.Time) (*Ticket, error) {
 	share := c.share(name)
 	c.mu.Lock()
@@ -107,13 +114,14 @@
 	return &Ticket{controller: c, tenant: state}, nil
 }
 
-// nodeLimit is a node's part of a count; at least one, so that no tenant is
-// locked out of a node.
+// nodeLimit returns a node's share of a concurrency limit, rounded up. It is at least one, so that
+// every node admits some requests of every tenant.
 func nodeLimit(count int, share float64) int {
 	return max(1, int(float64(count)*share+0.999))
 }
 
-// takeTokens uses n of a limiter at once or returns the time to come back.
+// takeTokens takes n tokens, or the burst size if n is larger, from a limiter. If too few are
+// available, it takes none and returns the retry delay. A nil limiter allows everything.
 func takeTokens(limiter *rate.Limiter, n int, now time.Time) (time.Duration, bool) {
 	if limiter == nil {
 		return 0, true
@@ -128,8 +136,7 @@
 	return min(wait, maxRetryAfter), false
 }
 
-// state returns the tenant's state with limits brought up to date. The caller
-// holds mu.
+// state returns the tenant's state, updated to the given limits and share. The caller holds mu.
 func (c *Controller) state(name string, limits Limits, share float64) *tenant {
 	state, ok := c.tenants[name]
 	if !ok {
@@ -144,6 +151,8 @@
 	return state
 }
 
+// updateLimiter sets a limiter to a rate, creating it if needed. It returns nil if the rate is not
+// positive.
 func updateLimiter(limiter *rate.Limiter, perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
@@ -166,8 +175,8 @@
 	})
 }
 
-// Demand returns the recent request rates of the tenants seen at this node,
-// refused requests included.
+// Demand returns the recent request rate of each active tenant at this node, including refused
+// requests. It drops the state of idle tenants.
 func (c *Controller) Demand(now time.Time) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,9 +192,9 @@
 	return demand
 }
 
-// CheckOverload decides about a request that a replica is predicted to begin only
-// after the given time. Tenants that use more than their weight's share are
-// refused earlier, so that the others keep their service.
+// CheckOverload returns a RefusalError if the predicted wait until a replica starts the request is
+// too long. Tenants that use more than their weighted share are refused at shorter waits, so that
+// the others are still served. If maxWait is not positive, no request is refused.
 func (c *Controller) CheckOverload(name string, predictedWait, maxWait time.Duration, now time.Time) error {
 	if maxWait <= 0 {
 		return nil
@@ -199,8 +208,8 @@
 	return &RefusalError{Reason: ReasonOverload, RetryAfter: min(max(predictedWait-allowed, time.Second), maxRetryAfter)}
 }
 
-// waitFraction is the part of the limit that a tenant gets, from 0.25 for a heavy
-// user to 1. The caller holds mu.
+// waitFraction returns the fraction of the maximum wait that applies to a tenant. It is 1 for a
+// tenant within its fair share and decreases to minFraction with heavier use. The caller holds mu.
 func (c *Controller) waitFraction(name string, now time.Time) float64 {
 	const minFraction = 0.25
 	state, ok := c.tenants[name]
@@ -222,6 +231,7 @@
 	return min(1, max(minFraction, fairShare/admittedShare))
 }
 
+// weight returns the tenant's weight, 1 if none is set.
 func (t *tenant) weight() float64 {
 	if t.limits.Weight <= 0 {
 		return 1
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -30,15 +30,16 @@
 			_, err := controller.Admit("a", test.limits, 10, now)
 			var refusal *RefusalError
 			if !errors.As(err, &refusal) || refusal.Reason != test.reason || refusal.RetryAfter <= 0 {
-				t.Fatalf("error %v, want %s with a time to come back", err, test.reason)
+				t.Fatalf("error %v, want %s with a retry delay", err, test.reason)
 			}
 			if _, err := controller.Admit("b", test.limits, 10, now); err != nil {
-				t.Fatalf("another tenant is refused: %v", err)
+				t.Fatalf("another tenant refused: %v", err)
 			}
 		})
 	}
 }
 
+// TestAdmit_ReleaseFreesOnce checks that releasing a ticket twice frees one request only.
 func TestAdmit_ReleaseFreesOnce(t *testing.T) {
 	controller := NewController(fullShare)
 	limits := Limits{Concurrency: 1}
@@ -53,11 +54,12 @@
 		t.Fatal(err)
 	}
 	if _, err := controller.Admit("a", limits, 1, now); err == nil {
-		t.Fatal("a second release freed a second place")
+		t.Fatal("second release freed a second request")
 	}
 }
 
-// Under overload a heavy user is refused at a wait that others still get.
+// TestCheckOverload_RefusesHeavyTenantFirst checks that a heavy tenant is refused at a wait at which
+// other tenants are still admitted.
 func TestCheckOverload_RefusesHeavyTenantFirst(t *testing.T) {
 	controller := NewController(fullShare)
 	now := time.Unix(100, 0)
@@ -72,9 +74,9 @@
 	}
 	maxWait, predictedWait := 2*time.Second, 1500*time.Millisecond
 	if err := controller.CheckOverload("heavy", predictedWait, maxWait, now); err == nil {
-		t.Error("the heavy user is let in")
+		t.Error("heavy tenant admitted")
 	}
 	if err := controller.CheckOverload("light", predictedWait, maxWait, now); err != nil {
-		t.Errorf("the light user is refused: %v", err)
+		t.Errorf("light tenant refused: %v", err)
 	}
 }
--- a/internal/idempotency/claims.go
+++ b/internal/idempotency/claims.go
@@ -1,5 +1,5 @@
-// Package idempotency makes a request with an idempotency key run at most once
-// over all nodes, by a claim row that is written before the request is sent.
+// Package idempotency ensures that a request with an idempotency key runs at most once across all
+// nodes. A claim row is written before the request is sent to a replica.
 package idempotency
 
 import (
@@ -21,19 +21,19 @@
 var Error = errs.Class("idempotency")
 
 var (
-	// ErrInProgress reports that another sending holds the claim and has no
-	// recorded answer: it is running, or its node died and nobody can tell.
+	// ErrInProgress reports that another attempt holds the claim and has no recorded answer: it
+	// is running, or its node died and its outcome is unknown.
 	ErrInProgress = errors.New("a request with this key has been started")
-	// ErrMismatch reports that the key was used for another request.
+	// ErrMismatch reports that the key was used with a different request body.
 	ErrMismatch = errors.New("the key was used for another request")
-	// ErrStoreUnavailable reports that the claim could not be written. The
-	// request did not run.
+	// ErrStoreUnavailable reports that the claim could not be read or written. The request did
+	// not run.
 	ErrStoreUnavailable = errors.New("claim store unavailable")
 )
 
 const (
 	partition = "claims"
-	// maxAnswerBytes bounds a recorded answer, so that the row stays small.
+	// maxAnswerBytes is the maximum size of a recorded answer, to keep rows small.
 	maxAnswerBytes = 128 << 10
 )
 
@@ -42,19 +42,21 @@
 
 // States of a claim.
 const (
-	// Started claims belong to a request that may run.
+	// Started claims belong to a request that may be running or may have run.
 	Started State = iota + 1
 	// Answered claims hold the recorded answer.
 	Answered
-	// NotRun claims belong to a request that provably did not run; the key may
-	// be used again.
+	// NotRun claims belong to a request that is known not to have run. The key may be claimed
+	// again.
 	NotRun
 )
 
-// Claim is the record of a key.
+// Claim is the stored record of an idempotency key.
 type Claim struct {
-	State       State
+	State State
+	// Fingerprint is the SHA-256 hash of the request body.
 	Fingerprint []byte
+	// Body and ContentType are those of the recorded answer.
 	Body        []byte
 	ContentType string
 	CreatedAt   time.Time
@@ -63,19 +65,20 @@
 	version uint64
 }
 
-// Store keeps claims in the table service.
+// Store stores claims in the table service.
 type Store struct {
-	// Unreadable, if set before use, is told of claims that cannot be read.
+	// Unreadable receives reports of claims that cannot be decoded. It may be nil, and must be
+	// set before use.
 	Unreadable *table.Unreadable
 
 	service table.Service
 }
 
-// NewStore returns a store.
+// NewStore returns a Store that uses service.
 func NewStore(service table.Service) *Store { return &Store{service: service} }
 
-// Begin claims a key for a request. It returns a fresh claim in state Started,
-// or the earlier claim in state Answered, or an error.
+// Begin claims a tenant's key for a request. It returns a new claim in state Started, the existing
+// claim in state Answered, or an error.
 func (s *Store) Begin(ctx context.Context, tenant, key string, body []byte) (*Claim, error) {
 	sum := sha256.Sum256([]byte(tenant + "\x00" + key))
 	fingerprint := sha256.Sum256(body)
@@ -88,14 +91,15 @@
 		return claim, nil
 	}
 	if !errors.Is(err, table.ErrConflict) {
-		// An undecided claim may exist, but this node has not sent anything, so
-		// the request did not run.
+		// The claim may have been written, but nothing has been sent, so the request did not
+		// run.
 		return nil, Error.Wrap(outcome.Failed(fmt.Errorf("%w: %w", ErrStoreUnavailable, err)))
 	}
 	return s.resumeExisting(ctx, claim)
 }
 
-// resumeExisting decides about a key that has been claimed before.
+// resumeExisting returns the claim for a key that has been claimed before, by the state of the
+// existing claim, or an error if the request must not run.
 func (s *Store) resumeExisting(ctx context.Context, claim *Claim) (*Claim, error) {
 	row, err := s.service.Get(ctx, claim.key)
 	if err != nil {
@@ -123,7 +127,7 @@
 	}
 }
 
-// write stores the claim's next version.
+// write stores the next version of the claim.
 func (s *Store) write(ctx context.Context, claim *Claim) error {
 	body, err := cbor.Marshal(claim)
 	if err != nil {
@@ -137,8 +141,8 @@
 	return err
 }
 
-// RecordAnswer records the answer of a claimed request for later sendings. An answer
-// too large to keep leaves the claim started: a resend is then refused.
+// RecordAnswer records the answer to a claimed request for later attempts. If the answer exceeds
+// maxAnswerBytes, the claim remains in state Started, and later attempts are refused.
 func (s *Store) RecordAnswer(ctx context.Context, claim *Claim, contentType string, body []byte) error {
 	if len(body) > maxAnswerBytes {
 		return nil
@@ -147,7 +151,7 @@
 	return Error.Wrap(s.write(ctx, claim))
 }
 
-// Release records that a claimed request provably did not run.
+// Release records that a claimed request did not run, so that the key may be claimed again.
 func (s *Store) Release(ctx context.Context, claim *Claim) error {
 	claim.State = NotRun
 	return Error.Wrap(s.write(ctx, claim))
--- a/internal/idempotency/unreadable_test.go
+++ b/internal/idempotency/unreadable_test.go
@@ -9,8 +9,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestBegin_UnreadableClaimIsUndecided damages the claim of a request: it may have run,
-// so it must neither run again nor be promised not to have.
+// TestBegin_UnreadableClaimIsUndecided checks that a request with a corrupt claim neither runs again
+// nor is reported as not run, because it may have run.
 func TestBegin_UnreadableClaimIsUndecided(t *testing.T) {
 	service := tabletest.New()
 	store := NewStore(service)
@@ -26,13 +26,13 @@
 	for range 2 {
 		_, err := store.Begin(t.Context(), "tenant", "key", []byte("body"))
 		if !errors.Is(err, ErrInProgress) || outcome.Of(err) != outcome.Unknown {
-			t.Errorf("begun again: %v, %v", err, outcome.Of(err))
+			t.Errorf("Begin with a corrupt claim: error %v, outcome %v", err, outcome.Of(err))
 		}
 	}
 	if reported != 1 {
-		t.Errorf("told %d times", reported)
+		t.Errorf("unreadable claim reported %d times, want 1", reported)
 	}
 	if _, err := store.Begin(t.Context(), "tenant", "other", []byte("body")); err != nil {
-		t.Errorf("another key: %v", err)
+		t.Errorf("Begin with another key: %v", err)
 	}
 }
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,13 +1,13 @@
-// Package retry bounds how much extra work retries may cause.
+// Package retry bounds the load that retries cause.
 package retry
 
 import "sync"
 
-// maxTokens is the number of retries a budget allows before any traffic.
+// maxTokens is the initial and maximum number of retries that a budget holds.
 const maxTokens = 10
 
-// Budget allows retries as a share of the requests, so that a failing back end
-// is not also flooded. It is safe for concurrent use.
+// Budget limits retries to a ratio of the requests, so that retries do not overload a failing
+// backend. It is safe for concurrent use.
 type Budget struct {
 	mu       sync.Mutex
 	ratio    float64
@@ -15,19 +15,19 @@
 	capacity float64
 }
 
-// NewBudget returns a budget that allows share retries a request.
+// NewBudget returns a full budget that gains ratio retries with each request.
 func NewBudget(ratio float64) *Budget {
 	return &Budget{ratio: ratio, tokens: maxTokens, capacity: maxTokens}
 }
 
-// RecordRequest accounts for a first sending.
+// RecordRequest records the first attempt of a request.
 func (b *Budget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.capacity, b.tokens+b.ratio)
 }
 
-// TryRetry takes the right to one retry, or reports false.
+// TryRetry consumes one retry from the budget. It returns false if none is left.
 func (b *Budget) TryRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retry/sleep.go
+++ b/internal/retry/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits. It reports false if the context ended first.
+// Sleep waits for delay. It returns false if ctx is done first.
 func Sleep(ctx context.Context, delay time.Duration) bool {
 	if delay <= 0 {
 		return ctx.Err() == nil
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,7 +1,7 @@
-// Package tenant identifies callers by their keys.
+// Package tenant identifies callers by their API keys.
 //
-// Keys are held as hashes only, and looked up by hash: what a look-up's time tells is
-// about the hash of what was given, not about the key.
+// Keys are stored and looked up as hashes only, so the time of a lookup reveals nothing about the
+// stored keys.
 package tenant
 
 import (
@@ -20,37 +20,39 @@
 var Error = errs.Class("tenant")
 
 var (
-	// ErrNoKey reports a request without a usable key where one is needed.
-	ErrNoKey = errors.New("a key is needed")
-	// ErrUnknownKey reports a key that no tenant holds by the configuration in force.
-	ErrUnknownKey = errors.New("the key is not known")
-	// ErrStale reports that the configuration in force is too old to decide by; the
-	// request did not run.
-	ErrStale = errors.New("configuration too old to decide about the key")
+	// ErrNoKey reports that a request has no valid bearer token although a key is required.
+	ErrNoKey = errors.New("missing or malformed bearer token")
+	// ErrUnknownKey reports a key that belongs to no tenant in the current configuration.
+	ErrUnknownKey = errors.New("unknown key")
+	// ErrStale reports that the current configuration is too old to verify a key. The request
+	// did not run.
+	ErrStale = errors.New("configuration too old to verify the key")
 )
 
-// Tenant is a caller as declared.
+// Tenant is a tenant in the configuration.
 type Tenant struct {
 	Name string
-	// Keys are the hashes of the tenant's keys; without any, nobody is the tenant.
+	// Keys are the hashes of the tenant's keys. Without any, no caller is identified as the
+	// tenant.
 	Keys []Hash
-	// HasPriority says that Priority takes precedence over that of a route.
+	// HasPriority reports whether Priority is set and overrides that of a route.
 	HasPriority bool
 	Priority    int
-	// Rate is the number of requests a second that the tenant may make over all nodes,
-	// Burst how many on top of it; a rate of 0 means no limit.
+	// Rate is the tenant's limit in requests per second across all nodes, Burst the number of
+	// requests in addition to it. A rate of 0 means no limit.
 	Rate, Burst float64
-	// Regions are where the tenant's requests may be served and kept; nil is anywhere.
+	// Regions are the regions in which the tenant's requests may be served and stored. Nil
+	// means any region.
 	Regions place.Regions
 }
 
-// Hash is the SHA-256 of a key.
+// Hash is the SHA-256 hash of a key.
 type Hash [sha256.Size]byte
 
 // HashKey returns the hash of a key.
 func HashKey(key string) Hash { return sha256.Sum256([]byte(key)) }
 
-// ParseHash reads the hexadecimal form of a hash.
+// ParseHash parses a hash in hexadecimal form.
 func ParseHash(text string) (Hash, error) {
 	var hash Hash
 	decoded, err := hex.DecodeString(text)
@@ -64,10 +66,10 @@
 	return hash, nil
 }
 
-// Directory finds what belongs to a key. The zero value holds none.
+// Directory maps keys to values by the hashes of the keys. The zero value is empty.
 type Directory[T any] struct{ byKey map[Hash]T }
 
-// Add makes a key lead to a value. It reports whether the key is new.
+// Add sets the value of a key and reports whether the key is new.
 func (d *Directory[T]) Add(key Hash, value T) bool {
 	if d.byKey == nil {
 		d.byKey = map[Hash]T{}
@@ -77,7 +79,7 @@
 	return !exists
 }
 
-// Lookup returns what a key leads to.
+// Lookup returns the value of a key.
 func (d *Directory[T]) Lookup(key string) (T, bool) {
 	value, ok := d.byKey[HashKey(key)]
 	return value, ok
@@ -86,12 +88,12 @@
 const (
 	headerAuthorization = "Authorization"
 	bearerScheme        = "Bearer"
-	// maxKeyBytes bounds what is taken for a key; longer ones are not hashed.
+	// maxKeyBytes is the maximum length of a key. Longer ones are rejected without hashing.
 	maxKeyBytes = 1024
 )
 
-// BearerKey returns the key that a request carries as a bearer token (RFC 6750), or
-// ErrNoKey if it carries none, more than one, or another kind of credentials.
+// BearerKey returns the key that a request carries as a bearer token (RFC 6750). It returns ErrNoKey
+// if there is none, more than one, or another kind of credentials.
 func BearerKey(header http.Header) (string, error) {
 	values := header.Values(headerAuthorization)
 	if len(values) != 1 {
@@ -105,5 +107,5 @@
 	return key, nil
 }
 
-// StripKey removes the key from headers that are to be passed on.
+// StripKey removes the key from headers, before a request is forwarded.
 func StripKey(header http.Header) { header.Del(headerAuthorization) }
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -37,16 +37,16 @@
 func TestDirectory(t *testing.T) {
 	var directory Directory[int]
 	if _, ok := directory.Lookup(""); ok {
-		t.Error("an empty directory knows a key")
+		t.Error("empty directory contains a key")
 	}
 	if !directory.Add(HashKey("a"), 1) || !directory.Add(HashKey("b"), 1) || directory.Add(HashKey("a"), 2) {
-		t.Error("only a key's first addition is new")
+		t.Error("Add reported a wrong result for a new or an existing key")
 	}
 	if value, ok := directory.Lookup("a"); !ok || value != 2 {
-		t.Errorf("got %d, %v", value, ok)
+		t.Errorf("Lookup = %d, %v, want 2, true", value, ok)
 	}
 	if _, ok := directory.Lookup("c"); ok {
-		t.Error("an unknown key is found")
+		t.Error("unknown key found")
 	}
 }
 
@@ -54,7 +54,7 @@
 	want := HashKey("k")
 	for _, text := range []string{"", "00", "zz"} {
 		if _, err := ParseHash(text); err == nil {
-			t.Errorf("%q is taken", text)
+			t.Errorf("ParseHash(%q) succeeded, want an error", text)
 		}
 	}
 	got, err := ParseHash("8254c329a92850f6d539dd376f4816ee2764517da5e0235514af433164480d7a")
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -13,16 +13,16 @@
 	received atomic.Uint64
 }
 
-// Sent returns the bytes sent.
+// Sent returns the number of bytes sent.
 func (c *Counter) Sent() uint64 { return c.sent.Load() }
 
-// Received returns the bytes received.
+// Received returns the number of bytes received.
 func (c *Counter) Received() uint64 { return c.received.Load() }
 
 // DialContext is the signature of net.Dialer.DialContext.
 type DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dial wraps a dial function so that its connections are counted.
+// Dial wraps a dial function. The returned function counts the bytes of its connections in c.
 func (c *Counter) Dial(dial DialContext) DialContext {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -33,6 +33,7 @@
 	}
 }
 
+// countedConn is a connection that adds the bytes sent and received to a Counter.
 type countedConn struct {
 	net.Conn
 	counter *Counter
