--- a/internal/peer/kinds.go
+++ b/internal/peer/kinds.go
@@ -21,7 +21,7 @@
 	// KindQuotaProbe asks whether a node is there, and KindQuotaContact is its answer, for
 	// the owners of tenants.
 	KindQuotaProbe   Kind = 8
-	KindQuotaContact Kind = 9
+	KindQuotaProbeReply Kind = 9
 	// KindHarm carries replicas that ended with the work that ran there, and work of which
 	// a run ended well.
 	KindHarm Kind = 10
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -257,7 +257,7 @@
 func (c *Coordinator) AnnounceStop() {
 	c.Limiter.prepareFinalReports()
 	c.sendDueReports()
-	c.broadcast(c.Fleet.Peers(), peer.KindQuotaContact, NodeStatus{Stopping: true})
+	c.broadcast(c.Fleet.Peers(), peer.KindQuotaProbeReply, NodeStatus{Stopping: true})
 }
 
 // processReport passes a report to the Allocator if this node counts the tenant's requests.
--- a/internal/quota/peers.go
+++ b/internal/quota/peers.go
@@ -253,13 +253,13 @@
 // Handlers returns the handlers for the message kinds of this package.
 func (c *Coordinator) Handlers() map[peer.Kind]peer.Handler {
 	return map[peer.Kind]peer.Handler{
-		peer.KindQuotaReport: c.HandleReports, peer.KindQuotaGrant: c.HandleGrants, peer.KindQuotaProbe: c.handleProbe, peer.KindQuotaContact: c.handleStatus,
+		peer.KindQuotaReport: c.HandleReports, peer.KindQuotaGrant: c.HandleGrants, peer.KindQuotaProbe: c.handleProbe, peer.KindQuotaProbeReply: c.handleStatus,
 	}
 }
 
 // handleProbe handles messages of peer.KindQuotaProbe.
 func (c *Coordinator) handleProbe(_ string, source *net.UDPAddr, _ []byte) {
-	c.send(source, peer.KindQuotaContact, NodeStatus{Confirmed: c.Fleet.SinceConfirmed() < sessionTrustedFor})
+	c.send(source, peer.KindQuotaProbeReply, NodeStatus{Confirmed: c.Fleet.SinceConfirmed() < sessionTrustedFor})
 }
 
 // handleStatus handles messages of peer.KindQuotaContact.
