--- a/internal/batch/feeder_test.go
+++ b/internal/batch/feeder_test.go
@@ -53,7 +53,7 @@
 		return &forward.Answer{Status: http.StatusUnprocessableEntity, Body: io.NopCloser(strings.NewReader(""))}, nil
 	}
 	text := "id: 1\ndata: \"yes \"\n\nid: 2\ndata: {\"model\":\"model\",\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"
-	return &forward.Answer{Status: http.StatusOK, Events: true, Body: io.NopCloser(strings.NewReader(text))}, nil
+	return &forward.Answer{Status: http.StatusOK, EventStream: true, Body: io.NopCloser(strings.NewReader(text))}, nil
 }
 
 // aliveSessions are the live nodes of a test.
--- a/internal/engine/backend.go
+++ b/internal/engine/backend.go
@@ -79,11 +79,11 @@
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
 	header.Set(HeaderAttempt, id+"@"+attempt.Replica.ID)
-	return &forward.Answer{Status: http.StatusOK, Header: header, Events: true, Load: loadOf(stream), Body: body}, nil
+	return &forward.Answer{Status: http.StatusOK, Header: header, EventStream: true, Load: loadOf(stream), Body: body}, nil
 }
 
 func (b *Backend) attemptID(request *forward.Request) string {
-	if request.Once && request.Batch {
+	if request.AtMostOnce && request.Batch {
 		return request.ID + attemptOnce
 	}
 	return fmt.Sprintf("%s%s%s.%d", request.ID, attemptSeparator, b.unique, b.turn.Add(1))
--- a/internal/engine/backend_test.go
+++ b/internal/engine/backend_test.go
@@ -86,7 +86,7 @@
 
 func attemptOf(info replica.Info, batch, once bool) *forward.Attempt {
 	return &forward.Attempt{Replica: info, Request: &forward.Request{
-		ID: "q", Target: "/v1/chat/completions", Body: []byte(`{"model":"m"}`), Batch: batch, Once: once,
+		ID: "q", Target: "/v1/chat/completions", Body: []byte(`{"model":"m"}`), Batch: batch, AtMostOnce: once,
 	}}
 }
 
--- a/internal/forward/cold.go
+++ b/internal/forward/cold.go
@@ -11,20 +11,20 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// errHeldBack reports that a replica must not get the request now, though it could when it
+// errNotAdmitted reports that a replica must not get the request now, though it could when it
 // was chosen. Nothing was sent.
-var errHeldBack = errors.New("replica is cold and has been sent as much as it bears, or has started again")
+var errNotAdmitted = errors.New("replica is cold and has been sent as much as it bears, or has started again")
 
-// feederTimeout bounds the question for a place at a cold replica. A place is of use only
+// coldGrantTimeout bounds the question for a place at a cold replica. A place is of use only
 // so long after it was asked for: later it would fall into another second. A way there
 // and back takes some 3 ms between zones.
-const feederTimeout = 50 * time.Millisecond
+const coldGrantTimeout = 50 * time.Millisecond
 
-// ColdFeeders are the nodes that feed cold replicas. It is safe for concurrent use.
-type ColdFeeders interface {
-	// Ask asks a node for a place at a replica that it feeds. It reports whether the
+// ColdGranter are the nodes that feed cold replicas. It is safe for concurrent use.
+type ColdGranter interface {
+	// RequestGrant asks a node for a place at a replica that it feeds. It reports whether the
 	// node gave one before the context ended.
-	Ask(ctx context.Context, feeder replica.Feeder) bool
+	RequestGrant(ctx context.Context, feeder replica.Feeder) bool
 }
 
 // coldOnly returns the error of a choice that waits for cold replicas alone, or nil.
@@ -35,33 +35,33 @@
 	return nil
 }
 
-// fedElsewhere reports whether a choice found none but cold replicas that other nodes
+// needsColdGrant reports whether a choice found none but cold replicas that other nodes
 // feed, or that this one may send a request no sooner.
-func (f *Forwarder) fedElsewhere(err error) bool {
+func (f *Forwarder) needsColdGrant(err error) bool {
 	none := coldOnly(err)
-	return none != nil && f.ColdFeeders != nil && none.ColdWait > coldLook
+	return none != nil && f.ColdGranter != nil && none.ColdWait > coldRecheckInterval
 }
 
-// askFeeder asks one of the nodes that feed cold replicas for a place. It returns the
+// requestColdGrant asks one of the nodes that feed cold replicas for a place. It returns the
 // replica to send the request to, or nil.
-func (c *call) askFeeder(ctx context.Context) *replica.Candidate {
-	if c.forwarder.ColdFeeders == nil {
+func (c *call) requestColdGrant(ctx context.Context) *replica.Candidate {
+	if c.forwarder.ColdGranter == nil {
 		return nil
 	}
 	feeders := c.forwarder.Replicas.Feeders(c.result.Pool, &c.demand, clock.Now())
 	if len(feeders) == 0 {
 		return nil
 	}
-	asked := chooseFeeder(feeders, c.forwarder.Zone)
-	askCtx, cancel := context.WithTimeout(ctx, feederTimeout)
+	granter := chooseGranter(feeders, c.forwarder.Zone)
+	askCtx, cancel := context.WithTimeout(ctx, coldGrantTimeout)
 	defer cancel()
 	began := clock.Now()
-	granted := c.forwarder.ColdFeeders.Ask(askCtx, asked)
+	granted := c.forwarder.ColdGranter.RequestGrant(askCtx, granter)
 	// A process that was stopped, or slept, may find the answer before its timers go off.
-	if !granted || askCtx.Err() != nil || clock.Since(began) >= feederTimeout {
+	if !granted || askCtx.Err() != nil || clock.Since(began) >= coldGrantTimeout {
 		return nil
 	}
-	chosen, listed := c.forwarder.Replicas.Listed(asked.Replica, clock.Now())
+	chosen, listed := c.forwarder.Replicas.Listed(granter.Replica, clock.Now())
 	if !listed || chosen.Evacuated {
 		return nil
 	}
@@ -69,9 +69,9 @@
 	return chosen
 }
 
-// chooseFeeder chooses at random, half of the times among those of replicas in a zone: if
+// chooseGranter chooses at random, half of the times among those of replicas in a zone: if
 // the zone is cut off there is no way to others.
-func chooseFeeder(feeders []replica.Feeder, zone string) replica.Feeder {
+func chooseGranter(feeders []replica.Feeder, zone string) replica.Feeder {
 	var near []replica.Feeder
 	for _, one := range feeders {
 		if one.Zone == zone {
@@ -91,15 +91,15 @@
 		// Nothing that may happen in time helps.
 		return err
 	}
-	room := waitForRoom
+	wait := capacityRetryInterval
 	if none := coldOnly(err); none != nil {
 		c.forwarder.Replicas.HeldBack()
-		room = max(time.Millisecond, none.ColdWait)
-		if c.forwarder.fedElsewhere(err) {
-			room = coldLook
+		wait = max(time.Millisecond, none.ColdWait)
+		if c.forwarder.needsColdGrant(err) {
+			wait = coldRecheckInterval
 		}
 	}
-	if waitErr := c.waitForRoom(ctx, room); waitErr != nil {
+	if waitErr := c.waitForCapacity(ctx, wait); waitErr != nil {
 		// The log tells why no replica could take it.
 		return fmt.Errorf("%w: %w", waitErr, err)
 	}
--- a/internal/forward/cold_test.go
+++ b/internal/forward/cold_test.go
@@ -16,12 +16,12 @@
 func coldForwarder(backend Backend, nodes []string, left time.Duration) *Forwarder {
 	forwarder := newForwarder(backend, 0)
 	forwarder.Replicas.LimitCold(map[string]replica.ColdLimit{testPool: {Rate: 15, Start: 3 * time.Second}})
-	forwarder.Replicas.Divide("a", nowhere(nodes...))
+	forwarder.Replicas.Divide("a", nodesWithoutPlace(nodes...))
 	forwarder.Replicas.Put(replica.Info{ID: "cold", Pool: testPool, Address: "cold", Slots: 4, ColdLeft: left})
 	return forwarder
 }
 
-func TestForward_WaitsForTheNextPlaceAtAColdReplica(t *testing.T) {
+func TestDo_WaitsForColdReplicaRateLimit(t *testing.T) {
 	backend := answerAll()
 	forwarder := coldForwarder(backend, []string{"a"}, 3*time.Second)
 	began := time.Now()
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestForward_RefusesEarlyWhatAColdReplicaCannotTakeInTime(t *testing.T) {
+func TestDo_RejectsEarlyWhenColdReplicaCannotServeInTime(t *testing.T) {
 	backend := answerAll()
 	forwarder := coldForwarder(backend, []string{"b"}, 30*time.Second)
 	began := time.Now()
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestForward_RetriesCountAtAColdReplica(t *testing.T) {
+func TestDo_RetriesCountAgainstColdRateLimit(t *testing.T) {
 	backend := &scriptedBackend{answer: func(context.Context, *Attempt, int) (*Answer, error) {
 		return nil, outcome.Failed(ErrRefused)
 	}}
@@ -72,9 +72,9 @@
 	}
 }
 
-func TestForward_TakesInThatAReplicaSaysItIsCold(t *testing.T) {
+func TestDo_RecordsReportedColdState(t *testing.T) {
 	backend := &scriptedBackend{answer: func(context.Context, *Attempt, int) (*Answer, error) {
-		answer := streamOf(events(1, 3))
+		answer := streamAnswer(events(1, 3))
 		answer.ColdLeft = time.Minute
 		return answer, nil
 	}}
@@ -87,62 +87,62 @@
 	}
 }
 
-// scriptedFeeders grant as told.
-type scriptedFeeders struct {
+// scriptedGranter grant as told.
+type scriptedGranter struct {
 	asked []replica.Feeder
 	grant func(number int) bool
 }
 
-func (f *scriptedFeeders) Ask(_ context.Context, feeder replica.Feeder) bool {
+func (f *scriptedGranter) RequestGrant(_ context.Context, feeder replica.Feeder) bool {
 	f.asked = append(f.asked, feeder)
 	return f.grant(len(f.asked))
 }
 
-func TestForward_AsksAFeederWhereItFeedsNoReplica(t *testing.T) {
+func TestDo_RequestsGrantFromOtherNode(t *testing.T) {
 	backend := answerAll()
 	forwarder := coldForwarder(backend, []string{"b"}, 30*time.Second)
-	feeders := &scriptedFeeders{grant: func(number int) bool { return number == 3 }}
-	forwarder.ColdFeeders = feeders
+	granter := &scriptedGranter{grant: func(number int) bool { return number == 3 }}
+	forwarder.ColdGranter = granter
 	if _, _, err := do(t, forwarder, routeOf(route.Stream, true, 2)); err != nil {
 		t.Fatal(err)
 	}
-	if len(backend.sent) != 1 || len(feeders.asked) != 3 || feeders.asked[0].Replica != "cold" || feeders.asked[0].Node != "b" {
-		t.Errorf("sent %d times, asked %v", len(backend.sent), feeders.asked)
+	if len(backend.sent) != 1 || len(granter.asked) != 3 || granter.asked[0].Replica != "cold" || granter.asked[0].Node != "b" {
+		t.Errorf("sent %d times, asked %v", len(backend.sent), granter.asked)
 	}
 	if forwarder.Replicas.Begin("cold", replica.Ask{}, time.Now()) != nil {
 		t.Error("a place that was granted once lets another request be sent")
 	}
 }
 
-func TestForward_RefusesInTimeWhereNoFeederGrants(t *testing.T) {
+func TestDo_RejectsInTimeWithoutGrant(t *testing.T) {
 	backend := answerAll()
 	forwarder := coldForwarder(backend, []string{"b"}, 30*time.Second)
-	forwarder.ColdFeeders = &scriptedFeeders{grant: func(int) bool { return false }}
+	forwarder.ColdGranter = &scriptedGranter{grant: func(int) bool { return false }}
 	_, _, err := do(t, forwarder, routeOf(route.Stream, true, 2))
 	if !errors.Is(err, ErrBusy) || outcome.Of(err) != outcome.NotDone || len(backend.sent) > 0 {
 		t.Errorf("sent %d times, %v", len(backend.sent), err)
 	}
 }
 
-func TestReserve_AsksAFeederOnceNoSlotIsSetAside(t *testing.T) {
+func TestReserve_RequestsGrantWhenNoSlotIsReserved(t *testing.T) {
 	backend := answerAll()
 	reserver := &scriptedReserver{answer: func(string) (string, error) { return "", errFull }}
-	forwarder := crowded(t, backend, reserver)
+	forwarder := saturatedForwarder(t, backend, reserver)
 	forwarder.Replicas.LimitCold(map[string]replica.ColdLimit{testPool: {Rate: 15, Start: 3 * time.Second}})
-	forwarder.Replicas.Divide("a", nowhere("b", "c"))
+	forwarder.Replicas.Divide("a", nodesWithoutPlace("b", "c"))
 	forwarder.Replicas.Put(replica.Info{ID: "cold", Pool: testPool, Address: "cold", Slots: 4, ColdLeft: 3 * time.Second})
-	feeders := &scriptedFeeders{grant: func(int) bool { return true }}
-	forwarder.ColdFeeders = feeders
+	granter := &scriptedGranter{grant: func(int) bool { return true }}
+	forwarder.ColdGranter = granter
 	if _, _, err := do(t, forwarder, routeOf(route.Stream, true, 2)); err != nil {
 		t.Fatal(err)
 	}
-	if len(reserver.asked) != reserveTries || len(feeders.asked) != 1 || backend.sent[0].Replica.ID != "cold" {
-		t.Errorf("asked %v and %v, sent to %s", reserver.asked, feeders.asked, backend.sent[0].Replica.ID)
+	if len(reserver.asked) != reserveTries || len(granter.asked) != 1 || backend.sent[0].Replica.ID != "cold" {
+		t.Errorf("asked %v and %v, sent to %s", reserver.asked, granter.asked, backend.sent[0].Replica.ID)
 	}
 }
 
-// nowhere are nodes of which it is not known where they are.
-func nowhere(ids ...string) []place.Node {
+// nodesWithoutPlace are nodes of which it is not known where they are.
+func nodesWithoutPlace(ids ...string) []place.Node {
 	var nodes []place.Node
 	for _, id := range ids {
 		nodes = append(nodes, place.Node{ID: id})
--- a/internal/forward/evacuate_test.go
+++ b/internal/forward/evacuate_test.go
@@ -13,11 +13,11 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-func TestDo_AWaitingRequestKnowsOfAnEvacuationAtOnce(t *testing.T) {
+func TestDo_WaitingRequestSeesEvacuation(t *testing.T) {
 	set := replica.NewSet()
 	set.Put(replica.Info{ID: "r", Pool: testPool, Zone: "a", Slots: 4})
 	backend := &scriptedBackend{answer: func(_ context.Context, _ *Attempt, number int) (*Answer, error) {
-		if number == refusalsInARow {
+		if number == refusalsPerPause {
 			set.Evacuate(map[string]bool{"a": true})
 		}
 		return nil, outcome.Failed(ErrRefused)
@@ -31,12 +31,12 @@
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("it took %v", took)
 	}
-	if len(backend.sent) != refusalsInARow {
+	if len(backend.sent) != refusalsPerPause {
 		t.Errorf("%d attempts, want none after the evacuation", len(backend.sent))
 	}
 }
 
-func TestDo_ARefusalTellsWhyNoReplicaCouldTakeIt(t *testing.T) {
+func TestDo_RejectionStatesReason(t *testing.T) {
 	set := replica.NewSet()
 	set.Put(replica.Info{ID: "r", Pool: testPool, Slots: 4})
 	backend := &scriptedBackend{answer: func(context.Context, *Attempt, int) (*Answer, error) {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -25,8 +25,8 @@
 var Error = errs.Class("forward")
 
 var (
-	// ErrCallerLeft reports that the caller went away.
-	ErrCallerLeft = errors.New("caller left")
+	// ErrCallerDisconnected reports that the caller went away.
+	ErrCallerDisconnected = errors.New("caller left")
 	// ErrTimeout reports that the time for the request was over.
 	ErrTimeout = errors.New("time is over")
 	// ErrBusy reports that no replica had room in time.
@@ -48,9 +48,9 @@
 	ErrStalled = errors.New("answer stalled")
 )
 
-// GaveUp reports whether the context of an attempt was ended because nothing came: its
+// CanceledAsUnresponsive reports whether the context of an attempt was ended because nothing came: its
 // connection may be dead, and those that rest with it.
-func GaveUp(ctx context.Context) bool {
+func CanceledAsUnresponsive(ctx context.Context) bool {
 	cause := context.Cause(ctx)
 	return errors.Is(cause, ErrSilent) || errors.Is(cause, ErrStalled)
 }
@@ -67,11 +67,11 @@
 	Header http.Header
 	Body   []byte
 	Prompt route.Prompt
-	// After is the last event that the caller has; 0 for none.
-	After int
-	// Once requests are never sent again once they may have run, whatever their
+	// LastEventID is the last event that the caller has; 0 for none.
+	LastEventID int
+	// AtMostOnce requests are never sent again once they may have run, whatever their
 	// route says.
-	Once bool
+	AtMostOnce bool
 	// Batch requests give way to others.
 	Batch bool
 	// Tenant names the caller; empty where callers are not told apart.
@@ -103,8 +103,8 @@
 type Attempt struct {
 	Request *Request
 	Replica replica.Info
-	// After is the last event passed on so far; 0 for none.
-	After int
+	// LastEventID is the last event passed on so far; 0 for none.
+	LastEventID int
 	// Deadline is when the replica may stop.
 	Deadline time.Time
 	// Reservation names the slot set aside for the request; empty if there is none.
@@ -115,8 +115,8 @@
 type Answer struct {
 	Status int
 	Header http.Header
-	// Events tells that the body is a stream of events.
-	Events bool
+	// EventStream tells that the body is a stream of events.
+	EventStream bool
 	// Load is what the replica said of its load; nil if it said nothing.
 	Load *replica.Load
 	// ColdLeft is how long the replica says that it is cold yet; 0 if it said nothing.
@@ -146,7 +146,7 @@
 	Head(status int, header http.Header) error
 	// Write passes on a piece of the body. It returns when the piece is sent
 	// or, with more set, may wait for the next one.
-	Write(piece []byte, more bool) error
+	Write(chunk []byte, more bool) error
 }
 
 // Result tells how a request ended, for logs and metrics.
@@ -161,10 +161,10 @@
 	// Refusals counts replicas that turned the request away unrun.
 	Refusals int
 	Events   int
-	// Started tells that the head of an answer has been passed on.
-	Started bool
-	// First is the time from receipt to the first byte of the body.
-	First time.Duration
+	// HeadSent tells that the head of an answer has been passed on.
+	HeadSent bool
+	// TimeToFirstByte is the time from receipt to the first byte of the body.
+	TimeToFirstByte time.Duration
 	// MaxGap is the longest pause between two events.
 	MaxGap time.Duration
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -34,20 +34,20 @@
 	return b.answer(ctx, attempt, number)
 }
 
-// recordedSink keeps what the caller got.
-type recordedSink struct {
+// recordingSink keeps what the caller got.
+type recordingSink struct {
 	status int
 	header http.Header
 	body   strings.Builder
 }
 
-func (s *recordedSink) Head(status int, header http.Header) error {
+func (s *recordingSink) Head(status int, header http.Header) error {
 	s.status, s.header = status, header
 	return nil
 }
 
-func (s *recordedSink) Write(piece []byte, _ bool) error {
-	s.body.Write(piece)
+func (s *recordingSink) Write(chunk []byte, _ bool) error {
+	s.body.Write(chunk)
 	return nil
 }
 
@@ -68,11 +68,11 @@
 	}
 }
 
-func streamOf(text string) *Answer {
-	return &Answer{Status: http.StatusOK, Header: http.Header{}, Events: true, Body: io.NopCloser(strings.NewReader(text))}
+func streamAnswer(text string) *Answer {
+	return &Answer{Status: http.StatusOK, Header: http.Header{}, EventStream: true, Body: io.NopCloser(strings.NewReader(text))}
 }
 
-func wholeOf(status int, text string) *Answer {
+func bufferedAnswer(status int, text string) *Answer {
 	return &Answer{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(text))}
 }
 
@@ -84,39 +84,39 @@
 	return text.String()
 }
 
-func do(t *testing.T, forwarder *Forwarder, target *route.Route) (*recordedSink, Result, error) {
+func do(t *testing.T, forwarder *Forwarder, target *route.Route) (*recordingSink, Result, error) {
 	t.Helper()
-	sink := &recordedSink{}
+	sink := &recordingSink{}
 	request := &Request{ID: "q", Method: http.MethodPost, Target: "/x", Received: time.Now(), Prompt: route.Prompt{Tokens: 100, MaxOutput: 20}}
 	result, err := forwarder.Do(t.Context(), target, request, sink)
 	return sink, result, err
 }
 
-func TestDo_BrokenStreamGoesOnWithoutASeam(t *testing.T) {
+func TestDo_BrokenStreamResumesSeamlessly(t *testing.T) {
 	backend := &scriptedBackend{answer: func(_ context.Context, attempt *Attempt, number int) (*Answer, error) {
 		if number == 1 {
-			return streamOf(events(1, 3) + "id: 4\nda"), nil
+			return streamAnswer(events(1, 3) + "id: 4\nda"), nil
 		}
-		return streamOf(events(attempt.After+1, 6)), nil
+		return streamAnswer(events(attempt.LastEventID+1, 6)), nil
 	}}
 	sink, result, err := do(t, newForwarder(backend, 3), routeOf(route.Stream, true, 2))
 	if err != nil || sink.body.String() != events(1, 6) {
 		t.Fatalf("caller got %q, %v", sink.body.String(), err)
 	}
-	if result.Attempts != 2 || backend.sent[1].After != 3 {
-		t.Fatalf("attempts %d, second after %d", result.Attempts, backend.sent[1].After)
+	if result.Attempts != 2 || backend.sent[1].LastEventID != 3 {
+		t.Fatalf("attempts %d, second after %d", result.Attempts, backend.sent[1].LastEventID)
 	}
 	if backend.sent[0].Replica.ID == backend.sent[1].Replica.ID {
 		t.Fatal("the stream went on at the replica that broke it off")
 	}
 }
 
-func TestDo_EventsThatTheCallerHasAreNotRepeated(t *testing.T) {
+func TestDo_ReceivedEventsAreNotRepeated(t *testing.T) {
 	backend := &scriptedBackend{answer: func(_ context.Context, _ *Attempt, number int) (*Answer, error) {
 		if number == 1 {
-			return streamOf(events(1, 3) + "id"), nil
+			return streamAnswer(events(1, 3) + "id"), nil
 		}
-		return streamOf(events(1, 5)), nil
+		return streamAnswer(events(1, 5)), nil
 	}}
 	sink, _, err := do(t, newForwarder(backend, 3), routeOf(route.Stream, true, 2))
 	if err != nil || sink.body.String() != events(1, 5) {
@@ -124,17 +124,17 @@
 	}
 }
 
-func TestDo_GapInEventsIsNoAnswer(t *testing.T) {
+func TestDo_GapInEventIDsFails(t *testing.T) {
 	backend := &scriptedBackend{answer: func(context.Context, *Attempt, int) (*Answer, error) {
-		return streamOf(events(1, 2) + events(4, 5)), nil
+		return streamAnswer(events(1, 2) + events(4, 5)), nil
 	}}
 	sink, result, err := do(t, newForwarder(backend, 3), routeOf(route.Stream, true, 2))
-	if err == nil || sink.body.String() != events(1, 2) || !result.Started {
+	if err == nil || sink.body.String() != events(1, 2) || !result.HeadSent {
 		t.Fatalf("caller got %q, %v", sink.body.String(), err)
 	}
 }
 
-func TestDo_StreamThatMayNotRepeatIsSentOnce(t *testing.T) {
+func TestDo_NonRepeatableRequestIsSentOnce(t *testing.T) {
 	for _, target := range []*route.Route{routeOf(route.Stream, false, 3), routeOf(route.Once, false, 3)} {
 		backend := &scriptedBackend{answer: func(context.Context, *Attempt, int) (*Answer, error) {
 			return nil, outcome.Undecided(ErrBroken)
@@ -146,12 +146,12 @@
 	}
 }
 
-func TestDo_RefusalsAreTriedElsewhereAndCountForNothing(t *testing.T) {
+func TestDo_RefusalsDoNotCountAsAttempts(t *testing.T) {
 	backend := &scriptedBackend{answer: func(_ context.Context, _ *Attempt, number int) (*Answer, error) {
 		if number <= 4 {
 			return nil, outcome.Failed(ErrRefused)
 		}
-		return wholeOf(http.StatusOK, "body"), nil
+		return bufferedAnswer(http.StatusOK, "body"), nil
 	}}
 	sink, result, err := do(t, newForwarder(backend, 3), routeOf(route.Once, false, 1))
 	if err != nil || sink.body.String() != "body" || result.Attempts != 1 || result.Refusals != 4 {
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestDo_NotRunAtTheTimeout(t *testing.T) {
+func TestDo_TimeoutWithoutRunIsNotDone(t *testing.T) {
 	backend := &scriptedBackend{answer: func(context.Context, *Attempt, int) (*Answer, error) {
 		return nil, outcome.Failed(ErrRefused)
 	}}
@@ -171,7 +171,7 @@
 	}
 }
 
-func TestDo_FinalAnswerAtTheTimeout(t *testing.T) {
+func TestDo_TimeoutAfterSendIsUnknown(t *testing.T) {
 	backend := &scriptedBackend{answer: func(ctx context.Context, _ *Attempt, _ int) (*Answer, error) {
 		<-ctx.Done()
 		return nil, outcome.Undecided(ErrBroken)
@@ -188,13 +188,13 @@
 	}
 }
 
-func TestDo_ResumableStreamLeavesASilentReplica(t *testing.T) {
+func TestDo_ResumableStreamAbandonsSilentReplica(t *testing.T) {
 	backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, number int) (*Answer, error) {
 		if number == 1 {
 			<-ctx.Done()
 			return nil, outcome.Undecided(ErrBroken)
 		}
-		return streamOf(events(attempt.After+1, 2)), nil
+		return streamAnswer(events(attempt.LastEventID+1, 2)), nil
 	}}
 	sink, _, err := do(t, newForwarder(backend, 2), routeOf(route.Stream, true, 2))
 	if err != nil || sink.body.String() != events(1, 2) {
@@ -202,9 +202,9 @@
 	}
 }
 
-func TestDo_FailureOfTheReplicaIsPassedOnAsItIs(t *testing.T) {
+func TestDo_ReplicaFailureIsForwardedUnchanged(t *testing.T) {
 	backend := &scriptedBackend{answer: func(context.Context, *Attempt, int) (*Answer, error) {
-		answer := wholeOf(http.StatusInternalServerError, "failed")
+		answer := bufferedAnswer(http.StatusInternalServerError, "failed")
 		answer.Header.Set("X-Mark", "replica")
 		return answer, nil
 	}}
@@ -217,7 +217,7 @@
 	}
 }
 
-func TestDo_CallerThatLeavesEndsTheAttempt(t *testing.T) {
+func TestDo_CallerDisconnectCancelsAttempt(t *testing.T) {
 	ended := make(chan struct{})
 	backend := &scriptedBackend{answer: func(ctx context.Context, _ *Attempt, _ int) (*Answer, error) {
 		<-ctx.Done()
@@ -227,26 +227,26 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
 	request := &Request{ID: "q", Received: time.Now()}
-	_, err := newForwarder(backend, 1).Do(ctx, routeOf(route.Once, false, 1), request, &recordedSink{})
+	_, err := newForwarder(backend, 1).Do(ctx, routeOf(route.Once, false, 1), request, &recordingSink{})
 	<-ended
-	if !errors.Is(err, ErrCallerLeft) {
+	if !errors.Is(err, ErrCallerDisconnected) {
 		t.Fatalf("error is %v", err)
 	}
 }
 
-// TestDo_FailureThatIsPassedOnSpeaksAgainstTheReplica has a replica answer 500 to
+// TestDo_ForwardedFailureCountsAgainstReplica has a replica answer 500 to
 // requests that cannot be sent again: the answers are theirs, and the replica is left.
-func TestDo_FailureThatIsPassedOnSpeaksAgainstTheReplica(t *testing.T) {
+func TestDo_ForwardedFailureCountsAgainstReplica(t *testing.T) {
 	backend := &scriptedBackend{answer: func(_ context.Context, attempt *Attempt, _ int) (*Answer, error) {
 		if attempt.Replica.ID == "r0" {
-			return wholeOf(http.StatusInternalServerError, "no"), nil
+			return bufferedAnswer(http.StatusInternalServerError, "no"), nil
 		}
-		return streamOf(events(1, 3)), nil
+		return streamAnswer(events(1, 3)), nil
 	}}
 	forwarder := newForwarder(backend, 2)
 	failed := 0
 	for i := range uint64(30) {
-		sink := &recordedSink{}
+		sink := &recordingSink{}
 		request := &Request{ID: "q", Received: time.Now(), Prompt: route.Prompt{Parts: []route.Part{{Key: i + 1}, {Key: 99}}}}
 		if _, err := forwarder.Do(t.Context(), routeOf(route.Once, false, 1), request, sink); err != nil {
 			t.Fatal(err)
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// waitForRoom is the pause before replicas that refused are asked again.
-	waitForRoom = 25 * time.Millisecond
-	// coldLook bounds the pause before cold replicas are looked at again: one may be
+	// capacityRetryInterval is the pause before replicas that refused are asked again.
+	capacityRetryInterval = 25 * time.Millisecond
+	// coldRecheckInterval bounds the pause before cold replicas are looked at again: one may be
 	// listed, or told to be warm, meanwhile.
-	coldLook = 100 * time.Millisecond
-	// refusalsInARow is the number of refusals after which a request pauses.
-	refusalsInARow = 3
+	coldRecheckInterval = 100 * time.Millisecond
+	// refusalsPerPause is the number of refusals after which a request pauses.
+	refusalsPerPause = 3
 )
 
-// Notice is told of what happens to a request, for the log.
-type Notice interface {
+// Observer is told of what happens to a request, for the log.
+type Observer interface {
 	// Sent tells of an attempt and of what made the replica the best.
 	Sent(request *Request, attempt int, chosen *replica.Candidate, predicted time.Duration)
 	// Reserved tells of a replica that was asked for a free slot, and of its answer.
 	Reserved(request *Request, asked *replica.Candidate, took time.Duration, err error)
-	// Begun tells of the first event of an attempt and of its predicted time.
-	Begun(request *Request, predicted, actual time.Duration)
+	// FirstEvent tells of the first event of an attempt and of its predicted time.
+	FirstEvent(request *Request, predicted, actual time.Duration)
 	// Failed tells of an attempt that did not bring the whole answer.
 	Failed(request *Request, attempt int, chosen replica.Info, err error)
 }
@@ -43,15 +43,15 @@
 	Budget   *retry.Budget
 	Weights  replica.Weights
 	// Zone and Region are where this node is.
-	Zone   string
-	Region string
-	Notice Notice
+	Zone     string
+	Region   string
+	Observer Observer
 	// Reserver, if set, is asked for a free slot elsewhere by requests that find none
 	// among their node's own.
 	Reserver Reserver
-	// ColdFeeders, if set, are asked by requests that find none but cold replicas which
+	// ColdGranter, if set, are asked by requests that find none but cold replicas which
 	// this node does not feed.
-	ColdFeeders ColdFeeders
+	ColdGranter ColdGranter
 	// Quarantine, if set, keeps work from replicas that ended others.
 	Quarantine Quarantine
 }
@@ -65,17 +65,17 @@
 	deadline  time.Time
 	result    Result
 	demand    replica.Demand
-	// after is the last event passed on; next is when its successor is overdue.
-	after     int
-	lastEvent time.Time
+	// lastEventID is the last event passed on; next is when its successor is overdue.
+	lastEventID int
+	lastEventAt time.Time
 	// reservation names the slot set aside for the next attempt.
 	reservation string
-	// ran tells whether the request may have run anywhere.
-	ran bool
+	// mayHaveRun tells whether the request may have run anywhere.
+	mayHaveRun bool
 	// predicted is the time to the first event of the attempt under way, sent when
 	// it was sent; zero once it has begun.
 	predicted time.Duration
-	sent      time.Time
+	sentAt    time.Time
 	// status is that of the answer of the last attempt; 0 if there was none.
 	status int
 	// slowestRefusal is the longest time that an attempt took which did not run.
@@ -86,21 +86,21 @@
 // reached the sink. The outcome of an error tells whether the request ran.
 func (f *Forwarder) Do(ctx context.Context, target *route.Route, request *Request, sink Sink) (Result, error) {
 	f.Budget.Request()
-	one := &call{forwarder: f, route: target, request: request, sink: sink, after: request.After}
-	one.deadline = deadlineOf(target, request)
-	one.result.Pool = target.Pool()
-	one.demand = replica.Demand{
+	c := &call{forwarder: f, route: target, request: request, sink: sink, lastEventID: request.LastEventID}
+	c.deadline = deadlineOf(target, request)
+	c.result.Pool = target.Pool()
+	c.demand = replica.Demand{
 		Zone: f.Zone, Region: f.Region, Ask: replica.Ask{Tokens: request.Prompt.Tokens}, Affinity: affinityOf(request.Prompt), Shared: sharedTokens(request.Prompt),
 		Adapter: target.Adapter, Exclude: map[string]bool{}, Regions: target.Regions.And(request.Regions),
-		Single: !one.mayRepeat() || target.MaxAttempts < 2,
+		Single: !c.mayRepeat() || target.MaxAttempts < 2,
 	}
-	if !one.deadline.IsZero() {
+	if !c.deadline.IsZero() {
 		var cancel context.CancelFunc
-		ctx, cancel = clock.WithDeadline(ctx, one.deadline, ErrTimeout)
+		ctx, cancel = clock.WithDeadline(ctx, c.deadline, ErrTimeout)
 		defer cancel()
 	}
-	err := one.run(ctx)
-	return one.result, err
+	err := c.run(ctx)
+	return c.result, err
 }
 
 // Predict estimates the time until a request would get its first event. It
@@ -154,49 +154,49 @@
 
 func (c *call) run(ctx context.Context) error {
 	for {
-		if err := c.quarantined(ctx); err != nil {
-			return c.failure(err)
+		if err := c.checkQuarantine(ctx); err != nil {
+			return c.withOutcome(err)
 		}
 		chosen, err := c.pick()
-		if c.forwarder.fedElsewhere(err) {
-			chosen = c.askFeeder(ctx)
+		if c.forwarder.needsColdGrant(err) {
+			chosen = c.requestColdGrant(ctx)
 		}
 		if chosen == nil {
 			if waitErr := c.waitForReplica(ctx, err); waitErr != nil {
-				return c.failure(waitErr)
+				return c.withOutcome(waitErr)
 			}
 			continue
 		}
 		if !c.demand.Granted {
 			chosen = c.reserve(ctx, chosen)
 		}
-		if now := clock.Now(); !c.inTime(chosen, now) {
-			return c.failure(c.outOfTime(now))
+		if now := clock.Now(); !c.hasTimeFor(chosen, now) {
+			return c.withOutcome(c.outOfTimeError(now))
 		}
 		began := clock.Now()
 		err = c.attempt(ctx, chosen)
-		c.tellQuarantine(ctx, chosen, began, err)
+		c.reportToQuarantine(ctx, chosen, began, err)
 		if err == nil {
 			return nil
 		}
-		if errors.Is(err, errHeldBack) {
+		if errors.Is(err, errNotAdmitted) {
 			// Others have used the rate up, or the replica has started again meanwhile; the
 			// next choice knows.
 			continue
 		}
 		if outcome.Of(err) != outcome.NotDone {
-			c.ran = true
+			c.mayHaveRun = true
 		}
 		if ctx.Err() != nil {
-			return c.failure(contextError(ctx))
+			return c.withOutcome(contextError(ctx))
 		}
-		if errors.Is(err, ErrCallerLeft) || !c.mayGoOn(err) {
-			return c.failure(err)
+		if errors.Is(err, ErrCallerDisconnected) || !c.shouldRetry(err) {
+			return c.withOutcome(err)
 		}
 		c.demand.Exclude[chosen.Incarnation()] = true
-		if c.result.Refusals >= refusalsInARow && c.result.Refusals%refusalsInARow == 0 {
-			if waitErr := c.waitForRoom(ctx, waitForRoom); waitErr != nil {
-				return c.failure(fmt.Errorf("%w: %w", waitErr, err))
+		if c.result.Refusals >= refusalsPerPause && c.result.Refusals%refusalsPerPause == 0 {
+			if waitErr := c.waitForCapacity(ctx, capacityRetryInterval); waitErr != nil {
+				return c.withOutcome(fmt.Errorf("%w: %w", waitErr, err))
 			}
 		}
 	}
@@ -207,11 +207,11 @@
 	if errors.Is(context.Cause(ctx), ErrTimeout) {
 		return ErrTimeout
 	}
-	return ErrCallerLeft
+	return ErrCallerDisconnected
 }
 
-func (c *call) failure(err error) error {
-	if c.ran {
+func (c *call) withOutcome(err error) error {
+	if c.mayHaveRun {
 		return Error.Wrap(outcome.Undecided(err))
 	}
 	return Error.Wrap(outcome.Failed(err))
@@ -224,8 +224,8 @@
 	return replica.Pick(candidates, &c.demand, c.forwarder.Weights)
 }
 
-// mayGoOn decides whether another attempt may be made after a failed one.
-func (c *call) mayGoOn(err error) bool {
+// shouldRetry decides whether another attempt may be made after a failed one.
+func (c *call) shouldRetry(err error) bool {
 	if outcome.Of(err) == outcome.NotDone {
 		c.result.Refusals++
 		return true
@@ -233,14 +233,14 @@
 	if c.result.Attempts >= c.route.MaxAttempts || !c.mayRepeat() {
 		return false
 	}
-	if c.result.Started && c.route.Kind != route.Stream {
+	if c.result.HeadSent && c.route.Kind != route.Stream {
 		return false
 	}
 	return c.forwarder.Budget.Retry()
 }
 
 // mayRepeat reports whether the request may run more than once.
-func (c *call) mayRepeat() bool { return !c.request.Once && c.route.MayRepeat() }
+func (c *call) mayRepeat() bool { return !c.request.AtMostOnce && c.route.MayRepeat() }
 
 func (c *call) attempt(ctx context.Context, chosen *replica.Candidate) error {
 	now := clock.Now()
@@ -248,49 +248,49 @@
 	c.demand.Granted = false
 	if use == nil {
 		c.reservation, c.demand.Reserved = "", false
-		return errHeldBack
+		return errNotAdmitted
 	}
 	c.result.Attempts++
 	c.result.Replica, c.result.Region = chosen.ID, chosen.Region
 	c.result.Distance = c.demand.Distance(chosen)
-	c.predicted, c.sent, c.status = chosen.Expected(c.demand.Ask), now, 0
-	if c.forwarder.Notice != nil {
-		c.forwarder.Notice.Sent(c.request, c.result.Attempts, chosen, c.predicted)
+	c.predicted, c.sentAt, c.status = chosen.Expected(c.demand.Ask), now, 0
+	if c.forwarder.Observer != nil {
+		c.forwarder.Observer.Sent(c.request, c.result.Attempts, chosen, c.predicted)
 	}
-	stop := context.AfterFunc(ctx, func() { release(use) })
+	stop := context.AfterFunc(ctx, func() { releaseSlot(use) })
 	err := c.exchange(ctx, chosen.Info, use)
 	stop()
-	c.refused(err, clock.Since(now))
+	c.recordRefusal(err, clock.Since(now))
 	c.reservation, c.demand.Reserved = "", false
 	if c.result.Events > 0 {
 		c.demand.Version = chosen.Version
 	}
-	use.End(c.evidence(ctx, use, err), clock.Now())
+	use.End(c.healthResult(ctx, use, err), clock.Now())
 	if err == nil {
 		return nil
 	}
 	if outcome.Of(err) == outcome.NotDone {
 		c.result.Attempts--
 	}
-	if c.forwarder.Notice != nil {
-		c.forwarder.Notice.Failed(c.request, c.result.Attempts, chosen.Info, err)
+	if c.forwarder.Observer != nil {
+		c.forwarder.Observer.Failed(c.request, c.result.Attempts, chosen.Info, err)
 	}
 	return err
 }
 
-// releaseAfter is how long after its end a request may still tell how its attempt ended. What
+// slotReleaseDelay is how long after its end a request may still tell how its attempt ended. What
 // takes longer is a caller that reads no more.
-const releaseAfter = time.Second
+const slotReleaseDelay = time.Second
 
-// release gives the slot of an attempt back whose request has ended, also while its caller
+// releaseSlot gives the slot of an attempt back whose request has ended, also while its caller
 // reads no more: the replica's connection is closed by then, and the slot is free.
-func release(use *replica.Use) {
-	time.Sleep(releaseAfter)
+func releaseSlot(use *replica.Use) {
+	time.Sleep(slotReleaseDelay)
 	use.End(replica.Abandoned, clock.Now())
 }
 
-// resultOf tells what an attempt's error means for the replica's health.
-func resultOf(ctx context.Context, err error) replica.Result {
+// resultOfError tells what an attempt's error means for the replica's health.
+func resultOfError(ctx context.Context, err error) replica.Result {
 	switch {
 	case err == nil:
 		return replica.Succeeded
@@ -298,23 +298,23 @@
 		return replica.Unreachable
 	case errors.Is(err, ErrRefused):
 		return replica.Refused
-	case errors.Is(err, ErrCallerLeft), errors.Is(err, ErrStalled), ctx.Err() != nil:
+	case errors.Is(err, ErrCallerDisconnected), errors.Is(err, ErrStalled), ctx.Err() != nil:
 		return replica.Abandoned
 	default:
 		return replica.Failed
 	}
 }
 
-// silenceFails is the silence of a replica, to all requests of this node, from which on
+// silenceFailureThreshold is the silence of a replica, to all requests of this node, from which on
 // it counts as a failure when a request ends in it: as long as items wait.
-const silenceFails = 2 * time.Second
+const silenceFailureThreshold = 2 * time.Second
 
-// evidence tells what the end of an attempt says of the replica. An answer that was
+// healthResult tells what the end of an attempt says of the replica. An answer that was
 // passed on because it was the last word may be a failure all the same.
-func (c *call) evidence(ctx context.Context, use *replica.Use, err error) replica.Result {
-	result := resultOf(ctx, err)
+func (c *call) healthResult(ctx context.Context, use *replica.Use, err error) replica.Result {
+	result := resultOfError(ctx, err)
 	switch {
-	case result == replica.Abandoned && !c.sent.IsZero() && use.Silence(clock.Now()) >= silenceFails:
+	case result == replica.Abandoned && !c.sentAt.IsZero() && use.Silence(clock.Now()) >= silenceFailureThreshold:
 		return replica.Failed
 	case err == nil && c.status == http.StatusGatewayTimeout:
 		// It stopped at the deadline that it was given.
@@ -330,17 +330,17 @@
 func (c *call) exchange(ctx context.Context, chosen replica.Info, use *replica.Use) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := c.watchSilence(use, cancel)
+	watch := c.startSilenceWatchdog(use, cancel)
 	defer watch.stop()
 	seen := c.watchRestart(ctx, use, cancel)
 	answer, err := c.forwarder.Backend.Send(ctx, &Attempt{
-		Request: c.request, Replica: chosen, After: c.after, Deadline: c.replicaDeadline(c.result.Distance), Reservation: c.reservation,
+		Request: c.request, Replica: chosen, LastEventID: c.lastEventID, Deadline: c.replicaDeadline(c.result.Distance), Reservation: c.reservation,
 	})
 	if err != nil {
-		return givenUp(ctx, err)
+		return cancellationError(ctx, err)
 	}
 	c.status = answer.Status
-	seen.note()
+	seen.record()
 	answer.Body = &observedBody{ReadCloser: answer.Body, progress: seen}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.ColdLeft > 0 {
@@ -349,15 +349,15 @@
 	if answer.Load != nil {
 		use.Load(*answer.Load, clock.Now())
 	}
-	if answer.Events && answer.Status == http.StatusOK {
-		return givenUp(ctx, c.passEvents(answer, use, watch))
+	if answer.EventStream && answer.Status == http.StatusOK {
+		return cancellationError(ctx, c.forwardEvents(answer, use, watch))
 	}
-	return givenUp(ctx, c.passWhole(answer, use))
+	return cancellationError(ctx, c.forwardBuffered(answer, use))
 }
 
-// givenUp replaces an error that comes of this side's own giving up of an attempt. One that
+// cancellationError replaces an error that comes of this side's own giving up of an attempt. One that
 // was left for a restart and surely did not run is reported as it is.
-func givenUp(ctx context.Context, err error) error {
+func cancellationError(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
 	switch {
 	case err == nil:
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -26,10 +26,10 @@
 	BrokeOff(ctx context.Context, replica quarantine.Replica, run quarantine.Run)
 }
 
-// MayHaveEnded reports whether an attempt ended as it does if its replica ends: after the
+// LooksLikeCrash reports whether an attempt ended as it does if its replica ends: after the
 // request may have begun to run, and not by an answer or by this side's giving up. status is
 // that of the answer, 0 if none came.
-func MayHaveEnded(err error, status int) bool {
+func LooksLikeCrash(err error, status int) bool {
 	if err == nil || outcome.Of(err) == outcome.NotDone || status >= http.StatusInternalServerError {
 		return false
 	}
@@ -41,23 +41,23 @@
 	return false
 }
 
-// quarantined returns the error of a request whose work must not be sent.
-func (c *call) quarantined(ctx context.Context) error {
+// checkQuarantine returns the error of a request whose work must not be sent.
+func (c *call) checkQuarantine(ctx context.Context) error {
 	if c.forwarder.Quarantine == nil {
 		return nil
 	}
 	return c.forwarder.Quarantine.RefuseRequest(ctx, c.request.Work)
 }
 
-// tellQuarantine tells how an attempt ended. After one that may have ended its replica it
+// reportToQuarantine tells how an attempt ended. After one that may have ended its replica it
 // waits for word of that, for the next attempt is decided about by it.
-func (c *call) tellQuarantine(ctx context.Context, chosen *replica.Candidate, began time.Time, err error) {
+func (c *call) reportToQuarantine(ctx context.Context, chosen *replica.Candidate, began time.Time, err error) {
 	guard := c.forwarder.Quarantine
 	switch {
 	case guard == nil:
 	case err == nil && c.status < http.StatusInternalServerError:
 		guard.EndedWell(c.request.Work())
-	case MayHaveEnded(err, c.status):
+	case LooksLikeCrash(err, c.status):
 		guard.BrokeOff(ctx, quarantine.Replica{ID: chosen.ID, Born: chosen.Born, Address: chosen.Address}, quarantine.Run{Work: c.request.Work(), Began: began})
 	}
 }
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -8,29 +8,29 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// toldGuard records what the quarantine is told.
-type toldGuard struct{ broken []quarantine.Replica }
+// recordingGuard records what the quarantine is told.
+type recordingGuard struct{ broken []quarantine.Replica }
 
-func (g *toldGuard) RefuseRequest(context.Context, func() quarantine.Work) error { return nil }
-func (g *toldGuard) Refuse(func() quarantine.Work) error                         { return nil }
-func (g *toldGuard) EndedWell(quarantine.Work)                                   {}
-func (g *toldGuard) BrokeOff(_ context.Context, broken quarantine.Replica, _ quarantine.Run) {
+func (g *recordingGuard) RefuseRequest(context.Context, func() quarantine.Work) error { return nil }
+func (g *recordingGuard) Refuse(func() quarantine.Work) error                         { return nil }
+func (g *recordingGuard) EndedWell(quarantine.Work)                                   {}
+func (g *recordingGuard) BrokeOff(_ context.Context, broken quarantine.Replica, _ quarantine.Run) {
 	g.broken = append(g.broken, broken)
 }
 
-// TestRestart_TheQuarantineIsToldWhichStartEnded: what ran there may have ended it.
-func TestRestart_TheQuarantineIsToldWhichStartEnded(t *testing.T) {
-	forwarder, guard := startingForwarder(nil, 2), &toldGuard{}
+// TestRestart_ReportsCrashedInstanceToQuarantine: what ran there may have ended it.
+func TestRestart_ReportsCrashedInstanceToQuarantine(t *testing.T) {
+	forwarder, guard := forwarderWithStartTimes(nil, 2), &recordingGuard{}
 	backend := &scriptedBackend{}
 	backend.answer = func(ctx context.Context, attempt *Attempt, number int) (*Answer, error) {
 		if number > 1 {
-			return streamOf(events(1, 2)), nil
+			return streamAnswer(events(1, 2)), nil
 		}
-		listStart(forwarder, attempt.Replica.ID, 2000, attempt.Replica.Address)
+		announceStart(forwarder, attempt.Replica.ID, 2000, attempt.Replica.Address)
 		return silentStream(ctx, ""), nil
 	}
 	forwarder.Backend, forwarder.Quarantine = backend, guard
-	if _, _, err := do(t, forwarder, patient(route.Stream, true, 2)); err != nil {
+	if _, _, err := do(t, forwarder, patientRoute(route.Stream, true, 2)); err != nil {
 		t.Fatal(err)
 	}
 	if len(guard.broken) != 1 || guard.broken[0].Born != 1000 {
--- a/internal/forward/refusal_test.go
+++ b/internal/forward/refusal_test.go
@@ -34,9 +34,9 @@
 	}}
 }
 
-// TestDo_ARequestThatIsAlwaysRefusedIsKnownNotToHaveRun: an attempt whose refusal can only
+// TestDo_AlwaysRefusedRequestIsNotDone: an attempt whose refusal can only
 // come after the deadline turns a true "not run" into "nobody knows".
-func TestDo_ARequestThatIsAlwaysRefusedIsKnownNotToHaveRun(t *testing.T) {
+func TestDo_AlwaysRefusedRequestIsNotDone(t *testing.T) {
 	for delay := time.Millisecond; delay <= 120*time.Millisecond; delay += 7 * time.Millisecond {
 		for replicas := 1; replicas <= 4; replicas++ {
 			synctest.Test(t, func(t *testing.T) {
@@ -60,7 +60,7 @@
 		if !afterDelay(ctx, delay) {
 			return nil, outcome.Undecided(ErrBroken)
 		}
-		return streamOf(events(1, 3)), nil
+		return streamAnswer(events(1, 3)), nil
 	}}
 }
 
@@ -68,11 +68,11 @@
 func doWithin(t *testing.T, forwarder *Forwarder, left time.Duration) error {
 	t.Helper()
 	request := &Request{ID: "q", Method: http.MethodPost, Target: "/x", Received: time.Now(), Deadline: time.Now().Add(left)}
-	_, err := forwarder.Do(t.Context(), routeOf(route.Stream, true, 2), request, &recordedSink{})
+	_, err := forwarder.Do(t.Context(), routeOf(route.Stream, true, 2), request, &recordingSink{})
 	return err
 }
 
-func TestDo_AnAttemptThatCannotBeginInTimeIsNotBegun(t *testing.T) {
+func TestDo_AttemptThatCannotBeginInTimeIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := slowStream(300 * time.Millisecond)
 		forwarder := newForwarder(backend, 2)
@@ -96,8 +96,8 @@
 	})
 }
 
-// TestDo_NothingLearnedKeepsNoRequestBack: what is not known is tried.
-func TestDo_NothingLearnedKeepsNoRequestBack(t *testing.T) {
+// TestDo_UnknownLatencyDoesNotBlockAttempt: what is not known is tried.
+func TestDo_UnknownLatencyDoesNotBlockAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		if err := doWithin(t, newForwarder(slowStream(20*time.Millisecond), 1), 60*time.Millisecond); err != nil {
 			t.Error(err)
@@ -105,9 +105,9 @@
 	})
 }
 
-// TestDo_MixedTimesKeepNoRequestBack: where some answers begin far sooner than others, an
+// TestDo_MixedLatencyDoesNotBlockAttempt: where some answers begin far sooner than others, an
 // attempt may still be in time.
-func TestDo_MixedTimesKeepNoRequestBack(t *testing.T) {
+func TestDo_MixedLatencyDoesNotBlockAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, _ *Attempt, number int) (*Answer, error) {
 			delay := 20 * time.Millisecond
@@ -117,7 +117,7 @@
 			if !afterDelay(ctx, delay) {
 				return nil, outcome.Undecided(ErrBroken)
 			}
-			return streamOf(events(1, 3)), nil
+			return streamAnswer(events(1, 3)), nil
 		}}
 		forwarder := newForwarder(backend, 1)
 		for range 40 {
@@ -131,39 +131,39 @@
 	})
 }
 
-// patientRoute has no objective, so that no replica's silence ends an attempt.
-func patientRoute() *route.Route {
+// routeWithoutObjective has no objective, so that no replica's silence ends an attempt.
+func routeWithoutObjective() *route.Route {
 	target := routeOf(route.Repeatable, true, 3)
 	target.Objective = 0
 	return target
 }
 
-// TestDo_ARunThatTheDeadlineEndsIsATimeout: what may have run is never called refused.
-func TestDo_ARunThatTheDeadlineEndsIsATimeout(t *testing.T) {
+// TestDo_DeadlineDuringRunIsTimeout: what may have run is never called refused.
+func TestDo_DeadlineDuringRunIsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, _ int) (*Answer, error) {
 			afterDelay(ctx, time.Until(attempt.Deadline))
-			return wholeOf(http.StatusGatewayTimeout, ""), nil
+			return bufferedAnswer(http.StatusGatewayTimeout, ""), nil
 		}}
-		_, _, err := do(t, newForwarder(backend, 2), patientRoute())
+		_, _, err := do(t, newForwarder(backend, 2), routeWithoutObjective())
 		if !errors.Is(err, ErrTimeout) || outcome.Of(err) != outcome.Unknown {
 			t.Errorf("%v, ran: %v", err, outcome.Of(err))
 		}
 	})
 }
 
-// TestDo_AQueuedRequestThatDidNotRunSaysSo: a replica's word that the deadline passed in
+// TestDo_QueuedRequestPastDeadlineIsNotDone: a replica's word that the deadline passed in
 // its queue comes back before the caller's own deadline.
-func TestDo_AQueuedRequestThatDidNotRunSaysSo(t *testing.T) {
+func TestDo_QueuedRequestPastDeadlineIsNotDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const way = 2 * time.Millisecond
+		const oneWayDelay = 2 * time.Millisecond
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, _ int) (*Answer, error) {
-			if !afterDelay(ctx, time.Until(attempt.Deadline)+2*way) {
+			if !afterDelay(ctx, time.Until(attempt.Deadline)+2*oneWayDelay) {
 				return nil, outcome.Undecided(ErrBroken)
 			}
 			return nil, outcome.Failed(ErrRefused)
 		}}
-		_, _, err := do(t, newForwarder(backend, 1), patientRoute())
+		_, _, err := do(t, newForwarder(backend, 1), routeWithoutObjective())
 		if !errors.Is(err, ErrBusy) || outcome.Of(err) != outcome.NotDone {
 			t.Errorf("%v, ran: %v", err, outcome.Of(err))
 		}
--- a/internal/forward/reserve.go
+++ b/internal/forward/reserve.go
@@ -22,13 +22,13 @@
 	// reserveTries is the number of replicas of the own region that are asked for a
 	// slot.
 	reserveTries = 3
-	// reserveAway is the number of those of other regions that are asked after them.
-	reserveAway = 2
+	// crossRegionTries is the number of those of other regions that are asked after them.
+	crossRegionTries = 2
 	// reserveTimeout bounds one question; a way there and back takes some 2 ms.
 	reserveTimeout = 40 * time.Millisecond
-	// reserveWays is how often a question to a replica far away takes the way there
+	// crossRegionRoundTrips is how often a question to a replica far away takes the way there
 	// and back: a new connection, and the question itself.
-	reserveWays = 2
+	crossRegionRoundTrips = 2
 	// reserveHold is how long a slot is set aside: the request follows at once, but a
 	// node with a small share of a core may be held up for a few times 100 ms.
 	reserveHold = 400 * time.Millisecond
@@ -52,12 +52,12 @@
 	if asked := c.reserveAny(ctx, &demand, reserveTries, false); asked != nil {
 		return asked
 	}
-	if c.hasTimeForAway(chosen) {
-		if asked := c.reserveAny(ctx, &demand, reserveAway, true); asked != nil {
+	if c.hasTimeForCrossRegion(chosen) {
+		if asked := c.reserveAny(ctx, &demand, crossRegionTries, true); asked != nil {
 			return asked
 		}
 	}
-	if granted := c.askFeeder(ctx); granted != nil {
+	if granted := c.requestColdGrant(ctx); granted != nil {
 		return granted
 	}
 	return chosen
@@ -65,9 +65,9 @@
 
 // reserveAny asks up to so many replicas, one after the other, for a slot. It returns
 // the one that set a slot aside, or nil.
-func (c *call) reserveAny(ctx context.Context, demand *replica.Demand, tries int, away bool) *replica.Candidate {
+func (c *call) reserveAny(ctx context.Context, demand *replica.Demand, tries int, crossRegion bool) *replica.Candidate {
 	for range tries {
-		asked := c.pickUnqueued(demand, away)
+		asked := c.pickUnqueued(demand, crossRegion)
 		if asked == nil {
 			return nil
 		}
@@ -80,17 +80,17 @@
 	return nil
 }
 
-// hasTimeForAway reports whether a request that found no free slot in its region can
+// hasTimeForCrossRegion reports whether a request that found no free slot in its region can
 // still be in time elsewhere, after a question there and the way of the request itself.
-func (c *call) hasTimeForAway(chosen *replica.Candidate) bool {
+func (c *call) hasTimeForCrossRegion(chosen *replica.Candidate) bool {
 	left := c.route.Objective - clock.Since(c.request.Received)
-	return left > chosen.First+(reserveWays+1)*c.forwarder.Weights.Cost(place.OtherRegion)
+	return left > chosen.First+(crossRegionRoundTrips+1)*c.forwarder.Weights.Cost(place.OtherRegion)
 }
 
 // pickUnqueued returns the replica to be asked for a slot, or nil.
-func (c *call) pickUnqueued(demand *replica.Demand, away bool) *replica.Candidate {
+func (c *call) pickUnqueued(demand *replica.Demand, crossRegion bool) *replica.Candidate {
 	candidates := c.forwarder.Replicas.SnapshotFor(c.result.Pool, demand, clock.Now())
-	best, err := replica.PickUnqueued(candidates, demand, c.forwarder.Weights, away)
+	best, err := replica.PickUnqueued(candidates, demand, c.forwarder.Weights, crossRegion)
 	if err != nil {
 		// None is left to ask.
 		return nil
@@ -98,22 +98,22 @@
 	return best
 }
 
-// reserveTimeout bounds a question to a replica.
-func (c *call) reserveTimeout(asked *replica.Candidate) time.Duration {
+// reservationTimeout bounds a question to a replica.
+func (c *call) reservationTimeout(asked *replica.Candidate) time.Duration {
 	if c.demand.Distance(asked) != place.OtherRegion {
 		return reserveTimeout
 	}
-	return reserveTimeout + reserveWays*c.forwarder.Weights.Cost(place.OtherRegion)
+	return reserveTimeout + crossRegionRoundTrips*c.forwarder.Weights.Cost(place.OtherRegion)
 }
 
 // reserveAt asks a replica for a slot. It reports whether one was set aside.
 func (c *call) reserveAt(ctx context.Context, asked *replica.Candidate) bool {
 	began := clock.Now()
-	callCtx, cancel := context.WithTimeout(ctx, c.reserveTimeout(asked))
+	callCtx, cancel := context.WithTimeout(ctx, c.reservationTimeout(asked))
 	defer cancel()
 	id, err := c.forwarder.Reserver.Reserve(callCtx, asked.Info, c.request.Prompt.Total(), reserveHold)
-	if c.forwarder.Notice != nil {
-		c.forwarder.Notice.Reserved(c.request, asked, clock.Since(began), err)
+	if c.forwarder.Observer != nil {
+		c.forwarder.Observer.Reserved(c.request, asked, clock.Since(began), err)
 	}
 	switch {
 	case err == nil:
--- a/internal/forward/reserve_test.go
+++ b/internal/forward/reserve_test.go
@@ -32,8 +32,8 @@
 
 var errFull = outcome.Failed(ErrRefused)
 
-// crowded returns a forwarder of one of two nodes, all of whose slots are taken.
-func crowded(t *testing.T, backend Backend, reserver Reserver) *Forwarder {
+// saturatedForwarder returns a forwarder of one of two nodes, all of whose slots are taken.
+func saturatedForwarder(t *testing.T, backend Backend, reserver Reserver) *Forwarder {
 	t.Helper()
 	forwarder := newForwarder(backend, 6)
 	forwarder.Reserver = reserver
@@ -48,10 +48,10 @@
 }
 
 func answerAll() *scriptedBackend {
-	return &scriptedBackend{answer: func(context.Context, *Attempt, int) (*Answer, error) { return streamOf(events(1, 3)), nil }}
+	return &scriptedBackend{answer: func(context.Context, *Attempt, int) (*Answer, error) { return streamAnswer(events(1, 3)), nil }}
 }
 
-func TestReserve_ARequestWithoutAFreeSlotGoesWhereOneIsSetAside(t *testing.T) {
+func TestReserve_UsesReplicaThatReservedASlot(t *testing.T) {
 	backend := answerAll()
 	reserver := &scriptedReserver{}
 	reserver.answer = func(id string) (string, error) {
@@ -60,7 +60,7 @@
 		}
 		return "slot-at-" + id, nil
 	}
-	if _, _, err := do(t, crowded(t, backend, reserver), routeOf(route.Stream, true, 2)); err != nil {
+	if _, _, err := do(t, saturatedForwarder(t, backend, reserver), routeOf(route.Stream, true, 2)); err != nil {
 		t.Fatal(err)
 	}
 	last := reserver.asked[len(reserver.asked)-1]
@@ -72,7 +72,7 @@
 	}
 }
 
-// TestReserve_ReplicasThatLookAlikeAreAskedAlikeOften: a request that shares no prefix with others
+// TestReserve_EquivalentReplicasAreAskedEvenly: a request that shares no prefix with others
 // may go to any of them. The order of their ids decided, the same for all requests at all nodes, so
 // all went to the same few, and the others stood empty where the full ones did not say so.
 //
@@ -80,9 +80,9 @@
 // sent" by eight nodes to eight servers in the 48th second of the minute, in calm: 13 to server-7,
 // 18 to server-2, 12 to server-6, 5 to server-3, 1 to server-1, 0 to the rest; in the 17th all 39 to
 // server-7. Items waited 6.75 s in calm beside slots free at server-1, 4 and 5.
-func TestReserve_ReplicasThatLookAlikeAreAskedAlikeOften(t *testing.T) {
+func TestReserve_EquivalentReplicasAreAskedEvenly(t *testing.T) {
 	reserver := &scriptedReserver{answer: func(id string) (string, error) { return "slot-at-" + id, nil }}
-	forwarder := crowded(t, answerAll(), reserver)
+	forwarder := saturatedForwarder(t, answerAll(), reserver)
 	for _, one := range forwarder.Replicas.List(time.Now()) {
 		forwarder.Replicas.Begin(one.ID, replica.Ask{}, time.Now()).Heard(time.Now())
 	}
@@ -103,11 +103,11 @@
 	}
 }
 
-func TestReserve_WithoutAnyTheRequestIsSentAllTheSame(t *testing.T) {
+func TestReserve_FallsBackWithoutReservation(t *testing.T) {
 	for name, answer := range map[string]error{"full": errFull, "silent": outcome.Undecided(errors.New("no answer"))} {
 		backend := answerAll()
 		reserver := &scriptedReserver{answer: func(string) (string, error) { return "", answer }}
-		if _, _, err := do(t, crowded(t, backend, reserver), routeOf(route.Stream, true, 2)); err != nil {
+		if _, _, err := do(t, saturatedForwarder(t, backend, reserver), routeOf(route.Stream, true, 2)); err != nil {
 			t.Fatal(err)
 		}
 		if len(reserver.asked) != reserveTries || backend.sent[0].Reservation != "" {
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestReserve_NobodyIsAskedWhileAnOwnSlotIsFree(t *testing.T) {
+func TestReserve_NotUsedWhileOwnSlotIsFree(t *testing.T) {
 	reserver := &scriptedReserver{answer: func(string) (string, error) { return "slot", nil }}
 	forwarder := newForwarder(answerAll(), 3)
 	forwarder.Reserver = reserver
@@ -125,12 +125,12 @@
 	}
 }
 
-func TestReserve_ASlotServesOneAttemptOnly(t *testing.T) {
+func TestReserve_ReservationServesOneAttempt(t *testing.T) {
 	backend := &scriptedBackend{answer: func(_ context.Context, attempt *Attempt, number int) (*Answer, error) {
 		if number == 1 {
-			return streamOf(events(1, 1) + "id: 2\nda"), nil
+			return streamAnswer(events(1, 1) + "id: 2\nda"), nil
 		}
-		return streamOf(events(attempt.After+1, 3)), nil
+		return streamAnswer(events(attempt.LastEventID+1, 3)), nil
 	}}
 	reserver := &scriptedReserver{}
 	reserver.answer = func(id string) (string, error) {
@@ -139,7 +139,7 @@
 		}
 		return "slot", nil
 	}
-	if _, _, err := do(t, crowded(t, backend, reserver), routeOf(route.Stream, true, 3)); err != nil {
+	if _, _, err := do(t, saturatedForwarder(t, backend, reserver), routeOf(route.Stream, true, 3)); err != nil {
 		t.Fatal(err)
 	}
 	if backend.sent[0].Reservation != "slot" || backend.sent[1].Reservation != "" {
@@ -147,13 +147,13 @@
 	}
 }
 
-// TestReserve_ARequestOfUnknownSizeIsSentAtOnce: a replica cannot set memory aside
+// TestReserve_SkippedForUnknownSize: a replica cannot set memory aside
 // for it.
-func TestReserve_ARequestOfUnknownSizeIsSentAtOnce(t *testing.T) {
+func TestReserve_SkippedForUnknownSize(t *testing.T) {
 	reserver := &scriptedReserver{answer: func(string) (string, error) { return "slot", nil }}
-	forwarder := crowded(t, answerAll(), reserver)
+	forwarder := saturatedForwarder(t, answerAll(), reserver)
 	request := &Request{ID: "q", Method: "POST", Target: "/x", Received: time.Now()}
-	if _, err := forwarder.Do(t.Context(), routeOf(route.Stream, true, 2), request, &recordedSink{}); err != nil || len(reserver.asked) != 0 {
+	if _, err := forwarder.Do(t.Context(), routeOf(route.Stream, true, 2), request, &recordingSink{}); err != nil || len(reserver.asked) != 0 {
 		t.Fatalf("asked %v, %v", reserver.asked, err)
 	}
 }
@@ -183,33 +183,33 @@
 	return forwarder
 }
 
-func inTime(objective time.Duration) *route.Route {
+func routeWithObjective(objective time.Duration) *route.Route {
 	target := routeOf(route.Stream, true, 2)
 	target.Objective = objective
 	return target
 }
 
-func TestReserve_OtherRegionsAreAskedLast(t *testing.T) {
+func TestReserve_AsksOtherRegionsLast(t *testing.T) {
 	reserver := &scriptedReserver{answer: func(string) (string, error) { return "", errFull }}
-	if _, _, err := do(t, twoRegions(t, reserver, 6, 40), inTime(time.Second)); err != nil {
+	if _, _, err := do(t, twoRegions(t, reserver, 6, 40), routeWithObjective(time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	away := 0
+	crossRegion := 0
 	for i, id := range reserver.asked {
 		if strings.HasPrefix(id, "south") {
-			away++
-		} else if away > 0 {
+			crossRegion++
+		} else if crossRegion > 0 {
 			t.Errorf("asked %v: %s, the %dth, is of the own region", reserver.asked, id, i)
 		}
 	}
-	if away == 0 || away > reserveAway {
-		t.Errorf("asked %v, want up to %d of the other region", reserver.asked, reserveAway)
+	if crossRegion == 0 || crossRegion > crossRegionTries {
+		t.Errorf("asked %v, want up to %d of the other region", reserver.asked, crossRegionTries)
 	}
 }
 
-func TestReserve_OtherRegionsAreNotAskedWithoutTime(t *testing.T) {
+func TestReserve_SkipsOtherRegionsWithoutTime(t *testing.T) {
 	reserver := &scriptedReserver{answer: func(string) (string, error) { return "", errFull }}
-	if _, _, err := do(t, twoRegions(t, reserver, 6, 40), inTime(100*time.Millisecond)); err != nil {
+	if _, _, err := do(t, twoRegions(t, reserver, 6, 40), routeWithObjective(100*time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range reserver.asked {
@@ -219,14 +219,14 @@
 	}
 }
 
-// TestReserve_AnAnswerFromAnotherRegionIsWaitedFor: a finding; the way there and back
+// TestReserve_WaitsForOtherRegion: a finding; the way there and back
 // takes as long as all of the time-out was, so each slot set aside there was lost.
-func TestReserve_AnAnswerFromAnotherRegionIsWaitedFor(t *testing.T) {
-	reserver := &slowReserver{takes: reserveTimeout + 10*time.Millisecond}
+func TestReserve_WaitsForOtherRegion(t *testing.T) {
+	reserver := &slowReserver{delay: reserveTimeout + 10*time.Millisecond}
 	backend := answerAll()
 	forwarder := twoRegions(t, reserver, 0, 40)
 	forwarder.Backend = backend
-	if _, _, err := do(t, forwarder, inTime(time.Second)); err != nil {
+	if _, _, err := do(t, forwarder, routeWithObjective(time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	if backend.sent[0].Reservation == "" {
@@ -235,13 +235,13 @@
 }
 
 // slowReserver sets slots aside after some time.
-type slowReserver struct{ takes time.Duration }
+type slowReserver struct{ delay time.Duration }
 
 func (r *slowReserver) Reserve(ctx context.Context, _ replica.Info, _ int, _ time.Duration) (string, error) {
 	select {
 	case <-ctx.Done():
 		return "", outcome.Undecided(ctx.Err())
-	case <-time.After(r.takes):
+	case <-time.After(r.delay):
 		return "slot", nil
 	}
 }
--- a/internal/forward/restart.go
+++ b/internal/forward/restart.go
@@ -22,9 +22,9 @@
 	// the users' deployments, 250 or 300 ms. Reading a prompt of 9,000 tokens takes 180 ms
 	// there.
 	restartGrace = 300 * time.Millisecond
-	// restartGraces is how often in a row it is to do so: what comes first may have been on its
+	// restartGraceCount is how often in a row it is to do so: what comes first may have been on its
 	// way when the replica before ended, or waited here while this machine stood still.
-	restartGraces = 2
+	restartGraceCount = 2
 )
 
 // progress is when anything of an answer last came. The zero value has seen nothing; began
@@ -35,7 +35,7 @@
 	last atomic.Int64
 }
 
-func (p *progress) note() { p.last.Store(max(1, int64(clock.Since(p.began)))) }
+func (p *progress) record() { p.last.Store(max(1, int64(clock.Since(p.began)))) }
 
 // after reports whether anything came after a time.
 func (p *progress) after(at time.Time) bool {
@@ -53,7 +53,7 @@
 func (b *observedBody) Read(into []byte) (int, error) {
 	read, err := b.ReadCloser.Read(into)
 	if read > 0 {
-		b.progress.note()
+		b.progress.record()
 	}
 	return read, err
 }
@@ -63,25 +63,25 @@
 // unless its answer goes on.
 func (c *call) watchRestart(ctx context.Context, use *replica.Use, cancel context.CancelCauseFunc) *progress {
 	seen := &progress{began: clock.Now()}
-	reborn, elsewhere := use.Reborn(), c.anotherTry()
+	restarted, canRetry := use.Reborn(), c.hasAttemptsLeft()
 	go func() {
 		select {
 		case <-ctx.Done():
 			return
-		case <-reborn:
+		case <-restarted:
 		}
 		quiet := !seen.after(clock.Now().Add(-restartGrace))
-		if elsewhere && quiet || !goesOn(ctx, seen) {
+		if canRetry && quiet || !keepsProgressing(ctx, seen) {
 			cancel(ErrRestarted)
 		}
 	}()
 	return seen
 }
 
-// goesOn reports whether something of an answer comes within each of the next restartGraces,
+// keepsProgressing reports whether something of an answer comes within each of the next restartGraces,
 // or the attempt ends.
-func goesOn(ctx context.Context, seen *progress) bool {
-	for range restartGraces {
+func keepsProgressing(ctx context.Context, seen *progress) bool {
+	for range restartGraceCount {
 		since := clock.Now()
 		if retry.Sleep(ctx, restartGrace) && !seen.after(since) {
 			return false
--- a/internal/forward/stalled_test.go
+++ b/internal/forward/stalled_test.go
@@ -15,17 +15,17 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// untilDone says nothing until its context ends.
-type untilDone struct{ ctx context.Context }
+// blockedBody says nothing until its context ends.
+type blockedBody struct{ ctx context.Context }
 
-func (b untilDone) Read([]byte) (int, error) {
+func (b blockedBody) Read([]byte) (int, error) {
 	<-b.ctx.Done()
 	return 0, context.Cause(b.ctx)
 }
 
-// answerOthers has the replicas answer other requests of the node, each 100 ms, until the
+// answerOtherRequests has the replicas answer other requests of the node, each 100 ms, until the
 // test ends.
-func answerOthers(t *testing.T, replicas *replica.Set, ids ...string) {
+func answerOtherRequests(t *testing.T, replicas *replica.Set, ids ...string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -47,24 +47,24 @@
 
 // The answer's connection dies without a reset after its second event; its replica answers
 // others all the time. The stream goes on elsewhere long before its deadline.
-func TestDo_StreamWhoseAnswerStalledGoesOnElsewhere(t *testing.T) {
+func TestDo_StalledStreamResumesElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, number int) (*Answer, error) {
-			answer := &Answer{Status: http.StatusOK, Header: http.Header{}, Events: true}
+			answer := &Answer{Status: http.StatusOK, Header: http.Header{}, EventStream: true}
 			if number == 1 {
 				begun := strings.NewReader("id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
-				answer.Body = io.NopCloser(io.MultiReader(begun, untilDone{ctx}))
+				answer.Body = io.NopCloser(io.MultiReader(begun, blockedBody{ctx}))
 				return answer, nil
 			}
-			if attempt.After != 2 {
-				t.Errorf("second attempt goes on after event %d, want 2", attempt.After)
+			if attempt.LastEventID != 2 {
+				t.Errorf("second attempt goes on after event %d, want 2", attempt.LastEventID)
 			}
 			answer.Body = io.NopCloser(strings.NewReader("id: 3\ndata: c\n\n"))
 			return answer, nil
 		}}
 		forwarder := newForwarder(backend, 2)
-		answerOthers(t, forwarder.Replicas, "r0", "r1")
-		sink, began := &recordedSink{}, time.Now()
+		answerOtherRequests(t, forwarder.Replicas, "r0", "r1")
+		sink, began := &recordingSink{}, time.Now()
 		request := &Request{ID: "q", Method: http.MethodPost, Header: http.Header{}, Received: clock.Now()}
 		if _, err := forwarder.Do(t.Context(), stallingRoute(), request, sink); err != nil {
 			t.Fatalf("after %v: %v", time.Since(began), err)
@@ -78,29 +78,29 @@
 	})
 }
 
-// slowReader is a caller that does not read for a while after its first event.
-type slowReader struct {
-	recordedSink
+// slowSink is a caller that does not read for a while after its first event.
+type slowSink struct {
+	recordingSink
 	slow   time.Duration
 	events int
 }
 
 // Write implements Sink.
-func (s *slowReader) Write(piece []byte, more bool) error {
+func (s *slowSink) Write(chunk []byte, more bool) error {
 	if s.events++; s.events == 1 {
 		time.Sleep(s.slow)
 	}
-	return s.recordedSink.Write(piece, more)
+	return s.recordingSink.Write(chunk, more)
 }
 
-// pieces gives some bytes a read, as a connection does, until its context ends.
-type pieces struct {
+// chunkedBody gives some bytes a read, as a connection does, until its context ends.
+type chunkedBody struct {
 	ctx  context.Context
 	text string
 }
 
 // Read implements io.Reader.
-func (p *pieces) Read(into []byte) (int, error) {
+func (p *chunkedBody) Read(into []byte) (int, error) {
 	if err := p.ctx.Err(); err != nil {
 		return 0, err
 	}
@@ -114,17 +114,17 @@
 }
 
 // While the caller does not read, nothing is read of the answer: that is no stall.
-func TestDo_CallerThatReadsSlowlyIsNoStall(t *testing.T) {
+func TestDo_SlowCallerIsNotAStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, _ int) (*Answer, error) {
-			body := io.NopCloser(&pieces{ctx: ctx, text: events(attempt.After+1, 5)})
-			return &Answer{Status: http.StatusOK, Header: http.Header{}, Events: true, Body: body}, nil
+			body := io.NopCloser(&chunkedBody{ctx: ctx, text: events(attempt.LastEventID+1, 5)})
+			return &Answer{Status: http.StatusOK, Header: http.Header{}, EventStream: true, Body: body}, nil
 		}}
 		forwarder := newForwarder(backend, 2)
-		answerOthers(t, forwarder.Replicas, "r0", "r1")
+		answerOtherRequests(t, forwarder.Replicas, "r0", "r1")
 		for range 3 {
 			request := &Request{ID: "q", Method: http.MethodPost, Header: http.Header{}, Received: clock.Now()}
-			result, err := forwarder.Do(t.Context(), stallingRoute(), request, &slowReader{slow: 3 * time.Second})
+			result, err := forwarder.Do(t.Context(), stallingRoute(), request, &slowSink{slow: 3 * time.Second})
 			if err != nil || result.Attempts != 1 {
 				t.Errorf("a sound replica was left: %v, %d attempts", err, result.Attempts)
 			}
@@ -143,28 +143,28 @@
 
 // blockedSink is a caller that reads no more.
 type blockedSink struct {
-	recordedSink
-	until chan struct{}
+	recordingSink
+	unblock chan struct{}
 }
 
 // Write implements Sink.
-func (s *blockedSink) Write(piece []byte, more bool) error {
-	<-s.until
-	return s.recordedSink.Write(piece, more)
+func (s *blockedSink) Write(chunk []byte, more bool) error {
+	<-s.unblock
+	return s.recordingSink.Write(chunk, more)
 }
 
 // A request whose caller reads no more ends at its deadline, and with it the slot that it
 // holds of its node's.
-func TestDo_CallerThatReadsNoMoreHoldsNoSlotBeyondTheDeadline(t *testing.T) {
+func TestDo_BlockedCallerReleasesSlotAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, _ int) (*Answer, error) {
-			body := io.NopCloser(&pieces{ctx: ctx, text: events(attempt.After+1, 5)})
-			return &Answer{Status: http.StatusOK, Header: http.Header{}, Events: true, Body: body}, nil
+			body := io.NopCloser(&chunkedBody{ctx: ctx, text: events(attempt.LastEventID+1, 5)})
+			return &Answer{Status: http.StatusOK, Header: http.Header{}, EventStream: true, Body: body}, nil
 		}}
 		forwarder := newForwarder(backend, 1)
 		target := stallingRoute()
 		target.Timeout = 2 * time.Second
-		sink := &blockedSink{until: make(chan struct{})}
+		sink := &blockedSink{unblock: make(chan struct{})}
 		done := make(chan error, 1)
 		go func() {
 			request := &Request{ID: "q", Method: http.MethodPost, Header: http.Header{}, Received: clock.Now()}
@@ -175,7 +175,7 @@
 		if open := forwarder.Replicas.Learned(clock.Now())[testPool].Open; open > 0 {
 			t.Errorf("8 s after its deadline %d requests still hold slots", open)
 		}
-		close(sink.until)
+		close(sink.unblock)
 		<-done
 	})
 }
--- a/internal/forward/suspend_test.go
+++ b/internal/forward/suspend_test.go
@@ -11,9 +11,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// TestDo_ARequestThatIsPastItsDeadlineAfterASuspensionEndsAtOnce guards that its caller, and
+// TestDo_EndsAtOnceWhenSuspendedPastDeadline guards that its caller, and
 // its replica, are not held for the time that the machine slept.
-func TestDo_ARequestThatIsPastItsDeadlineAfterASuspensionEndsAtOnce(t *testing.T) {
+func TestDo_EndsAtOnceWhenSuspendedPastDeadline(t *testing.T) {
 	machine := clocktest.New(t)
 	sent := make(chan struct{})
 	backend := &scriptedBackend{answer: func(ctx context.Context, _ *Attempt, _ int) (*Answer, error) {
@@ -34,13 +34,13 @@
 	}
 }
 
-// TestForward_APlaceGrantedBeforeASleepIsNotUsed guards a node that slept while it waited
+// TestDo_GrantReceivedBeforeSuspensionIsNotUsed guards a node that slept while it waited
 // for a place at a cold replica: the answer that it finds is of a second long gone.
-func TestForward_APlaceGrantedBeforeASleepIsNotUsed(t *testing.T) {
+func TestDo_GrantReceivedBeforeSuspensionIsNotUsed(t *testing.T) {
 	machine := clocktest.New(t)
 	backend := answerAll()
 	forwarder := coldForwarder(backend, []string{"b"}, time.Minute)
-	forwarder.ColdFeeders = &scriptedFeeders{grant: func(number int) bool {
+	forwarder.ColdGranter = &scriptedGranter{grant: func(number int) bool {
 		if number == 1 {
 			machine.Suspend(time.Second)
 		}
@@ -51,7 +51,7 @@
 	if _, _, err := do(t, forwarder, target); err != nil {
 		t.Fatal(err)
 	}
-	if feeders := forwarder.ColdFeeders.(*scriptedFeeders); len(feeders.asked) != 2 || len(backend.sent) != 1 {
-		t.Errorf("asked %d times, sent %d times", len(feeders.asked), len(backend.sent))
+	if granter := forwarder.ColdGranter.(*scriptedGranter); len(granter.asked) != 2 || len(backend.sent) != 1 {
+		t.Errorf("asked %d times, sent %d times", len(granter.asked), len(backend.sent))
 	}
 }
--- a/internal/jobs/harm.go
+++ b/internal/jobs/harm.go
@@ -67,7 +67,7 @@
 		r.Quarantine.EndedWell(r.identity(one, item))
 		return
 	}
-	if one.after > from || !forward.MayHaveEnded(err, 0) {
+	if one.after > from || !forward.LooksLikeCrash(err, 0) {
 		return
 	}
 	r.Quarantine.BrokeOff(ctx, quarantine.Replica{ID: chosen.ID, Born: chosen.Born, Address: chosen.Address}, quarantine.Run{Work: r.identity(one, item), Began: began})
--- a/internal/jobs/harm_test.go
+++ b/internal/jobs/harm_test.go
@@ -86,7 +86,7 @@
 
 func (b *harmfulBackend) Send(_ context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
 	if attempt.Request.ID != "bad" {
-		return answerOf(200, events(attempt.After+1, 3)), nil
+		return answerOf(200, events(attempt.LastEventID+1, 3)), nil
 	}
 	b.mu.Lock()
 	b.sent++
@@ -94,11 +94,11 @@
 	if b.eventsEach == 0 {
 		return nil, errReplicaEnded
 	}
-	last := attempt.After + b.eventsEach
+	last := attempt.LastEventID + b.eventsEach
 	if last >= 40 {
-		return answerOf(200, events(attempt.After+1, 40)), nil
+		return answerOf(200, events(attempt.LastEventID+1, 40)), nil
 	}
-	return answerOf(200, events(attempt.After+1, last)+"id: "), nil
+	return answerOf(200, events(attempt.LastEventID+1, last)+"id: "), nil
 }
 
 func (b *harmfulBackend) sends() int {
--- a/internal/jobs/homesite_test.go
+++ b/internal/jobs/homesite_test.go
@@ -112,7 +112,7 @@
 	n.mu.Lock()
 	n.sent = append(n.sent, attempt.Replica.ID)
 	n.mu.Unlock()
-	return answerOf(http.StatusOK, events(attempt.After+1, 5)), nil
+	return answerOf(http.StatusOK, events(attempt.LastEventID+1, 5)), nil
 }
 
 func (n *homeNode) countedRoutes() *route.Table {
--- a/internal/jobs/item.go
+++ b/internal/jobs/item.go
@@ -138,7 +138,7 @@
 func (r *Runner) send(ctx context.Context, one *task, item *Item, chosen replica.Info, use *replica.Use) error {
 	sent := clock.Now()
 	answer, err := r.Backend.Send(ctx, &forward.Attempt{
-		Request: itemRequest(one.work.job, item), Replica: chosen, After: one.after, Reservation: one.reservation,
+		Request: itemRequest(one.work.job, item), Replica: chosen, LastEventID: one.after, Reservation: one.reservation,
 	})
 	if err != nil {
 		return err
@@ -149,7 +149,7 @@
 		return outcome.Undecided(errItemInvalid)
 	case answer.Status == http.StatusInternalServerError:
 		return outcome.Undecided(errItemFailed)
-	case answer.Status != http.StatusOK || !answer.Events:
+	case answer.Status != http.StatusOK || !answer.EventStream:
 		return outcome.Undecided(fmt.Errorf("%w: status %d", forward.ErrBroken, answer.Status))
 	}
 	// A verdict on the item stands; only a run that goes on can give way.
@@ -211,7 +211,7 @@
 	}
 	return &forward.Request{
 		ID: item.ID, Method: http.MethodPost, Target: item.Path, Host: job.Host,
-		Header: header, Body: item.Body, Once: item.Once, Batch: true, Tenant: job.Tenant,
+		Header: header, Body: item.Body, AtMostOnce: item.Once, Batch: true, Tenant: job.Tenant,
 	}
 }
 
--- a/internal/jobs/leftover_test.go
+++ b/internal/jobs/leftover_test.go
@@ -36,7 +36,7 @@
 	if strings.HasSuffix(attempt.Request.ID, "-0") {
 		return answerOf(200, "id: 1\ndata: "+strings.Repeat("x", 2*maxRowText)+"\n\n"), nil
 	}
-	return answerOf(200, events(attempt.After+1, 5)), nil
+	return answerOf(200, events(attempt.LastEventID+1, 5)), nil
 }
 
 // Seen by reading: an item whose result could not be listed for good counted as listed at its
--- a/internal/jobs/roomsite_test.go
+++ b/internal/jobs/roomsite_test.go
@@ -211,8 +211,8 @@
 		return nil, outcome.Failed(forward.ErrRefused)
 	}
 	n.site.began(attempt.Request.ID)
-	body := &roomBody{ctx: ctx, node: n, server: server, item: attempt.Request.ID, next: attempt.After + 1}
-	return &forward.Answer{Status: http.StatusOK, Header: http.Header{}, Events: true, Body: body}, nil
+	body := &roomBody{ctx: ctx, node: n, server: server, item: attempt.Request.ID, next: attempt.LastEventID + 1}
+	return &forward.Answer{Status: http.StatusOK, Header: http.Header{}, EventStream: true, Body: body}, nil
 }
 
 func (s *roomSite) began(item string) {
--- a/internal/jobs/runner_test.go
+++ b/internal/jobs/runner_test.go
@@ -34,7 +34,7 @@
 
 func (b *scriptedBackend) Send(_ context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
 	b.mu.Lock()
-	b.after = append(b.after, attempt.After)
+	b.after = append(b.after, attempt.LastEventID)
 	number := len(b.after)
 	b.mu.Unlock()
 	return b.answer(attempt, number)
@@ -48,7 +48,7 @@
 
 func answerOf(status int, body string) *forward.Answer {
 	return &forward.Answer{
-		Status: status, Header: http.Header{}, Events: status == http.StatusOK,
+		Status: status, Header: http.Header{}, EventStream: status == http.StatusOK,
 		Body: io.NopCloser(strings.NewReader(body)),
 	}
 }
@@ -198,7 +198,7 @@
 		if number == 1 {
 			return answerOf(http.StatusOK, events(1, 3)+"id: 4\ndata: half"), nil
 		}
-		return answerOf(http.StatusOK, events(attempt.After+1, 5)), nil
+		return answerOf(http.StatusOK, events(attempt.LastEventID+1, 5)), nil
 	}}
 	startRunner(t, node, backend)
 	if err := node.Submit(t.Context(), submission("j", 1)); err != nil {
--- a/internal/jobs/silent_test.go
+++ b/internal/jobs/silent_test.go
@@ -70,7 +70,7 @@
 		if number <= silent {
 			return hangingAnswer(ctx, before), nil
 		}
-		return answerOf(http.StatusOK, events(attempt.After+1, 5)), nil
+		return answerOf(http.StatusOK, events(attempt.LastEventID+1, 5)), nil
 	}
 }
 
@@ -216,7 +216,7 @@
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
 		case <-time.After(slow):
-			return answerOf(http.StatusOK, events(attempt.After+1, 5)), nil
+			return answerOf(http.StatusOK, events(attempt.LastEventID+1, 5)), nil
 		}
 	}
 }
@@ -301,7 +301,7 @@
 		site := &silentSite{node: startNode(t, tabletest.New(), &objecttest.Store{}, "a#1"), sends: map[string]int{}}
 		site.runner, _ = startRunner(t, site.node, sendFunc(func(_ context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
 			if site.sent(attempt.Request.ID) > 20 {
-				return answerOf(http.StatusOK, events(attempt.After+1, 5)), nil
+				return answerOf(http.StatusOK, events(attempt.LastEventID+1, 5)), nil
 			}
 			time.Sleep(itemSilence + itemSilence/silenceLooks)
 			return nil, io.ErrUnexpectedEOF
--- a/internal/jobs/spread_test.go
+++ b/internal/jobs/spread_test.go
@@ -47,7 +47,7 @@
 }
 
 func wholeAnswers(attempt *forward.Attempt, _ int) (*forward.Answer, error) {
-	return answerOf(http.StatusOK, events(attempt.After+1, 5)), nil
+	return answerOf(http.StatusOK, events(attempt.LastEventID+1, 5)), nil
 }
 
 // spreadNodes starts nodes that run jobs between them.
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -119,7 +119,7 @@
 	c.forwarder = &forward.Forwarder{
 		Replicas: c.replicas, Backend: outside.backend, Budget: retry.NewBudget(retryShare),
 		Weights: outside.weights, Zone: outside.zone, Region: outside.region,
-		Notice: &requestLog{log: log, sampled: c.sampled, metrics: metrics, evacuated: c.evacuations.names},
+		Observer: &requestLog{log: log, sampled: c.sampled, metrics: metrics, evacuated: c.evacuations.names},
 	}
 	c.session = lease.NewSession(outside.table, outside.id, outside.timing)
 	c.owners = outside.sessions(c.session)
@@ -262,8 +262,8 @@
 	}
 	entry.Str("request", request.ID).Str("route", target.Name).Str("pool", result.Pool).
 		Str("replica", result.Replica).Str("region", result.Region).Stringer("distance", result.Distance).Int("status", result.Status).Int("attempts", result.Attempts).
-		Int("refusals", result.Refusals).Int("events", result.Events).Bool("started", result.Started).
-		Dur("first_ms", result.First).Dur("max_gap_ms", result.MaxGap).
+		Int("refusals", result.Refusals).Int("events", result.Events).Bool("started", result.HeadSent).
+		Dur("first_ms", result.TimeToFirstByte).Dur("max_gap_ms", result.MaxGap).
 		Dur("took_ms", clock.Since(request.Received)).Msg("request ended")
 }
 
--- a/internal/node/evacuationrows_test.go
+++ b/internal/node/evacuationrows_test.go
@@ -80,7 +80,7 @@
 	gateway, log := evacuationCore(nil)
 	sent := func() string {
 		log.Reset()
-		gateway.forwarder.Notice.Sent(&forward.Request{ID: "q"}, 1, &replica.Candidate{Info: replica.Info{ID: "r", Zone: "c"}}, 0)
+		gateway.forwarder.Observer.Sent(&forward.Request{ID: "q"}, 1, &replica.Candidate{Info: replica.Info{ID: "r", Zone: "c"}}, 0)
 		return log.String()
 	}
 	if line := sent(); strings.Contains(line, "evacuated") || !strings.Contains(line, `"zone":"c"`) {
--- a/internal/node/gatewaycold.go
+++ b/internal/node/gatewaycold.go
@@ -50,12 +50,12 @@
 	desk.failed = func(err error) { g.sampled.Warn().Err(err).Msg("message about a cold replica failed") }
 	socket.Handle(peer.KindColdAsk, desk.take(clock.Now))
 	socket.Handle(peer.KindColdAnswer, desk.answered)
-	g.forwarder.ColdFeeders = desk
+	g.forwarder.ColdGranter = desk
 }
 
-// Ask implements forward.ColdFeeders. What is lost is not granted: the asker's time is
+// RequestGrant implements forward.ColdFeeders. What is lost is not granted: the asker's time is
 // over before the place would be used.
-func (d *coldDesk) Ask(ctx context.Context, feeder replica.Feeder) bool {
+func (d *coldDesk) RequestGrant(ctx context.Context, feeder replica.Feeder) bool {
 	to, err := net.ResolveUDPAddr("udp4", d.roster.Address(feeder.Node))
 	if err != nil {
 		// The node has not told its address.
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -216,8 +216,8 @@
 		m.served.WithLabelValues(result.Distance.String()).Inc()
 	}
 	m.attempts.WithLabelValues(kind).Add(float64(result.Attempts))
-	if result.Started {
-		m.first.WithLabelValues(kind).Observe(result.First.Seconds())
+	if result.HeadSent {
+		m.first.WithLabelValues(kind).Observe(result.TimeToFirstByte.Seconds())
 	}
 	if result.Events > 1 {
 		m.gap.WithLabelValues(kind).Observe(result.MaxGap.Seconds())
--- a/internal/node/requestlog.go
+++ b/internal/node/requestlog.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Begun implements forward.Notice.
-func (l *requestLog) Begun(_ *forward.Request, predicted, actual time.Duration) {
+// FirstEvent implements forward.Notice.
+func (l *requestLog) FirstEvent(_ *forward.Request, predicted, actual time.Duration) {
 	l.metrics.predictionError.Observe((actual - predicted).Seconds())
 }
 
--- a/internal/server/completion.go
+++ b/internal/server/completion.go
@@ -115,7 +115,7 @@
 	return &forward.Request{
 		ID: id, Method: http.MethodPost, Target: ctx.Path(), Host: parsed.Model, Body: body,
 		Header: http.Header{}, Received: clock.Now(), Prompt: promptOf(parsed),
-		Once: ctx.GetHeader(HeaderRepeatable) == "no",
+		AtMostOnce: ctx.GetHeader(HeaderRepeatable) == "no",
 	}
 }
 
@@ -144,7 +144,7 @@
 func (s *Server) answer(ctx iris.Context, target *route.Route, request *forward.Request, stream bool) {
 	ctx.Header(engine.HeaderRequestID, request.ID)
 	key := ctx.GetHeader(HeaderIdempotencyKey)
-	if !request.Once || key == "" {
+	if !request.AtMostOnce || key == "" {
 		s.run(ctx, target, request, stream)
 		return
 	}
@@ -204,7 +204,7 @@
 	}
 	var sink answerSink = &wholeSink{ctx: ctx, path: request.Target}
 	if stream {
-		sink = &streamSink{ctx: ctx, keep: request.Once}
+		sink = &streamSink{ctx: ctx, keep: request.AtMostOnce}
 	}
 	result, err := s.options.Forward(ctx.Request().Context(), target, request, sink)
 	s.metrics.observe(result, err, clock.Since(request.Received))
--- a/internal/server/sink.go
+++ b/internal/server/sink.go
@@ -164,7 +164,7 @@
 // failForward answers a request that could not be completed.
 func failForward(ctx iris.Context, err error) {
 	switch {
-	case errors.Is(err, forward.ErrCallerLeft):
+	case errors.Is(err, forward.ErrCallerDisconnected):
 		return
 	case outcome.Of(err) != outcome.NotDone:
 		ctx.Header(HeaderExecuted, outcome.Unknown.String())
