--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	// maxBufferedBody bounds an answer that is held until it is whole.
+	// maxBufferedBody bounds an answer that is buffered until it is complete, in bytes.
 	maxBufferedBody = 8 << 20
-	// silenceFactor is how many objectives, or gaps, a replica may be silent
-	// before a stream that may go on elsewhere leaves it.
+	// silenceFactor is how many objectives, or gaps, a replica may be silent before a stream that
+	// can resume elsewhere is moved.
 	silenceFactor = 4
-	// minSilenceLimit keeps streams at replicas that are only busy.
+	// minSilenceLimit keeps streams at replicas that are merely busy.
 	minSilenceLimit = 700 * time.Millisecond
-	// stalledFactor is how many times the silence that is allowed to a replica an answer
-	// may pause that has begun, while the replica answers others. Its run has a slot, so
-	// its events come on; a connection that died without a reset brings none. Left after
-	// 2.8 s at the least, not at the request's deadline.
+	// stalledFactor multiplies the silence limit of a replica to give the longest pause of an
+	// answer that has begun while the replica answers other requests. A running request has a slot
+	// and produces events steadily, so a long pause indicates a connection that died without a
+	// reset. The stream then moves after at least 2.8 s instead of failing at the request's
+	// deadline.
 	stalledFactor = 4
 )
 
-// forwardEvents passes events on as they arrive, leaving out those the caller has.
+// forwardEvents relays events as they arrive, skipping those that the caller already has.
 func (c *call) forwardEvents(answer *Answer, use *replica.Use, watch *silenceWatchdog) error {
 	reader := sse.NewReader(answer.Body)
 	for {
@@ -59,7 +60,7 @@
 	}
 }
 
-// reportFirstEvent tells of the first event of an attempt.
+// reportFirstEvent reports the first event of an attempt to the observer.
 func (c *call) reportFirstEvent(now time.Time) {
 	if !c.sentAt.IsZero() && c.forwarder.Observer != nil {
 		c.forwarder.Observer.FirstEvent(c.request, c.predicted, now.Sub(c.sentAt))
@@ -88,8 +89,8 @@
 
 func (c *call) finishEvents(answer *Answer) error { return c.forwardHead(answer) }
 
-// forwardHead passes on the head of the first replica that answered; streams that
-// go on elsewhere keep it.
+// forwardHead relays the header of the first replica that answered. A stream that resumes elsewhere
+// keeps it.
 func (c *call) forwardHead(answer *Answer) error {
 	if c.result.HeadSent {
 		return nil
@@ -103,8 +104,8 @@
 	return nil
 }
 
-// forwardBuffered passes on an answer once all of it has arrived, so that a broken
-// one can still be replaced by another or by a truthful failure.
+// forwardBuffered relays an answer once all of it has arrived, so that a broken one can still be
+// replaced by a retry or an accurate error.
 func (c *call) forwardBuffered(answer *Answer, use *replica.Use) error {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBody+1))
 	if err != nil {
@@ -117,7 +118,7 @@
 	use.Heard(now)
 	use.First(now)
 	if c.result.HeadSent {
-		// The stream began elsewhere; this failure cannot replace its head.
+		// The stream began at another replica; this error cannot replace its header.
 		return outcome.Undecided(fmt.Errorf("%w: status %d", ErrBroken, answer.Status))
 	}
 	if answer.Status >= http.StatusInternalServerError && c.hasAttemptsLeft() {
@@ -132,28 +133,27 @@
 	return nil
 }
 
-// hasAttemptsLeft reports whether a failure that a replica answered need not be the
-// last word.
+// hasAttemptsLeft reports whether a request that failed at a replica may be tried at another.
 func (c *call) hasAttemptsLeft() bool {
 	return c.mayRepeat() && c.result.Attempts < c.route.MaxAttempts
 }
 
-// silenceWatchdog gives an attempt up when its replica says nothing for too long,
-// to any request of this node: a replica that answers others is only busy, and
-// sending its requests elsewhere as well would add to the load. An answer that has begun
-// and pauses for much longer is given up whatever the replica answers others.
+// silenceWatchdog cancels an attempt when its replica sends nothing for too long to any request of
+// this node. A replica that answers other requests is only busy, and sending its requests to others
+// as well would add load. An answer that has begun and then pauses for much longer is canceled even
+// if the replica answers other requests.
 type silenceWatchdog struct {
 	use   *replica.Use
 	limit atomic.Int64
 	timer *time.Timer
-	// writing is set while the caller is given an event; passed is when that last ended, in
-	// Unix nanoseconds. Meanwhile nothing is read of the answer, so its silence tells
-	// nothing.
+	// writing is set while an event is written to the caller; lastWriteEnd is when the last write
+	// ended, in Unix nanoseconds. Nothing is read from the answer during a write, so its silence
+	// then means nothing.
 	writing      atomic.Bool
 	lastWriteEnd atomic.Int64
 }
 
-// duringWrite gives the caller something by a function that may block for as long as it does not read.
+// duringWrite calls write, which may block for as long as the caller does not read.
 func (w *silenceWatchdog) duringWrite(write func() error) error {
 	w.writing.Store(true)
 	defer func() {
@@ -163,7 +163,8 @@
 	return write()
 }
 
-// sinceLastRead is the time since the answer was last read from; 0 while the caller is given of it.
+// sinceLastRead is the time since the last write to the caller ended, after which the answer is
+// read again; 0 during a write.
 func (w *silenceWatchdog) sinceLastRead(now time.Time) time.Duration {
 	if w.writing.Load() {
 		return 0
@@ -171,8 +172,8 @@
 	return now.Sub(time.Unix(0, w.lastWriteEnd.Load()))
 }
 
-// startSilenceWatchdog starts a watch where the request can go on elsewhere; a
-// replica's silence is no reason to end any other answer.
+// startSilenceWatchdog starts a watchdog if the request can be retried elsewhere. Other attempts
+// are never canceled for silence.
 func (c *call) startSilenceWatchdog(use *replica.Use, cancel context.CancelCauseFunc) *silenceWatchdog {
 	watchdog := &silenceWatchdog{use: use}
 	if !c.hasAttemptsLeft() || c.route.Objective == 0 {
@@ -184,7 +185,7 @@
 	return watchdog
 }
 
-// check cancels the attempt, or looks again when the silence could be too long.
+// check cancels the attempt, or rearms the timer for the time at which a limit may be reached.
 func (w *silenceWatchdog) check(cancel context.CancelCauseFunc) {
 	now, limit := clock.Now(), time.Duration(w.limit.Load())
 	left := limit - w.use.Silence(now)
@@ -203,7 +204,7 @@
 	w.timer.Reset(left)
 }
 
-// setEventLimit sets the limit between two events.
+// setEventLimit sets the silence limit between two events.
 func (w *silenceWatchdog) setEventLimit(gap time.Duration) {
 	w.limit.Store(int64(max(silenceFactor*gap, minSilenceLimit)))
 }
--- a/internal/forward/cold.go
+++ b/internal/forward/cold.go
@@ -11,23 +11,23 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// errNotAdmitted reports that a replica must not get the request now, though it could when it
-// was chosen. Nothing was sent.
-var errNotAdmitted = errors.New("replica is cold and has been sent as much as it bears, or has started again")
+// errNotAdmitted reports that a replica that was eligible when picked must not receive the request
+// now. Nothing was sent.
+var errNotAdmitted = errors.New("replica is at its cold-start rate limit or has restarted")
 
-// coldGrantTimeout bounds the question for a place at a cold replica. A place is of use only
-// so long after it was asked for: later it would fall into another second. A way there
-// and back takes some 3 ms between zones.
+// coldGrantTimeout bounds a request for a grant. A grant counts against the rate in the second in
+// which it was requested, so a late one is useless. A round trip between zones takes about 3 ms.
 const coldGrantTimeout = 50 * time.Millisecond
 
-// ColdGranter are the nodes that feed cold replicas. It is safe for concurrent use.
+// ColdGranter requests grants from the nodes that pace requests to cold replicas. It is safe for
+// concurrent use.
 type ColdGranter interface {
-	// RequestGrant asks a node for a place at a replica that it feeds. It reports whether the
-	// node gave one before the context ended.
+	// RequestGrant asks a node for permission to send one request to a cold replica whose rate that
+	// node shares. It reports whether the node granted it before the context ended.
 	RequestGrant(ctx context.Context, feeder replica.Feeder) bool
 }
 
-// coldOnly returns the error of a choice that waits for cold replicas alone, or nil.
+// coldOnly returns the error of a pick that found only cold replicas which must wait, or nil.
 func coldOnly(err error) *replica.NoReplicaError {
 	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) && none.Cold() {
 		return none
@@ -35,14 +35,14 @@
 	return nil
 }
 
-// needsColdGrant reports whether a choice found none but cold replicas that other nodes
-// feed, or that this one may send a request no sooner.
+// needsColdGrant reports whether a pick found only cold replicas to which this node may not send,
+// or not soon.
 func (f *Forwarder) needsColdGrant(err error) bool {
 	none := coldOnly(err)
 	return none != nil && f.ColdGranter != nil && none.ColdWait > coldRecheckInterval
 }
 
-// requestColdGrant asks one of the nodes that feed cold replicas for a place. It returns the
+// requestColdGrant asks one of the nodes that pace cold replicas for a grant. It returns the
 // replica to send the request to, or nil.
 func (c *call) requestColdGrant(ctx context.Context) *replica.Candidate {
 	if c.forwarder.ColdGranter == nil {
@@ -57,7 +57,7 @@
 	defer cancel()
 	began := clock.Now()
 	granted := c.forwarder.ColdGranter.RequestGrant(askCtx, granter)
-	// A process that was stopped, or slept, may find the answer before its timers go off.
+	// A process that was suspended may see the answer before its timers fire.
 	if !granted || askCtx.Err() != nil || clock.Since(began) >= coldGrantTimeout {
 		return nil
 	}
@@ -69,8 +69,8 @@
 	return chosen
 }
 
-// chooseGranter chooses at random, half of the times among those of replicas in a zone: if
-// the zone is cut off there is no way to others.
+// chooseGranter picks a node at random; half of the time among those with a replica in this zone,
+// since other zones are unreachable if the zone is cut off.
 func chooseGranter(feeders []replica.Feeder, zone string) replica.Feeder {
 	var near []replica.Feeder
 	for _, one := range feeders {
@@ -84,11 +84,10 @@
 	return feeders[rand.IntN(len(feeders))]
 }
 
-// waitForReplica waits until there may be a replica to choose, as long as the route
-// allows.
+// waitForReplica waits until a replica may be available, within the limits of the route.
 func (c *call) waitForReplica(ctx context.Context, err error) error {
 	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) && none.Lasts() {
-		// Nothing that may happen in time helps.
+		// No change before the deadline can help.
 		return err
 	}
 	wait := capacityRetryInterval
@@ -100,7 +99,7 @@
 		}
 	}
 	if waitErr := c.waitForCapacity(ctx, wait); waitErr != nil {
-		// The log tells why no replica could take it.
+		// The log shows why no replica could serve the request.
 		return fmt.Errorf("%w: %w", waitErr, err)
 	}
 	return nil
--- a/internal/forward/cold_test.go
+++ b/internal/forward/cold_test.go
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 	}
-	// Twice the time between two requests at 6.5 a second.
+	// Twice the interval between requests at 6.5 per second.
 	if took := time.Since(began); took < 250*time.Millisecond || took > 2*time.Second {
 		t.Errorf("three requests took %v", took)
 	}
@@ -48,11 +48,11 @@
 		t.Fatalf("sent %d times, %v", len(backend.sent), err)
 	}
 	if took := time.Since(began); took > 500*time.Millisecond {
-		t.Errorf("was refused after %v", took)
+		t.Errorf("refused after %v", took)
 	}
 	wait, err := forwarder.Predict(routeOf(route.Stream, true, 2), &Request{}, time.Now())
 	if err != nil || wait < 20*time.Second {
-		t.Errorf("predicts %v, %v", wait, err)
+		t.Errorf("Predict returned %v, %v", wait, err)
 	}
 }
 
@@ -65,8 +65,8 @@
 	if err == nil {
 		t.Fatal("a request that was always refused succeeded")
 	}
-	// The route's 2 s at 6.5 a second, its part of a bound of 15 for two views, and the
-	// first.
+	// 2 s at 6.5 requests per second, this node's share of a limit of 15 between two views, plus
+	// the first request.
 	if len(backend.sent) > 14 {
 		t.Errorf("a cold replica that refuses was asked %d times in 2 s", len(backend.sent))
 	}
@@ -83,11 +83,11 @@
 		t.Fatal(err)
 	}
 	if forwarder.Replicas.CountCold(time.Now()) != 1 {
-		t.Error("the replica is not taken as cold")
+		t.Error("the replica does not count as cold")
 	}
 }
 
-// scriptedGranter grant as told.
+// scriptedGranter answers requests for grants with its grant function.
 type scriptedGranter struct {
 	asked []replica.Feeder
 	grant func(number int) bool
@@ -110,7 +110,7 @@
 		t.Errorf("sent %d times, asked %v", len(backend.sent), granter.asked)
 	}
 	if forwarder.Replicas.Begin("cold", replica.Ask{}, time.Now()) != nil {
-		t.Error("a place that was granted once lets another request be sent")
+		t.Error("a grant for one request admitted another")
 	}
 }
 
@@ -141,7 +141,7 @@
 	}
 }
 
-// nodesWithoutPlace are nodes of which it is not known where they are.
+// nodesWithoutPlace returns nodes whose location is unknown.
 func nodesWithoutPlace(ids ...string) []place.Node {
 	var nodes []place.Node
 	for _, id := range ids {
--- a/internal/forward/evacuate_test.go
+++ b/internal/forward/evacuate_test.go
@@ -48,7 +48,7 @@
 	if !errors.Is(err, ErrBusy) && !errors.Is(err, ErrTimeout) || outcome.Of(err) != outcome.NotDone {
 		t.Fatalf("failed with %v", err)
 	}
-	// Its time may be over after a choice that found none, or after an answer.
+	// The deadline may pass after a pick that found no replica, or after an answer.
 	if !strings.Contains(err.Error(), "1 tried") && !errors.Is(err, ErrRefused) {
 		t.Fatalf("the reason is missing: %v", err)
 	}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -19,7 +19,7 @@
 
 const testPool = "pool"
 
-// scriptedBackend answers attempts as told and records them.
+// scriptedBackend answers attempts with its answer function and records them.
 type scriptedBackend struct {
 	mu     sync.Mutex
 	sent   []Attempt
@@ -34,7 +34,7 @@
 	return b.answer(ctx, attempt, number)
 }
 
-// recordingSink keeps what the caller got.
+// recordingSink records what the caller received.
 type recordingSink struct {
 	status int
 	header http.Header
@@ -107,7 +107,7 @@
 		t.Fatalf("attempts %d, second after %d", result.Attempts, backend.sent[1].LastEventID)
 	}
 	if backend.sent[0].Replica.ID == backend.sent[1].Replica.ID {
-		t.Fatal("the stream went on at the replica that broke it off")
+		t.Fatal("the stream resumed at the replica that broke it off")
 	}
 }
 
@@ -234,8 +234,8 @@
 	}
 }
 
-// TestDo_ForwardedFailureCountsAgainstReplica has a replica answer 500 to
-// requests that cannot be sent again: the answers are theirs, and the replica is left.
+// TestDo_ForwardedFailureCountsAgainstReplica has a replica answer 500 to requests that must not be
+// retried. Each answer is relayed, and the replica must still be ejected.
 func TestDo_ForwardedFailureCountsAgainstReplica(t *testing.T) {
 	backend := &scriptedBackend{answer: func(_ context.Context, attempt *Attempt, _ int) (*Answer, error) {
 		if attempt.Replica.ID == "r0" {
@@ -256,6 +256,6 @@
 		}
 	}
 	if failed == 0 || failed > 3 {
-		t.Errorf("%d of 30 requests met the replica that fails all, want it left after two in a row", failed)
+		t.Errorf("%d of 30 requests reached the failing replica, want it ejected after two in a row", failed)
 	}
 }
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// capacityRetryInterval is the pause before replicas that refused are asked again.
+	// capacityRetryInterval is the pause before replicas that refused are tried again.
 	capacityRetryInterval = 25 * time.Millisecond
-	// coldRecheckInterval bounds the pause before cold replicas are looked at again: one may be
-	// listed, or told to be warm, meanwhile.
+	// coldRecheckInterval bounds the pause before cold replicas are checked again: meanwhile a
+	// replica may be listed or become warm.
 	coldRecheckInterval = 100 * time.Millisecond
 	// refusalsPerPause is the number of refusals after which a request pauses.
 	refusalsPerPause = 3
 )
 
-// Observer is told of what happens to a request, for the log.
+// Observer receives the events of a request, for logs and metrics.
 type Observer interface {
-	// Sent tells of an attempt and of what made the replica the best.
+	// Sent is called before each attempt with the candidate and its predicted time to first event.
 	Sent(request *Request, attempt int, chosen *replica.Candidate, predicted time.Duration)
-	// Reserved tells of a replica that was asked for a free slot, and of its answer.
+	// Reserved is called after a replica was asked for a free slot, with the result.
 	Reserved(request *Request, asked *replica.Candidate, took time.Duration, err error)
-	// FirstEvent tells of the first event of an attempt and of its predicted time.
+	// FirstEvent is called at the first event of an attempt, with its predicted and actual time.
 	FirstEvent(request *Request, predicted, actual time.Duration)
-	// Failed tells of an attempt that did not bring the whole answer.
+	// Failed is called after an attempt that did not deliver a complete answer.
 	Failed(request *Request, attempt int, chosen replica.Info, err error)
 }
 
@@ -42,17 +42,17 @@
 	Backend  Backend
 	Budget   *retry.Budget
 	Weights  replica.Weights
-	// Zone and Region are where this node is.
+	// Zone and Region are the location of this node.
 	Zone     string
 	Region   string
 	Observer Observer
-	// Reserver, if set, is asked for a free slot elsewhere by requests that find none
-	// among their node's own.
+	// Reserver, if set, reserves a slot at another replica for requests that find none free in this
+	// node's own share.
 	Reserver Reserver
-	// ColdGranter, if set, are asked by requests that find none but cold replicas which
-	// this node does not feed.
+	// ColdGranter, if set, is asked for a grant by requests that find only cold replicas to which
+	// this node may not send by itself.
 	ColdGranter ColdGranter
-	// Quarantine, if set, keeps work from replicas that ended others.
+	// Quarantine, if set, keeps work away from replicas if it is suspected of crashing them.
 	Quarantine Quarantine
 }
 
@@ -65,25 +65,25 @@
 	deadline  time.Time
 	result    Result
 	demand    replica.Demand
-	// lastEventID is the last event passed on; next is when its successor is overdue.
+	// lastEventID is the last event relayed, lastEventAt when that was.
 	lastEventID int
 	lastEventAt time.Time
-	// reservation names the slot set aside for the next attempt.
+	// reservation identifies the slot reserved for the next attempt.
 	reservation string
-	// mayHaveRun tells whether the request may have run anywhere.
+	// mayHaveRun is set once any attempt may have run.
 	mayHaveRun bool
-	// predicted is the time to the first event of the attempt under way, sent when
-	// it was sent; zero once it has begun.
+	// predicted is the expected time to the first event of the current attempt. sentAt is when the
+	// attempt was sent; zero once its first event has arrived.
 	predicted time.Duration
 	sentAt    time.Time
-	// status is that of the answer of the last attempt; 0 if there was none.
+	// status is the HTTP status of the last attempt's answer; 0 if there was none.
 	status int
-	// slowestRefusal is the longest time that an attempt took which did not run.
+	// slowestRefusal is the longest duration of an attempt that did not run.
 	slowestRefusal time.Duration
 }
 
-// Do carries out a request. A nil error means that a replica's whole answer
-// reached the sink. The outcome of an error tells whether the request ran.
+// Do forwards a request. A nil error means that a complete answer of a replica reached the sink.
+// The outcome of an error states whether the request ran.
 func (f *Forwarder) Do(ctx context.Context, target *route.Route, request *Request, sink Sink) (Result, error) {
 	f.Budget.Request()
 	c := &call{forwarder: f, route: target, request: request, sink: sink, lastEventID: request.LastEventID}
@@ -103,8 +103,8 @@
 	return c.result, err
 }
 
-// Predict estimates the time until a request would get its first event. It
-// returns replica.ErrNoReplica if no replica could take it.
+// Predict estimates the time until a request would get its first event. It returns
+// replica.ErrNoReplica if no replica could serve it.
 func (f *Forwarder) Predict(target *route.Route, request *Request, now time.Time) (time.Duration, error) {
 	demand := &replica.Demand{
 		Zone: f.Zone, Region: f.Region, Ask: replica.Ask{Tokens: request.Prompt.Tokens}, Adapter: target.Adapter,
@@ -120,8 +120,8 @@
 	return replica.Predict(best, demand, f.Weights), nil
 }
 
-// deadlineOf returns when the final answer is due: the earlier of the route's
-// time-out and the caller's own deadline.
+// deadlineOf returns when the complete answer is due: the earlier of the route's timeout and the
+// caller's deadline.
 func deadlineOf(target *route.Route, request *Request) time.Time {
 	deadline := request.Deadline
 	if target.Timeout > 0 {
@@ -133,7 +133,8 @@
 	return deadline
 }
 
-// affinityOf spreads requests by the part before the last, which several share.
+// affinityOf returns the key of the last part that other prompts may share, which is the one before
+// the last; 0 if there is none.
 func affinityOf(prompt route.Prompt) uint64 {
 	if len(prompt.Parts) < 2 {
 		return 0
@@ -141,7 +142,7 @@
 	return prompt.Parts[len(prompt.Parts)-2].Key
 }
 
-// sharedTokens is the length of a prompt up to its last part.
+// sharedTokens returns the number of tokens in all parts of a prompt but the last.
 func sharedTokens(prompt route.Prompt) int {
 	total := 0
 	for i := range prompt.Parts {
@@ -180,8 +181,8 @@
 			return nil
 		}
 		if errors.Is(err, errNotAdmitted) {
-			// Others have used the rate up, or the replica has started again meanwhile; the
-			// next choice knows.
+			// Other requests have used up the rate, or the replica has restarted; the next pick
+			// takes that into account.
 			continue
 		}
 		if outcome.Of(err) != outcome.NotDone {
@@ -202,7 +203,7 @@
 	}
 }
 
-// contextError tells a time-out from a caller that left.
+// contextError distinguishes a timeout from a caller that disconnected.
 func contextError(ctx context.Context) error {
 	if errors.Is(context.Cause(ctx), ErrTimeout) {
 		return ErrTimeout
@@ -224,7 +225,8 @@
 	return replica.Pick(candidates, &c.demand, c.forwarder.Weights)
 }
 
-// shouldRetry decides whether another attempt may be made after a failed one.
+// shouldRetry decides whether another attempt follows a failed one, and spends retry budget if the
+// failed one may have run.
 func (c *call) shouldRetry(err error) bool {
 	if outcome.Of(err) == outcome.NotDone {
 		c.result.Refusals++
@@ -278,18 +280,18 @@
 	return err
 }
 
-// slotReleaseDelay is how long after its end a request may still tell how its attempt ended. What
-// takes longer is a caller that reads no more.
+// slotReleaseDelay is how long an attempt may still report its own result after its request has
+// ended. Only a caller that has stopped reading takes longer.
 const slotReleaseDelay = time.Second
 
-// releaseSlot gives the slot of an attempt back whose request has ended, also while its caller
-// reads no more: the replica's connection is closed by then, and the slot is free.
+// releaseSlot frees the slot of an attempt whose request has ended, even if the caller has stopped
+// reading. By then the connection to the replica is closed and its slot is free.
 func releaseSlot(use *replica.Use) {
 	time.Sleep(slotReleaseDelay)
 	use.End(replica.Abandoned, clock.Now())
 }
 
-// resultOfError tells what an attempt's error means for the replica's health.
+// resultOfError maps the error of an attempt to its meaning for the replica's health.
 func resultOfError(ctx context.Context, err error) replica.Result {
 	switch {
 	case err == nil:
@@ -305,19 +307,19 @@
 	}
 }
 
-// silenceFailureThreshold is the silence of a replica, to all requests of this node, from which on
-// it counts as a failure when a request ends in it: as long as items wait.
+// silenceFailureThreshold is the silence of a replica, toward all requests of this node, that
+// counts as a failure when a request ends during it. Batch items use the same limit.
 const silenceFailureThreshold = 2 * time.Second
 
-// healthResult tells what the end of an attempt says of the replica. An answer that was
-// passed on because it was the last word may be a failure all the same.
+// healthResult returns what the end of an attempt means for the replica's health. An answer that
+// was relayed because no retry was left may still be a failure.
 func (c *call) healthResult(ctx context.Context, use *replica.Use, err error) replica.Result {
 	result := resultOfError(ctx, err)
 	switch {
 	case result == replica.Abandoned && !c.sentAt.IsZero() && use.Silence(clock.Now()) >= silenceFailureThreshold:
 		return replica.Failed
 	case err == nil && c.status == http.StatusGatewayTimeout:
-		// It stopped at the deadline that it was given.
+		// The replica stopped at the deadline that it was given.
 		return replica.Abandoned
 	case err == nil && c.status >= http.StatusInternalServerError:
 		return replica.Failed
@@ -326,7 +328,7 @@
 	}
 }
 
-// exchange sends one attempt and passes its answer on.
+// exchange sends one attempt and relays its answer.
 func (c *call) exchange(ctx context.Context, chosen replica.Info, use *replica.Use) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -355,8 +357,9 @@
 	return cancellationError(ctx, c.forwardBuffered(answer, use))
 }
 
-// cancellationError replaces an error that comes of this side's own giving up of an attempt. One that
-// was left for a restart and surely did not run is reported as it is.
+// cancellationError replaces an error that results from this node canceling the attempt by the
+// cause of the cancellation. An attempt canceled because of a restart that provably did not run
+// keeps its own error.
 func cancellationError(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
 	switch {
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -11,24 +11,24 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// Quarantine keeps work from replicas that ended those it ran on. The functions that return
-// the work are called only if some is suspected. It is safe for concurrent use.
+// Quarantine keeps work away from replicas if it is suspected of crashing them. The work functions
+// are called only while some work is suspected. A Quarantine is safe for concurrent use.
 type Quarantine interface {
-	// RefuseRequest returns a quarantine.RefusedError for a request that must not be sent, at
-	// once or after a short wait for word of other nodes,
-	// Refuse for other work.
+	// RefuseRequest returns a quarantine.RefusedError for a request that must not be sent, either
+	// at once or after a short wait for reports of other nodes. Refuse does the same without
+	// waiting, for other work.
 	RefuseRequest(ctx context.Context, work func() quarantine.Work) error
 	Refuse(work func() quarantine.Work) error
-	// EndedWell takes in a whole answer to a work.
+	// EndedWell records a complete answer for the work.
 	EndedWell(work quarantine.Work)
-	// BrokeOff takes in that a replica's answer to a run broke off. It returns when it is
-	// known whether the replica ended, or after a short time.
+	// BrokeOff records that a replica's answer to a run was interrupted. It returns once it is
+	// known whether the replica crashed, or after a short time.
 	BrokeOff(ctx context.Context, replica quarantine.Replica, run quarantine.Run)
 }
 
-// LooksLikeCrash reports whether an attempt ended as it does if its replica ends: after the
-// request may have begun to run, and not by an answer or by this side's giving up. status is
-// that of the answer, 0 if none came.
+// LooksLikeCrash reports whether an attempt ended as it would if its replica had crashed: after the
+// request may have begun to run, and neither with an answer nor because this node canceled it for
+// another reason. status is that of the answer, 0 if none came.
 func LooksLikeCrash(err error, status int) bool {
 	if err == nil || outcome.Of(err) == outcome.NotDone || status >= http.StatusInternalServerError {
 		return false
@@ -41,7 +41,7 @@
 	return false
 }
 
-// checkQuarantine returns the error of a request whose work must not be sent.
+// checkQuarantine returns an error if the request's work must not be sent.
 func (c *call) checkQuarantine(ctx context.Context) error {
 	if c.forwarder.Quarantine == nil {
 		return nil
@@ -49,8 +49,8 @@
 	return c.forwarder.Quarantine.RefuseRequest(ctx, c.request.Work)
 }
 
-// reportToQuarantine tells how an attempt ended. After one that may have ended its replica it
-// waits for word of that, for the next attempt is decided about by it.
+// reportToQuarantine reports how an attempt ended. If the replica may have crashed it waits until
+// that is known, because the next attempt depends on it.
 func (c *call) reportToQuarantine(ctx context.Context, chosen *replica.Candidate, began time.Time, err error) {
 	guard := c.forwarder.Quarantine
 	switch {
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -8,7 +8,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// recordingGuard records what the quarantine is told.
+// recordingGuard records the replicas whose answers were reported as interrupted.
 type recordingGuard struct{ broken []quarantine.Replica }
 
 func (g *recordingGuard) RefuseRequest(context.Context, func() quarantine.Work) error { return nil }
@@ -18,7 +18,8 @@
 	g.broken = append(g.broken, broken)
 }
 
-// TestRestart_ReportsCrashedInstanceToQuarantine: what ran there may have ended it.
+// TestRestart_ReportsCrashedInstanceToQuarantine guards that the instance that ran the request is
+// reported, not its successor.
 func TestRestart_ReportsCrashedInstanceToQuarantine(t *testing.T) {
 	forwarder, guard := forwarderWithStartTimes(nil, 2), &recordingGuard{}
 	backend := &scriptedBackend{}
@@ -34,6 +35,6 @@
 		t.Fatal(err)
 	}
 	if len(guard.broken) != 1 || guard.broken[0].Born != 1000 {
-		t.Errorf("told %+v", guard.broken)
+		t.Errorf("reported %+v", guard.broken)
 	}
 }
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -12,33 +12,33 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// An attempt that is under way when the time is over may have run: its caller learns
-// nothing. One that cannot bring anything in the time that is left is therefore not
-// begun, and a request that never reached a replica's slot ends as provably not run.
+// An attempt that is in flight when the deadline passes may have run, so its caller cannot know.
+// Attempts that cannot succeed in the remaining time are therefore not sent, and a request that
+// never reached a replica's slot ends as provably not run.
 
 const (
-	// minUsefulTime is the least time left that is worth an attempt, whatever is learned:
-	// a way there and back between zones takes some 3 ms.
+	// minUsefulTime is the least remaining time for which an attempt is sent, whatever latency has
+	// been observed. A round trip between zones takes about 3 ms.
 	minUsefulTime = 5 * time.Millisecond
-	// refusalFactor is how often the slowest refusal of a request must fit into the time
-	// that is left: the next one may be slower, on a busy machine by as much again.
+	// refusalFactor is how many times the slowest refusal of a request must fit into the remaining
+	// time: the next one may take twice as long on a busy machine.
 	refusalFactor = 2
-	// maxRefusalTime bounds what a slow refusal counts for, so that one late word does not
+	// maxRefusalTime caps the recorded duration of a refusal, so that a single late one does not
 	// keep a request from slots that become free in time.
 	maxRefusalTime = 125 * time.Millisecond
-	// deadlineMargin is how much earlier than the caller's a replica's deadline ends, so that
-	// its word that the request waited in vain and did not run comes back before the
-	// caller's own time is over. The deadline is told as a length of time: it begins a way
-	// later, and the word takes another. A way takes up to 3 ms within a region on the
-	// users' sheets; the rest is for machines with a small share of a core.
+	// deadlineMargin is how much earlier a replica's deadline is than the caller's, so that a
+	// replica can still report that the request timed out in its queue and did not run. The
+	// deadline is sent as a duration: it starts one network delay later, and the report takes
+	// another. A one-way delay is up to 3 ms within a region; the rest allows for machines with a
+	// small share of a core.
 	deadlineMargin = 10 * time.Millisecond
-	// crossRegionDeadlineMargin is the same for replicas of other regions, 20 ms away.
+	// crossRegionDeadlineMargin is the same for replicas in other regions, 20 ms away.
 	crossRegionDeadlineMargin = 50 * time.Millisecond
 )
 
-// BusyError reports that no replica had room in time. It is ErrBusy.
+// BusyError reports that no replica had capacity in time. It matches ErrBusy.
 type BusyError struct {
-	// PredictedWait is the predicted time until a replica has room; 0 if it is not known.
+	// PredictedWait is the predicted time until a replica has capacity; 0 if unknown.
 	PredictedWait time.Duration
 }
 
@@ -50,10 +50,10 @@
 	return fmt.Sprintf("%v; room is predicted in %v", ErrBusy, e.PredictedWait.Round(time.Millisecond))
 }
 
-// Unwrap makes it ErrBusy.
+// Unwrap makes the error match ErrBusy.
 func (e *BusyError) Unwrap() error { return ErrBusy }
 
-// timeLeft is the time until the final answer is due.
+// timeLeft is the time until the complete answer is due.
 func (c *call) timeLeft(now time.Time) time.Duration {
 	if c.deadline.IsZero() {
 		return math.MaxInt64
@@ -61,13 +61,13 @@
 	return c.deadline.Sub(now)
 }
 
-// minAttemptTime is the time that an attempt at a replica needs to be of use: until the first
-// event by what is learned, and until a refusal by what this request has seen.
+// minAttemptTime is the least time in which an attempt at a replica can be useful, given the
+// observed latency of first events and the refusals of this request.
 func (c *call) minAttemptTime(chosen *replica.Candidate) time.Duration {
 	return max(minUsefulTime, chosen.Soonest, refusalFactor*c.slowestRefusal)
 }
 
-// hasTimeFor reports whether an attempt at a replica can bring anything in the time left.
+// hasTimeFor reports whether an attempt at a replica can succeed in the remaining time.
 func (c *call) hasTimeFor(chosen *replica.Candidate, now time.Time) bool {
 	if c.deadline.IsZero() {
 		return true
@@ -76,7 +76,7 @@
 	return replicaTime >= minUsefulTime && c.timeLeft(now) >= c.minAttemptTime(chosen)
 }
 
-// outOfTimeError is the error of a request for which no further attempt is begun.
+// outOfTimeError returns the error of a request that has no time for another attempt.
 func (c *call) outOfTimeError(now time.Time) error {
 	if c.mayHaveRun {
 		return ErrTimeout
@@ -84,19 +84,19 @@
 	return c.busyError(now)
 }
 
-// busyError is the error of a request that found no room, with what is known of when there is.
+// busyError returns the error of a request that found no capacity, with the predicted wait.
 func (c *call) busyError(now time.Time) *BusyError {
 	return &BusyError{PredictedWait: c.forwarder.Replicas.Room(c.result.Pool, &c.demand, now).Wait}
 }
 
-// recordRefusal takes in how long an attempt took that did not run.
+// recordRefusal records the duration of an attempt that did not run.
 func (c *call) recordRefusal(err error, took time.Duration) {
 	if outcome.Of(err) == outcome.NotDone {
 		c.slowestRefusal = max(c.slowestRefusal, min(took, maxRefusalTime))
 	}
 }
 
-// replicaDeadline is the deadline that a replica at some distance is given.
+// replicaDeadline returns the deadline to send to a replica at the given distance.
 func (c *call) replicaDeadline(distance place.Distance) time.Time {
 	switch {
 	case c.deadline.IsZero():
@@ -108,8 +108,8 @@
 	}
 }
 
-// waitForCapacity waits until refusals may be over, as long as the route allows. room is when
-// there is room at the earliest: a request that has less time is refused now.
+// waitForCapacity waits before replicas are tried again, within the limits of the route. wait is
+// the earliest time until capacity is expected: a request that has less time left fails now.
 func (c *call) waitForCapacity(ctx context.Context, wait time.Duration) error {
 	now := clock.Now()
 	if c.timeLeft(now) < minUsefulTime+wait {
@@ -129,7 +129,7 @@
 	}
 }
 
-// busyErrorAfter is busy where there is room no sooner than after some time.
+// busyErrorAfter is like busyError, with a predicted wait of at least the given time.
 func (c *call) busyErrorAfter(wait time.Duration, now time.Time) *BusyError {
 	failed := c.busyError(now)
 	failed.PredictedWait = max(failed.PredictedWait, wait)
--- a/internal/forward/refusal_test.go
+++ b/internal/forward/refusal_test.go
@@ -12,7 +12,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// afterDelay waits; it reports whether the attempt's time was over before.
+// afterDelay waits; it returns false if the attempt ended first.
 func afterDelay(ctx context.Context, delay time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -22,8 +22,8 @@
 	}
 }
 
-// slowRefuser refuses each attempt after a delay. lost counts the attempts whose refusal
-// came too late to be known.
+// slowRefuser refuses each attempt after a delay. lost counts the attempts that ended before their
+// refusal.
 func slowRefuser(delay time.Duration, lost *int) *scriptedBackend {
 	return &scriptedBackend{answer: func(ctx context.Context, _ *Attempt, _ int) (*Answer, error) {
 		if !afterDelay(ctx, delay) {
@@ -34,8 +34,8 @@
 	}}
 }
 
-// TestDo_AlwaysRefusedRequestIsNotDone: an attempt whose refusal can only
-// come after the deadline turns a true "not run" into "nobody knows".
+// TestDo_AlwaysRefusedRequestIsNotDone guards against attempts whose refusal can only arrive after
+// the deadline, which would make a certain "not run" unknown.
 func TestDo_AlwaysRefusedRequestIsNotDone(t *testing.T) {
 	for delay := time.Millisecond; delay <= 120*time.Millisecond; delay += 7 * time.Millisecond {
 		for replicas := 1; replicas <= 4; replicas++ {
@@ -54,7 +54,7 @@
 	}
 }
 
-// slowStream answers with its first event after a delay.
+// slowStream sends its events after a delay.
 func slowStream(delay time.Duration) *scriptedBackend {
 	return &scriptedBackend{answer: func(ctx context.Context, _ *Attempt, _ int) (*Answer, error) {
 		if !afterDelay(ctx, delay) {
@@ -64,7 +64,7 @@
 	}}
 }
 
-// doWithin carries out a request that has so much time.
+// doWithin forwards a request with the given time until its deadline.
 func doWithin(t *testing.T, forwarder *Forwarder, left time.Duration) error {
 	t.Helper()
 	request := &Request{ID: "q", Method: http.MethodPost, Target: "/x", Received: time.Now(), Deadline: time.Now().Add(left)}
@@ -88,7 +88,7 @@
 			t.Errorf("200 ms for an event that takes 300: %v, sent %d times", err, len(backend.sent)-sent)
 		}
 		if took := time.Since(began); took > 0 {
-			t.Errorf("was held for %v", took)
+			t.Errorf("held for %v", took)
 		}
 		if err := doWithin(t, forwarder, 320*time.Millisecond); err != nil {
 			t.Errorf("320 ms for an event that takes 300: %v", err)
@@ -96,7 +96,8 @@
 	})
 }
 
-// TestDo_UnknownLatencyDoesNotBlockAttempt: what is not known is tried.
+// TestDo_UnknownLatencyDoesNotBlockAttempt guards that requests are sent when no latency has been
+// observed yet.
 func TestDo_UnknownLatencyDoesNotBlockAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		if err := doWithin(t, newForwarder(slowStream(20*time.Millisecond), 1), 60*time.Millisecond); err != nil {
@@ -105,8 +106,8 @@
 	})
 }
 
-// TestDo_MixedLatencyDoesNotBlockAttempt: where some answers begin far sooner than others, an
-// attempt may still be in time.
+// TestDo_MixedLatencyDoesNotBlockAttempt guards that an attempt is sent if a fast answer would
+// still be in time, even if others are slow.
 func TestDo_MixedLatencyDoesNotBlockAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, _ *Attempt, number int) (*Answer, error) {
@@ -126,19 +127,20 @@
 			}
 		}
 		if err := doWithin(t, forwarder, 60*time.Millisecond); err != nil {
-			t.Errorf("the 41st takes 20 ms: %v", err)
+			t.Errorf("request 41, which takes 20 ms: %v", err)
 		}
 	})
 }
 
-// routeWithoutObjective has no objective, so that no replica's silence ends an attempt.
+// routeWithoutObjective returns a route whose attempts are never canceled for silence.
 func routeWithoutObjective() *route.Route {
 	target := routeOf(route.Repeatable, true, 3)
 	target.Objective = 0
 	return target
 }
 
-// TestDo_DeadlineDuringRunIsTimeout: what may have run is never called refused.
+// TestDo_DeadlineDuringRunIsTimeout guards that a request that may have run is never reported as
+// refused.
 func TestDo_DeadlineDuringRunIsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, _ int) (*Answer, error) {
@@ -152,8 +154,8 @@
 	})
 }
 
-// TestDo_QueuedRequestPastDeadlineIsNotDone: a replica's word that the deadline passed in
-// its queue comes back before the caller's own deadline.
+// TestDo_QueuedRequestPastDeadlineIsNotDone guards that a replica's report that the deadline passed
+// in its queue arrives before the caller's own deadline.
 func TestDo_QueuedRequestPastDeadlineIsNotDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const oneWayDelay = 2 * time.Millisecond
--- a/internal/forward/regions_test.go
+++ b/internal/forward/regions_test.go
@@ -14,8 +14,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// multiRegionForwarder forwards to two replicas at home, in "n", three elsewhere and one of an
-// unknown region. Their slots are taken.
+// multiRegionForwarder has two replicas in region "n", three in "s" and one in an unknown region.
+// All of their slots are taken.
 func multiRegionForwarder(backend Backend) *Forwarder {
 	set := replica.NewSet()
 	for id, region := range map[string]string{"n1": "n", "n2": "n", "s1": "s", "s2": "s", "s3": "s", "x1": ""} {
@@ -43,7 +43,8 @@
 		"of both":       {place.Regions{"n", "m"}, place.Regions{"s", "n"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			// Half of an answer, refusals and failures: each makes the request go elsewhere.
+			// A truncated answer, refusals and a success: each failure makes the request try
+			// another replica.
 			backend := &scriptedBackend{answer: func(_ context.Context, attempt *Attempt, number int) (*Answer, error) {
 				switch {
 				case number == 1:
@@ -79,8 +80,8 @@
 	}
 }
 
-// TestDo_NoReplicaInAllowedRegionsFailsAtOnce takes the replicas at home away, marks them as leaving,
-// and asks for homes that have none.
+// TestDo_NoReplicaInAllowedRegionsFailsAtOnce covers replicas that were removed or are leaving, and
+// regions without any.
 func TestDo_NoReplicaInAllowedRegionsFailsAtOnce(t *testing.T) {
 	forwarder := multiRegionForwarder(&scriptedBackend{answer: func(context.Context, *Attempt, int) (*Answer, error) {
 		t.Error("the request was sent")
--- a/internal/forward/reserve.go
+++ b/internal/forward/reserve.go
@@ -12,41 +12,41 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// A node keeps to its own part of a pool's slots, so by chance it may have none free
-// while others do. A replica itself knows: it is asked to set a free slot aside for
-// a moment, and the request follows. A few replicas suffice, for each of them has a
-// free slot with some chance of its own (the power of a few choices, Mitzenmacher,
-// 2001), asked afresh and not remembered.
+// A node owns only a share of a pool's slots, so it may have none free while other nodes do. The
+// replicas know their free slots: a few of them are asked to reserve one for a moment, and the
+// request follows. A few suffice, since each has a free slot with independent probability
+// (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001). Answers are not
+// cached.
 
 const (
-	// reserveTries is the number of replicas of the own region that are asked for a
-	// slot.
+	// reserveTries is the number of replicas in this node's region that are asked for a slot.
 	reserveTries = 3
-	// crossRegionTries is the number of those of other regions that are asked after them.
+	// crossRegionTries is the number of replicas in other regions that are asked after them.
 	crossRegionTries = 2
-	// reserveTimeout bounds one question; a way there and back takes some 2 ms.
+	// reserveTimeout bounds one reservation call; a round trip takes about 2 ms.
 	reserveTimeout = 40 * time.Millisecond
-	// crossRegionRoundTrips is how often a question to a replica far away takes the way there
-	// and back: a new connection, and the question itself.
+	// crossRegionRoundTrips is the number of round trips of a reservation call to another region:
+	// one for a new connection and one for the call.
 	crossRegionRoundTrips = 2
-	// reserveHold is how long a slot is set aside: the request follows at once, but a
-	// node with a small share of a core may be held up for a few times 100 ms.
+	// reserveHold is how long a slot is reserved. The request follows at once, but a node with a
+	// small share of a core may be delayed by a few hundred milliseconds.
 	reserveHold = 400 * time.Millisecond
 )
 
-// reserve asks other replicas for a free slot if this node has none at the chosen one.
+// reserve tries to reserve a free slot at another replica if this node has none at the chosen one.
 // It returns the replica to send the request to.
 func (c *call) reserve(ctx context.Context, chosen *replica.Candidate) *replica.Candidate {
 	if c.forwarder.Reserver == nil || c.request.Prompt.Total() == 0 || chosen.Spare() || chosen.Cold.Left > 0 {
-		// What is sent to a cold replica is bounded already.
+		// Requests to cold replicas are rate-limited already.
 		return chosen
 	}
 	demand := c.demand
 	demand.Exclude = maps.Clone(c.demand.Exclude)
 	demand.Unheard = c.forwarder.Replicas.AskUnheard(c.result.Pool, clock.Now())
 	if demand.Affinity == 0 {
-		// Replicas that look alike are asked alike often: in one order, all nodes would ask the
-		// same one first, and the last of them never while the first do not say that they are full.
+		// Equivalent replicas must be asked equally often. In a fixed order, all nodes would ask
+		// the same ones first, and never reach the last while the first do not report that they are
+		// full.
 		demand.Affinity = rand.Uint64()
 	}
 	if asked := c.reserveAny(ctx, &demand, reserveTries, false); asked != nil {
@@ -63,8 +63,8 @@
 	return chosen
 }
 
-// reserveAny asks up to so many replicas, one after the other, for a slot. It returns
-// the one that set a slot aside, or nil.
+// reserveAny asks up to the given number of replicas, one after the other, for a slot. It returns
+// the one that reserved a slot, or nil.
 func (c *call) reserveAny(ctx context.Context, demand *replica.Demand, tries int, crossRegion bool) *replica.Candidate {
 	for range tries {
 		asked := c.pickUnqueued(demand, crossRegion)
@@ -80,25 +80,25 @@
 	return nil
 }
 
-// hasTimeForCrossRegion reports whether a request that found no free slot in its region can
-// still be in time elsewhere, after a question there and the way of the request itself.
+// hasTimeForCrossRegion reports whether a request without a free slot in its region can still meet
+// its objective in another one, after the reservation call and its own transmission.
 func (c *call) hasTimeForCrossRegion(chosen *replica.Candidate) bool {
 	left := c.route.Objective - clock.Since(c.request.Received)
 	return left > chosen.First+(crossRegionRoundTrips+1)*c.forwarder.Weights.Cost(place.OtherRegion)
 }
 
-// pickUnqueued returns the replica to be asked for a slot, or nil.
+// pickUnqueued returns the next replica to ask for a slot, or nil.
 func (c *call) pickUnqueued(demand *replica.Demand, crossRegion bool) *replica.Candidate {
 	candidates := c.forwarder.Replicas.SnapshotFor(c.result.Pool, demand, clock.Now())
 	best, err := replica.PickUnqueued(candidates, demand, c.forwarder.Weights, crossRegion)
 	if err != nil {
-		// None is left to ask.
+		// No candidate is left to ask.
 		return nil
 	}
 	return best
 }
 
-// reservationTimeout bounds a question to a replica.
+// reservationTimeout bounds a reservation call to a replica.
 func (c *call) reservationTimeout(asked *replica.Candidate) time.Duration {
 	if c.demand.Distance(asked) != place.OtherRegion {
 		return reserveTimeout
@@ -106,7 +106,7 @@
 	return reserveTimeout + crossRegionRoundTrips*c.forwarder.Weights.Cost(place.OtherRegion)
 }
 
-// reserveAt asks a replica for a slot. It reports whether one was set aside.
+// reserveAt asks a replica for a slot. It reports whether one was reserved.
 func (c *call) reserveAt(ctx context.Context, asked *replica.Candidate) bool {
 	began := clock.Now()
 	callCtx, cancel := context.WithTimeout(ctx, c.reservationTimeout(asked))
--- a/internal/forward/reserve_test.go
+++ b/internal/forward/reserve_test.go
@@ -16,7 +16,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// scriptedReserver answers questions for a slot as told and records them.
+// scriptedReserver answers reservation calls with its answer function and records them.
 type scriptedReserver struct {
 	mu     sync.Mutex
 	asked  []string
@@ -32,7 +32,7 @@
 
 var errFull = outcome.Failed(ErrRefused)
 
-// saturatedForwarder returns a forwarder of one of two nodes, all of whose slots are taken.
+// saturatedForwarder returns a forwarder of one of two nodes, with all slots taken.
 func saturatedForwarder(t *testing.T, backend Backend, reserver Reserver) *Forwarder {
 	t.Helper()
 	forwarder := newForwarder(backend, 6)
@@ -72,14 +72,9 @@
 	}
 }
 
-// TestReserve_EquivalentReplicasAreAskedEvenly: a request that shares no prefix with others
-// may go to any of them. The order of their ids decided, the same for all requests at all nodes, so
-// all went to the same few, and the others stood empty where the full ones did not say so.
-//
-// Seen in a soak (--overcommit --seed 6005, servers that always tell of one running request): "attempt
-// sent" by eight nodes to eight servers in the 48th second of the minute, in calm: 13 to server-7,
-// 18 to server-2, 12 to server-6, 5 to server-3, 1 to server-1, 0 to the rest; in the 17th all 39 to
-// server-7. Items waited 6.75 s in calm beside slots free at server-1, 4 and 5.
+// TestReserve_EquivalentReplicasAreAskedEvenly guards against a fixed order of replicas for
+// requests without a shared prefix: all nodes then asked the same few replicas, and the others
+// stayed idle if the full ones did not report it (soak --overcommit --seed 6005).
 func TestReserve_EquivalentReplicasAreAskedEvenly(t *testing.T) {
 	reserver := &scriptedReserver{answer: func(id string) (string, error) { return "slot-at-" + id, nil }}
 	forwarder := saturatedForwarder(t, answerAll(), reserver)
@@ -147,8 +142,7 @@
 	}
 }
 
-// TestReserve_SkippedForUnknownSize: a replica cannot set memory aside
-// for it.
+// TestReserve_SkippedForUnknownSize covers requests for which a replica cannot reserve memory.
 func TestReserve_SkippedForUnknownSize(t *testing.T) {
 	reserver := &scriptedReserver{answer: func(string) (string, error) { return "slot", nil }}
 	forwarder := saturatedForwarder(t, answerAll(), reserver)
@@ -158,8 +152,8 @@
 	}
 }
 
-// twoRegions returns a forwarder in the north, with so many replicas there and in the
-// south, and with all slots of its node taken. A question between regions costs 40 ms.
+// twoRegions returns a forwarder in region "north", with the given number of replicas in each
+// region and all slots of its node taken. A call between regions costs 40 ms.
 func twoRegions(t *testing.T, reserver Reserver, north, south int) *Forwarder {
 	t.Helper()
 	forwarder := newForwarder(answerAll(), 0)
@@ -199,11 +193,11 @@
 		if strings.HasPrefix(id, "south") {
 			crossRegion++
 		} else if crossRegion > 0 {
-			t.Errorf("asked %v: %s, the %dth, is of the own region", reserver.asked, id, i)
+			t.Errorf("asked %v: %s, the %dth, is in this node's region", reserver.asked, id, i)
 		}
 	}
 	if crossRegion == 0 || crossRegion > crossRegionTries {
-		t.Errorf("asked %v, want up to %d of the other region", reserver.asked, crossRegionTries)
+		t.Errorf("asked %v, want up to %d in the other region", reserver.asked, crossRegionTries)
 	}
 }
 
@@ -214,13 +208,13 @@
 	}
 	for _, id := range reserver.asked {
 		if strings.HasPrefix(id, "south") {
-			t.Errorf("%s was asked though the way there takes the time that is left", id)
+			t.Errorf("%s was asked although the round trip exceeds the time left", id)
 		}
 	}
 }
 
-// TestReserve_WaitsForOtherRegion: a finding; the way there and back
-// takes as long as all of the time-out was, so each slot set aside there was lost.
+// TestReserve_WaitsForOtherRegion guards that the timeout includes the round trip to another
+// region; otherwise every slot reserved there is lost.
 func TestReserve_WaitsForOtherRegion(t *testing.T) {
 	reserver := &slowReserver{delay: reserveTimeout + 10*time.Millisecond}
 	backend := answerAll()
@@ -230,11 +224,11 @@
 		t.Fatal(err)
 	}
 	if backend.sent[0].Reservation == "" {
-		t.Fatal("sent without the slot that was set aside")
+		t.Fatal("sent without the reserved slot")
 	}
 }
 
-// slowReserver sets slots aside after some time.
+// slowReserver reserves slots after a delay.
 type slowReserver struct{ delay time.Duration }
 
 func (r *slowReserver) Reserve(ctx context.Context, _ replica.Info, _ int, _ time.Duration) (string, error) {
--- a/internal/forward/restart.go
+++ b/internal/forward/restart.go
@@ -11,39 +11,39 @@
 	"github.com/wheelhoist/wheelhoist/internal/retry"
 )
 
-// A replica that starts again answers nothing that the one before was sent. An attempt there
-// whose connection stays open without a word would be waited for until the caller's time is
-// over. But the list tells of a start late, by up to 3 s on the users' platform, so the
-// attempt may have been sent to the new replica already.
+// A replica that restarts never answers requests sent to its previous instance. If the connection
+// stays open without data, the attempt would wait until the caller's deadline. However, the replica
+// list reports a restart up to 3 s late, so the attempt may already have been sent to the new
+// instance.
 
 const (
-	// restartGrace is how long an attempt that may have been sent to the new replica is given
-	// to show it, by any part of its answer: as long as the pause between two events may be on
-	// the users' deployments, 250 or 300 ms. Reading a prompt of 9,000 tokens takes 180 ms
-	// there.
+	// restartGrace is how long an attempt that may have been sent to the new instance has to prove
+	// it by receiving any part of its answer. It covers the longest allowed pause between two
+	// events, 250 to 300 ms; reading a prompt of 9,000 tokens takes 180 ms.
 	restartGrace = 300 * time.Millisecond
-	// restartGraceCount is how often in a row it is to do so: what comes first may have been on its
-	// way when the replica before ended, or waited here while this machine stood still.
+	// restartGraceCount is how many grace periods in a row must show progress: the first data may
+	// have been in flight when the previous instance ended, or buffered here while this machine was
+	// paused.
 	restartGraceCount = 2
 )
 
-// progress is when anything of an answer last came. The zero value has seen nothing; began
-// must be set. It is safe for concurrent use.
+// progress records when data of an answer last arrived. began must be set. It is safe for
+// concurrent use.
 type progress struct {
 	began time.Time
-	// last is the time from began to then; 0 if nothing has come.
+	// last is the time from began to the last data; 0 if none has arrived.
 	last atomic.Int64
 }
 
 func (p *progress) record() { p.last.Store(max(1, int64(clock.Since(p.began)))) }
 
-// after reports whether anything came after a time.
+// after reports whether data arrived after the given time.
 func (p *progress) after(at time.Time) bool {
 	last := p.last.Load()
 	return last > 0 && p.began.Add(time.Duration(last)).After(at)
 }
 
-// observedBody notes when anything of a body comes.
+// observedBody records progress whenever data of the body arrives.
 type observedBody struct {
 	io.ReadCloser
 	progress *progress
@@ -58,9 +58,9 @@
 	return read, err
 }
 
-// watchRestart gives an attempt up once its replica is known to have started again. One that
-// can go on elsewhere and of whose answer nothing comes is left at once; any other is left
-// unless its answer goes on.
+// watchRestart cancels an attempt once its replica is known to have restarted. An attempt that can
+// be retried elsewhere and is making no progress is canceled at once; any other is canceled unless
+// its answer continues.
 func (c *call) watchRestart(ctx context.Context, use *replica.Use, cancel context.CancelCauseFunc) *progress {
 	seen := &progress{began: clock.Now()}
 	restarted, canRetry := use.Reborn(), c.hasAttemptsLeft()
@@ -78,8 +78,8 @@
 	return seen
 }
 
-// keepsProgressing reports whether something of an answer comes within each of the next restartGraces,
-// or the attempt ends.
+// keepsProgressing reports whether data arrives in each of the next restartGraceCount grace
+// periods, or the attempt ends first.
 func keepsProgressing(ctx context.Context, seen *progress) bool {
 	for range restartGraceCount {
 		since := clock.Now()
--- a/internal/forward/restart_test.go
+++ b/internal/forward/restart_test.go
@@ -15,15 +15,16 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// abandonWithin is how soon an attempt must be left after the start is known, on a busy machine.
+// abandonWithin is the time within which an attempt must be canceled once the restart is known, on
+// a busy machine.
 const abandonWithin = restartGraceCount*restartGrace + 500*time.Millisecond
 
-// announceStart lists a replica at a start.
+// announceStart lists a replica with the given start time.
 func announceStart(forwarder *Forwarder, id string, startedAt int64, address string) {
 	forwarder.Replicas.Put(replica.Info{ID: id, Pool: testPool, Address: address, Slots: 4, Born: startedAt})
 }
 
-// forwarderWithStartTimes returns a forwarder whose replicas say when they started.
+// forwarderWithStartTimes returns a forwarder whose replicas report when they started.
 func forwarderWithStartTimes(backend Backend, replicas int) *Forwarder {
 	forwarder := newForwarder(backend, 0)
 	for i := range replicas {
@@ -33,7 +34,7 @@
 	return forwarder
 }
 
-// silentStream answers with the first events and then says nothing until the attempt ends.
+// silentStream sends the given text and then nothing until the attempt ends.
 func silentStream(ctx context.Context, text string) *Answer {
 	reader, writer := io.Pipe()
 	go func() {
@@ -44,7 +45,7 @@
 	return &Answer{Status: http.StatusOK, Header: http.Header{}, EventStream: true, Body: reader}
 }
 
-// patientRoute returns a route whose attempts are not left for silence in the time of a test.
+// patientRoute returns a route whose attempts are not canceled for silence during a test.
 func patientRoute(kind route.Kind, resumable bool, attempts int) *route.Route {
 	target := routeOf(kind, resumable, attempts)
 	target.Timeout, target.Objective, target.Gap = 10*time.Second, 5*time.Second, 5*time.Second
@@ -61,7 +62,7 @@
 		}
 		time.AfterFunc(2*restartGrace, func() {
 			restartedAt = time.Now()
-			// The clock of its machine has stepped back.
+			// The clock of the replica's machine has stepped back.
 			announceStart(forwarder, attempt.Replica.ID, 900, attempt.Replica.Address)
 		})
 		return silentStream(ctx, events(1, 3)), nil
@@ -72,11 +73,12 @@
 		t.Fatalf("caller got %q after %d attempts, %v", sink.body.String(), result.Attempts, err)
 	}
 	if took := time.Since(restartedAt); took > restartGrace {
-		t.Errorf("went on %v after the start was known", took)
+		t.Errorf("resumed %v after the restart was known", took)
 	}
 }
 
-// TestRestart_NonRepeatableRequestIsUnknown: it may have run at the start before.
+// TestRestart_NonRepeatableRequestIsUnknown covers a request that may have run at the previous
+// instance.
 func TestRestart_NonRepeatableRequestIsUnknown(t *testing.T) {
 	for _, target := range []*route.Route{patientRoute(route.Stream, false, 3), patientRoute(route.Once, false, 3)} {
 		forwarder := forwarderWithStartTimes(nil, 3)
@@ -96,12 +98,13 @@
 			t.Fatalf("%s was sent %d times, %v", target.Kind, len(backend.sent), err)
 		}
 		if took := time.Since(restartedAt); took > abandonWithin {
-			t.Errorf("%s ended %v after the start was known", target.Kind, took)
+			t.Errorf("%s ended %v after the restart was known", target.Kind, took)
 		}
 	}
 }
 
-// TestRestart_ProgressingAnswerIsKept: the list tells late of a start.
+// TestRestart_ProgressingAnswerIsKept covers a restart that the list reports late, while the new
+// instance is already answering.
 func TestRestart_ProgressingAnswerIsKept(t *testing.T) {
 	for _, resumable := range []bool{true, false} {
 		forwarder := forwarderWithStartTimes(nil, 3)
@@ -128,7 +131,7 @@
 	}
 }
 
-// TestRestart_UnsentRequestIsRetried: the connection came up at neither start.
+// TestRestart_UnsentRequestIsRetried covers a connection that was established to neither instance.
 func TestRestart_UnsentRequestIsRetried(t *testing.T) {
 	forwarder := forwarderWithStartTimes(nil, 3)
 	backend := &scriptedBackend{}
@@ -147,7 +150,7 @@
 	}
 }
 
-// TestRestart_BetweenPickAndSend: what is sent goes to the start that is known now.
+// TestRestart_BetweenPickAndSend guards that a request is sent to the instance known at that time.
 func TestRestart_BetweenPickAndSend(t *testing.T) {
 	backend := answerAll()
 	forwarder := forwarderWithStartTimes(backend, 1)
--- a/internal/forward/stalled_test.go
+++ b/internal/forward/stalled_test.go
@@ -15,7 +15,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// blockedBody says nothing until its context ends.
+// blockedBody returns no data until its context ends.
 type blockedBody struct{ ctx context.Context }
 
 func (b blockedBody) Read([]byte) (int, error) {
@@ -23,7 +23,7 @@
 	return 0, context.Cause(b.ctx)
 }
 
-// answerOtherRequests has the replicas answer other requests of the node, each 100 ms, until the
+// answerOtherRequests has the replicas answer other requests of the node every 100 ms until the
 // test ends.
 func answerOtherRequests(t *testing.T, replicas *replica.Set, ids ...string) {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -45,8 +45,8 @@
 	})
 }
 
-// The answer's connection dies without a reset after its second event; its replica answers
-// others all the time. The stream goes on elsewhere long before its deadline.
+// The connection dies without a reset after the second event while the replica keeps answering
+// other requests. The stream must resume elsewhere long before its deadline.
 func TestDo_StalledStreamResumesElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, number int) (*Answer, error) {
@@ -57,7 +57,7 @@
 				return answer, nil
 			}
 			if attempt.LastEventID != 2 {
-				t.Errorf("second attempt goes on after event %d, want 2", attempt.LastEventID)
+				t.Errorf("second attempt resumes after event %d, want 2", attempt.LastEventID)
 			}
 			answer.Body = io.NopCloser(strings.NewReader("id: 3\ndata: c\n\n"))
 			return answer, nil
@@ -73,12 +73,12 @@
 			t.Fatalf("caller got %q, want %q", sink.body.String(), want)
 		}
 		if took := time.Since(began); took > 5*time.Second {
-			t.Fatalf("the stream went on after %v, want it within 5 s", took)
+			t.Fatalf("the stream resumed after %v, want it within 5 s", took)
 		}
 	})
 }
 
-// slowSink is a caller that does not read for a while after its first event.
+// slowSink is a caller that stops reading for a while after its first event.
 type slowSink struct {
 	recordingSink
 	slow   time.Duration
@@ -93,7 +93,7 @@
 	return s.recordingSink.Write(chunk, more)
 }
 
-// chunkedBody gives some bytes a read, as a connection does, until its context ends.
+// chunkedBody returns a few bytes per read, as a connection may, until its context ends.
 type chunkedBody struct {
 	ctx  context.Context
 	text string
@@ -113,7 +113,7 @@
 	return read, nil
 }
 
-// While the caller does not read, nothing is read of the answer: that is no stall.
+// While the caller does not read, nothing is read from the answer either; that is not a stall.
 func TestDo_SlowCallerIsNotAStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, _ int) (*Answer, error) {
@@ -126,13 +126,13 @@
 			request := &Request{ID: "q", Method: http.MethodPost, Header: http.Header{}, Received: clock.Now()}
 			result, err := forwarder.Do(t.Context(), stallingRoute(), request, &slowSink{slow: 3 * time.Second})
 			if err != nil || result.Attempts != 1 {
-				t.Errorf("a sound replica was left: %v, %d attempts", err, result.Attempts)
+				t.Errorf("a healthy replica was abandoned: %v, %d attempts", err, result.Attempts)
 			}
 		}
 	})
 }
 
-// stallingRoute is a route whose streams are left after 2.8 s without an event.
+// stallingRoute returns a route whose streams are canceled after 2.8 s without an event.
 func stallingRoute() *route.Route {
 	return &route.Route{
 		Name: "s", Kind: route.Stream, Resumable: true, MaxAttempts: 2, Timeout: time.Minute,
@@ -141,7 +141,7 @@
 	}
 }
 
-// blockedSink is a caller that reads no more.
+// blockedSink is a caller that has stopped reading.
 type blockedSink struct {
 	recordingSink
 	unblock chan struct{}
@@ -153,8 +153,7 @@
 	return s.recordingSink.Write(chunk, more)
 }
 
-// A request whose caller reads no more ends at its deadline, and with it the slot that it
-// holds of its node's.
+// A request whose caller has stopped reading must release its slot at its deadline.
 func TestDo_BlockedCallerReleasesSlotAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, _ int) (*Answer, error) {
@@ -173,7 +172,7 @@
 		}()
 		time.Sleep(10 * time.Second)
 		if open := forwarder.Replicas.Learned(clock.Now())[testPool].Open; open > 0 {
-			t.Errorf("8 s after its deadline %d requests still hold slots", open)
+			t.Errorf("%d requests still hold slots 8 s after the deadline", open)
 		}
 		close(sink.unblock)
 		<-done
--- a/internal/forward/suspend_test.go
+++ b/internal/forward/suspend_test.go
@@ -11,8 +11,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// TestDo_EndsAtOnceWhenSuspendedPastDeadline guards that its caller, and
-// its replica, are not held for the time that the machine slept.
+// TestDo_EndsAtOnceWhenSuspendedPastDeadline guards that neither the caller nor the replica is held
+// for the duration of a machine suspension.
 func TestDo_EndsAtOnceWhenSuspendedPastDeadline(t *testing.T) {
 	machine := clocktest.New(t)
 	sent := make(chan struct{})
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestDo_GrantReceivedBeforeSuspensionIsNotUsed guards a node that slept while it waited
-// for a place at a cold replica: the answer that it finds is of a second long gone.
+// TestDo_GrantReceivedBeforeSuspensionIsNotUsed covers a node suspended while it waits for a grant:
+// the grant it then reads is for a second that has passed.
 func TestDo_GrantReceivedBeforeSuspensionIsNotUsed(t *testing.T) {
 	machine := clocktest.New(t)
 	backend := answerAll()
--- a/internal/forward/work_test.go
+++ b/internal/forward/work_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// BenchmarkRequest_Work asks for the work of a request of 18 KB as often as one
-// does that waits a second for room while some work is suspected: each waitForRoom.
+// BenchmarkRequest_Work calls Work for an 18 KB request as often as a request does that waits one
+// second for capacity while some work is suspected: once per capacityRetryInterval.
 func BenchmarkRequest_Work(b *testing.B) {
 	body := make([]byte, 18<<10)
 	for b.Loop() {
