--- a/internal/forward/reserve.go
+++ b/internal/forward/reserve.go
@@ -36,7 +36,7 @@
 // reserve tries to reserve a free slot at another replica if this node has none at the chosen one.
 // It returns the replica to send the request to.
 func (c *call) reserve(ctx context.Context, chosen *replica.Candidate) *replica.Candidate {
-	if c.forwarder.Reserver == nil || c.request.Prompt.Total() == 0 || chosen.Spare() || chosen.Cold.Left > 0 {
+	if c.forwarder.Reserver == nil || c.request.Prompt.TotalTokens() == 0 || chosen.Spare() || chosen.Cold.Left > 0 {
 		// Requests to cold replicas are rate-limited already.
 		return chosen
 	}
@@ -111,7 +111,7 @@
 	began := clock.Now()
 	callCtx, cancel := context.WithTimeout(ctx, c.reservationTimeout(asked))
 	defer cancel()
-	id, err := c.forwarder.Reserver.Reserve(callCtx, asked.Info, c.request.Prompt.Total(), reserveHold)
+	id, err := c.forwarder.Reserver.Reserve(callCtx, asked.Info, c.request.Prompt.TotalTokens(), reserveHold)
 	if c.forwarder.Observer != nil {
 		c.forwarder.Observer.Reserved(c.request, asked, clock.Since(began), err)
 	}
--- a/internal/jobs/homes.go
+++ b/internal/jobs/homes.go
@@ -39,9 +39,9 @@
 	if table == nil {
 		return place.Regions{}
 	}
-	homes := homesBy(table, job, table.Named(job.Route))
+	homes := homesBy(table, job, table.ByName(job.Route))
 	for _, other := range job.Others {
-		homes = homes.And(homesBy(table, job, table.Named(other)))
+		homes = homes.And(homesBy(table, job, table.ByName(other)))
 	}
 	return homes
 }
--- a/internal/jobs/homesprop_test.go
+++ b/internal/jobs/homesprop_test.go
@@ -56,7 +56,7 @@
 		site := newHomeSite(t, nil, nil, names...)
 		watch := &homeWatch{inForce: []place.Regions{nil}}
 		declare := func(homes place.Regions) {
-			before := site.routes.Load().Named("batch").Regions
+			before := site.routes.Load().ByName("batch").Regions
 			watch.set(before, homes)
 			site.declare(homes, nil)
 			for _, name := range names {
--- a/internal/jobs/placing.go
+++ b/internal/jobs/placing.go
@@ -80,7 +80,7 @@
 	if s.Routes == nil || s.Routes() == nil || s.Slots == nil {
 		return slots
 	}
-	target := s.Routes().Named(job.Route)
+	target := s.Routes().ByName(job.Route)
 	if target == nil {
 		return slots
 	}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -314,14 +314,14 @@
 	if c.routes.Replace(next) {
 		c.replicas.LimitCold(coldLimits(config))
 		c.log.Info().Uint64("version", config.Version).Uint64("row_version", version).
-			Int("routes", next.Routes()).Msg("configuration in force")
+			Int("routes", next.Len()).Msg("configuration in force")
 		c.logPlaceFindings(config)
 	}
 }
 
 // logPlaceFindings logs what is wrong with the homes of a configuration in force.
 func (c *core) logPlaceFindings(config *route.Config) {
-	for _, found := range config.PlaceFindings(c.places) {
+	for _, found := range config.RegionFindings(c.places) {
 		c.log.Warn().Uint64("version", config.Version).Str("path", found.Path).
 			Str("finding", found.Message).Msg("homes of the configuration")
 	}
--- a/internal/node/unreadable.go
+++ b/internal/node/unreadable.go
@@ -48,7 +48,7 @@
 // may be on its way; no request is routed there.
 func (g *Gateway) reportPool(row table.Row, info replica.Info) {
 	routes := g.routes.Load()
-	if routes == nil || routes.Declares(info.Pool) {
+	if routes == nil || routes.HasPool(info.Pool) {
 		return
 	}
 	g.unreadable.Report(row.Refuse(table.Unknown, errNoPool))
--- a/internal/route/prompt.go
+++ b/internal/route/prompt.go
@@ -19,5 +19,5 @@
 	Parts []Part
 }
 
-// Total is the memory, in tokens, that the prompt and the longest answer take.
-func (p *Prompt) Total() int { return p.Tokens + p.MaxOutput }
+// TotalTokens is the memory, in tokens, that the prompt and the longest answer take.
+func (p *Prompt) TotalTokens() int { return p.Tokens + p.MaxOutput }
--- a/internal/route/homes_test.go
+++ b/internal/route/regions_test.go
@@ -8,7 +8,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/tenant"
 )
 
-func TestPlaceFindings_NameTheirPlace(t *testing.T) {
+func TestRegionFindings(t *testing.T) {
 	config := &Config{
 		Routes: []*Route{
 			{Name: "any"}, {Name: "north", Regions: place.Regions{"north"}},
@@ -16,7 +16,7 @@
 		},
 		Tenants: []*tenant.Tenant{{Name: "free"}, {Name: "south", Regions: place.Regions{"south"}}},
 	}
-	found := config.PlaceFindings(place.Map{"a": "north", "b": "south"})
+	found := config.RegionFindings(place.Map{"a": "north", "b": "south"})
 	want := []string{
 		`routes[lost].regions: no zone of node.zones lies in region "nowhere"`,
 		`routes[none].regions: holds no region: requests are served nowhere`,
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -79,7 +79,7 @@
 	// Regions are where the requests may be served and kept; nil is anywhere.
 	Regions place.Regions
 
-	turn atomic.Uint64
+	sequence atomic.Uint64
 }
 
 // MayRepeat reports whether a request that may have run can be sent again.
@@ -103,7 +103,7 @@
 	if total <= 0 {
 		return r.Shares[0].Pool
 	}
-	point := float64(r.turn.Add(goldenRatio)) / (1 << 64) * float64(total)
+	point := float64(r.sequence.Add(goldenRatio)) / (1 << 64) * float64(total)
 	for _, share := range r.Shares {
 		point -= float64(share.Weight)
 		if point < 0 {
@@ -269,14 +269,14 @@
 // Tenant returns the tenant with a name, or nil.
 func (t *Table) Tenant(name string) *tenant.Tenant { return t.byTenant[name] }
 
-// Declares reports whether a pool is declared, or a route names it.
-func (t *Table) Declares(pool string) bool { return t.poolNames[pool] }
+// HasPool reports whether a pool is declared, or a route names it.
+func (t *Table) HasPool(pool string) bool { return t.poolNames[pool] }
 
-// Named returns the route with a name, or nil.
-func (t *Table) Named(name string) *Route { return t.byName[name] }
+// ByName returns the route with a name, or nil.
+func (t *Table) ByName(name string) *Route { return t.byName[name] }
 
-// Routes returns the number of routes.
-func (t *Table) Routes() int { return len(t.byName) }
+// Len returns the number of routes.
+func (t *Table) Len() int { return len(t.byName) }
 
 // Current holds the table in force. It is safe for concurrent use.
 type Current struct{ table atomic.Pointer[Table] }
@@ -287,11 +287,11 @@
 // Replace puts a table in force unless a newer one is. It reports whether it did.
 func (c *Current) Replace(next *Table) bool {
 	for {
-		known := c.table.Load()
-		if known != nil && known.Version >= next.Version {
+		current := c.table.Load()
+		if current != nil && current.Version >= next.Version {
 			return false
 		}
-		if c.table.CompareAndSwap(known, next) {
+		if c.table.CompareAndSwap(current, next) {
 			return true
 		}
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -9,7 +9,7 @@
 	return NewTable(&Config{Version: version, Routes: routes})
 }
 
-func TestTable_LongestPrefixOfTheHostWins(t *testing.T) {
+func TestTable_MatchesLongestPrefix(t *testing.T) {
 	short := &Route{Name: "short", Host: "h", Prefix: "/a/"}
 	long := &Route{Name: "long", Host: "h", Prefix: "/a/b/"}
 	other := &Route{Name: "other", Host: "o", Prefix: "/a/b/c/"}
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestRoute_PoolKeepsToTheWeights(t *testing.T) {
+func TestRoute_PoolFollowsWeights(t *testing.T) {
 	split := &Route{Shares: []Share{{Pool: "a", Weight: 90}, {Pool: "b", Weight: 10}}}
 	counts := map[string]int{}
 	const requests = 300
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestCurrent_NeverStepsBack(t *testing.T) {
+func TestCurrent_IgnoresOlderVersions(t *testing.T) {
 	var current Current
 	if !current.Replace(tableOf(7)) || current.Replace(tableOf(5)) || current.Replace(tableOf(7)) {
 		t.Fatal("an older or equal version came into force")
