--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -7,18 +7,17 @@
 	"github.com/wheelhoist/wheelhoist/internal/findings"
 )
 
-// Pool tells what is particular of a pool of replicas.
+// Pool declares the settings of a pool of replicas.
 type Pool struct {
 	Name string
-	// ColdRate is what a replica bears while it is cold, in requests a second; 0 if it
-	// bears as much as when it is warm.
+	// ColdRate is the request rate that a cold replica sustains, in requests per second; 0 if it
+	// sustains its full rate.
 	ColdRate float64
-	// ColdStart is how long a replica is cold after a start.
+	// ColdStart is how long a replica stays cold after a start.
 	ColdStart time.Duration
 }
 
-// maxColdStart bounds the time that a replica may be told to be cold for: one that is
-// cold for hours is not starting.
+// maxColdStart bounds ColdStart: a replica that is cold for hours is not starting.
 const maxColdStart = time.Hour
 
 func (c *Config) validatePools(found *findings.List) {
--- a/internal/route/prompt.go
+++ b/internal/route/prompt.go
@@ -1,23 +1,23 @@
 package route
 
-// Part is a piece of a prompt that several prompts may share.
+// Part is a segment of a prompt that several prompts may share.
 type Part struct {
-	// Key identifies the part's content.
+	// Key identifies the content of the part.
 	Key uint64
-	// Tokens is its length.
+	// Tokens is the length of the part.
 	Tokens int
 }
 
-// Prompt is what a request tells of the work it asks for.
+// Prompt describes the size and the shared segments of a request's prompt.
 type Prompt struct {
 	Model string
-	// Tokens is the length of the prompt, MaxOutput the most tokens of the answer.
+	// Tokens is the length of the prompt, MaxOutput the maximum length of the answer.
 	Tokens    int
 	MaxOutput int
-	// Parts are the prompt's parts in order. The last one belongs to the
-	// request or to its session.
+	// Parts are the parts of the prompt in order. The last one is specific to the request or its
+	// session.
 	Parts []Part
 }
 
-// TotalTokens is the memory, in tokens, that the prompt and the longest answer take.
+// TotalTokens is the memory that the prompt and the longest answer require, in tokens.
 func (p *Prompt) TotalTokens() int { return p.Tokens + p.MaxOutput }
--- a/internal/route/regions.go
+++ b/internal/route/regions.go
@@ -5,12 +5,11 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// Homes are the regions where requests may be served and kept, as a configuration
-// declares them: those of a route and those of a tenant bind together.
+// The regions of a route and of a tenant restrict where requests are served and stored. A request
+// is served only in regions that both allow.
 
-// RegionFindings reports what is wrong with the homes of the configuration, which comes
-// into force all the same: regions without a zone, and routes and tenants whose requests
-// may be served nowhere.
+// RegionFindings reports faults in the regions of the configuration that do not keep it from taking
+// effect: regions without a zone, and routes and tenants whose requests cannot be served anywhere.
 func (c *Config) RegionFindings(zones place.Map) []findings.Finding {
 	var found findings.List
 	for _, target := range c.Routes {
@@ -24,7 +23,7 @@
 	return found.All()
 }
 
-// regionFindings reports regions that have no zone, and homes without any region.
+// regionFindings reports regions that have no zone, and empty lists of regions.
 func regionFindings(found *findings.List, path string, allowed place.Regions, zones place.Map) {
 	if allowed != nil && len(allowed) == 0 {
 		found.Add(path, "holds no region: requests are served nowhere")
@@ -36,7 +35,7 @@
 	}
 }
 
-// disjointFindings reports the routes that have no region in common with a tenant.
+// disjointFindings reports the routes that share no region with a tenant.
 func (c *Config) disjointFindings(found *findings.List, path string, allowed place.Regions) {
 	if len(allowed) == 0 {
 		return
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,8 +1,8 @@
-// Package route holds the routes of opaque requests: which pool of replicas
-// takes a request, how often it may be tried and how long it may take.
+// Package route holds the routes of opaque requests: which pool of replicas serves a request, how
+// often it may be tried and how long it may take.
 //
-// A Table is immutable. Nodes replace it as a whole when a newer configuration
-// comes into force, and never by an older one.
+// A Table is immutable. Nodes replace it as a whole when a newer configuration takes effect, and
+// never by an older one.
 package route
 
 import (
@@ -18,18 +18,18 @@
 	"github.com/wheelhoist/wheelhoist/internal/tenant"
 )
 
-// Kind says how often a request of a route may run.
+// Kind determines how often a request of a route may run.
 type Kind string
 
-// Route kinds.
+// Kinds of routes.
 const (
 	// Repeatable requests may run more than once.
 	Repeatable Kind = "repeatable"
 	// Once requests run at most once.
 	Once Kind = "once"
-	// Stream answers are events; they may run again only if Resumable.
+	// Stream answers consist of events; requests may run again only if the route is Resumable.
 	Stream Kind = "stream"
-	// Batch routes take jobs of many items.
+	// Batch routes accept jobs of many items.
 	Batch Kind = "batch"
 )
 
@@ -39,44 +39,44 @@
 	Weight int
 }
 
-// Route says what may be done with the requests of a host and path prefix.
+// Route determines how the requests of a host and path prefix are handled.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Shares are the pools that take the requests; never empty.
+	// Shares are the pools that serve the requests; never empty.
 	Shares []Share
 	// Timeout is the longest time that a request is held; 0 means no limit.
 	Timeout time.Duration
-	// MaxWait is the longest wait for a replica to have room; 0 means until Timeout.
+	// MaxWait is the longest wait for a free replica; 0 means until Timeout.
 	MaxWait time.Duration
-	// Reserve is the share of the pool's slots, those of its fastest replicas, that
-	// items of the route leave to others.
+	// Reserve is the fraction of the pool's slots, taken from its fastest replicas, that items of
+	// the route leave free for other requests.
 	Reserve float64
-	// Adapter must be loaded by the replicas that take the requests; may be empty.
+	// Adapter must be loaded by the replicas that serve the requests; may be empty.
 	Adapter string
-	// Objective is the time within which the answer, or its first event, is in time.
+	// Objective is the target time for the answer or, for streams, its first event.
 	Objective time.Duration
-	// Gap is the longest pause between two events of an answer in time.
+	// Gap is the target for the longest pause between two events of an answer.
 	Gap time.Duration
 	// MaxAttempts bounds the replicas that one request may run on.
 	MaxAttempts int
-	// Priority is the rank of the requests; 0 comes first.
+	// Priority is the rank of the requests; 0 is the highest.
 	Priority int
-	// Resumable streams may go on at another replica after an event.
+	// Resumable streams may resume at another replica after any event.
 	Resumable bool
-	// Public routes need no key where the configuration has tenants.
+	// Public routes need no key even if the configuration has tenants.
 	Public bool
-	// MaxQueuedTokens bounds the tokens of a tenant's unfinished batch items over
-	// all nodes; 0 means no limit.
+	// MaxQueuedTokens bounds the tokens of a tenant's unfinished batch items across all nodes; 0
+	// means no limit.
 	MaxQueuedTokens int64
 	// Completion is the time from a job's submission until its results are due.
 	Completion time.Duration
-	// Retention is the time from a job's submission until items may be given up.
+	// Retention is the time from a job's submission after which its items may be dropped.
 	Retention time.Duration
-	// Regions are where the requests may be served and kept; nil is anywhere.
+	// Regions are where the requests may be served and stored; nil allows any.
 	Regions place.Regions
 
 	sequence atomic.Uint64
@@ -87,11 +87,11 @@
 	return r.Kind == Repeatable || r.Kind == Batch || (r.Kind == Stream && r.Resumable)
 }
 
-// goldenRatio spreads successive turns evenly over the weights (a Weyl sequence).
+// goldenRatio distributes successive values evenly over the weights (a Weyl sequence).
 const goldenRatio = 0x9E3779B97F4A7C15
 
-// Pool returns the pool for the next request. Successive calls meet the
-// weights as closely as possible.
+// Pool returns the pool for the next request. Successive calls follow the weights as closely as
+// possible.
 func (r *Route) Pool() string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Pool
@@ -113,7 +113,7 @@
 	return r.Shares[len(r.Shares)-1].Pool
 }
 
-// Limits bound what callers may send.
+// Limits bound the size and timing of requests.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -121,21 +121,21 @@
 	IdleTimeout    time.Duration
 }
 
-// Config is a whole configuration of routes as it is declared.
+// Config is a declared configuration of routes.
 type Config struct {
 	Version uint64
 	Routes  []*Route
 	Limits  Limits
-	// Keyed says that callers are told apart by keys: those of Tenants.
+	// Keyed reports whether callers are identified by the keys of Tenants.
 	Keyed   bool
 	Tenants []*tenant.Tenant
-	// Pools tell what is particular of pools of replicas.
+	// Pools holds the settings of pools that differ from the defaults.
 	Pools []Pool
-	// PoolNames are the pools that are declared, beside those that routes name.
+	// PoolNames are the declared pools, in addition to those that routes refer to.
 	PoolNames []string
 }
 
-// Validate reports everything that keeps the configuration from coming into force.
+// Validate reports every fault that keeps the configuration from taking effect.
 func (c *Config) Validate() []findings.Finding {
 	var found findings.List
 	for i, route := range c.Routes {
@@ -190,16 +190,16 @@
 type Table struct {
 	Version uint64
 	Limits  Limits
-	// Keyed says that callers are told apart by keys.
+	// Keyed reports whether callers are identified by keys.
 	Keyed  bool
 	byHost map[string][]*Route
 	byName map[string]*Route
 	byKey  tenant.Directory[*tenant.Tenant]
 	// byTenant holds the tenants by name.
 	byTenant map[string]*tenant.Tenant
-	// Pools tell what is particular of pools of replicas.
+	// Pools holds the settings of pools that differ from the defaults.
 	Pools []Pool
-	// poolNames holds the pools that are declared or that routes name.
+	// poolNames holds the pools that are declared or referred to by routes.
 	poolNames map[string]bool
 }
 
@@ -232,7 +232,7 @@
 	return table
 }
 
-// Match returns the route with the longest prefix of a path, or nil.
+// Match returns the route whose prefix is the longest to match a path, or nil.
 func (t *Table) Match(host, path string) *Route {
 	for _, route := range t.byHost[host] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -242,8 +242,9 @@
 	return nil
 }
 
-// Identify returns the tenant that a request's key belongs to, nil if it has none
-// where none is needed. Its errors are tenant.ErrNoKey and tenant.ErrUnknownKey.
+// Identify returns the tenant that owns the key of a request. It returns nil without an error if
+// the configuration has no keys, or if public is set and no valid key was sent. Its errors are
+// tenant.ErrNoKey and tenant.ErrUnknownKey.
 func (t *Table) Identify(header http.Header, public bool) (*tenant.Tenant, error) {
 	if !t.Keyed {
 		return nil, nil
@@ -266,25 +267,26 @@
 	return slices.ContainsFunc(t.byHost[host], func(r *Route) bool { return r.Kind == Batch && r.Public })
 }
 
-// Tenant returns the tenant with a name, or nil.
+// Tenant returns the tenant with the given name, or nil.
 func (t *Table) Tenant(name string) *tenant.Tenant { return t.byTenant[name] }
 
-// HasPool reports whether a pool is declared, or a route names it.
+// HasPool reports whether a pool is declared or referred to by a route.
 func (t *Table) HasPool(pool string) bool { return t.poolNames[pool] }
 
-// ByName returns the route with a name, or nil.
+// ByName returns the route with the given name, or nil.
 func (t *Table) ByName(name string) *Route { return t.byName[name] }
 
 // Len returns the number of routes.
 func (t *Table) Len() int { return len(t.byName) }
 
-// Current holds the table in force. It is safe for concurrent use.
+// Current holds the table in effect. It is safe for concurrent use.
 type Current struct{ table atomic.Pointer[Table] }
 
-// Load returns the table in force, or nil before the first one.
+// Load returns the table in effect, or nil before the first one.
 func (c *Current) Load() *Table { return c.table.Load() }
 
-// Replace puts a table in force unless a newer one is. It reports whether it did.
+// Replace puts a table into effect unless its version is not newer than the current one. It reports
+// whether it did.
 func (c *Current) Replace(next *Table) bool {
 	for {
 		current := c.table.Load()
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -36,10 +36,10 @@
 func TestCurrent_IgnoresOlderVersions(t *testing.T) {
 	var current Current
 	if !current.Replace(tableOf(7)) || current.Replace(tableOf(5)) || current.Replace(tableOf(7)) {
-		t.Fatal("an older or equal version came into force")
+		t.Fatal("an older or equal version took effect")
 	}
 	if !current.Replace(tableOf(9)) || current.Load().Version != 9 {
-		t.Fatal("a newer version did not come into force")
+		t.Fatal("a newer version did not take effect")
 	}
 }
 
