--- a/internal/batch/group.go
+++ b/internal/batch/group.go
@@ -175,7 +175,7 @@
 func (r *itemResult) line() ([]byte, bool) {
 	rendered := openai.BatchResult{ID: "batch_req_" + r.item.ID, CustomID: r.item.Label}
 	if !r.result.Dead {
-		body, err := engine.WholeText(r.result.Text, r.item.Path)
+		body, err := engine.AssembleAnswer(r.result.Text, r.item.Path)
 		if err == nil {
 			rendered.Response = &openai.BatchItemResponse{StatusCode: 200, RequestID: r.item.ID, Body: body}
 			return marshal(rendered), false
--- a/internal/engine/answer.go
+++ b/internal/engine/answer.go
@@ -18,12 +18,12 @@
 	resumeDelay = 60 * time.Millisecond
 )
 
-// answerBody reads the events of an attempt as a body. A break is mended at the
+// resumableBody reads the events of an attempt as a body. A break is mended at the
 // same engine by the attempt's id, after the last event read. It ends with
 // io.EOF only after the event that ends the answer.
-type answerBody struct {
+type resumableBody struct {
 	ctx     context.Context
-	engines Engines
+	engines EngineClient
 	stream  *Stream
 	base    string
 	id      string
@@ -31,14 +31,14 @@
 	render  func(buffer []byte, event Event, last int) []byte
 
 	buffer []byte
-	// last is the id of the last event read.
-	last int
-	done bool
-	err  error
+	// lastEventID is the id of the lastEventID event read.
+	lastEventID int
+	done        bool
+	err         error
 }
 
 // Read implements io.Reader.
-func (b *answerBody) Read(target []byte) (int, error) {
+func (b *resumableBody) Read(target []byte) (int, error) {
 	for len(b.buffer) == 0 {
 		if b.done {
 			return 0, io.EOF
@@ -54,7 +54,7 @@
 }
 
 // next reads one event into the buffer.
-func (b *answerBody) next() {
+func (b *resumableBody) next() {
 	event, err := b.stream.Next()
 	for tries := 0; err != nil; tries++ {
 		if b.ctx.Err() != nil || tries == resumeTries || !b.resume(tries) {
@@ -63,23 +63,23 @@
 		}
 		event, err = b.stream.Next()
 	}
-	if event.ID > 0 && event.ID <= b.last && !event.Finishes() && !event.Done {
+	if event.ID > 0 && event.ID <= b.lastEventID && !event.Finishes() && !event.Done {
 		return
 	}
-	b.buffer = b.render(b.buffer[:0], event, b.last)
-	b.last = max(b.last, event.ID)
+	b.buffer = b.render(b.buffer[:0], event, b.lastEventID)
+	b.lastEventID = max(b.lastEventID, event.ID)
 	b.done = event.Done
 }
 
 // resume continues the attempt at its engine. It reports false if the engine
 // does not have it any more.
-func (b *answerBody) resume(tries int) bool {
+func (b *resumableBody) resume(tries int) bool {
 	select {
 	case <-b.ctx.Done():
 		return false
 	case <-time.After(resumeDelay << tries):
 	}
-	stream, err := b.engines.Resume(b.ctx, b.base, b.id, b.path, b.last)
+	stream, err := b.engines.Resume(b.ctx, b.base, b.id, b.path, b.lastEventID)
 	if err != nil {
 		return !errors.Is(err, ErrUnknownRequest) && !errors.Is(err, ErrRefused)
 	}
@@ -90,7 +90,7 @@
 
 // Close implements io.Closer. An answer that is not read to its end is given up
 // at the engine.
-func (b *answerBody) Close() error {
+func (b *resumableBody) Close() error {
 	b.stream.Close()
 	if !b.done {
 		abortAttempt(b.engines, b.base, b.id)
--- a/internal/engine/whole.go
+++ b/internal/engine/assemble.go
@@ -7,9 +7,9 @@
 	"github.com/wheelhoist/wheelhoist/api/openai"
 )
 
-// WholeText builds the whole answer, in JSON, of an item whose events a Backend
+// AssembleAnswer builds the whole answer, in JSON, of an item whose events a Backend
 // has rendered and whose data were joined by line feeds.
-func WholeText(joined, path string) (json.RawMessage, error) {
+func AssembleAnswer(joined, path string) (json.RawMessage, error) {
 	var text strings.Builder
 	var last openai.Completion
 	for line := range strings.SplitSeq(joined, "\n") {
--- a/internal/engine/backend.go
+++ b/internal/engine/backend.go
@@ -27,12 +27,12 @@
 	// attemptSeparator parts a request's id from its attempt's.
 	attemptSeparator = "~"
 	// attemptOnce ends the attempt id of an item that may run only once.
-	attemptOnce = attemptSeparator + "once"
-	abortTime   = time.Second
+	attemptOnce  = attemptSeparator + "once"
+	abortTimeout = time.Second
 )
 
-// Engines is what a Backend needs of a Client.
-type Engines interface {
+// EngineClient is what a Backend needs of a Client.
+type EngineClient interface {
 	Stream(ctx context.Context, base string, attempt Attempt) (*Stream, error)
 	Resume(ctx context.Context, base, id, path string, after int) (*Stream, error)
 	Abort(ctx context.Context, base, id string) (RequestStatus, error)
@@ -42,17 +42,17 @@
 // breaks is first continued at the same engine, where it still runs; only then
 // does the attempt fail. It is safe for concurrent use.
 type Backend struct {
-	engines Engines
-	// unique makes attempt ids differ between nodes and runs.
-	unique string
-	turn   atomic.Uint64
+	engines EngineClient
+	// instance makes attempt ids differ between nodes and runs.
+	instance string
+	attempts atomic.Uint64
 }
 
 var _ forward.Backend = (*Backend)(nil)
 
 // NewBackend returns a backend over a client.
-func NewBackend(engines Engines) *Backend {
-	return &Backend{engines: engines, unique: uuid.NewString()[:8]}
+func NewBackend(engines EngineClient) *Backend {
+	return &Backend{engines: engines, instance: uuid.NewString()[:8]}
 }
 
 // Send implements forward.Backend.
@@ -66,9 +66,9 @@
 	sent := Attempt{ID: id, Path: request.Target, Body: Encode(request.Body, priority, true)}
 	stream, err := b.engines.Stream(ctx, attempt.Replica.Address, sent)
 	if err != nil {
-		return b.notStreamed(ctx, attempt, id, err)
+		return b.handleStreamError(ctx, attempt, id, err)
 	}
-	body := &answerBody{
+	body := &resumableBody{
 		ctx: ctx, engines: b.engines, stream: stream, base: attempt.Replica.Address,
 		id: id, path: request.Target, render: renderEvent,
 	}
@@ -79,19 +79,19 @@
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
 	header.Set(HeaderAttempt, id+"@"+attempt.Replica.ID)
-	return &forward.Answer{Status: http.StatusOK, Header: header, EventStream: true, Load: loadOf(stream), Body: body}, nil
+	return &forward.Answer{Status: http.StatusOK, Header: header, EventStream: true, Load: loadReport(stream), Body: body}, nil
 }
 
 func (b *Backend) attemptID(request *forward.Request) string {
 	if request.AtMostOnce && request.Batch {
 		return request.ID + attemptOnce
 	}
-	return fmt.Sprintf("%s%s%s.%d", request.ID, attemptSeparator, b.unique, b.turn.Add(1))
+	return fmt.Sprintf("%s%s%s.%d", request.ID, attemptSeparator, b.instance, b.attempts.Add(1))
 }
 
-// notStreamed turns the failure of a sending into a refusal that another
+// handleStreamError turns the failure of a sending into a refusal that another
 // replica may not repeat, an answer that is final, or an attempt of unknown fate.
-func (b *Backend) notStreamed(ctx context.Context, attempt *forward.Attempt, id string, err error) (*forward.Answer, error) {
+func (b *Backend) handleStreamError(ctx context.Context, attempt *forward.Attempt, id string, err error) (*forward.Answer, error) {
 	var refused *RefusedError
 	switch {
 	case errors.As(err, &refused) && refused.Temporary():
@@ -131,7 +131,7 @@
 	return string(body)
 }
 
-func loadOf(stream *Stream) *replica.Load {
+func loadReport(stream *Stream) *replica.Load {
 	load, ok := stream.Load()
 	if !ok {
 		return nil
@@ -142,8 +142,8 @@
 }
 
 // abortAttempt tells an engine that nobody wants an answer any more.
-func abortAttempt(engines Engines, base, id string) {
-	ctx, cancel := context.WithTimeout(context.Background(), abortTime)
+func abortAttempt(engines EngineClient, base, id string) {
+	ctx, cancel := context.WithTimeout(context.Background(), abortTimeout)
 	defer cancel()
 	// If the call is lost the engine drops the attempt for lack of readers.
 	_, _ = engines.Abort(ctx, base, id)
--- a/internal/engine/backend_test.go
+++ b/internal/engine/backend_test.go
@@ -22,13 +22,13 @@
 	mu sync.Mutex
 	// breakAfter is the number of tokens after which the first sending breaks.
 	breakAfter int
-	// forgets makes resumed attempts unknown.
-	forgets bool
-	status  int
-	tokens  int
-	sent    []string
-	resumed []string
-	aborted chan string
+	// forgetful makes resumed attempts unknown.
+	forgetful bool
+	status    int
+	tokens    int
+	sent      []string
+	resumed   []string
+	aborted   chan string
 }
 
 func (f *fakeEngine) start(t *testing.T) (*Backend, replica.Info) {
@@ -61,7 +61,7 @@
 	f.mu.Lock()
 	f.resumed = append(f.resumed, r.Header.Get(HeaderLastEventID))
 	f.mu.Unlock()
-	if f.forgets {
+	if f.forgetful {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
@@ -90,7 +90,7 @@
 	}}
 }
 
-func TestBackend_BrokenStreamGoesOnAtTheSameEngine(t *testing.T) {
+func TestBackend_BrokenStreamResumesAtSameEngine(t *testing.T) {
 	engine := &fakeEngine{tokens: 5, breakAfter: 3}
 	backend, info := engine.start(t)
 	answer, err := backend.Send(t.Context(), attemptOf(info, false, false))
@@ -114,8 +114,8 @@
 	}
 }
 
-func TestBackend_EngineThatForgotItIsABrokenAnswer(t *testing.T) {
-	engine := &fakeEngine{tokens: 5, breakAfter: 3, forgets: true}
+func TestBackend_ForgottenAttemptIsBrokenAnswer(t *testing.T) {
+	engine := &fakeEngine{tokens: 5, breakAfter: 3, forgetful: true}
 	backend, info := engine.start(t)
 	answer, err := backend.Send(t.Context(), attemptOf(info, false, false))
 	if err != nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestBackend_AnswerNotReadToItsEndIsGivenUpAtTheEngine(t *testing.T) {
+func TestBackend_ClosingUnfinishedAnswerAbortsAttempt(t *testing.T) {
 	engine := &fakeEngine{tokens: 5}
 	backend, info := engine.start(t)
 	answer, err := backend.Send(t.Context(), attemptOf(info, false, false))
@@ -145,7 +145,7 @@
 }
 
 func TestBackend_Refusals(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		status int
 		batch  bool
 		want   int
@@ -157,16 +157,16 @@
 		"full for batch item": {status: http.StatusTooManyRequests, batch: true, failed: forward.ErrRefused},
 	} {
 		t.Run(name, func(t *testing.T) {
-			engine := &fakeEngine{status: one.status}
+			engine := &fakeEngine{status: test.status}
 			backend, info := engine.start(t)
-			answer, err := backend.Send(t.Context(), attemptOf(info, one.batch, false))
-			if one.failed != nil {
-				if !errors.Is(err, one.failed) || outcome.Of(err) != outcome.NotDone {
+			answer, err := backend.Send(t.Context(), attemptOf(info, test.batch, false))
+			if test.failed != nil {
+				if !errors.Is(err, test.failed) || outcome.Of(err) != outcome.NotDone {
 					t.Fatalf("error is %v", err)
 				}
 				return
 			}
-			if err != nil || answer.Status != one.want {
+			if err != nil || answer.Status != test.want {
 				t.Fatalf("answer %+v, %v", answer, err)
 			}
 		})
@@ -184,7 +184,7 @@
 }
 
 // The text of an item becomes one whole answer, whichever event it broke after.
-func TestWholeText_JoinsWhatABackendRendered(t *testing.T) {
+func TestAssembleAnswer_JoinsRenderedEvents(t *testing.T) {
 	engine := &fakeEngine{tokens: 4, breakAfter: 2}
 	backend, info := engine.start(t)
 	answer, err := backend.Send(t.Context(), attemptOf(info, true, true))
@@ -201,7 +201,7 @@
 			data = append(data, text)
 		}
 	}
-	whole, err := WholeText(strings.Join(data, "\n"), "/v1/chat/completions")
+	whole, err := AssembleAnswer(strings.Join(data, "\n"), "/v1/chat/completions")
 	if err != nil || !strings.Contains(string(whole), `"content":"t1 t2 t3 t4 "`) {
 		t.Fatalf("whole answer %s, %v", whole, err)
 	}
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -72,9 +72,9 @@
 // Client talks to engines. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
-	// reports carries load reports, orders and aborts, whose bytes count as
+	// controlHTTP carries load controlHTTP, orders and aborts, whose bytes count as
 	// control traffic.
-	reports *http.Client
+	controlHTTP *http.Client
 }
 
 const (
@@ -88,13 +88,13 @@
 // be nil, counts the bytes of control traffic.
 func NewClient(counter *traffic.Counter) *Client {
 	dial := dialer.New(dialTimeout).DialContext
-	reportDial := traffic.DialContext(dial)
+	controlDial := traffic.DialContext(dial)
 	if counter != nil {
-		reportDial = counter.Dial(dial)
+		controlDial = counter.Dial(dial)
 	}
 	return &Client{
-		http:    &http.Client{Transport: newTransport(dial, maxIdlePerEngine)},
-		reports: &http.Client{Transport: newTransport(reportDial, 1)},
+		http:        &http.Client{Transport: newTransport(dial, maxIdlePerEngine)},
+		controlHTTP: &http.Client{Transport: newTransport(controlDial, 1)},
 	}
 }
 
@@ -112,7 +112,7 @@
 // Close drops idle connections.
 func (c *Client) Close() {
 	c.http.CloseIdleConnections()
-	c.reports.CloseIdleConnections()
+	c.controlHTTP.CloseIdleConnections()
 }
 
 func (c *Client) send(ctx context.Context, method, address string, body []byte, header http.Header) (*http.Response, error) {
@@ -131,12 +131,12 @@
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return nil, Error.Wrap(classifySend(err))
+		return nil, Error.Wrap(classifySendError(err))
 	}
 	return response, nil
 }
 
-func classifySend(err error) error {
+func classifySendError(err error) error {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return outcome.Failed(fmt.Errorf("%w: %w", ErrUnreachable, err))
@@ -152,7 +152,7 @@
 		return nil, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, refusal(response)
+		return nil, refusalError(response)
 	}
 	return newStream(response), nil
 }
@@ -175,7 +175,7 @@
 		return nil, Error.Wrap(ErrUnknownRequest)
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, refusal(response)
+		return nil, refusalError(response)
 	}
 	return newStream(response), nil
 }
@@ -211,7 +211,7 @@
 		}
 		body = encoded
 	}
-	response, err := sendWith(ctx, c.reports, method, address, body, nil)
+	response, err := sendWith(ctx, c.controlHTTP, method, address, body, nil)
 	if err != nil {
 		return err
 	}
@@ -220,7 +220,7 @@
 		return Error.Wrap(outcome.Failed(ErrStaleFence))
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return refusal(response)
+		return refusalError(response)
 	}
 	defer drain(response)
 	if answer == nil {
@@ -229,7 +229,7 @@
 	return Error.Wrap(json.NewDecoder(response.Body).Decode(answer))
 }
 
-func refusal(response *http.Response) error {
+func refusalError(response *http.Response) error {
 	const maxRefusalBytes = 4096
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxRefusalBytes))
 	_ = response.Body.Close()
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -59,12 +59,12 @@
 func (s *Stream) Next() (Event, error) {
 	event, err := s.reader.Next()
 	if err != nil {
-		return Event{}, s.broken(err)
+		return Event{}, s.brokenError(err)
 	}
 	return Event{ID: event.ID, Raw: event.Raw, Data: event.Data, Done: bytes.Equal(event.Data, doneData)}, nil
 }
 
-func (s *Stream) broken(err error) error {
+func (s *Stream) brokenError(err error) error {
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -159,7 +159,7 @@
 	// Predict estimates the time to the first event of a request.
 	Predict   func(*route.Route, *forward.Request, time.Time) (time.Duration, error)
 	Replicas  *replica.Set
-	Engines   engine.Engines
+	Engines   engine.EngineClient
 	Admission *admission.Controller
 	Claims    *idempotency.Store
 	Batch     *batch.Service
