--- a/internal/engine/answer.go
+++ b/internal/engine/answer.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// resumeTries and resumeDelay bound how long a broken stream is asked for
-	// at its engine before the engine counts as gone.
+	// resumeTries and resumeDelay bound how often and how long a broken stream is resumed at its
+	// engine before the attempt fails.
 	resumeTries = 3
 	resumeDelay = 60 * time.Millisecond
 )
 
-// resumableBody reads the events of an attempt as a body. A break is mended at the
-// same engine by the attempt's id, after the last event read. It ends with
-// io.EOF only after the event that ends the answer.
+// resumableBody presents the events of an attempt as a response body. After a connection failure it
+// resumes the stream at the same engine by attempt ID, after the last event read. It returns io.EOF
+// only after the event that ends the answer.
 type resumableBody struct {
 	ctx     context.Context
 	engines EngineClient
@@ -31,7 +31,7 @@
 	render  func(buffer []byte, event Event, last int) []byte
 
 	buffer []byte
-	// lastEventID is the id of the lastEventID event read.
+	// lastEventID is the ID of the last event read.
 	lastEventID int
 	done        bool
 	err         error
@@ -71,8 +71,8 @@
 	b.done = event.Done
 }
 
-// resume continues the attempt at its engine. It reports false if the engine
-// does not have it any more.
+// resume continues the attempt at its engine. It returns false if the engine no longer has it or
+// refuses to resume it.
 func (b *resumableBody) resume(tries int) bool {
 	select {
 	case <-b.ctx.Done():
@@ -88,8 +88,8 @@
 	return true
 }
 
-// Close implements io.Closer. An answer that is not read to its end is given up
-// at the engine.
+// Close implements io.Closer. It aborts the attempt at the engine if the answer has not been read
+// to its end.
 func (b *resumableBody) Close() error {
 	b.stream.Close()
 	if !b.done {
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// renderEvent passes an event on as it is. The closing chunk repeats the id of
-// the last token; it goes without one, so that it is not taken for a repetition.
+// renderEvent appends an event unchanged. The closing chunk repeats the ID of the last token, so
+// its ID is omitted to keep it from being skipped as a duplicate.
 func renderEvent(buffer []byte, event Event, _ int) []byte {
 	if !event.Finishes() {
 		return append(buffer, event.Raw...)
@@ -113,9 +113,9 @@
 	return append(buffer, "\n\n"...)
 }
 
-// renderToken makes short events, each with the text of a token as a JSON
-// string, and one with the whole closing chunk; WholeText joins them. Events
-// that hold several tokens are filled up, for ids must not leave gaps.
+// renderToken appends short events that each hold the text of a token as a JSON string, and one
+// with the complete closing chunk; AssembleAnswer joins them. An event that covers several tokens
+// is preceded by empty ones, because IDs must be contiguous.
 func renderToken(buffer []byte, event Event, last int) []byte {
 	if event.Done {
 		return buffer
--- a/internal/engine/assemble.go
+++ b/internal/engine/assemble.go
@@ -7,8 +7,8 @@
 	"github.com/wheelhoist/wheelhoist/api/openai"
 )
 
-// AssembleAnswer builds the whole answer, in JSON, of an item whose events a Backend
-// has rendered and whose data were joined by line feeds.
+// AssembleAnswer builds the complete JSON answer of a batch item from the events rendered by a
+// Backend. joined holds their data fields, one per line.
 func AssembleAnswer(joined, path string) (json.RawMessage, error) {
 	var text strings.Builder
 	var last openai.Completion
--- a/internal/engine/backend.go
+++ b/internal/engine/backend.go
@@ -19,38 +19,38 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// HeaderAttempt names the attempt that answers, as attempt@replica, so that a
-// caller that lost its node can go on at another one.
+// HeaderAttempt identifies the attempt that answers, as attempt@replica, so that a caller whose
+// node fails can resume at another node.
 const HeaderAttempt = "X-Wheelhoist-Attempt"
 
 const (
-	// attemptSeparator parts a request's id from its attempt's.
+	// attemptSeparator separates the request ID from the suffix of the attempt.
 	attemptSeparator = "~"
-	// attemptOnce ends the attempt id of an item that may run only once.
+	// attemptOnce is the suffix of an item that may run only once.
 	attemptOnce  = attemptSeparator + "once"
 	abortTimeout = time.Second
 )
 
-// EngineClient is what a Backend needs of a Client.
+// EngineClient is the part of Client that a Backend uses.
 type EngineClient interface {
 	Stream(ctx context.Context, base string, attempt Attempt) (*Stream, error)
 	Resume(ctx context.Context, base, id, path string, after int) (*Stream, error)
 	Abort(ctx context.Context, base, id string) (RequestStatus, error)
 }
 
-// Backend sends the attempts of opaque requests to engines. A stream that
-// breaks is first continued at the same engine, where it still runs; only then
-// does the attempt fail. It is safe for concurrent use.
+// Backend sends the attempts of opaque requests to engines. A broken stream is first resumed at the
+// same engine, where the attempt may still be running; only then does the attempt fail. It is safe
+// for concurrent use.
 type Backend struct {
 	engines EngineClient
-	// instance makes attempt ids differ between nodes and runs.
+	// instance makes attempt IDs differ between nodes and restarts.
 	instance string
 	attempts atomic.Uint64
 }
 
 var _ forward.Backend = (*Backend)(nil)
 
-// NewBackend returns a backend over a client.
+// NewBackend returns a Backend that uses the given client.
 func NewBackend(engines EngineClient) *Backend {
 	return &Backend{engines: engines, instance: uuid.NewString()[:8]}
 }
@@ -89,8 +89,8 @@
 	return fmt.Sprintf("%s%s%s.%d", request.ID, attemptSeparator, b.instance, b.attempts.Add(1))
 }
 
-// handleStreamError turns the failure of a sending into a refusal that another
-// replica may not repeat, an answer that is final, or an attempt of unknown fate.
+// handleStreamError converts an error of EngineClient.Stream into a refusal that may be retried at
+// another replica, a final answer, or an attempt whose outcome is unknown.
 func (b *Backend) handleStreamError(ctx context.Context, attempt *forward.Attempt, id string, err error) (*forward.Answer, error) {
 	var refused *RefusedError
 	switch {
@@ -107,7 +107,7 @@
 	return nil, Error.Wrap(outcome.Undecided(fmt.Errorf("%w: %w", forward.ErrBroken, err)))
 }
 
-// refusalAnswer passes on a refusal that no replica would decide otherwise.
+// refusalAnswer returns the answer for a refusal that every replica would repeat.
 func refusalAnswer(refused *RefusedError, batch bool) *forward.Answer {
 	status := refused.Status
 	if batch {
@@ -141,10 +141,10 @@
 	}
 }
 
-// abortAttempt tells an engine that nobody wants an answer any more.
+// abortAttempt tells an engine that an answer is no longer wanted.
 func abortAttempt(engines EngineClient, base, id string) {
 	ctx, cancel := context.WithTimeout(context.Background(), abortTimeout)
 	defer cancel()
-	// If the call is lost the engine drops the attempt for lack of readers.
+	// If the call is lost, the engine drops the attempt because nothing reads it.
 	_, _ = engines.Abort(ctx, base, id)
 }
--- a/internal/engine/backend_test.go
+++ b/internal/engine/backend_test.go
@@ -20,9 +20,9 @@
 // fakeEngine answers with a stream of tokens and can break it off.
 type fakeEngine struct {
 	mu sync.Mutex
-	// breakAfter is the number of tokens after which the first sending breaks.
+	// breakAfter is the number of tokens after which the first stream breaks; 0 means never.
 	breakAfter int
-	// forgetful makes resumed attempts unknown.
+	// forgetful makes the engine forget attempts, so that they cannot be resumed.
 	forgetful bool
 	status    int
 	tokens    int
@@ -70,7 +70,7 @@
 	f.stream(w, after, 0)
 }
 
-// stream sends the tokens after one, and the end unless it breaks off before.
+// stream sends the tokens that follow the given one, and the closing events unless it breaks first.
 func (f *fakeEngine) stream(w http.ResponseWriter, after, breakAfter int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for token := after + 1; token <= f.tokens; token++ {
@@ -103,7 +103,7 @@
 	}
 	for token := 1; token <= 5; token++ {
 		if count := strings.Count(string(body), fmt.Sprintf(`"t%d "`, token)); count != 1 {
-			t.Fatalf("token %d stands %d times in %q", token, count, body)
+			t.Fatalf("token %d occurs %d times in %q", token, count, body)
 		}
 	}
 	if len(engine.sent) != 1 || len(engine.resumed) != 1 || engine.resumed[0] != "3" {
@@ -122,7 +122,7 @@
 		t.Fatal(err)
 	}
 	if _, err := io.ReadAll(answer.Body); err == nil {
-		t.Fatal("half an answer looks whole")
+		t.Fatal("a truncated answer was read without an error")
 	}
 }
 
@@ -140,7 +140,7 @@
 			t.Fatalf("aborted %s", path)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("nothing was given up")
+		t.Fatal("the attempt was not aborted")
 	}
 }
 
@@ -183,7 +183,7 @@
 	}
 }
 
-// The text of an item becomes one whole answer, whichever event it broke after.
+// A batch item's text becomes one complete answer even if the stream broke in between.
 func TestAssembleAnswer_JoinsRenderedEvents(t *testing.T) {
 	engine := &fakeEngine{tokens: 4, breakAfter: 2}
 	backend, info := engine.start(t)
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -20,18 +20,18 @@
 	"github.com/wheelhoist/wheelhoist/internal/traffic"
 )
 
-// Attempt is one sending of a request to one engine.
+// Attempt is one transmission of a request to one engine.
 type Attempt struct {
-	// ID is unique to this attempt; the engine refuses an id it knows.
+	// ID is unique to this attempt; the engine refuses an ID that it already knows.
 	ID string
-	// Path is the OpenAI path.
+	// Path is the path of the OpenAI API.
 	Path string
-	// Body is the caller's JSON body; priority and stream are set by Encode.
+	// Body is the caller's JSON body; Encode sets its priority and stream fields.
 	Body []byte
 }
 
-// Encode appends the fields that the system decides to a caller's JSON object.
-// They come last, so that they override fields of the same name.
+// Encode appends the priority and stream fields to a caller's JSON object. They come last, so that
+// they override fields of the same name.
 func Encode(body []byte, priority Priority, stream bool) []byte {
 	trimmed := bytes.TrimRight(body, " \t\r\n")
 	end := bytes.LastIndexByte(trimmed, '}')
@@ -50,7 +50,7 @@
 	return append(encoded, '}')
 }
 
-// RefusedError is an engine's refusal; the request did not run.
+// RefusedError is an engine's refusal of a request that did not run.
 type RefusedError struct {
 	Status  int
 	Message string
@@ -64,28 +64,28 @@
 // Is makes the error match ErrRefused.
 func (e *RefusedError) Is(target error) bool { return target == ErrRefused }
 
-// Temporary reports whether another replica, or a later time, may accept it.
+// Temporary reports whether the request may succeed later or at another replica.
 func (e *RefusedError) Temporary() bool {
 	return e.Status == http.StatusServiceUnavailable || e.Status == http.StatusTooManyRequests
 }
 
-// Client talks to engines. It is safe for concurrent use.
+// Client calls engines. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
-	// controlHTTP carries load controlHTTP, orders and aborts, whose bytes count as
-	// control traffic.
+	// controlHTTP is used for load reports, orders and aborts, whose bytes count as control
+	// traffic.
 	controlHTTP *http.Client
 }
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// maxIdlePerEngine keeps connections for bursts without dialling.
+	// maxIdlePerEngine keeps enough idle connections to serve bursts without dialing.
 	maxIdlePerEngine = 64
 	controlTimeout   = 2 * time.Second
 )
 
-// NewClient returns a client with its own connection pools. counter, which may
-// be nil, counts the bytes of control traffic.
+// NewClient returns a client with its own connection pools. counter, which may be nil, counts the
+// bytes of control traffic.
 func NewClient(counter *traffic.Counter) *Client {
 	dial := dialer.New(dialTimeout).DialContext
 	controlDial := traffic.DialContext(dial)
@@ -109,7 +109,7 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.http.CloseIdleConnections()
 	c.controlHTTP.CloseIdleConnections()
@@ -157,8 +157,8 @@
 	return newStream(response), nil
 }
 
-// Resume continues the stream of an attempt after an event id. It returns
-// ErrUnknownRequest when the engine no longer has it.
+// Resume continues the stream of an attempt after the given event. It returns ErrUnknownRequest if
+// the engine no longer has the attempt.
 func (c *Client) Resume(ctx context.Context, base, id, path string, after int) (*Stream, error) {
 	api := "chat"
 	if path == openai.PathCompletions {
@@ -180,26 +180,26 @@
 	return newStream(response), nil
 }
 
-// Abort gives an attempt up and returns what became of it.
+// Abort aborts an attempt and returns its final status.
 func (c *Client) Abort(ctx context.Context, base, id string) (RequestStatus, error) {
 	var status RequestStatus
 	err := c.control(ctx, http.MethodPost, base+"/v1/requests/"+url.PathEscape(id)+"/abort", nil, &status)
 	return status, err
 }
 
-// Load returns the engine's lagging load report.
+// Load returns the engine's load report, which lags behind its actual load.
 func (c *Client) Load(ctx context.Context, base string) (Load, error) {
 	var load Load
 	err := c.control(ctx, http.MethodGet, base+"/load", nil, &load)
 	return load, err
 }
 
-// Order sends a fenced order. It returns ErrStaleFence if a newer order is in force.
+// Order sends a fenced order. It returns ErrStaleFence if the engine has obeyed a newer order.
 func (c *Client) Order(ctx context.Context, base string, order Order) error {
 	return c.control(ctx, http.MethodPut, base+"/orders", order, nil)
 }
 
-// control makes a short call with a JSON request and answer.
+// control makes a short call with an optional JSON request and answer.
 func (c *Client) control(ctx context.Context, method, address string, request, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
--- a/internal/engine/prefix.go
+++ b/internal/engine/prefix.go
@@ -7,12 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixBlockWords is the number of words in one block of the prefix cache.
+// PrefixBlockWords is the number of words in a block of the prefix cache.
 const PrefixBlockWords = 16
 
-// PrefixBlocks returns the chained hashes of the whole blocks of a prompt, as
-// engines publish them in their cache events. Two prompts share a block hash
-// exactly when they share all words up to the end of that block.
+// PrefixBlocks returns the chained hashes of the complete blocks of a prompt, as engines publish
+// them in their cache events. Two prompts share a block hash exactly if they share all words up to
+// the end of that block.
 func PrefixBlocks(prompt string) []uint64 {
 	words := strings.Fields(prompt)
 	blocks := make([]uint64, 0, len(words)/PrefixBlockWords)
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -1,6 +1,5 @@
-// Package engine is the port to the model engines (replicas): the OpenAI HTTP
-// API with priorities, request ids, resume, abort, load reports and fenced
-// orders.
+// Package engine defines the protocol of the model engines (replicas) and a client for it: the
+// OpenAI HTTP API with priorities, request IDs, resume, abort, load reports and fenced orders.
 package engine
 
 import (
@@ -15,22 +14,22 @@
 var (
 	// ErrRefused reports that the engine refused the request; it did not run.
 	ErrRefused = errors.New("engine refused the request")
-	// ErrUnreachable reports that no connection to the engine could be made.
+	// ErrUnreachable reports that no connection to the engine was established.
 	ErrUnreachable = errors.New("engine unreachable")
-	// ErrBroken reports that the answer broke off.
+	// ErrBroken reports that the answer was truncated.
 	ErrBroken = errors.New("engine answer broke off")
-	// ErrStaleFence reports that an order carried a lower fencing token than
-	// one the engine has already obeyed.
+	// ErrStaleFence reports that an order had a lower fencing token than one that the engine has
+	// already obeyed.
 	ErrStaleFence = errors.New("engine has obeyed a newer order")
-	// ErrUnknownRequest reports that the engine does not know a request id.
+	// ErrUnknownRequest reports that the engine does not know a request ID.
 	ErrUnknownRequest = errors.New("engine does not know the request")
 )
 
-// Priority orders requests at an engine; lower runs first and may preempt.
+// Priority orders requests at an engine. Lower values run first and may preempt others.
 type Priority int
 
 const (
-	// PriorityOnline is for requests that somebody waits for.
+	// PriorityOnline is for requests with a waiting caller.
 	PriorityOnline Priority = 0
 	// PriorityBatch is for items of batch jobs.
 	PriorityBatch Priority = 10
@@ -38,27 +37,27 @@
 
 // HTTP headers of the engine protocol.
 const (
-	// HeaderRequestID carries the attempt id.
+	// HeaderRequestID carries the attempt ID.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderLastEventID asks a stream to continue after this event (HTML SSE).
+	// HeaderLastEventID asks a stream to resume after this event (HTML Living Standard, SSE).
 	HeaderLastEventID = "Last-Event-ID"
 	// HeaderLoad carries an ORCA-style load report in JSON.
 	HeaderLoad = "Endpoint-Load-Metrics"
 )
 
-// Role says which work a replica takes.
+// Role determines which work a replica accepts.
 type Role string
 
 const (
-	// RoleMixed replicas take online and batch work.
+	// RoleMixed replicas accept online and batch work.
 	RoleMixed Role = "mixed"
-	// RoleOnline replicas take online work only.
+	// RoleOnline replicas accept online work only.
 	RoleOnline Role = "online"
-	// RoleBatch replicas take batch work only.
+	// RoleBatch replicas accept batch work only.
 	RoleBatch Role = "batch"
 )
 
-// State is an engine's own state.
+// State is the lifecycle state of an engine.
 type State string
 
 const (
@@ -66,11 +65,11 @@
 	StateReady State = "ready"
 	// StateLoading engines are fetching weights and refuse requests.
 	StateLoading State = "loading"
-	// StateLeaving engines finish what they have.
+	// StateLeaving engines finish their requests and accept no new ones.
 	StateLeaving State = "leaving"
 )
 
-// Load is an engine's report of its load, as of some time ago.
+// Load is an engine's report of its load at an earlier time.
 type Load struct {
 	State          State    `json:"state"`
 	Role           Role     `json:"role"`
@@ -89,13 +88,13 @@
 	StepMillis     float64  `json:"step_ms"`
 	PrefillPerSec  float64  `json:"prefill_tokens_per_s"`
 	ReportedUnixMs int64    `json:"reported_unix_ms"`
-	// StartedUnixMs is when the engine started; 0 if it does not say. One that starts again
-	// holds and knows nothing of before.
+	// StartedUnixMs is when the engine started; 0 if unknown. A restarted engine has lost all
+	// earlier requests.
 	StartedUnixMs int64 `json:"started_unix_ms,omitempty"`
 }
 
-// Order is a fenced instruction to change what an engine serves. An engine
-// refuses an order whose fence is lower than the highest it has obeyed.
+// Order is a fenced instruction to change what an engine serves. An engine refuses an order with a
+// lower fence than the highest it has obeyed.
 type Order struct {
 	Fence    uint64   `json:"fence"`
 	Version  string   `json:"version"`
@@ -103,25 +102,25 @@
 	Role     Role     `json:"role"`
 }
 
-// RequestState is what an engine knows of one attempt.
+// RequestState is the state of an attempt at an engine.
 type RequestState string
 
 const (
-	// RequestQueued attempts have not begun to execute.
+	// RequestQueued attempts have not started to run.
 	RequestQueued RequestState = "queued"
-	// RequestRunning attempts are executing.
+	// RequestRunning attempts are running.
 	RequestRunning RequestState = "running"
 	// RequestDone attempts have finished.
 	RequestDone RequestState = "done"
-	// RequestAborted attempts were given up after they had begun.
+	// RequestAborted attempts were aborted after they had started to run.
 	RequestAborted RequestState = "aborted"
-	// RequestNotRun attempts were given up before they began.
+	// RequestNotRun attempts were aborted before they started to run.
 	RequestNotRun RequestState = "not_run"
 	// RequestUnknown attempts are not known to the engine.
 	RequestUnknown RequestState = "unknown"
 )
 
-// RequestStatus answers a status or abort call.
+// RequestStatus is the answer to a status or abort call.
 type RequestStatus struct {
 	ID     string       `json:"id"`
 	State  RequestState `json:"state"`
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -13,14 +13,13 @@
 	"github.com/wheelhoist/wheelhoist/internal/sse"
 )
 
-// Event is one server-sent event of an answer. Its bytes are valid until the
-// next call of Next.
+// Event is one server-sent event of an answer. Its slices are valid until the next call of Next.
 type Event struct {
-	// ID is the number of tokens sent up to and with this event.
+	// ID is the number of tokens sent up to and including this event.
 	ID int
-	// Raw is the whole event with its closing blank line.
+	// Raw is the complete event, including the blank line that ends it.
 	Raw []byte
-	// Data is the event's data.
+	// Data is the content of the event's data field.
 	Data []byte
 	// Done marks the event that ends the answer.
 	Done bool
@@ -51,11 +50,11 @@
 	return load, true
 }
 
-// Close releases the connection. Closing before the end breaks it off.
+// Close releases the connection. Closing before the end aborts the stream.
 func (s *Stream) Close() { _ = s.response.Body.Close() }
 
-// Next returns the next event. Every error, the end of input before the Done
-// event included, is ErrBroken with an unknown outcome.
+// Next returns the next event. Every error is ErrBroken with an unknown outcome, including the end
+// of input before the Done event.
 func (s *Stream) Next() (Event, error) {
 	event, err := s.reader.Next()
 	if err != nil {
