--- a/internal/dialer/dialer.go
+++ b/internal/dialer/dialer.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// probeAfter is how long a connection says nothing before it is probed.
-	probeAfter = 2 * time.Second
-	// probeEvery is the time between two probes, probes how many may go unanswered.
-	probeEvery = time.Second
-	probes     = 3
-	// LostAfter is the time within which the end of a connection is noticed, of which the
+	// keepAliveIdle is how long a connection says nothing before it is probed.
+	keepAliveIdle = 2 * time.Second
+	// keepAliveInterval is the time between two probes, probes how many may go unanswered.
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 3
+	// DeadPeerTimeout is the time within which the end of a connection is noticed, of which the
 	// other side has not acknowledged a probe or what was sent.
-	LostAfter = probeAfter + probes*probeEvery
+	DeadPeerTimeout = keepAliveIdle + keepAliveProbes*keepAliveInterval
 )
 
 // New returns a dialer that gives a connection up that does not come up within a time.
@@ -29,8 +29,8 @@
 	return &net.Dialer{
 		Timeout: timeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probes,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes,
 		},
-		Control: boundUnacknowledged,
+		Control: setUserTimeout,
 	}
 }
--- a/internal/dialer/dialer_linux_test.go
+++ b/internal/dialer/dialer_linux_test.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-func TestNew_ConnectionsAreProbedAndBounded(t *testing.T) {
+func TestNew_SetsKeepAliveAndUserTimeout(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -30,11 +30,11 @@
 		"count":        {unix.IPPROTO_TCP, unix.TCP_KEEPCNT, 3},
 		"user timeout": {unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, 5000},
 	}
-	for name, one := range options {
+	for name, test := range options {
 		var got int
-		controlErr := raw.Control(func(fd uintptr) { got, err = unix.GetsockoptInt(int(fd), one.level, one.option) })
-		if controlErr != nil || err != nil || got != one.want {
-			t.Errorf("%s is %d, want %d (%v, %v)", name, got, one.want, controlErr, err)
+		controlErr := raw.Control(func(fd uintptr) { got, err = unix.GetsockoptInt(int(fd), test.level, test.option) })
+		if controlErr != nil || err != nil || got != test.want {
+			t.Errorf("%s is %d, want %d (%v, %v)", name, got, test.want, controlErr, err)
 		}
 	}
 }
--- a/internal/dialer/unacknowledged_linux.go
+++ b/internal/dialer/usertimeout_linux.go
@@ -6,10 +6,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// boundUnacknowledged bounds the time for which sent bytes may go unacknowledged. A system that
+// setUserTimeout bounds the time for which sent bytes may go unacknowledged. A system that
 // does not know the option keeps its own bound.
-func boundUnacknowledged(_, _ string, conn syscall.RawConn) error {
+func setUserTimeout(_, _ string, conn syscall.RawConn) error {
 	return conn.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(LostAfter.Milliseconds()))
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(DeadPeerTimeout.Milliseconds()))
 	})
 }
--- a/internal/dialer/unacknowledged_other.go
+++ b/internal/dialer/usertimeout_other.go
@@ -5,4 +5,4 @@
 import "syscall"
 
 // boundUnacknowledged leaves the system's own bound: there is no common option for it.
-func boundUnacknowledged(_, _ string, _ syscall.RawConn) error { return nil }
+func setUserTimeout(_, _ string, _ syscall.RawConn) error { return nil }
--- a/internal/node/gatewaycold.go
+++ b/internal/node/gatewaycold.go
@@ -48,8 +48,8 @@
 func (g *Gateway) answerCold(socket *peer.Socket) {
 	desk := &coldDesk{replicas: g.replicas, roster: g.roster, send: socket.Send}
 	desk.failed = func(err error) { g.sampled.Warn().Err(err).Msg("message about a cold replica failed") }
-	socket.Handle(peer.KindColdAsk, desk.take(clock.Now))
-	socket.Handle(peer.KindColdAnswer, desk.answered)
+	socket.Handle(peer.KindColdGrantRequest, desk.take(clock.Now))
+	socket.Handle(peer.KindColdGrantReply, desk.answered)
 	g.forwarder.ColdGranter = desk
 }
 
@@ -64,7 +64,7 @@
 	number, answered := d.register()
 	defer d.forget(number)
 	asked := coldAsk{Number: number, Replica: feeder.Replica, Presumed: feeder.Presumed, Born: feeder.Born}
-	if err := d.send(to, peer.KindColdAsk, asked); err != nil {
+	if err := d.send(to, peer.KindColdGrantRequest, asked); err != nil {
 		d.failed(err)
 		return false
 	}
@@ -108,7 +108,7 @@
 		// A place at another start of the replica would not count against its rate.
 		granted := d.replicas.Started(asked.Replica, asked.Born) && grant(asked.Replica, now())
 		answer := coldAnswer{Number: asked.Number, Granted: granted}
-		if err := d.send(source, peer.KindColdAnswer, answer); err != nil {
+		if err := d.send(source, peer.KindColdGrantReply, answer); err != nil {
 			d.failed(err)
 		}
 	}
--- a/internal/node/gatewaydemand.go
+++ b/internal/node/gatewaydemand.go
@@ -64,9 +64,9 @@
 func (g *Gateway) tellRegion(region string, told []demandTold) {
 	fanout := demandFanout
 	if region == g.near.region() {
-		fanout -= g.tellSome(g.near.zone(), demandZone, peer.KindDemand, told)
+		fanout -= g.tellSome(g.near.zone(), demandZone, peer.KindDemandReport, told)
 	}
-	g.tellSome(g.near.of(region), fanout, peer.KindDemand, told)
+	g.tellSome(g.near.of(region), fanout, peer.KindDemandReport, told)
 }
 
 // addNeed adds a pool to what the node's own region is told, and to what those are told
--- a/internal/node/gatewayevidence.go
+++ b/internal/node/gatewayevidence.go
@@ -49,7 +49,7 @@
 				AgeMs: uint16(report.Age.Milliseconds()), Born: report.Born,
 			}
 		}
-		g.tellSome(g.near.others(), evidenceFanout, peer.KindEvidence, told)
+		g.tellSome(g.near.others(), evidenceFanout, peer.KindReplicaFailures, told)
 	}
 }
 
--- a/internal/node/gatewaynews.go
+++ b/internal/node/gatewaynews.go
@@ -32,7 +32,7 @@
 			g.jobWatch.Announce()
 			continue
 		}
-		g.tellNode(node, peer.KindNews, newsTold{Job: job})
+		g.tellNode(node, peer.KindRowsChanged, newsTold{Job: job})
 	}
 }
 
--- a/internal/node/gatewaypeers.go
+++ b/internal/node/gatewaypeers.go
@@ -22,10 +22,10 @@
 	for kind, handler := range g.quota.Handlers() {
 		socket.Handle(kind, handler)
 	}
-	socket.Handle(peer.KindDemand, g.takeDemand)
-	socket.Handle(peer.KindNews, g.takeNews)
-	socket.Handle(peer.KindEvidence, g.takeEvidence)
-	socket.Handle(peer.KindHarm, g.takeHarm)
+	socket.Handle(peer.KindDemandReport, g.takeDemand)
+	socket.Handle(peer.KindRowsChanged, g.takeNews)
+	socket.Handle(peer.KindReplicaFailures, g.takeEvidence)
+	socket.Handle(peer.KindCrashReport, g.takeHarm)
 	g.harm.publisher.Tell, g.harm.guard.Ask = g.tellHarm, g.askHarm
 	g.harm.publisher.Written = g.tellAllNews
 	g.jobs.Tell = g.tellNews
--- a/internal/node/gatewayquarantine.go
+++ b/internal/node/gatewayquarantine.go
@@ -77,7 +77,7 @@
 		if works == 0 {
 			return
 		}
-		g.tellOthers(peer.KindHarm, told)
+		g.tellOthers(peer.KindCrashReport, told)
 		told, works = harmTold{}, 0
 	}
 	for _, report := range news.Reports {
@@ -122,7 +122,7 @@
 	for _, one := range proven {
 		told.Cleared = append(told.Cleared, clearedOf(one, now))
 	}
-	g.tellSome(g.near.others(), provenFanout, peer.KindHarm, told)
+	g.tellSome(g.near.others(), provenFanout, peer.KindCrashReport, told)
 }
 
 // askHarm asks all other nodes for what speaks for a work, or a few if they were asked before.
@@ -130,9 +130,9 @@
 func (g *Gateway) askHarm(work quarantine.Work, again bool) bool {
 	others, asked := g.near.others(), harmTold{Asked: &work}
 	if again {
-		g.tellSome(others, harmAskedAgain, peer.KindHarm, asked)
+		g.tellSome(others, harmAskedAgain, peer.KindCrashReport, asked)
 	} else {
-		g.tellOthers(peer.KindHarm, asked)
+		g.tellOthers(peer.KindCrashReport, asked)
 	}
 	return len(others) > 0
 }
@@ -146,7 +146,7 @@
 		return
 	}
 	cleared := clearedOf(quarantine.Clearing{Work: work, At: at}, clock.Now())
-	if err := g.peers.Send(to, peer.KindHarm, harmTold{Cleared: []clearedTold{cleared}}); err != nil {
+	if err := g.peers.Send(to, peer.KindCrashReport, harmTold{Cleared: []clearedTold{cleared}}); err != nil {
 		g.sampled.Warn().Err(err).Msg("what speaks for work not told to who asked")
 	}
 }
--- a/internal/node/gatewayquarantine_test.go
+++ b/internal/node/gatewayquarantine_test.go
@@ -146,7 +146,7 @@
 	gateway.harm.guard.EndedWell(work)
 	stranger, source := listenStranger(t)
 	answers := make(chan harmTold, 1)
-	stranger.Handle(peer.KindHarm, func(_ string, _ *net.UDPAddr, body []byte) {
+	stranger.Handle(peer.KindCrashReport, func(_ string, _ *net.UDPAddr, body []byte) {
 		var told harmTold
 		if err := cbor.Unmarshal(body, &told); err != nil {
 			t.Error(err)
--- a/internal/node/gatewaystarts_test.go
+++ b/internal/node/gatewaystarts_test.go
@@ -122,7 +122,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for kind, body := range map[peer.Kind]any{peer.KindEvidence: evidence, peer.KindHarm: harm} {
+	for kind, body := range map[peer.Kind]any{peer.KindReplicaFailures: evidence, peer.KindCrashReport: harm} {
 		if err := sender.Send(to, kind, body); err != nil {
 			t.Errorf("kind %d: %v", kind, err)
 		}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -117,7 +117,7 @@
 	}
 	s.mu.Lock()
 	handler := s.handlers[message.Kind]
-	s.heard(source.AddrPort())
+	s.recordSource(source.AddrPort())
 	s.mu.Unlock()
 	if handler == nil {
 		s.malformed.Add(1)
@@ -126,8 +126,8 @@
 	handler(message.From, source, message.Body)
 }
 
-// heard notes where a message came from. The caller holds mu.
-func (s *Socket) heard(source netip.AddrPort) {
+// recordSource notes where a message came from. The caller holds mu.
+func (s *Socket) recordSource(source netip.AddrPort) {
 	s.sources = slices.DeleteFunc(s.sources, func(known netip.AddrPort) bool { return known == source })
 	if len(s.sources) == maxSources {
 		s.sources = s.sources[1:]
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -29,7 +29,7 @@
 	return socket
 }
 
-func TestSocket_BringsMessagesAndPassesOverOthers(t *testing.T) {
+func TestSocket_DeliversMessagesAndCountsMalformed(t *testing.T) {
 	a, b := listen(t, "a#1"), listen(t, "b#1")
 	got := make(chan string, 1)
 	b.Handle(kindTest, func(from string, _ *net.UDPAddr, body []byte) {
@@ -91,19 +91,19 @@
 	})
 }
 
-func TestSocket_AKindIsHandledOnce(t *testing.T) {
+func TestSocket_HandlePanicsOnSecondHandler(t *testing.T) {
 	socket, err := Listen("127.0.0.1:0", "a#1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = socket.Close() }()
-	nothing := func(string, *net.UDPAddr, []byte) {}
-	socket.Handle(KindNews, nothing)
-	socket.Handle(KindEvidence, nothing)
+	ignore := func(string, *net.UDPAddr, []byte) {}
+	socket.Handle(KindRowsChanged, ignore)
+	socket.Handle(KindReplicaFailures, ignore)
 	defer func() {
 		if recover() == nil {
 			t.Error("two handlers of one kind, and one of them hears nothing")
 		}
 	}()
-	socket.Handle(KindNews, nothing)
+	socket.Handle(KindRowsChanged, ignore)
 }
--- a/internal/quota/contacts.go
+++ b/internal/quota/contacts.go
@@ -243,13 +243,13 @@
 // Handlers returns what takes the messages of this package.
 func (e *Exchange) Handlers() map[peer.Kind]peer.Handler {
 	return map[peer.Kind]peer.Handler{
-		peer.KindQuotaReport: e.TakeReports, peer.KindQuotaGrant: e.TakeGrants, peer.KindQuotaProbe: e.takeProbe, peer.KindQuotaContact: e.takeContact,
+		peer.KindQuotaReport: e.TakeReports, peer.KindQuotaGrant: e.TakeGrants, peer.KindQuotaProbe: e.takeProbe, peer.KindQuotaProbeReply: e.takeContact,
 	}
 }
 
 // takeProbe handles messages of peer.KindQuotaProbe.
 func (e *Exchange) takeProbe(_ string, source *net.UDPAddr, _ []byte) {
-	e.send(source, peer.KindQuotaContact, Contact{Sure: e.Fleet.Unconfirmed() < sureFor})
+	e.send(source, peer.KindQuotaProbeReply, Contact{Sure: e.Fleet.Unconfirmed() < sureFor})
 }
 
 // takeContact handles messages of peer.KindQuotaContact.
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -249,7 +249,7 @@
 func (e *Exchange) Leave() {
 	e.Gate.leave()
 	e.reportDue()
-	e.tellAll(e.Fleet.Others(), peer.KindQuotaContact, Contact{Stops: true})
+	e.tellAll(e.Fleet.Others(), peer.KindQuotaProbeReply, Contact{Stops: true})
 }
 
 // answer takes in a report if this node owns the tenant.
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -10,8 +10,8 @@
 	"strconv"
 )
 
-// ErrTorn reports that the input ended in the middle of an event.
-var ErrTorn = errors.New("event stream ended inside an event")
+// ErrTruncated reports that the input ended in the middle of an event.
+var ErrTruncated = errors.New("event stream ended inside an event")
 
 // ErrTooLong reports an event of more than MaxEventBytes.
 var ErrTooLong = errors.New("event is too long")
@@ -64,7 +64,7 @@
 	for {
 		line, err := r.readLine()
 		if err != nil {
-			return Event{}, r.endOf(err)
+			return Event{}, r.endError(err)
 		}
 		if len(line) == 0 {
 			break
@@ -90,8 +90,8 @@
 func (r *Reader) readLine() ([]byte, error) {
 	start := len(r.raw)
 	for {
-		part, err := r.input.ReadSlice('\n')
-		r.raw = append(r.raw, part...)
+		fragment, err := r.input.ReadSlice('\n')
+		r.raw = append(r.raw, fragment...)
 		if len(r.raw) > MaxEventBytes {
 			return nil, ErrTooLong
 		}
@@ -105,9 +105,9 @@
 	}
 }
 
-func (r *Reader) endOf(err error) error {
+func (r *Reader) endError(err error) error {
 	if errors.Is(err, io.EOF) && len(r.raw) > 0 {
-		return ErrTorn
+		return ErrTruncated
 	}
 	return err
 }
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -24,12 +24,12 @@
 	}
 }
 
-func TestReader_TornEvent(t *testing.T) {
+func TestReader_TruncatedEvent(t *testing.T) {
 	reader := NewReader(strings.NewReader("id: 1\ndata: a\n\nid: 2\ndata: hal"))
 	if _, err := reader.Next(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := reader.Next(); !errors.Is(err, ErrTorn) {
+	if _, err := reader.Next(); !errors.Is(err, ErrTruncated) {
 		t.Fatalf("end inside an event is %v, want ErrTorn", err)
 	}
 }
