--- a/internal/dialer/dialer.go
+++ b/internal/dialer/dialer.go
@@ -1,11 +1,11 @@
-// Package dialer makes TCP connections that end when the other side is gone.
+// Package dialer creates TCP connections that fail soon after the peer becomes unreachable.
 //
-// A connection whose path was cut, or whose other side lost power or started again behind a
-// cut, says nothing and gets no reset. Whoever waits for an answer on it waits for as long as
-// the system keeps it: 15 s and nine probes by the defaults of package net, and some 15 min for
-// what was sent and not acknowledged, by those of Linux (tcp(7), tcp_retries2). The system
-// acknowledges for a process however busy that is, so a probe without an answer tells a dead
-// connection from a slow one, which no time-out on answers does.
+// If the path to a peer is cut, or the peer loses power or restarts behind such a cut, no reset
+// arrives and reads block for as long as the system keeps the connection: until nine keep-alive
+// probes at intervals of 15 s fail by the defaults of package net, or about 15 min for
+// unacknowledged data by those of Linux (tcp(7), tcp_retries2). The kernel acknowledges probes
+// however busy the process is, so an unanswered probe distinguishes a dead connection from a slow
+// peer, which a timeout on answers cannot.
 package dialer
 
 import (
@@ -14,17 +14,17 @@
 )
 
 const (
-	// keepAliveIdle is how long a connection says nothing before it is probed.
+	// keepAliveIdle is how long a connection is idle before it is probed.
 	keepAliveIdle = 2 * time.Second
-	// keepAliveInterval is the time between two probes, probes how many may go unanswered.
+	// keepAliveInterval is the time between two probes, keepAliveProbes how many may go unanswered.
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 3
-	// DeadPeerTimeout is the time within which the end of a connection is noticed, of which the
-	// other side has not acknowledged a probe or what was sent.
+	// DeadPeerTimeout is the time within which a connection fails if the peer acknowledges neither
+	// a probe nor sent data.
 	DeadPeerTimeout = keepAliveIdle + keepAliveProbes*keepAliveInterval
 )
 
-// New returns a dialer that gives a connection up that does not come up within a time.
+// New returns a dialer that fails if a connection is not established within timeout.
 func New(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
--- a/internal/dialer/usertimeout_other.go
+++ b/internal/dialer/usertimeout_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// boundUnacknowledged leaves the system's own bound: there is no common option for it.
+// setUserTimeout does nothing: there is no portable option for it.
 func setUserTimeout(_, _ string, _ syscall.RawConn) error { return nil }
--- a/internal/peer/kinds.go
+++ b/internal/peer/kinds.go
@@ -1,28 +1,27 @@
 package peer
 
-// Kinds of messages, all in one place, for no two may be alike. A number is never given
-// to another kind: nodes of two versions of the program talk to each other during an
-// upgrade.
+// Kinds of messages. They are declared in one place to keep them distinct. A number is never reused
+// for another kind, because nodes of two versions exchange messages during an upgrade.
 const (
-	// KindQuotaReport carries what a node admitted of tenants to their owner, and
-	// KindQuotaGrant the owner's answer.
+	// KindQuotaReport carries the requests of tenants that a node admitted to the owners of those
+	// tenants. KindQuotaGrant is an owner's reply.
 	KindQuotaReport Kind = 1
 	KindQuotaGrant  Kind = 2
-	// KindDemandReport carries what online requests need of pools at a node.
+	// KindDemandReport carries the demand of a node's online requests for pools.
 	KindDemandReport Kind = 3
-	// KindColdGrantRequest asks a node for a place at a cold replica that it feeds, and
-	// KindColdAnswer is its answer.
+	// KindColdGrantRequest asks a node for permission to send a request to a cold replica that the
+	// node paces. KindColdGrantReply is its reply.
 	KindColdGrantRequest Kind = 4
 	KindColdGrantReply   Kind = 5
-	// KindRowsChanged says that rows which nodes follow have changed.
+	// KindRowsChanged reports that rows which other nodes follow have changed.
 	KindRowsChanged Kind = 6
-	// KindReplicaFailures carries what a node has seen of replicas that failed.
+	// KindReplicaFailures carries a node's observations of failed replicas.
 	KindReplicaFailures Kind = 7
-	// KindQuotaProbe asks whether a node is there, and KindQuotaContact is its answer, for
-	// the owners of tenants.
+	// KindQuotaProbe checks whether a node is reachable, and KindQuotaProbeReply is its reply.
+	// Owners of tenants use them.
 	KindQuotaProbe      Kind = 8
 	KindQuotaProbeReply Kind = 9
-	// KindCrashReport carries replicas that ended with the work that ran there, and work of which
-	// a run ended well.
+	// KindCrashReport carries replicas that crashed with the work that ran there, and work that has
+	// completed without a crash.
 	KindCrashReport Kind = 10
 )
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,7 +1,7 @@
-// Package peer lets nodes tell each other small things in datagrams.
+// Package peer exchanges small messages between nodes in UDP datagrams.
 //
-// Datagrams may be lost, doubled or late. What travels here must bear that: sums and
-// states, never changes; nothing lasting hangs on it.
+// Datagrams may be lost, duplicated or delayed. Messages must tolerate that: they carry totals and
+// states rather than changes, and nothing durable depends on them.
 package peer
 
 import (
@@ -19,17 +19,17 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("peer")
 
-// maxDatagram is the most that is sent in one datagram, in bytes: an Ethernet frame
-// less the headers of IPv4 and UDP.
+// maxDatagram is the maximum size of a datagram in bytes: the payload of an Ethernet frame less the
+// headers of IPv4 and UDP.
 const maxDatagram = 1472
 
-// maxSources is the number of nodes that Sources returns at most.
+// maxSources is the maximum number of addresses that Sources returns.
 const maxSources = 8
 
-// Kind says what a message is about.
+// Kind identifies the type of a message's body.
 type Kind uint8
 
-// Message is one datagram.
+// Message is the content of one datagram.
 type Message struct {
 	Kind Kind `cbor:"1,keyasint"`
 	// From is the sender's session.
@@ -37,7 +37,7 @@
 	Body cbor.RawMessage `cbor:"3,keyasint"`
 }
 
-// Handler takes the body of a message. It must not block.
+// Handler handles the body of a message. It must not block.
 type Handler func(from string, source *net.UDPAddr, body []byte)
 
 // Socket sends and receives messages. It is safe for concurrent use.
@@ -46,7 +46,7 @@
 	session  string
 	mu       sync.Mutex
 	handlers map[Kind]Handler
-	// sources are where the last messages came from, the newest last.
+	// sources are the origins of the last messages, newest last.
 	sources []netip.AddrPort
 	// sent, received and malformed count datagrams.
 	sent, received, malformed atomic.Int64
@@ -65,20 +65,20 @@
 	return &Socket{conn: conn, session: session, handlers: map[Kind]Handler{}}, nil
 }
 
-// Address returns where the socket listens.
+// Address returns the local address of the socket.
 func (s *Socket) Address() string { return s.conn.LocalAddr().String() }
 
-// Handle sets what takes messages of a kind. It panics if something does already.
+// Handle sets the handler for messages of a kind. It panics if the kind already has one.
 func (s *Socket) Handle(kind Kind, handler Handler) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.handlers[kind] != nil {
-		panic(fmt.Sprintf("peer: messages of kind %d are handled twice", kind))
+		panic(fmt.Sprintf("peer: kind %d already has a handler", kind))
 	}
 	s.handlers[kind] = handler
 }
 
-// Send sends a message. A nil error says nothing about its arrival.
+// Send sends a message. A nil error does not imply that it arrives.
 func (s *Socket) Send(to *net.UDPAddr, kind Kind, body any) error {
 	encoded, err := cbor.Marshal(body)
 	if err != nil {
@@ -89,14 +89,14 @@
 		return Error.Wrap(err)
 	}
 	if len(datagram) > maxDatagram {
-		return Error.New("a message of %d bytes, at most %d are sent", len(datagram), maxDatagram)
+		return Error.New("message of %d bytes exceeds the limit of %d", len(datagram), maxDatagram)
 	}
 	s.sent.Add(1)
 	_, err = s.conn.WriteToUDP(datagram, to)
 	return Error.Wrap(err)
 }
 
-// Run receives until the socket is closed.
+// Run receives messages until the socket is closed.
 func (s *Socket) Run() error {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -126,7 +126,7 @@
 	handler(message.From, source, message.Body)
 }
 
-// recordSource notes where a message came from. The caller holds mu.
+// recordSource records the origin of a message. The caller holds mu.
 func (s *Socket) recordSource(source netip.AddrPort) {
 	s.sources = slices.DeleteFunc(s.sources, func(known netip.AddrPort) bool { return known == source })
 	if len(s.sources) == maxSources {
@@ -135,18 +135,18 @@
 	s.sources = append(s.sources, source)
 }
 
-// Sources returns the addresses of a few nodes that messages came from lately, the newest
-// last.
+// Sources returns the addresses of a few nodes that sent messages recently, newest last.
 func (s *Socket) Sources() []netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.sources)
 }
 
-// Counts returns the numbers of datagrams sent, received and malformed among these.
+// Counts returns the number of datagrams sent, received and, among the latter, malformed or of an
+// unknown kind.
 func (s *Socket) Counts() (sent, received, malformed int64) {
 	return s.sent.Load(), s.received.Load(), s.malformed.Load()
 }
 
-// Close ends Run.
+// Close closes the socket, which ends Run.
 func (s *Socket) Close() error { return Error.Wrap(s.conn.Close()) }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -63,13 +63,13 @@
 			t.Fatalf("got %q", text)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("no message arrived")
 	}
 	if _, received, malformed := b.Counts(); received != 3 || malformed != 2 {
 		t.Fatalf("%d received, %d malformed", received, malformed)
 	}
 	if err := a.Send(to, kindTest, strings.Repeat("x", maxDatagram)); err == nil {
-		t.Fatal("a message that fits no datagram was taken")
+		t.Fatal("a message larger than a datagram was sent")
 	}
 }
 
@@ -84,7 +84,7 @@
 		socket := &Socket{handlers: map[Kind]Handler{}}
 		socket.Handle(kindTest, func(from string, _ *net.UDPAddr, _ []byte) {
 			if from == "" {
-				t.Fatal("a message from nobody")
+				t.Fatal("a message without a sender was handled")
 			}
 		})
 		socket.receive(nil, datagram)
@@ -102,7 +102,7 @@
 	socket.Handle(KindReplicaFailures, ignore)
 	defer func() {
 		if recover() == nil {
-			t.Error("two handlers of one kind, and one of them hears nothing")
+			t.Error("a second handler of a kind was accepted")
 		}
 	}()
 	socket.Handle(KindRowsChanged, ignore)
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,5 +1,5 @@
-// Package sse reads server-sent events (HTML Living Standard, section 9.2)
-// whole, so that an answer can be passed on and resumed at event boundaries.
+// Package sse reads server-sent events (HTML Living Standard, section 9.2) as whole events, so that
+// an answer can be relayed and resumed at event boundaries.
 package sse
 
 import (
@@ -17,7 +17,7 @@
 var ErrTooLong = errors.New("event is too long")
 
 const (
-	// MaxEventBytes bounds one event.
+	// MaxEventBytes bounds the size of one event.
 	MaxEventBytes = 256 << 10
 	bufferBytes   = 4 << 10
 )
@@ -27,15 +27,15 @@
 	fieldData = []byte("data:")
 )
 
-// Event is one event. Its bytes are valid until the next call of Next.
+// Event is one event. Its slices are valid until the next call of Next.
 type Event struct {
-	// ID is the number in the event's id field, or that of the event before.
+	// ID is the number in the event's id field, or the ID of the previous event if it has none.
 	ID int
-	// HasID tells whether the event has an id field of its own.
+	// HasID reports whether the event has a numeric id field of its own.
 	HasID bool
-	// Raw is the whole event with its closing blank line.
+	// Raw is the complete event, including the blank line that ends it.
 	Raw []byte
-	// Data is the event's data; lines are joined by line feeds.
+	// Data is the content of the event's data fields, joined by line feeds.
 	Data []byte
 }
 
@@ -47,16 +47,16 @@
 	last  int
 }
 
-// NewReader returns a reader of the events of input.
+// NewReader returns a Reader of the events in input.
 func NewReader(input io.Reader) *Reader {
 	return &Reader{input: bufio.NewReaderSize(input, bufferBytes)}
 }
 
-// Buffered reports whether more input has arrived already.
+// Buffered reports whether more input has already arrived.
 func (r *Reader) Buffered() bool { return r.input.Buffered() > 0 }
 
-// Next returns the next event. It returns io.EOF at an end between two events
-// and ErrTorn at an end inside one.
+// Next returns the next event. It returns io.EOF if the input ends between two events and
+// ErrTruncated if it ends inside one.
 func (r *Reader) Next() (Event, error) {
 	r.raw, r.data = r.raw[:0], r.data[:0]
 	event := Event{}
@@ -86,7 +86,7 @@
 	return event, nil
 }
 
-// readLine appends a line to raw and returns it without its line end.
+// readLine appends a line to raw and returns it without its line ending.
 func (r *Reader) readLine() ([]byte, error) {
 	start := len(r.raw)
 	for {
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	if _, err := reader.Next(); !errors.Is(err, ErrTruncated) {
-		t.Fatalf("end inside an event is %v, want ErrTorn", err)
+		t.Fatalf("end inside an event is %v, want ErrTruncated", err)
 	}
 }
 
