--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -21,7 +21,8 @@
 	// silenceFactor is how many objectives, or gaps, a replica may be silent before a stream that
 	// can resume elsewhere is moved.
 	silenceFactor = 4
-	// minSilenceLimit keeps streams at replicas that are merely busy.
+	// minSilenceLimit is the lower bound of the silence limit, so that streams are not moved away
+	// from replicas that are merely busy.
 	minSilenceLimit = 700 * time.Millisecond
 	// stalledFactor multiplies the silence limit of a replica to give the longest pause of an
 	// answer that has begun while the replica answers other requests. A running request has a slot
--- a/internal/forward/reserve.go
+++ b/internal/forward/reserve.go
@@ -21,7 +21,7 @@
 const (
 	// reserveTries is the number of replicas in this node's region that are asked for a slot.
 	reserveTries = 3
-	// crossRegionTries is the number of replicas in other regions that are asked after them.
+	// crossRegionTries is the number of replicas in other regions that are asked after those.
 	crossRegionTries = 2
 	// reserveTimeout bounds one reservation call; a round trip takes about 2 ms.
 	reserveTimeout = 40 * time.Millisecond
