--- a/internal/engine/answer.go
+++ b/internal/engine/answer.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// resumeTries and resumeDelay bound how long a broken stream is asked for
-	// at its engine before the engine counts as gone.
+	// resumeTries and resumeDelay bound how often and how long a broken stream is resumed at its
+	// engine before the attempt fails.
 	resumeTries = 3
 	resumeDelay = 60 * time.Millisecond
 )
 
-// answerBody reads the events of an attempt as a body. A break is mended at the
-// same engine by the attempt's id, after the last event read. It ends with
-// io.EOF only after the event that ends the answer.
-type answerBody struct {
+// resumableBody presents the events of an attempt as a response body. After a connection failure it
+// resumes the stream at the same engine by attempt ID, after the last event read. It returns io.EOF
+// only after the event that ends the answer.
+type resumableBody struct {
 	ctx     context.Context
-	engines Engines
+	engines EngineClient
 	stream  *Stream
 	base    string
 	id      string
@@ -31,14 +31,14 @@
 	render  func(buffer []byte, event Event, last int) []byte
 
 	buffer []byte
-	// last is the id of the last event read.
-	last int
-	done bool
-	err  error
+	// lastEventID is the ID of the last event read.
+	lastEventID int
+	done        bool
+	err         error
 }
 
 // Read implements io.Reader.
-func (b *answerBody) Read(target []byte) (int, error) {
+func (b *resumableBody) Read(target []byte) (int, error) {
 	for len(b.buffer) == 0 {
 		if b.done {
 			return 0, io.EOF
@@ -54,7 +54,7 @@
 }
 
 // next reads one event into the buffer.
-func (b *answerBody) next() {
+func (b *resumableBody) next() {
 	event, err := b.stream.Next()
 	for tries := 0; err != nil; tries++ {
 		if b.ctx.Err() != nil || tries == resumeTries || !b.resume(tries) {
@@ -63,23 +63,23 @@
 		}
 		event, err = b.stream.Next()
 	}
-	if event.ID > 0 && event.ID <= b.last && !event.Finishes() && !event.Done {
+	if event.ID > 0 && event.ID <= b.lastEventID && !event.Finishes() && !event.Done {
 		return
 	}
-	b.buffer = b.render(b.buffer[:0], event, b.last)
-	b.last = max(b.last, event.ID)
+	b.buffer = b.render(b.buffer[:0], event, b.lastEventID)
+	b.lastEventID = max(b.lastEventID, event.ID)
 	b.done = event.Done
 }
 
-// resume continues the attempt at its engine. It reports false if the engine
-// does not have it any more.
-func (b *answerBody) resume(tries int) bool {
+// resume continues the attempt at its engine. It returns false if the engine no longer has it or
+// refuses to resume it.
+func (b *resumableBody) resume(tries int) bool {
 	select {
 	case <-b.ctx.Done():
 		return false
 	case <-time.After(resumeDelay << tries):
 	}
-	stream, err := b.engines.Resume(b.ctx, b.base, b.id, b.path, b.last)
+	stream, err := b.engines.Resume(b.ctx, b.base, b.id, b.path, b.lastEventID)
 	if err != nil {
 		return !errors.Is(err, ErrUnknownRequest) && !errors.Is(err, ErrRefused)
 	}
@@ -88,9 +88,9 @@
 	return true
 }
 
-// Close implements io.Closer. An answer that is not read to its end is given up
-// at the engine.
-func (b *answerBody) Close() error {
+// Close implements io.Closer. It aborts the attempt at the engine if the answer has not been read
+// to its end.
+func (b *resumableBody) Close() error {
 	b.stream.Close()
 	if !b.done {
 		abortAttempt(b.engines, b.base, b.id)
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// renderEvent passes an event on as it is. The closing chunk repeats the id of
-// the last token; it goes without one, so that it is not taken for a repetition.
+// renderEvent appends an event unchanged. The closing chunk repeats the ID of the last token, so
+// its ID is omitted to keep it from being skipped as a duplicate.
 func renderEvent(buffer []byte, event Event, _ int) []byte {
 	if !event.Finishes() {
 		return append(buffer, event.Raw...)
@@ -113,9 +113,9 @@
 	return append(buffer, "\n\n"...)
 }
 
-// renderToken makes short events, each with the text of a token as a JSON
-// string, and one with the whole closing chunk; WholeText joins them. Events
-// that hold several tokens are filled up, for ids must not leave gaps.
+// renderToken appends short events that each hold the text of a token as a JSON string, and one
+// with the complete closing chunk; AssembleAnswer joins them. An event that covers several tokens
+// is preceded by empty ones, because IDs must be contiguous.
 func renderToken(buffer []byte, event Event, last int) []byte {
 	if event.Done {
 		return buffer
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// waitForRoom is the pause before replicas that refused are asked again.
-	waitForRoom = 25 * time.Millisecond
-	// coldLook bounds the pause before cold replicas are looked at again: one may be
-	// listed, or told to be warm, meanwhile.
-	coldLook = 100 * time.Millisecond
-	// refusalsInARow is the number of refusals after which a request pauses.
-	refusalsInARow = 3
+	// capacityRetryInterval is the pause before replicas that refused are tried again.
+	capacityRetryInterval = 25 * time.Millisecond
+	// coldRecheckInterval bounds the pause before cold replicas are checked again: meanwhile a
+	// replica may be listed or become warm.
+	coldRecheckInterval = 100 * time.Millisecond
+	// refusalsPerPause is the number of refusals after which a request pauses.
+	refusalsPerPause = 3
 )
 
-// Notice is told of what happens to a request, for the log.
-type Notice interface {
-	// Sent tells of an attempt and of what made the replica the best.
+// Observer receives the events of a request, for logs and metrics.
+type Observer interface {
+	// Sent is called before each attempt with the candidate and its predicted time to first event.
 	Sent(request *Request, attempt int, chosen *replica.Candidate, predicted time.Duration)
-	// Reserved tells of a replica that was asked for a free slot, and of its answer.
+	// Reserved is called after a replica was asked for a free slot, with the result.
 	Reserved(request *Request, asked *replica.Candidate, took time.Duration, err error)
-	// Begun tells of the first event of an attempt and of its predicted time.
-	Begun(request *Request, predicted, actual time.Duration)
-	// Failed tells of an attempt that did not bring the whole answer.
+	// FirstEvent is called at the first event of an attempt, with its predicted and actual time.
+	FirstEvent(request *Request, predicted, actual time.Duration)
+	// Failed is called after an attempt that did not deliver a complete answer.
 	Failed(request *Request, attempt int, chosen replica.Info, err error)
 }
 
@@ -42,17 +42,17 @@
 	Backend  Backend
 	Budget   *retry.Budget
 	Weights  replica.Weights
-	// Zone and Region are where this node is.
-	Zone   string
-	Region string
-	Notice Notice
-	// Reserver, if set, is asked for a free slot elsewhere by requests that find none
-	// among their node's own.
+	// Zone and Region are the location of this node.
+	Zone     string
+	Region   string
+	Observer Observer
+	// Reserver, if set, reserves a slot at another replica for requests that find none free in this
+	// node's own share.
 	Reserver Reserver
-	// ColdFeeders, if set, are asked by requests that find none but cold replicas which
-	// this node does not feed.
-	ColdFeeders ColdFeeders
-	// Quarantine, if set, keeps work from replicas that ended others.
+	// ColdGranter, if set, is asked for a grant by requests that find only cold replicas to which
+	// this node may not send by itself.
+	ColdGranter ColdGranter
+	// Quarantine, if set, keeps work away from replicas if it is suspected of crashing them.
 	Quarantine Quarantine
 }
 
@@ -65,46 +65,46 @@
 	deadline  time.Time
 	result    Result
 	demand    replica.Demand
-	// after is the last event passed on; next is when its successor is overdue.
-	after     int
-	lastEvent time.Time
-	// reservation names the slot set aside for the next attempt.
+	// lastEventID is the last event relayed, lastEventAt when that was.
+	lastEventID int
+	lastEventAt time.Time
+	// reservation identifies the slot reserved for the next attempt.
 	reservation string
-	// ran tells whether the request may have run anywhere.
-	ran bool
-	// predicted is the time to the first event of the attempt under way, sent when
-	// it was sent; zero once it has begun.
+	// mayHaveRun is set once any attempt may have run.
+	mayHaveRun bool
+	// predicted is the expected time to the first event of the current attempt. sentAt is when the
+	// attempt was sent; zero once its first event has arrived.
 	predicted time.Duration
-	sent      time.Time
-	// status is that of the answer of the last attempt; 0 if there was none.
+	sentAt    time.Time
+	// status is the HTTP status of the last attempt's answer; 0 if there was none.
 	status int
-	// slowestRefusal is the longest time that an attempt took which did not run.
+	// slowestRefusal is the longest duration of an attempt that did not run.
 	slowestRefusal time.Duration
 }
 
-// Do carries out a request. A nil error means that a replica's whole answer
-// reached the sink. The outcome of an error tells whether the request ran.
+// Do forwards a request. A nil error means that a complete answer of a replica reached the sink.
+// The outcome of an error states whether the request ran.
 func (f *Forwarder) Do(ctx context.Context, target *route.Route, request *Request, sink Sink) (Result, error) {
 	f.Budget.RecordRequest()
-	one := &call{forwarder: f, route: target, request: request, sink: sink, after: request.After}
-	one.deadline = deadlineOf(target, request)
-	one.result.Pool = target.Pool()
-	one.demand = replica.Demand{
+	c := &call{forwarder: f, route: target, request: request, sink: sink, lastEventID: request.LastEventID}
+	c.deadline = deadlineOf(target, request)
+	c.result.Pool = target.Pool()
+	c.demand = replica.Demand{
 		Zone: f.Zone, Region: f.Region, Ask: replica.Ask{Tokens: request.Prompt.Tokens}, Affinity: affinityOf(request.Prompt), Shared: sharedTokens(request.Prompt),
 		Adapter: target.Adapter, Exclude: map[string]bool{}, Regions: target.Regions.And(request.Regions),
-		Single: !one.mayRepeat() || target.MaxAttempts < 2,
+		Single: !c.mayRepeat() || target.MaxAttempts < 2,
 	}
-	if !one.deadline.IsZero() {
+	if !c.deadline.IsZero() {
 		var cancel context.CancelFunc
-		ctx, cancel = clock.WithDeadline(ctx, one.deadline, ErrTimeout)
+		ctx, cancel = clock.WithDeadline(ctx, c.deadline, ErrTimeout)
 		defer cancel()
 	}
-	err := one.run(ctx)
-	return one.result, err
+	err := c.run(ctx)
+	return c.result, err
 }
 
-// Predict estimates the time until a request would get its first event. It
-// returns replica.ErrNoReplica if no replica could take it.
+// Predict estimates the time until a request would get its first event. It returns
+// replica.ErrNoReplica if no replica could serve it.
 func (f *Forwarder) Predict(target *route.Route, request *Request, now time.Time) (time.Duration, error) {
 	demand := &replica.Demand{
 		Zone: f.Zone, Region: f.Region, Ask: replica.Ask{Tokens: request.Prompt.Tokens}, Adapter: target.Adapter,
@@ -120,8 +120,8 @@
 	return replica.Predict(best, demand, f.Weights), nil
 }
 
-// deadlineOf returns when the final answer is due: the earlier of the route's
-// time-out and the caller's own deadline.
+// deadlineOf returns when the complete answer is due: the earlier of the route's timeout and the
+// caller's deadline.
 func deadlineOf(target *route.Route, request *Request) time.Time {
 	deadline := request.Deadline
 	if target.Timeout > 0 {
@@ -133,7 +133,8 @@
 	return deadline
 }
 
-// affinityOf spreads requests by the part before the last, which several share.
+// affinityOf returns the key of the last part that other prompts may share, which is the one before
+// the last; 0 if there is none.
 func affinityOf(prompt route.Prompt) uint64 {
 	if len(prompt.Parts) < 2 {
 		return 0
@@ -141,7 +142,7 @@
 	return prompt.Parts[len(prompt.Parts)-2].Key
 }
 
-// sharedTokens is the length of a prompt up to its last part.
+// sharedTokens returns the number of tokens in all parts of a prompt but the last.
 func sharedTokens(prompt route.Prompt) int {
 	total := 0
 	for i := range prompt.Parts {
@@ -154,64 +155,64 @@
 
 func (c *call) run(ctx context.Context) error {
 	for {
-		if err := c.quarantined(ctx); err != nil {
-			return c.failure(err)
+		if err := c.checkQuarantine(ctx); err != nil {
+			return c.withOutcome(err)
 		}
 		chosen, err := c.pick()
-		if c.forwarder.fedElsewhere(err) {
-			chosen = c.askFeeder(ctx)
+		if c.forwarder.needsColdGrant(err) {
+			chosen = c.requestColdGrant(ctx)
 		}
 		if chosen == nil {
 			if waitErr := c.waitForReplica(ctx, err); waitErr != nil {
-				return c.failure(waitErr)
+				return c.withOutcome(waitErr)
 			}
 			continue
 		}
 		if !c.demand.Granted {
 			chosen = c.reserve(ctx, chosen)
 		}
-		if now := clock.Now(); !c.inTime(chosen, now) {
-			return c.failure(c.outOfTime(now))
+		if now := clock.Now(); !c.hasTimeFor(chosen, now) {
+			return c.withOutcome(c.outOfTimeError(now))
 		}
 		began := clock.Now()
 		err = c.attempt(ctx, chosen)
-		c.tellQuarantine(ctx, chosen, began, err)
+		c.reportToQuarantine(ctx, chosen, began, err)
 		if err == nil {
 			return nil
 		}
-		if errors.Is(err, errHeldBack) {
-			// Others have used the rate up, or the replica has started again meanwhile; the
-			// next choice knows.
+		if errors.Is(err, errNotAdmitted) {
+			// Other requests have used up the rate, or the replica has restarted; the next pick
+			// takes that into account.
 			continue
 		}
 		if outcome.Of(err) != outcome.NotDone {
-			c.ran = true
+			c.mayHaveRun = true
 		}
 		if ctx.Err() != nil {
-			return c.failure(contextError(ctx))
+			return c.withOutcome(contextError(ctx))
 		}
-		if errors.Is(err, ErrCallerLeft) || !c.mayGoOn(err) {
-			return c.failure(err)
+		if errors.Is(err, ErrCallerDisconnected) || !c.shouldRetry(err) {
+			return c.withOutcome(err)
 		}
 		c.demand.Exclude[chosen.Incarnation()] = true
-		if c.result.Refusals >= refusalsInARow && c.result.Refusals%refusalsInARow == 0 {
-			if waitErr := c.waitForRoom(ctx, waitForRoom); waitErr != nil {
-				return c.failure(fmt.Errorf("%w: %w", waitErr, err))
+		if c.result.Refusals >= refusalsPerPause && c.result.Refusals%refusalsPerPause == 0 {
+			if waitErr := c.waitForCapacity(ctx, capacityRetryInterval); waitErr != nil {
+				return c.withOutcome(fmt.Errorf("%w: %w", waitErr, err))
 			}
 		}
 	}
 }
 
-// contextError tells a time-out from a caller that left.
+// contextError distinguishes a timeout from a caller that disconnected.
 func contextError(ctx context.Context) error {
 	if errors.Is(context.Cause(ctx), ErrTimeout) {
 		return ErrTimeout
 	}
-	return ErrCallerLeft
+	return ErrCallerDisconnected
 }
 
-func (c *call) failure(err error) error {
-	if c.ran {
+func (c *call) withOutcome(err error) error {
+	if c.mayHaveRun {
 		return Error.Wrap(outcome.Undecided(err))
 	}
 	return Error.Wrap(outcome.Failed(err))
@@ -224,8 +225,9 @@
 	return replica.Pick(candidates, &c.demand, c.forwarder.Weights)
 }
 
-// mayGoOn decides whether another attempt may be made after a failed one.
-func (c *call) mayGoOn(err error) bool {
+// shouldRetry decides whether another attempt follows a failed one, and spends retry budget if the
+// failed one may have run.
+func (c *call) shouldRetry(err error) bool {
 	if outcome.Of(err) == outcome.NotDone {
 		c.result.Refusals++
 		return true
@@ -233,14 +235,14 @@
 	if c.result.Attempts >= c.route.MaxAttempts || !c.mayRepeat() {
 		return false
 	}
-	if c.result.Started && c.route.Kind != route.Stream {
+	if c.result.HeadSent && c.route.Kind != route.Stream {
 		return false
 	}
 	return c.forwarder.Budget.TryRetry()
 }
 
 // mayRepeat reports whether the request may run more than once.
-func (c *call) mayRepeat() bool { return !c.request.Once && c.route.MayRepeat() }
+func (c *call) mayRepeat() bool { return !c.request.AtMostOnce && c.route.MayRepeat() }
 
 func (c *call) attempt(ctx context.Context, chosen *replica.Candidate) error {
 	now := clock.Now()
@@ -248,49 +250,49 @@
 	c.demand.Granted = false
 	if use == nil {
 		c.reservation, c.demand.Reserved = "", false
-		return errHeldBack
+		return errNotAdmitted
 	}
 	c.result.Attempts++
 	c.result.Replica, c.result.Region = chosen.ID, chosen.Region
 	c.result.Distance = c.demand.Distance(chosen)
-	c.predicted, c.sent, c.status = chosen.Expected(c.demand.Ask), now, 0
-	if c.forwarder.Notice != nil {
-		c.forwarder.Notice.Sent(c.request, c.result.Attempts, chosen, c.predicted)
+	c.predicted, c.sentAt, c.status = chosen.Expected(c.demand.Ask), now, 0
+	if c.forwarder.Observer != nil {
+		c.forwarder.Observer.Sent(c.request, c.result.Attempts, chosen, c.predicted)
 	}
-	stop := context.AfterFunc(ctx, func() { release(use) })
+	stop := context.AfterFunc(ctx, func() { releaseSlot(use) })
 	err := c.exchange(ctx, chosen.Info, use)
 	stop()
-	c.refused(err, clock.Since(now))
+	c.recordRefusal(err, clock.Since(now))
 	c.reservation, c.demand.Reserved = "", false
 	if c.result.Events > 0 {
 		c.demand.Version = chosen.Version
 	}
-	use.End(c.evidence(ctx, use, err), clock.Now())
+	use.End(c.healthResult(ctx, use, err), clock.Now())
 	if err == nil {
 		return nil
 	}
 	if outcome.Of(err) == outcome.NotDone {
 		c.result.Attempts--
 	}
-	if c.forwarder.Notice != nil {
-		c.forwarder.Notice.Failed(c.request, c.result.Attempts, chosen.Info, err)
+	if c.forwarder.Observer != nil {
+		c.forwarder.Observer.Failed(c.request, c.result.Attempts, chosen.Info, err)
 	}
 	return err
 }
 
-// releaseAfter is how long after its end a request may still tell how its attempt ended. What
-// takes longer is a caller that reads no more.
-const releaseAfter = time.Second
+// slotReleaseDelay is how long an attempt may still report its own result after its request has
+// ended. Only a caller that has stopped reading takes longer.
+const slotReleaseDelay = time.Second
 
-// release gives the slot of an attempt back whose request has ended, also while its caller
-// reads no more: the replica's connection is closed by then, and the slot is free.
-func release(use *replica.Use) {
-	time.Sleep(releaseAfter)
+// releaseSlot frees the slot of an attempt whose request has ended, even if the caller has stopped
+// reading. By then the connection to the replica is closed and its slot is free.
+func releaseSlot(use *replica.Use) {
+	time.Sleep(slotReleaseDelay)
 	use.End(replica.Abandoned, clock.Now())
 }
 
-// resultOf tells what an attempt's error means for the replica's health.
-func resultOf(ctx context.Context, err error) replica.Result {
+// resultOfError maps the error of an attempt to its meaning for the replica's health.
+func resultOfError(ctx context.Context, err error) replica.Result {
 	switch {
 	case err == nil:
 		return replica.Succeeded
@@ -298,26 +300,26 @@
 		return replica.Unreachable
 	case errors.Is(err, ErrRefused):
 		return replica.Refused
-	case errors.Is(err, ErrCallerLeft), errors.Is(err, ErrStalled), ctx.Err() != nil:
+	case errors.Is(err, ErrCallerDisconnected), errors.Is(err, ErrStalled), ctx.Err() != nil:
 		return replica.Abandoned
 	default:
 		return replica.Failed
 	}
 }
 
-// silenceFails is the silence of a replica, to all requests of this node, from which on
-// it counts as a failure when a request ends in it: as long as items wait.
-const silenceFails = 2 * time.Second
+// silenceFailureThreshold is the silence of a replica, toward all requests of this node, that
+// counts as a failure when a request ends during it. Batch items use the same limit.
+const silenceFailureThreshold = 2 * time.Second
 
-// evidence tells what the end of an attempt says of the replica. An answer that was
-// passed on because it was the last word may be a failure all the same.
-func (c *call) evidence(ctx context.Context, use *replica.Use, err error) replica.Result {
-	result := resultOf(ctx, err)
+// healthResult returns what the end of an attempt means for the replica's health. An answer that
+// was relayed because no retry was left may still be a failure.
+func (c *call) healthResult(ctx context.Context, use *replica.Use, err error) replica.Result {
+	result := resultOfError(ctx, err)
 	switch {
-	case result == replica.Abandoned && !c.sent.IsZero() && use.Silence(clock.Now()) >= silenceFails:
+	case result == replica.Abandoned && !c.sentAt.IsZero() && use.Silence(clock.Now()) >= silenceFailureThreshold:
 		return replica.Failed
 	case err == nil && c.status == http.StatusGatewayTimeout:
-		// It stopped at the deadline that it was given.
+		// The replica stopped at the deadline that it was given.
 		return replica.Abandoned
 	case err == nil && c.status >= http.StatusInternalServerError:
 		return replica.Failed
@@ -326,21 +328,21 @@
 	}
 }
 
-// exchange sends one attempt and passes its answer on.
+// exchange sends one attempt and relays its answer.
 func (c *call) exchange(ctx context.Context, chosen replica.Info, use *replica.Use) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := c.watchSilence(use, cancel)
+	watch := c.startSilenceWatchdog(use, cancel)
 	defer watch.stop()
 	seen := c.watchRestart(ctx, use, cancel)
 	answer, err := c.forwarder.Backend.Send(ctx, &Attempt{
-		Request: c.request, Replica: chosen, After: c.after, Deadline: c.replicaDeadline(c.result.Distance), Reservation: c.reservation,
+		Request: c.request, Replica: chosen, LastEventID: c.lastEventID, Deadline: c.replicaDeadline(c.result.Distance), Reservation: c.reservation,
 	})
 	if err != nil {
-		return givenUp(ctx, err)
+		return cancellationError(ctx, err)
 	}
 	c.status = answer.Status
-	seen.note()
+	seen.record()
 	answer.Body = &observedBody{ReadCloser: answer.Body, progress: seen}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.ColdLeft > 0 {
@@ -349,15 +351,16 @@
 	if answer.Load != nil {
 		use.Load(*answer.Load, clock.Now())
 	}
-	if answer.Events && answer.Status == http.StatusOK {
-		return givenUp(ctx, c.passEvents(answer, use, watch))
+	if answer.EventStream && answer.Status == http.StatusOK {
+		return cancellationError(ctx, c.forwardEvents(answer, use, watch))
 	}
-	return givenUp(ctx, c.passWhole(answer, use))
+	return cancellationError(ctx, c.forwardBuffered(answer, use))
 }
 
-// givenUp replaces an error that comes of this side's own giving up of an attempt. One that
-// was left for a restart and surely did not run is reported as it is.
-func givenUp(ctx context.Context, err error) error {
+// cancellationError replaces an error that results from this node canceling the attempt by the
+// cause of the cancellation. An attempt canceled because of a restart that provably did not run
+// keeps its own error.
+func cancellationError(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
 	switch {
 	case err == nil:
--- a/internal/forward/stalled_test.go
+++ b/internal/forward/stalled_test.go
@@ -15,17 +15,17 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// untilDone says nothing until its context ends.
-type untilDone struct{ ctx context.Context }
+// blockedBody returns no data until its context ends.
+type blockedBody struct{ ctx context.Context }
 
-func (b untilDone) Read([]byte) (int, error) {
+func (b blockedBody) Read([]byte) (int, error) {
 	<-b.ctx.Done()
 	return 0, context.Cause(b.ctx)
 }
 
-// answerOthers has the replicas answer other requests of the node, each 100 ms, until the
+// answerOtherRequests has the replicas answer other requests of the node every 100 ms until the
 // test ends.
-func answerOthers(t *testing.T, replicas *replica.Set, ids ...string) {
+func answerOtherRequests(t *testing.T, replicas *replica.Set, ids ...string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -45,26 +45,26 @@
 	})
 }
 
-// The answer's connection dies without a reset after its second event; its replica answers
-// others all the time. The stream goes on elsewhere long before its deadline.
-func TestDo_StreamWhoseAnswerStalledGoesOnElsewhere(t *testing.T) {
+// The connection dies without a reset after the second event while the replica keeps answering
+// other requests. The stream must resume elsewhere long before its deadline.
+func TestDo_StalledStreamResumesElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, number int) (*Answer, error) {
-			answer := &Answer{Status: http.StatusOK, Header: http.Header{}, Events: true}
+			answer := &Answer{Status: http.StatusOK, Header: http.Header{}, EventStream: true}
 			if number == 1 {
 				begun := strings.NewReader("id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
-				answer.Body = io.NopCloser(io.MultiReader(begun, untilDone{ctx}))
+				answer.Body = io.NopCloser(io.MultiReader(begun, blockedBody{ctx}))
 				return answer, nil
 			}
-			if attempt.After != 2 {
-				t.Errorf("second attempt goes on after event %d, want 2", attempt.After)
+			if attempt.LastEventID != 2 {
+				t.Errorf("second attempt resumes after event %d, want 2", attempt.LastEventID)
 			}
 			answer.Body = io.NopCloser(strings.NewReader("id: 3\ndata: c\n\n"))
 			return answer, nil
 		}}
 		forwarder := newForwarder(backend, 2)
-		answerOthers(t, forwarder.Replicas, "r0", "r1")
-		sink, began := &recordedSink{}, time.Now()
+		answerOtherRequests(t, forwarder.Replicas, "r0", "r1")
+		sink, began := &recordingSink{}, time.Now()
 		request := &Request{ID: "q", Method: http.MethodPost, Header: http.Header{}, Received: clock.Now()}
 		if _, err := forwarder.Do(t.Context(), stallingRoute(), request, sink); err != nil {
 			t.Fatalf("after %v: %v", time.Since(began), err)
@@ -73,34 +73,34 @@
 			t.Fatalf("caller got %q, want %q", sink.body.String(), want)
 		}
 		if took := time.Since(began); took > 5*time.Second {
-			t.Fatalf("the stream went on after %v, want it within 5 s", took)
+			t.Fatalf("the stream resumed after %v, want it within 5 s", took)
 		}
 	})
 }
 
-// slowReader is a caller that does not read for a while after its first event.
-type slowReader struct {
-	recordedSink
+// slowSink is a caller that stops reading for a while after its first event.
+type slowSink struct {
+	recordingSink
 	slow   time.Duration
 	events int
 }
 
 // Write implements Sink.
-func (s *slowReader) Write(piece []byte, more bool) error {
+func (s *slowSink) Write(chunk []byte, more bool) error {
 	if s.events++; s.events == 1 {
 		time.Sleep(s.slow)
 	}
-	return s.recordedSink.Write(piece, more)
+	return s.recordingSink.Write(chunk, more)
 }
 
-// pieces gives some bytes a read, as a connection does, until its context ends.
-type pieces struct {
+// chunkedBody returns a few bytes per read, as a connection may, until its context ends.
+type chunkedBody struct {
 	ctx  context.Context
 	text string
 }
 
 // Read implements io.Reader.
-func (p *pieces) Read(into []byte) (int, error) {
+func (p *chunkedBody) Read(into []byte) (int, error) {
 	if err := p.ctx.Err(); err != nil {
 		return 0, err
 	}
@@ -113,26 +113,26 @@
 	return read, nil
 }
 
-// While the caller does not read, nothing is read of the answer: that is no stall.
-func TestDo_CallerThatReadsSlowlyIsNoStall(t *testing.T) {
+// While the caller does not read, nothing is read from the answer either; that is not a stall.
+func TestDo_SlowCallerIsNotAStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, _ int) (*Answer, error) {
-			body := io.NopCloser(&pieces{ctx: ctx, text: events(attempt.After+1, 5)})
-			return &Answer{Status: http.StatusOK, Header: http.Header{}, Events: true, Body: body}, nil
+			body := io.NopCloser(&chunkedBody{ctx: ctx, text: events(attempt.LastEventID+1, 5)})
+			return &Answer{Status: http.StatusOK, Header: http.Header{}, EventStream: true, Body: body}, nil
 		}}
 		forwarder := newForwarder(backend, 2)
-		answerOthers(t, forwarder.Replicas, "r0", "r1")
+		answerOtherRequests(t, forwarder.Replicas, "r0", "r1")
 		for range 3 {
 			request := &Request{ID: "q", Method: http.MethodPost, Header: http.Header{}, Received: clock.Now()}
-			result, err := forwarder.Do(t.Context(), stallingRoute(), request, &slowReader{slow: 3 * time.Second})
+			result, err := forwarder.Do(t.Context(), stallingRoute(), request, &slowSink{slow: 3 * time.Second})
 			if err != nil || result.Attempts != 1 {
-				t.Errorf("a sound replica was left: %v, %d attempts", err, result.Attempts)
+				t.Errorf("a healthy replica was abandoned: %v, %d attempts", err, result.Attempts)
 			}
 		}
 	})
 }
 
-// stallingRoute is a route whose streams are left after 2.8 s without an event.
+// stallingRoute returns a route whose streams are canceled after 2.8 s without an event.
 func stallingRoute() *route.Route {
 	return &route.Route{
 		Name: "s", Kind: route.Stream, Resumable: true, MaxAttempts: 2, Timeout: time.Minute,
@@ -141,30 +141,29 @@
 	}
 }
 
-// blockedSink is a caller that reads no more.
+// blockedSink is a caller that has stopped reading.
 type blockedSink struct {
-	recordedSink
-	until chan struct{}
+	recordingSink
+	unblock chan struct{}
 }
 
 // Write implements Sink.
-func (s *blockedSink) Write(piece []byte, more bool) error {
-	<-s.until
-	return s.recordedSink.Write(piece, more)
+func (s *blockedSink) Write(chunk []byte, more bool) error {
+	<-s.unblock
+	return s.recordingSink.Write(chunk, more)
 }
 
-// A request whose caller reads no more ends at its deadline, and with it the slot that it
-// holds of its node's.
-func TestDo_CallerThatReadsNoMoreHoldsNoSlotBeyondTheDeadline(t *testing.T) {
+// A request whose caller has stopped reading must release its slot at its deadline.
+func TestDo_BlockedCallerReleasesSlotAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, _ int) (*Answer, error) {
-			body := io.NopCloser(&pieces{ctx: ctx, text: events(attempt.After+1, 5)})
-			return &Answer{Status: http.StatusOK, Header: http.Header{}, Events: true, Body: body}, nil
+			body := io.NopCloser(&chunkedBody{ctx: ctx, text: events(attempt.LastEventID+1, 5)})
+			return &Answer{Status: http.StatusOK, Header: http.Header{}, EventStream: true, Body: body}, nil
 		}}
 		forwarder := newForwarder(backend, 1)
 		target := stallingRoute()
 		target.Timeout = 2 * time.Second
-		sink := &blockedSink{until: make(chan struct{})}
+		sink := &blockedSink{unblock: make(chan struct{})}
 		done := make(chan error, 1)
 		go func() {
 			request := &Request{ID: "q", Method: http.MethodPost, Header: http.Header{}, Received: clock.Now()}
@@ -173,9 +172,9 @@
 		}()
 		time.Sleep(10 * time.Second)
 		if open := forwarder.Replicas.Learned(clock.Now())[testPool].Open; open > 0 {
-			t.Errorf("8 s after its deadline %d requests still hold slots", open)
+			t.Errorf("%d requests still hold slots 8 s after the deadline", open)
 		}
-		close(sink.until)
+		close(sink.unblock)
 		<-done
 	})
 }
--- a/internal/jobs/harm.go
+++ b/internal/jobs/harm.go
@@ -67,7 +67,7 @@
 		r.Quarantine.RecordSuccess(r.identity(one, item))
 		return
 	}
-	if one.after > from || !forward.MayHaveEnded(err, 0) {
+	if one.after > from || !forward.LooksLikeCrash(err, 0) {
 		return
 	}
 	r.Quarantine.RecordInterruption(ctx, quarantine.Replica{ID: chosen.ID, StartTime: chosen.Born, Address: chosen.Address}, quarantine.Run{Work: r.identity(one, item), SentAt: began})
