--- a/internal/batch/feeder_test.go
+++ b/internal/batch/feeder_test.go
@@ -59,15 +59,15 @@
 // aliveSessions are the live nodes of a test.
 type aliveSessions []string
 
-func (a aliveSessions) LookInterval() time.Duration   { return 10 * time.Millisecond }
-func (a aliveSessions) Live() []string                { return a }
-func (a aliveSessions) Preferred(string) string       { return a[0] }
-func (a aliveSessions) Nodes() []string               { return []string{lease.Node(a[0])} }
-func (a aliveSessions) Places() []place.Node          { return nil }
-func (a aliveSessions) Region(string) string          { return "" }
-func (a aliveSessions) Gone(node string) bool         { return node != lease.Node(a[0]) }
-func (a aliveSessions) Refresh(context.Context) error { return nil }
-func (a aliveSessions) Expired(session string) bool   { return session != a[0] }
+func (a aliveSessions) RefreshInterval() time.Duration { return 10 * time.Millisecond }
+func (a aliveSessions) Live() []string                 { return a }
+func (a aliveSessions) Preferred(string) string        { return a[0] }
+func (a aliveSessions) Nodes() []string                { return []string{lease.Node(a[0])} }
+func (a aliveSessions) Places() []place.Node           { return nil }
+func (a aliveSessions) Region(string) string           { return "" }
+func (a aliveSessions) Gone(node string) bool          { return node != lease.Node(a[0]) }
+func (a aliveSessions) Refresh(context.Context) error  { return nil }
+func (a aliveSessions) Expired(session string) bool    { return session != a[0] }
 
 type quiet struct{}
 
--- a/internal/jobs/claim.go
+++ b/internal/jobs/claim.go
@@ -16,7 +16,7 @@
 
 // RunClaims takes over jobs whose owner is gone, until the context ends.
 func (r *Runner) RunClaims(ctx context.Context) {
-	for retry.Sleep(ctx, r.Owners.LookInterval()) {
+	for retry.Sleep(ctx, r.Owners.RefreshInterval()) {
 		r.claimLost(ctx)
 	}
 }
--- a/internal/jobs/roomsite_test.go
+++ b/internal/jobs/roomsite_test.go
@@ -26,7 +26,7 @@
 	look time.Duration
 }
 
-func (o *roomOwners) LookInterval() time.Duration { return o.look }
+func (o *roomOwners) RefreshInterval() time.Duration { return o.look }
 
 func (o *roomOwners) Places() []place.Node {
 	var nodes []place.Node
--- a/internal/jobs/runner.go
+++ b/internal/jobs/runner.go
@@ -25,8 +25,8 @@
 // Owners tells which sessions are gone. The lease watcher implements it.
 type Owners interface {
 	Refresh(ctx context.Context) error
-	// LookInterval is the time to leave between two calls of Refresh.
-	LookInterval() time.Duration
+	// RefreshInterval is the time to leave between two calls of Refresh.
+	RefreshInterval() time.Duration
 	Expired(session string) bool
 	Live() []string
 	Fleet
--- a/internal/jobs/runner_test.go
+++ b/internal/jobs/runner_test.go
@@ -99,15 +99,15 @@
 // noOwners sees every other session as alive.
 type noOwners struct{}
 
-func (noOwners) Refresh(context.Context) error { return nil }
-func (noOwners) LookInterval() time.Duration   { return 10 * time.Millisecond }
-func (noOwners) Expired(string) bool           { return false }
-func (noOwners) Live() []string                { return nil }
-func (noOwners) Preferred(string) string       { return "a#1" }
-func (noOwners) Nodes() []string               { return nil }
-func (noOwners) Places() []place.Node          { return nil }
-func (noOwners) Region(string) string          { return "" }
-func (noOwners) Gone(string) bool              { return false }
+func (noOwners) Refresh(context.Context) error  { return nil }
+func (noOwners) RefreshInterval() time.Duration { return 10 * time.Millisecond }
+func (noOwners) Expired(string) bool            { return false }
+func (noOwners) Live() []string                 { return nil }
+func (noOwners) Preferred(string) string        { return "a#1" }
+func (noOwners) Nodes() []string                { return nil }
+func (noOwners) Places() []place.Node           { return nil }
+func (noOwners) Region(string) string           { return "" }
+func (noOwners) Gone(string) bool               { return false }
 
 const (
 	testHost = "jobs.example"
--- a/internal/lease/away.go
+++ b/internal/lease/away.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// awayKept is how long a node is remembered after its last session was ended: cuts of
+// awayRetention is how long a node is remembered after its last session was ended: cuts of
 // nodes from the store have been seen to last 12 s, and it may be serving all the while.
-const awayKept = 30 * time.Second
+const awayRetention = 30 * time.Second
 
-// away is a node whose last session was ended.
-type away struct {
+// awayNode is a node whose last session was ended.
+type awayNode struct {
 	since time.Time
-	// told is what its last member row told.
-	told Member
+	// member is what its last member row member.
+	member Member
 }
 
-// leave notes that a node has no session any more. The caller holds mu.
-func (r *Roster) leave(node string) {
+// markAway notes that a node has no session any more. The caller holds mu.
+func (r *Roster) markAway(node string) {
 	if node != Node(r.session.ID()) {
-		r.away[node] = away{since: r.watcher.now(), told: r.told[node]}
+		r.away[node] = awayNode{since: r.watcher.now(), member: r.memberInfo[node]}
 	}
-	delete(r.nodes, node)
-	delete(r.told, node)
+	delete(r.sessionCounts, node)
+	delete(r.memberInfo, node)
 }
 
-// forgetAway drops the nodes that have been away for long. The caller holds mu.
-func (r *Roster) forgetAway() {
-	for node, known := range r.away {
-		if r.watcher.now().Sub(known.since) > awayKept {
+// expireAway drops the nodes that have been away for long. The caller holds mu.
+func (r *Roster) expireAway() {
+	for node, awayInfo := range r.away {
+		if r.watcher.now().Sub(awayInfo.since) > awayRetention {
 			delete(r.away, node)
-			r.changed()
+			r.invalidateNodes()
 		}
 	}
 }
@@ -39,11 +39,11 @@
 func (r *Roster) Away() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forgetAway()
-	names := make([]string, 0, len(r.away))
+	r.expireAway()
+	nodes := make([]string, 0, len(r.away))
 	for node := range r.away {
-		names = append(names, node)
+		nodes = append(nodes, node)
 	}
-	slices.Sort(names)
-	return names
+	slices.Sort(nodes)
+	return nodes
 }
--- a/internal/lease/away_test.go
+++ b/internal/lease/away_test.go
@@ -10,22 +10,22 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestRoster_ANodeThatLostItsSessionIsAwayForAWhile: it may be serving, so it is
+// TestRoster_NodeIsAwayAfterItsSessionEnds: it may be serving, so it is
 // remembered with its address, until it is back or awayKept has passed.
-func TestRoster_ANodeThatLostItsSessionIsAwayForAWhile(t *testing.T) {
+func TestRoster_NodeIsAwayAfterItsSessionEnds(t *testing.T) {
 	f := newFleet(t, 4)
 	f.dead[1], f.dead[2] = true, true
-	f.pass(6)
+	f.advance(6)
 	if got := f.rosters[0].Away(); !slices.Equal(got, []string{"n001", "n002"}) {
 		t.Fatalf("away are %v", got)
 	}
 	f.dead[1] = false
-	f.pass(3)
+	f.advance(3)
 	if got := f.rosters[0].Away(); !slices.Equal(got, []string{"n002"}) {
 		t.Fatalf("away are %v after one is back", got)
 	}
 	before := f.rosters[0].Generation()
-	f.now = f.now.Add(awayKept)
+	f.now = f.now.Add(awayRetention)
 	if f.rosters[0].Generation() == before {
 		t.Fatal("the nodes are the same after one was forgotten")
 	}
@@ -34,26 +34,26 @@
 	}
 }
 
-func TestRoster_KeepsTheAddressOfANodeThatIsAway(t *testing.T) {
+func TestRoster_KeepsAddressOfAwayNode(t *testing.T) {
 	f := newFleet(t, 1)
 	session := NewSession(f.shared, "other", rosterTiming)
 	session.MemberPartition, session.Member = memberGroup, Member{Address: "10.0.0.1:1"}
 	if err := session.Ensure(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	f.follow()
+	f.deliverChanges()
 	if err := session.End(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	f.follow()
+	f.deliverChanges()
 	if got := f.rosters[0].Address("other"); got != "10.0.0.1:1" {
 		t.Fatalf("a node that is away is at %q", got)
 	}
 }
 
-// TestSession_UnconfirmedIsNeverTooShort: others count from when a write was done, so it
+// TestSession_UnconfirmedIsNeverUnderestimated: others count from when a write was done, so it
 // is counted here from before that, whatever answer is lost.
-func TestSession_UnconfirmedIsNeverTooShort(t *testing.T) {
+func TestSession_UnconfirmedIsNeverUnderestimated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared := tabletest.New()
 		session := NewSession(shared, "n", rosterTiming)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -34,32 +34,32 @@
 	}), store
 }
 
-func look(t *testing.T, watcher *Watcher, id string) {
+func refreshSession(t *testing.T, watcher *Watcher, id string) {
 	t.Helper()
-	if err := watcher.Look(t.Context(), id); err != nil {
+	if err := watcher.RefreshSession(t.Context(), id); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestWatcher_ExpiresOnlyWhatStoodStill(t *testing.T) {
+func TestWatcher_ExpiresOnlyUnchangedSessions(t *testing.T) {
 	service, _ := newService(t)
 	session := NewSession(service, "a", testTiming)
 	if err := session.Ensure(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	time := &manualClock{now: time.Unix(100, 0)}
-	watcher := NewWatcher(service, time.read, testTiming)
-	look(t, watcher, session.ID())
-	time.now = time.now.Add(testTiming.TimeToLive)
+	clock := &manualClock{now: time.Unix(100, 0)}
+	watcher := NewWatcher(service, clock.read, testTiming)
+	refreshSession(t, watcher, session.ID())
+	clock.now = clock.now.Add(testTiming.TimeToLive)
 	if err := session.Renew(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	look(t, watcher, session.ID())
+	refreshSession(t, watcher, session.ID())
 	if watcher.Expired(session.ID()) {
 		t.Fatal("a renewed session expired")
 	}
-	time.now = time.now.Add(testTiming.TimeToLive)
-	look(t, watcher, session.ID())
+	clock.now = clock.now.Add(testTiming.TimeToLive)
+	refreshSession(t, watcher, session.ID())
 	if !watcher.Expired(session.ID()) {
 		t.Fatal("a session that stood still did not expire")
 	}
@@ -67,60 +67,60 @@
 
 // While the store is down nobody sees anything, so nothing expires however long
 // it takes; after its return a holder has a whole time to live.
-func TestWatcher_StoreOutageExpiresNothing(t *testing.T) {
+func TestWatcher_NothingExpiresDuringStoreOutage(t *testing.T) {
 	service, store := newService(t)
 	session := NewSession(service, "a", testTiming)
 	if err := session.Ensure(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	time := &manualClock{now: time.Unix(100, 0)}
-	watcher := NewWatcher(service, time.read, testTiming)
-	look(t, watcher, session.ID())
+	clock := &manualClock{now: time.Unix(100, 0)}
+	watcher := NewWatcher(service, clock.read, testTiming)
+	refreshSession(t, watcher, session.ID())
 	store.Faults.Set(emulator.Condition{Down: true})
-	time.now = time.now.Add(100 * testTiming.TimeToLive)
-	if watcher.Look(t.Context(), session.ID()) == nil {
+	clock.now = clock.now.Add(100 * testTiming.TimeToLive)
+	if watcher.RefreshSession(t.Context(), session.ID()) == nil {
 		t.Fatal("the store answered while it was down")
 	}
 	if watcher.Expired(session.ID()) {
 		t.Fatal("a session expired while the store was down")
 	}
 	store.Faults.Set(emulator.Condition{})
-	look(t, watcher, session.ID())
-	time.now = time.now.Add(testTiming.TimeToLive / 2)
-	look(t, watcher, session.ID())
+	refreshSession(t, watcher, session.ID())
+	clock.now = clock.now.Add(testTiming.TimeToLive / 2)
+	refreshSession(t, watcher, session.ID())
 	if watcher.Expired(session.ID()) {
 		t.Fatal("a session expired before a whole time to live after the outage")
 	}
-	time.now = time.now.Add(testTiming.TimeToLive)
-	look(t, watcher, session.ID())
+	clock.now = clock.now.Add(testTiming.TimeToLive)
+	refreshSession(t, watcher, session.ID())
 	if !watcher.Expired(session.ID()) {
 		t.Fatal("a dead session does not expire after an outage")
 	}
 }
 
-func TestWatcher_EndedSessionIsFreeAtOnce(t *testing.T) {
+func TestWatcher_EndedSessionExpiresImmediately(t *testing.T) {
 	service, _ := newService(t)
 	session := NewSession(service, "a", testTiming)
 	if err := session.Ensure(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	watcher := NewWatcher(service, (&manualClock{now: time.Unix(100, 0)}).read, testTiming)
-	look(t, watcher, session.ID())
+	refreshSession(t, watcher, session.ID())
 	if err := session.End(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	look(t, watcher, session.ID())
+	refreshSession(t, watcher, session.ID())
 	if !watcher.Expired(session.ID()) {
 		t.Fatal("an ended session holds its work")
 	}
 }
 
 // A named lease has one holder, and each next holder a higher epoch.
-func TestAcquire_EpochRises(t *testing.T) {
+func TestAcquire_EpochIncreasesPerHolder(t *testing.T) {
 	service, _ := newService(t)
-	time := &manualClock{now: time.Unix(100, 0)}
+	clock := &manualClock{now: time.Unix(100, 0)}
 	first, second := NewSession(service, "a", testTiming), NewSession(service, "b", testTiming)
-	watcher := NewWatcher(service, time.read, testTiming)
+	watcher := NewWatcher(service, clock.read, testTiming)
 	grant, err := Acquire(t.Context(), service, first, watcher, "placement/p")
 	if err != nil || grant.Epoch != 1 {
 		t.Fatalf("grant %+v, error %v", grant, err)
@@ -129,9 +129,9 @@
 		if _, err := Acquire(t.Context(), service, second, watcher, "placement/p"); !errors.Is(err, ErrHeld) {
 			t.Fatalf("second holder: %v", err)
 		}
-		time.now = time.now.Add(testTiming.TimeToLive / 2)
+		clock.now = clock.now.Add(testTiming.TimeToLive / 2)
 	}
-	time.now = time.now.Add(testTiming.TimeToLive)
+	clock.now = clock.now.Add(testTiming.TimeToLive)
 	grant, err = Acquire(t.Context(), service, second, watcher, "placement/p")
 	if err != nil || grant.Epoch != 2 {
 		t.Fatalf("takeover: grant %+v, error %v", grant, err)
@@ -148,7 +148,7 @@
 }
 
 // Every piece of work is one live session's, and the sessions have like shares.
-func TestWatcher_ShareGivesEachWorkToOneSession(t *testing.T) {
+func TestWatcher_ShareAssignsEachWorkToOneSession(t *testing.T) {
 	service, _ := newService(t)
 	watcher := NewWatcher(service, time.Now, testTiming)
 	var ids []string
@@ -166,19 +166,19 @@
 	for i := range works {
 		works[i] = fmt.Sprintf("replica-%03d", i)
 	}
-	given := map[string]int{}
+	owners := map[string]int{}
 	for _, id := range ids {
 		share := watcher.Share(id, works)
 		if len(share) < len(works)/8 || len(share) > len(works)/2 {
 			t.Errorf("session %s has %d of %d", id, len(share), len(works))
 		}
 		for work := range share {
-			given[work]++
+			owners[work]++
 		}
 	}
 	for _, work := range works {
-		if given[work] != 1 {
-			t.Fatalf("%s is done by %d sessions", work, given[work])
+		if owners[work] != 1 {
+			t.Fatalf("%s is done by %d sessions", work, owners[work])
 		}
 	}
 }
@@ -202,7 +202,7 @@
 // A finding (urnik scale-1, seed 11): with answers of the store lost now and then,
 // nodes that lived were taken for lost, and their items were run again elsewhere. A
 // renewal waited a whole second for an answer that was lost.
-func TestSession_RunRenewsThoughAnswersAreLost(t *testing.T) {
+func TestSession_RunRenewsDespiteLostResponses(t *testing.T) {
 	service, _ := newService(t)
 	hanging := &hangingService{Service: service, hangs: func(call int64) bool { return call > 1 && call%4 != 0 }}
 	timing := Timing{TimeToLive: 1200 * time.Millisecond, RenewInterval: 400 * time.Millisecond}
@@ -214,16 +214,16 @@
 	watcher := NewWatcher(service, time.Now, timing)
 	for range 80 {
 		time.Sleep(50 * time.Millisecond)
-		look(t, watcher, session.ID())
+		refreshSession(t, watcher, session.ID())
 		if watcher.Expired(session.ID()) {
 			t.Fatal("a session that is renewed expired")
 		}
 	}
 }
 
-// TestSession_AnEndedOneIsNotRenewed guards that a stopping node, whose renewals go on
+// TestSession_EndedSessionIsNotRenewed guards that a stopping node, whose renewals go on
 // until the process leaves, does not write its session anew after it has ended it.
-func TestSession_AnEndedOneIsNotRenewed(t *testing.T) {
+func TestSession_EndedSessionIsNotRenewed(t *testing.T) {
 	shared := tabletest.New()
 	session := NewSession(shared, "n", Timing{TimeToLive: 3 * time.Second, RenewInterval: time.Second})
 	if err := session.Ensure(t.Context()); err != nil {
@@ -242,14 +242,14 @@
 	}
 }
 
-// silentTable answers no commit until it is told to.
-type silentTable struct {
+// unresponsiveTable answers no commit until it is told to.
+type unresponsiveTable struct {
 	table.Service
-	silent atomic.Bool
+	unresponsive atomic.Bool
 }
 
-func (s *silentTable) Commit(ctx context.Context, operation string, writes ...table.Write) ([]uint64, error) {
-	if s.silent.Load() {
+func (s *unresponsiveTable) Commit(ctx context.Context, operation string, writes ...table.Write) ([]uint64, error) {
+	if s.unresponsive.Load() {
 		<-ctx.Done()
 		return nil, outcome.Undecided(ctx.Err())
 	}
@@ -258,16 +258,16 @@
 
 // A finding (aspsc-dakar trouble-2): a node that started while the part with the sessions
 // was silent waited for its first write for good, and took no items for the whole day.
-func TestSession_EnsureLeavesAStoreThatIsSilent(t *testing.T) {
-	silent := &silentTable{Service: tabletest.New()}
-	silent.silent.Store(true)
-	session := NewSession(silent, "n", Timing{TimeToLive: 60 * time.Millisecond, RenewInterval: 20 * time.Millisecond})
+func TestSession_EnsureTimesOutOnUnresponsiveStore(t *testing.T) {
+	service := &unresponsiveTable{Service: tabletest.New()}
+	service.unresponsive.Store(true)
+	session := NewSession(service, "n", Timing{TimeToLive: 60 * time.Millisecond, RenewInterval: 20 * time.Millisecond})
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	if err := session.Ensure(ctx); err == nil || ctx.Err() != nil {
 		t.Fatalf("%v, %v, want an error long before the caller's own time is up", err, ctx.Err())
 	}
-	silent.silent.Store(false)
+	service.unresponsive.Store(false)
 	if err := session.Ensure(ctx); err != nil {
 		t.Fatalf("once the store answers: %v", err)
 	}
--- a/internal/lease/named.go
+++ b/internal/lease/named.go
@@ -51,7 +51,7 @@
 		return current, nil
 	}
 	if current.Holder != "" {
-		if err := watcher.Look(ctx, current.Holder); err != nil {
+		if err := watcher.RefreshSession(ctx, current.Holder); err != nil {
 			return Grant{}, err
 		}
 		if !watcher.Expired(current.Holder) {
--- a/internal/lease/nodes.go
+++ b/internal/lease/nodes.go
@@ -7,7 +7,7 @@
 )
 
 // Nodes returns the nodes of the live sessions, each once.
-func (r *Roster) Nodes() []string { return slices.Clone(r.nodesNow()) }
+func (r *Roster) Nodes() []string { return slices.Clone(r.nodesShared()) }
 
 // Self returns this node.
 func (r *Roster) Self() string { return Node(r.session.ID()) }
@@ -15,22 +15,22 @@
 // Places returns the nodes of the live sessions with where they are, as far as they
 // told: the place of those whose member row is of an earlier version is zero.
 func (r *Roster) Places() []place.Node {
-	nodes := r.nodesNow()
-	placed := make([]place.Node, 0, len(nodes))
+	nodes := r.nodesShared()
+	places := make([]place.Node, 0, len(nodes))
 	for _, node := range nodes {
-		told := r.Member(node)
-		placed = append(placed, place.Node{ID: node, Place: place.Place{Zone: told.Zone, Region: told.Region}})
+		member := r.Member(node)
+		places = append(places, place.Node{ID: node, Place: place.Place{Zone: member.Zone, Region: member.Region}})
 	}
-	return placed
+	return places
 }
 
 // Count returns the number of nodes of the live sessions.
-func (r *Roster) Count() int { return len(r.nodesNow()) }
+func (r *Roster) Count() int { return len(r.nodesShared()) }
 
-// nodesNow returns the nodes of the live sessions, which must not be changed.
-func (r *Roster) nodesNow() []string {
+// nodesShared returns the nodes of the live sessions, which must not be changed.
+func (r *Roster) nodesShared() []string {
 	r.mu.Lock()
-	sorted, generation := r.sorted, r.generation
+	sorted, generation := r.sortedNodes, r.generation
 	r.mu.Unlock()
 	if sorted != nil {
 		return sorted
@@ -39,7 +39,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.generation == generation {
-		r.sorted = sorted
+		r.sortedNodes = sorted
 	}
 	return sorted
 }
@@ -49,6 +49,6 @@
 func (r *Roster) Joined() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, joined := r.members[r.session.ID()]
+	_, joined := r.memberVersions[r.session.ID()]
 	return joined
 }
--- a/internal/lease/places_test.go
+++ b/internal/lease/places_test.go
@@ -10,9 +10,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestRoster_PlacesAreThoseThatNodesTell: all nodes see each one alike, also one whose
+// TestRoster_PlacesComeFromMemberRows: all nodes see each one alike, also one whose
 // member row is of an earlier version and tells no place.
-func TestRoster_PlacesAreThoseThatNodesTell(t *testing.T) {
+func TestRoster_PlacesComeFromMemberRows(t *testing.T) {
 	f := newPlacedFleet(t, []place.Place{{Zone: "n-a", Region: "north"}, {Zone: "s-a", Region: "south"}, {}})
 	want := []place.Node{
 		{ID: "n000", Place: place.Place{Zone: "n-a", Region: "north"}},
@@ -30,15 +30,15 @@
 func newPlacedFleet(t *testing.T, places []place.Place) *fleet {
 	t.Helper()
 	f := newFleet(t, 0)
-	f.shared, f.read = tabletest.New(), make([]uint64, len(places))
-	for i, at := range places {
+	f.shared, f.revisions = tabletest.New(), make([]uint64, len(places))
+	for i, location := range places {
 		session := NewSession(f.shared, fmt.Sprintf("n%03d", i), rosterTiming)
-		session.Member = Member{Zone: at.Zone, Region: at.Region}
+		session.Member = Member{Zone: location.Zone, Region: location.Region}
 		f.rosters = append(f.rosters, NewRoster(f.shared, session, memberGroup, time.Now, rosterTiming))
 		if err := session.Ensure(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f.follow()
+	f.deliverChanges()
 	return f
 }
--- a/internal/lease/roster.go
+++ b/internal/lease/roster.go
@@ -17,24 +17,24 @@
 const memberPrefix = "member/"
 
 const (
-	// lookLeast is the least time between two looks at sessions.
-	lookLeast = 400 * time.Millisecond
-	// lookPerSession bounds the looks of all nodes to 125 a second, some 15 KB a second
+	// minRefreshInterval is the least time between two looks at sessions.
+	minRefreshInterval = 400 * time.Millisecond
+	// refreshIntervalPerSession bounds the looks of all nodes to 125 a second, some 15 KB a second
 	// for each node where a look reads all sessions.
-	lookPerSession = 8 * time.Millisecond
-	// lookNeighbours bounds the time between two looks at the neighbours, which cost the
+	refreshIntervalPerSession = 8 * time.Millisecond
+	// maxRefreshInterval bounds the time between two looks at the neighbours, which cost the
 	// same in any fleet; two of them fit into a session's time to live of 3 s.
-	lookNeighbours = 1200 * time.Millisecond
+	maxRefreshInterval = 1200 * time.Millisecond
 )
 
-// watcherStagger is how much longer than a nearer watcher one waits before it ends an
+// endStagger is how much longer than a nearer watcher one waits before it ends an
 // expired session itself: a look of the nearer one and its commit fit into it.
-const watcherStagger = 1500 * time.Millisecond
+const endStagger = 1500 * time.Millisecond
 
-// neighbours is the number of sessions that each node watches, and is watched by.
+// watchedNeighbours is the number of sessions that each node watches, and is watched by.
 // If 6 in 10 nodes die at once, all watchers of a given one die with it in 1.7% of
 // the cases; it is then noticed once those between it and the next live node are.
-const neighbours = 8
+const watchedNeighbours = 8
 
 func memberKey(partition, id string) table.Key {
 	return table.Key{Partition: partition, Sort: memberPrefix + id}
@@ -56,11 +56,11 @@
 }
 
 // encodeMember returns the body of a member row; nil if there is nothing to say.
-func encodeMember(told Member) []byte {
-	if told == (Member{}) {
+func encodeMember(member Member) []byte {
+	if member == (Member{}) {
 		return nil
 	}
-	body, err := cbor.Marshal(told)
+	body, err := cbor.Marshal(member)
 	if err != nil {
 		// A member holds nothing that cannot be encoded.
 		panic(err)
@@ -68,21 +68,21 @@
 	return body
 }
 
-// errNoSession reports a row whose key is not that of a session.
-var errNoSession = errors.New("the key names no session")
+// errNotSessionKey reports a row whose key is not that of a session.
+var errNotSessionKey = errors.New("the key names no session")
 
 // decodeMember reads the member row of a session. An empty one has nothing to say.
-func decodeMember(id string, row table.Row) (told Member, err error) {
-	if !isSession(id) {
-		return Member{}, row.Refuse(table.Content, errNoSession)
+func decodeMember(id string, row table.Row) (member Member, err error) {
+	if !isSessionID(id) {
+		return Member{}, row.Refuse(table.Content, errNotSessionKey)
 	}
 	if row.Unreadable == nil && len(row.Body) == 0 {
 		return Member{}, nil
 	}
-	if err := row.Decode(&told); err != nil {
+	if err := row.Decode(&member); err != nil {
 		return Member{}, err
 	}
-	return told, nil
+	return member, nil
 }
 
 // Roster tells which sessions there are in a fleet where not every node reads all of
@@ -95,28 +95,28 @@
 	partition string
 	session   *Session
 	watcher   *Watcher
-	// Ended, if set, is told of each session that was ended because it had expired.
-	Ended func(id string, err error)
+	// OnEnded, if set, is told of each session that was ended because it had expired.
+	OnEnded func(id string, err error)
 	// unreadable is told of member rows that cannot be read.
 	unreadable *table.Unreadable
 
 	mu sync.Mutex
-	// members are the versions of the member rows, nodes the number of each node's.
-	members map[string]uint64
-	nodes   map[string]int
-	// unread are the versions of member rows that could never be read. They make no node,
+	// memberVersions are the versions of the member rows, nodes the number of each node's.
+	memberVersions map[string]uint64
+	sessionCounts  map[string]int
+	// unreadableVersions are the versions of member rows that could never be read. They make no node,
 	// and go with their sessions.
-	unread map[string]uint64
-	// told is what the newest member rows of nodes tell.
-	told map[string]Member
+	unreadableVersions map[string]uint64
+	// memberInfo is what the newest member rows of nodes tell.
+	memberInfo map[string]Member
 	// away are the nodes whose sessions were ended a short time ago.
-	away map[string]away
+	away map[string]awayNode
 	// generation rises with each change of the nodes; sorted are these, nil if they have
 	// changed since they were last asked for.
-	generation uint64
-	sorted     []string
-	// missing are the nodes without a member that somebody asked about, since when.
-	missing map[string]time.Time
+	generation  uint64
+	sortedNodes []string
+	// missingSince are the nodes without a member that somebody asked about, since when.
+	missingSince map[string]time.Time
 }
 
 // NewRoster returns a roster that has seen nothing and whose own session is the
@@ -125,16 +125,16 @@
 func NewRoster(service table.Service, session *Session, partition string, now func() time.Time, timing Timing) *Roster {
 	session.MemberPartition = partition
 	watcher := NewWatcher(service, now, timing)
-	watcher.Self, watcher.Neighbours = session.ID(), neighbours
+	watcher.Self, watcher.Neighbours = session.ID(), watchedNeighbours
 	return &Roster{
 		service: service, partition: partition, session: session, watcher: watcher,
-		members: map[string]uint64{}, nodes: map[string]int{}, missing: map[string]time.Time{},
-		told: map[string]Member{}, away: map[string]away{}, unread: map[string]uint64{},
+		memberVersions: map[string]uint64{}, sessionCounts: map[string]int{}, missingSince: map[string]time.Time{},
+		memberInfo: map[string]Member{}, away: map[string]awayNode{}, unreadableVersions: map[string]uint64{},
 	}
 }
 
-// ReportTo has rows told that cannot be read. It is called before the roster is used.
-func (r *Roster) ReportTo(unreadable *table.Unreadable) {
+// ReportUnreadableTo has rows told that cannot be read. It is called before the roster is used.
+func (r *Roster) ReportUnreadableTo(unreadable *table.Unreadable) {
 	r.unreadable, r.watcher.Unreadable = unreadable, unreadable
 }
 
@@ -159,52 +159,52 @@
 // no session would ever expire, and what is given to that node to do would lie for good. A
 // node that is known stays, with what it told before. The caller holds mu.
 func (r *Roster) add(id string, row table.Row) {
-	told, err := decodeMember(id, row)
+	member, err := decodeMember(id, row)
 	r.unreadable.Report(err)
-	if _, known := r.members[id]; err != nil && !known {
-		r.unread[id] = row.Version
+	if _, known := r.memberVersions[id]; err != nil && !known {
+		r.unreadableVersions[id] = row.Version
 		return
 	}
-	delete(r.unread, id)
-	if _, ok := r.members[id]; !ok {
-		r.nodes[Node(id)]++
+	delete(r.unreadableVersions, id)
+	if _, ok := r.memberVersions[id]; !ok {
+		r.sessionCounts[Node(id)]++
 		delete(r.away, Node(id))
-		r.changed()
+		r.invalidateNodes()
 	}
-	r.members[id] = row.Version
-	delete(r.missing, Node(id))
-	if told != (Member{}) && told != r.told[Node(id)] {
-		r.told[Node(id)] = told
-		r.changed()
+	r.memberVersions[id] = row.Version
+	delete(r.missingSince, Node(id))
+	if member != (Member{}) && member != r.memberInfo[Node(id)] {
+		r.memberInfo[Node(id)] = member
+		r.invalidateNodes()
 	}
 }
 
-// Held returns the member rows that are known.
-func (r *Roster) Held() []table.Change {
+// MemberRows returns the member rows that are known.
+func (r *Roster) MemberRows() []table.Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	held := make([]table.Change, 0, len(r.members))
-	for id, version := range r.members {
-		row := table.Row{Key: memberKey(r.partition, id), Version: version, Body: encodeMember(r.told[Node(id)])}
-		held = append(held, table.Change{Row: row})
+	changes := make([]table.Change, 0, len(r.memberVersions))
+	for id, version := range r.memberVersions {
+		row := table.Row{Key: memberKey(r.partition, id), Version: version, Body: encodeMember(r.memberInfo[Node(id)])}
+		changes = append(changes, table.Change{Row: row})
 	}
-	return held
+	return changes
 }
 
 // remove notes that a session was ended, by itself or by those who watched it. Its
 // work is free at once. The caller holds mu.
 func (r *Roster) remove(id string) {
-	delete(r.unread, id)
-	if _, ok := r.members[id]; !ok {
+	delete(r.unreadableVersions, id)
+	if _, ok := r.memberVersions[id]; !ok {
 		return
 	}
-	delete(r.members, id)
-	r.changed()
+	delete(r.memberVersions, id)
+	r.invalidateNodes()
 	node := Node(id)
-	if r.nodes[node]--; r.nodes[node] == 0 {
-		r.leave(node)
+	if r.sessionCounts[node]--; r.sessionCounts[node] == 0 {
+		r.markAway(node)
 	}
-	r.missing[node] = time.Time{}
+	r.missingSince[node] = time.Time{}
 }
 
 // Refresh looks at the neighbours and ends the sessions of those that are gone.
@@ -212,38 +212,38 @@
 	if err := r.watcher.Refresh(ctx); err != nil {
 		return err
 	}
-	for _, seen := range r.watcher.lapsed(watcherStagger) {
-		err := r.end(ctx, seen)
-		if r.Ended != nil {
-			r.Ended(seen.ID, err)
+	for _, session := range r.watcher.sessionsToEnd(endStagger) {
+		err := r.endSession(ctx, session)
+		if r.OnEnded != nil {
+			r.OnEnded(session.ID, err)
 		}
 	}
 	return nil
 }
 
-// errMemberUnknown reports a session whose member row has not come by the feed yet.
-var errMemberUnknown = errors.New("member row not known yet")
+// errMemberRowUnknown reports a session whose member row has not come by the feed yet.
+var errMemberRowUnknown = errors.New("member row not known yet")
 
-// LookInterval is the time to leave between two calls of Refresh.
-func (r *Roster) LookInterval() time.Duration {
-	return min(max(lookLeast, time.Duration(len(r.Live()))*lookPerSession), lookNeighbours)
+// RefreshInterval is the time to leave between two calls of Refresh.
+func (r *Roster) RefreshInterval() time.Duration {
+	return min(max(minRefreshInterval, time.Duration(len(r.Live()))*refreshIntervalPerSession), maxRefreshInterval)
 }
 
-// end deletes both rows of an expired session, unless it has been renewed since it
+// endSession deletes both rows of an expired session, unless it has been renewed since it
 // was looked at. One row without the other would never go.
-func (r *Roster) end(ctx context.Context, seen Sighting) error {
+func (r *Roster) endSession(ctx context.Context, session SessionState) error {
 	r.mu.Lock()
-	member, known := r.members[seen.ID]
+	memberVersion, known := r.memberVersions[session.ID]
 	if !known {
-		member, known = r.unread[seen.ID]
+		memberVersion, known = r.unreadableVersions[session.ID]
 	}
 	r.mu.Unlock()
 	if !known {
-		return Error.Wrap(errMemberUnknown)
+		return Error.Wrap(errMemberRowUnknown)
 	}
 	_, err := r.service.Commit(ctx, table.NewOperation(),
-		table.Write{Key: rowKey(seen.ID), Kind: table.Delete, Expect: seen.Version},
-		table.Write{Key: memberKey(r.partition, seen.ID), Kind: table.Delete, Expect: member})
+		table.Write{Key: sessionKey(session.ID), Kind: table.Delete, Expect: session.Version},
+		table.Write{Key: memberKey(r.partition, session.ID), Kind: table.Delete, Expect: memberVersion})
 	return Error.Wrap(err)
 }
 
@@ -251,9 +251,9 @@
 func (r *Roster) Live() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	live := make([]string, 0, len(r.members)+1)
+	live := make([]string, 0, len(r.memberVersions)+1)
 	own := r.session.ID()
-	for id := range r.members {
+	for id := range r.memberVersions {
 		if id != own && !SameNode(id, own) {
 			live = append(live, id)
 		}
@@ -264,10 +264,10 @@
 // Preferred returns the live session that should do a piece of work.
 func (r *Roster) Preferred(work string) string { return Preferred(r.Live(), work) }
 
-// changed notes that the nodes are others. The caller holds mu.
-func (r *Roster) changed() {
+// invalidateNodes notes that the nodes are others. The caller holds mu.
+func (r *Roster) invalidateNodes() {
 	r.generation++
-	r.sorted = nil
+	r.sortedNodes = nil
 }
 
 // Generation is a number that is another whenever the nodes may have changed, those that
@@ -275,7 +275,7 @@
 func (r *Roster) Generation() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forgetAway()
+	r.expireAway()
 	return r.generation
 }
 
@@ -283,10 +283,10 @@
 func (r *Roster) Expired(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, ok := r.members[id]; ok || id == r.session.ID() {
+	if _, ok := r.memberVersions[id]; ok || id == r.session.ID() {
 		return false
 	}
-	return r.missed(Node(id))
+	return r.missingForTimeToLive(Node(id))
 }
 
 // Address returns where a node is reached, or was before it was away; empty if it has not
@@ -294,10 +294,10 @@
 func (r *Roster) Address(node string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if known, ok := r.away[node]; ok {
-		return known.told.Address
+	if awayInfo, ok := r.away[node]; ok {
+		return awayInfo.member.Address
 	}
-	return r.told[node].Address
+	return r.memberInfo[node].Address
 }
 
 // Member returns what a node has told of itself, or had before it was away; zero if
@@ -308,10 +308,10 @@
 	if node == Node(r.session.ID()) {
 		return r.session.Member
 	}
-	if known, ok := r.away[node]; ok {
-		return known.told
+	if awayInfo, ok := r.away[node]; ok {
+		return awayInfo.member
 	}
-	return r.told[node]
+	return r.memberInfo[node]
 }
 
 // Region returns the region that a node has told; empty if it has not.
@@ -321,35 +321,35 @@
 func (r *Roster) Gone(node string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if node == Node(r.session.ID()) || r.nodes[node] > 0 {
+	if node == Node(r.session.ID()) || r.sessionCounts[node] > 0 {
 		return false
 	}
-	return r.missed(node)
+	return r.missingForTimeToLive(node)
 }
 
-// missed reports whether a node has been without a member row for long enough. One
+// missingForTimeToLive reports whether a node has been without a member row for long enough. One
 // whose row was seen to go has; for one that was never seen its time begins with the
 // first question, for its row may still be on its way. The caller holds mu.
-func (r *Roster) missed(node string) bool {
-	since, ok := r.missing[node]
+func (r *Roster) missingForTimeToLive(node string) bool {
+	since, ok := r.missingSince[node]
 	if !ok {
 		since = r.watcher.now()
-		r.missing[node] = since
+		r.missingSince[node] = since
 	}
 	return r.watcher.now().Sub(since) >= r.watcher.timeToLive
 }
 
 // Sessions returns the sessions that are there, in the order of their ids. Of those
 // that this node watches it tells whether they have expired.
-func (r *Roster) Sessions() []Sighting {
+func (r *Roster) Sessions() []SessionState {
 	expired := map[string]bool{}
-	for _, seen := range r.watcher.Sessions() {
-		expired[seen.ID] = seen.Expired
+	for _, watched := range r.watcher.Sessions() {
+		expired[watched.ID] = watched.Expired
 	}
-	var list []Sighting
+	var list []SessionState
 	for _, id := range r.Live() {
-		list = append(list, Sighting{ID: id, Expired: expired[id]})
+		list = append(list, SessionState{ID: id, Expired: expired[id]})
 	}
-	slices.SortFunc(list, func(a, b Sighting) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(list, func(a, b SessionState) int { return strings.Compare(a.ID, b.ID) })
 	return list
 }
--- a/internal/lease/roster_test.go
+++ b/internal/lease/roster_test.go
@@ -19,16 +19,16 @@
 	shared  *tabletest.Table
 	now     time.Time
 	rosters []*Roster
-	// read is the revision up to which the rosters have the feed.
-	read []uint64
-	dead map[int]bool
+	// revisions is the revision up to which the rosters have the feed.
+	revisions []uint64
+	dead      map[int]bool
 }
 
 var rosterTiming = Timing{TimeToLive: 3 * time.Second, RenewInterval: time.Second}
 
 func newFleet(t *testing.T, nodes int) *fleet {
 	t.Helper()
-	f := &fleet{t: t, shared: tabletest.New(), now: time.Now(), dead: map[int]bool{}, read: make([]uint64, nodes)}
+	f := &fleet{t: t, shared: tabletest.New(), now: time.Now(), dead: map[int]bool{}, revisions: make([]uint64, nodes)}
 	for i := range nodes {
 		session := NewSession(f.shared, fmt.Sprintf("n%03d", i), rosterTiming)
 		roster := NewRoster(f.shared, session, memberGroup, func() time.Time { return f.now }, rosterTiming)
@@ -37,30 +37,30 @@
 			t.Fatal(err)
 		}
 	}
-	f.follow()
+	f.deliverChanges()
 	return f
 }
 
-// follow brings all live rosters the changes of the members.
-func (f *fleet) follow() {
+// deliverChanges brings all live rosters the changes of the members.
+func (f *fleet) deliverChanges() {
 	for i, roster := range f.rosters {
 		if f.dead[i] {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(f.t.Context(), time.Second)
-		changes, err := f.shared.Feed(memberGroup).After(ctx, f.read[i], 0)
+		changes, err := f.shared.Feed(memberGroup).After(ctx, f.revisions[i], 0)
 		cancel()
 		if err != nil {
 			f.t.Fatal(err)
 		}
 		roster.Apply(changes, false)
-		f.read[i] = changes.Revision
+		f.revisions[i] = changes.Revision
 	}
 }
 
-// pass lets time pass in looks of a second, in which the live nodes renew.
-func (f *fleet) pass(looks int) {
-	for range looks {
+// advance lets time advance in looks of a second, in which the live nodes renew.
+func (f *fleet) advance(seconds int) {
+	for range seconds {
 		f.now = f.now.Add(time.Second)
 		for i, roster := range f.rosters {
 			if f.dead[i] {
@@ -76,7 +76,7 @@
 				_ = roster.Refresh(f.t.Context())
 			}
 		}
-		f.follow()
+		f.deliverChanges()
 	}
 }
 
@@ -98,26 +98,26 @@
 	}
 }
 
-// TestRoster_AllLearnOfTheDeadThoughFewWatch kills nodes of a fleet that is larger
+// TestRoster_AllNodesLearnOfDeadNodes kills nodes of a fleet that is larger
 // than any one watches, among them a run of neighbours.
-func TestRoster_AllLearnOfTheDeadThoughFewWatch(t *testing.T) {
+func TestRoster_AllNodesLearnOfDeadNodes(t *testing.T) {
 	f := newFleet(t, 40)
-	f.pass(2)
+	f.advance(2)
 	f.checkGone(nil)
 	for i := range 24 {
 		f.dead[i] = true
 	}
 	// Those behind a run of dead neighbours are seen once these are ended.
-	f.pass(12)
+	f.advance(12)
 	f.checkGone(f.dead)
 }
 
-func TestRoster_ALookCostsTheSameInAnyFleet(t *testing.T) {
+func TestRoster_RefreshCostIsIndependentOfFleetSize(t *testing.T) {
 	f := newFleet(t, 40)
-	f.pass(1)
+	f.advance(1)
 	for i, roster := range f.rosters {
-		if seen := len(roster.watcher.Sessions()); seen != neighbours {
-			t.Fatalf("node %d watches %d sessions, want %d", i, seen, neighbours)
+		if seen := len(roster.watcher.Sessions()); seen != watchedNeighbours {
+			t.Fatalf("node %d watches %d sessions, want %d", i, seen, watchedNeighbours)
 		}
 	}
 }
@@ -125,25 +125,25 @@
 func TestRoster_SmallFleetsWatchEachOther(t *testing.T) {
 	f := newFleet(t, 3)
 	f.dead[0], f.dead[1] = true, true
-	f.pass(5)
+	f.advance(5)
 	f.checkGone(f.dead)
 }
 
-// TestRoster_APausedNodeComesBack lets a node stand still until it is ended: it
+// TestRoster_PausedNodeRejoins lets a node stand still until it is ended: it
 // notices at its next renewal and is a member again.
-func TestRoster_APausedNodeComesBack(t *testing.T) {
+func TestRoster_PausedNodeRejoins(t *testing.T) {
 	f := newFleet(t, 12)
 	f.dead[5] = true
-	f.pass(6)
+	f.advance(6)
 	f.checkGone(f.dead)
 	f.dead[5] = false
-	f.pass(3)
+	f.advance(3)
 	f.checkGone(nil)
 }
 
-func TestRoster_AnOutageOfTheStoreEndsNobody(t *testing.T) {
+func TestRoster_StoreOutageEndsNoSession(t *testing.T) {
 	f := newFleet(t, 12)
-	f.pass(2)
+	f.advance(2)
 	f.shared.ReadFault = func() error { return table.ErrUnavailable }
 	f.shared.CommitFault = func([]table.Write) tabletest.Fault { return tabletest.Down }
 	for range 6 {
@@ -155,23 +155,23 @@
 		}
 	}
 	f.shared.ReadFault, f.shared.CommitFault = nil, nil
-	f.pass(2)
+	f.advance(2)
 	f.checkGone(nil)
 }
 
-func TestRoster_AnEndedSessionIsGoneAtOnce(t *testing.T) {
+func TestRoster_EndedSessionIsGoneImmediately(t *testing.T) {
 	f := newFleet(t, 12)
 	if err := f.rosters[3].session.End(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	f.dead[3] = true
-	f.follow()
+	f.deliverChanges()
 	f.checkGone(f.dead)
 }
 
-// TestRoster_ANodeNeverSeenIsNotGoneAtOnce asks about a node whose member row has
+// TestRoster_UnknownNodeIsNotGoneImmediately asks about a node whose member row has
 // not come yet.
-func TestRoster_ANodeNeverSeenIsNotGoneAtOnce(t *testing.T) {
+func TestRoster_UnknownNodeIsNotGoneImmediately(t *testing.T) {
 	f := newFleet(t, 2)
 	if f.rosters[0].Gone("later") {
 		t.Fatal("a node that has not been seen yet counts as gone")
@@ -182,12 +182,12 @@
 	}
 }
 
-// TestRoster_ARowWithoutARegionTellsNone has a row of before beside one that tells.
-func TestRoster_ARowWithoutARegionTellsNone(t *testing.T) {
+// TestRoster_RegionIsEmptyIfNotInMemberRow has a row of before beside one that tells.
+func TestRoster_RegionIsEmptyIfNotInMemberRow(t *testing.T) {
 	f := newFleet(t, 1)
 	rows := table.Changes{Revision: 100}
-	for id, told := range map[string]Member{"old#1": {Address: "a:1"}, "new#1": {Address: "b:1", Region: "north"}} {
-		row := table.Row{Key: memberKey(memberGroup, id), Version: 99, Body: encodeMember(told)}
+	for id, member := range map[string]Member{"old#1": {Address: "a:1"}, "new#1": {Address: "b:1", Region: "north"}} {
+		row := table.Row{Key: memberKey(memberGroup, id), Version: 99, Body: encodeMember(member)}
 		rows.Changes = append(rows.Changes, table.Change{Row: row})
 	}
 	f.rosters[0].Apply(rows, false)
@@ -198,16 +198,16 @@
 	}
 }
 
-// TestRoster_ANodeHasJoinedOnceItReadsItsOwnRow: what another node knows, or what was read before the
+// TestRoster_JoinedOnceOwnRowIsRead: what another node knows, or what was read before the
 // session was written, may lack those that started at the same time.
-func TestRoster_ANodeHasJoinedOnceItReadsItsOwnRow(t *testing.T) {
+func TestRoster_JoinedOnceOwnRowIsRead(t *testing.T) {
 	f := newFleet(t, 2)
 	if !f.rosters[0].Joined() {
 		t.Error("a node that has read its row has not joined")
 	}
 	session := NewSession(f.shared, "late", rosterTiming)
 	late := NewRoster(f.shared, session, memberGroup, func() time.Time { return f.now }, rosterTiming)
-	late.Apply(table.Changes{Changes: f.rosters[0].Held()}, true)
+	late.Apply(table.Changes{Changes: f.rosters[0].MemberRows()}, true)
 	if late.Joined() || late.Count() != 3 {
 		t.Errorf("a node that goes by what another one knows: joined %v, %d nodes", late.Joined(), late.Count())
 	}
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -34,18 +34,18 @@
 const (
 	// sessionSeparator parts the node's id from the run's in a session's id.
 	sessionSeparator = "#"
-	// ringDigits is the number of digits of a hash that a row's key begins with.
-	ringDigits = 8
-	// partitions is the number of partitions that hold the session rows. One of them
+	// ringHashDigits is the number of digits of a hash that a row's key begins with.
+	ringHashDigits = 8
+	// partitionCount is the number of partitionCount that hold the session rows. One of them
 	// takes a limited rate of writes (300 a second on the users' platform), and each of
 	// 320 nodes renews once a second.
-	partitions = 2
+	partitionCount = 2
 	// sweepMultiple times TimeToLive is the age at which an abandoned row is deleted.
 	sweepMultiple = 10
-	// renewTries is how many tries fit into an interval at first, and renewRetry
+	// renewAttempts is how many tries fit into an interval at first, and renewRetry
 	// parts it into the pauses between tries that fail.
-	renewTries = 4
-	renewRetry = 16
+	renewAttempts     = 4
+	renewRetryDivisor = 16
 )
 
 // Session is a node's own session. It is safe for concurrent use.
@@ -61,16 +61,16 @@
 	// Member, if set before the session is used, is what the member row tells of the node.
 	Member Member
 
-	// confirmed is when the last write of the row that is known to be done was begun.
-	confirmed atomic.Pointer[time.Time]
+	// confirmedAt is when the last write of the row that is known to be done was begun.
+	confirmedAt atomic.Pointer[time.Time]
 
 	mu      sync.Mutex
 	version uint64
-	// member is the version of the member row.
-	member  uint64
-	created bool
-	// unresolved is when the first write was begun of those whose outcome is not known.
-	unresolved time.Time
+	// memberVersion is the version of the memberVersion row.
+	memberVersion uint64
+	created       bool
+	// unresolvedSince is when the first write was begun of those whose outcome is not known.
+	unresolvedSince time.Time
 	// ended is set once the session is to be ended: it is never written again.
 	ended  bool
 	timing Timing
@@ -96,28 +96,28 @@
 	return node
 }
 
-// rowKey is the key of a session's row. It begins with a hash of the node, so the
+// sessionKey is the key of a session's row. It begins with a hash of the node, so the
 // rows that follow each other are of nodes from anywhere.
-func rowKey(id string) table.Key {
+func sessionKey(id string) table.Key {
 	hash := ringHash(id)
-	return table.Key{Partition: partition(partitionOf(hash)), Sort: fmt.Sprintf("%0*x", ringDigits, hash) + id}
+	return table.Key{Partition: partitionName(partitionOf(hash)), Sort: fmt.Sprintf("%0*x", ringHashDigits, hash) + id}
 }
 
 func ringHash(id string) uint32 { return uint32(xxhash.Sum64String(Node(id))) }
 
 // partitionOf cuts the ring of hashes into pieces, so that the order of partitions
 // and of keys in them is that of the ring.
-func partitionOf(hash uint32) int { return int(uint64(hash) * partitions >> 32) }
+func partitionOf(hash uint32) int { return int(uint64(hash) * partitionCount >> 32) }
 
-// partition names a partition. The name within the table is unlike those of other
+// partitionName names a partitionName. The name within the table is unlike those of other
 // tables, for the users' platform counts the writes by it alone.
-func partition(number int) string { return fmt.Sprintf("sessions/session-%d", number) }
+func partitionName(index int) string { return fmt.Sprintf("sessions/session-%d", index) }
 
 // listSessions reads all session rows.
 func listSessions(ctx context.Context, service table.Service) ([]table.Row, error) {
 	var all []table.Row
-	for number := range partitions {
-		rows, err := table.ListAll(ctx, service, partition(number))
+	for index := range partitionCount {
+		rows, err := table.ListAll(ctx, service, partitionName(index))
 		if err != nil {
 			return nil, err
 		}
@@ -126,11 +126,11 @@
 	return all, nil
 }
 
-// sessionOf returns the session whose row has a key.
-func sessionOf(sort string) string { return sort[min(len(sort), ringDigits):] }
+// sessionID returns the session whose row has a key.
+func sessionID(sortKey string) string { return sortKey[min(len(sortKey), ringHashDigits):] }
 
-// isSession reports whether an id is made like those of NewSession.
-func isSession(id string) bool {
+// isSessionID reports whether an id is made like those of NewSession.
+func isSessionID(id string) bool {
 	node, run, found := strings.Cut(id, sessionSeparator)
 	return found && node != "" && run != ""
 }
@@ -146,7 +146,7 @@
 // answer no longer than the interval of renewals: a lost one never comes, and the next
 // call tries again.
 func (s *Session) Ensure(ctx context.Context) error {
-	if s.confirmed.Load() != nil {
+	if s.confirmedAt.Load() != nil {
 		// A renewal that hangs holds the lock for up to its time.
 		return nil
 	}
@@ -173,23 +173,23 @@
 // renew writes the next version. The caller holds mu. Nobody else writes the
 // row, so after an unknown outcome the version is read back.
 func (s *Session) renew(ctx context.Context) error {
-	write := table.Write{Key: rowKey(s.id), Expect: s.version, Body: s.body()}
+	write := table.Write{Key: sessionKey(s.id), Expect: s.version, Body: s.body()}
 	writes := []table.Write{write}
 	if s.version == table.Absent && s.MemberPartition != "" {
 		writes = append(writes, table.Write{Key: memberKey(s.MemberPartition, s.id), Expect: table.Absent, Body: encodeMember(s.Member)})
 	}
-	began := clock.Now()
-	if s.unresolved.IsZero() {
-		s.unresolved = began
+	start := clock.Now()
+	if s.unresolvedSince.IsZero() {
+		s.unresolvedSince = start
 	}
 	versions, err := s.service.Commit(ctx, table.NewOperation(), writes...)
 	if err == nil {
 		if len(versions) > 1 {
-			s.member = versions[1]
+			s.memberVersion = versions[1]
 		}
 		s.version = versions[0]
 		s.created = true
-		s.confirm(began)
+		s.confirm(start)
 		return nil
 	}
 	if outcome.Of(err) == outcome.NotDone && !errors.Is(err, table.ErrConflict) {
@@ -200,11 +200,11 @@
 	case readErr == nil:
 		if row.Version != s.version {
 			// One of the writes was done whose answers were lost.
-			s.confirm(s.unresolved)
+			s.confirm(s.unresolvedSince)
 		}
 		s.version = row.Version
 		s.created = true
-		s.readMember(ctx)
+		s.readMemberVersion(ctx)
 	case errors.Is(readErr, table.ErrNotFound):
 		s.version = table.Absent
 	}
@@ -212,31 +212,31 @@
 }
 
 // confirm notes that a write was done that was begun at a time. The caller holds mu.
-func (s *Session) confirm(began time.Time) {
-	s.confirmed.Store(&began)
-	s.unresolved = time.Time{}
+func (s *Session) confirm(start time.Time) {
+	s.confirmedAt.Store(&start)
+	s.unresolvedSince = time.Time{}
 }
 
 // Unconfirmed is how long ago the last write of the row that is known to be done was
 // begun. Others may take the session for lost once that is TimeToLive, never before. It
 // is the longest time there is for a session that was never written.
 func (s *Session) Unconfirmed() time.Duration {
-	began := s.confirmed.Load()
-	if began == nil {
+	start := s.confirmedAt.Load()
+	if start == nil {
 		return math.MaxInt64
 	}
-	return clock.Since(*began)
+	return clock.Since(*start)
 }
 
-// readMember reads the version of the member row back, which one commit has written
+// readMemberVersion reads the version of the member row back, which one commit has written
 // with the session's row. Without it the session cannot be ended, only expire. The
 // caller holds mu.
-func (s *Session) readMember(ctx context.Context) {
+func (s *Session) readMemberVersion(ctx context.Context) {
 	if s.MemberPartition == "" {
 		return
 	}
 	if row, err := s.service.Get(ctx, memberKey(s.MemberPartition, s.id)); err == nil {
-		s.member = row.Version
+		s.memberVersion = row.Version
 	}
 }
 
@@ -247,15 +247,15 @@
 	return s.Body()
 }
 
-// Replace deletes the rows that earlier runs of this node have left. A run that
+// DeletePreviousSessions deletes the rows that earlier runs of this node have left. A run that
 // is gone holds nothing; what it held is taken over at once.
-func (s *Session) Replace(ctx context.Context) error {
+func (s *Session) DeletePreviousSessions(ctx context.Context) error {
 	rows, err := listSessions(ctx, s.service)
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	for _, row := range rows {
-		id := sessionOf(row.Sort)
+		id := sessionID(row.Sort)
 		if id == s.id || !SameNode(id, s.id) {
 			continue
 		}
@@ -276,9 +276,9 @@
 	if !s.created {
 		return nil
 	}
-	writes := []table.Write{{Key: rowKey(s.id), Kind: table.Delete, Expect: s.version}}
+	writes := []table.Write{{Key: sessionKey(s.id), Kind: table.Delete, Expect: s.version}}
 	if s.MemberPartition != "" {
-		writes = append(writes, table.Write{Key: memberKey(s.MemberPartition, s.id), Kind: table.Delete, Expect: s.member})
+		writes = append(writes, table.Write{Key: memberKey(s.MemberPartition, s.id), Kind: table.Delete, Expect: s.memberVersion})
 	}
 	_, err := s.service.Commit(ctx, table.NewOperation(), writes...)
 	return Error.Wrap(err)
@@ -288,17 +288,17 @@
 // interval at first, for answers can be lost, and longer once two have failed, for
 // the store can be slow.
 func (s *Session) Run(ctx context.Context) {
-	failed := 0
-	pause := s.timing.RenewInterval
-	for retry.Sleep(ctx, pause) {
-		patience := s.timing.RenewInterval / renewTries << max(0, failed-1)
-		callCtx, cancel := context.WithTimeout(ctx, min(patience, s.timing.RenewInterval))
+	failures := 0
+	delay := s.timing.RenewInterval
+	for retry.Sleep(ctx, delay) {
+		timeout := s.timing.RenewInterval / renewAttempts << max(0, failures-1)
+		callCtx, cancel := context.WithTimeout(ctx, min(timeout, s.timing.RenewInterval))
 		err := s.Renew(callCtx)
 		cancel()
 		if err == nil {
-			failed, pause = 0, s.timing.RenewInterval
+			failures, delay = 0, s.timing.RenewInterval
 			continue
 		}
-		failed, pause = min(failed+1, renewTries), s.timing.RenewInterval/renewRetry
+		failures, delay = min(failures+1, renewAttempts), s.timing.RenewInterval/renewRetryDivisor
 	}
 }
--- a/internal/lease/suspend_test.go
+++ b/internal/lease/suspend_test.go
@@ -8,9 +8,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestSession_ASuspensionCountsAgainstIt guards that a node which slept does not take its
+// TestSession_UnconfirmedIncludesSuspension guards that a node which slept does not take its
 // session for confirmed, for others have ended it meanwhile.
-func TestSession_ASuspensionCountsAgainstIt(t *testing.T) {
+func TestSession_UnconfirmedIncludesSuspension(t *testing.T) {
 	machine := clocktest.New(t)
 	session := NewSession(tabletest.New(), "a", testTiming)
 	if err := session.Ensure(t.Context()); err != nil {
--- a/internal/lease/watcher.go
+++ b/internal/lease/watcher.go
@@ -16,13 +16,13 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// sighting is what was seen of a session: its version, since when, and when it
+// observation is what was seen of a session: its version, since when, and when it
 // was last looked at.
-type sighting struct {
-	body    []byte
-	version uint64
-	since   time.Time
-	checked time.Time
+type observation struct {
+	body           []byte
+	version        uint64
+	unchangedSince time.Time
+	observedAt     time.Time
 }
 
 // Watcher tells which sessions have expired. It is safe for concurrent use.
@@ -39,175 +39,175 @@
 	// Unreadable, if set before the watcher is used, is told of rows that are no session's.
 	Unreadable *table.Unreadable
 
-	mu   sync.Mutex
-	seen map[string]sighting
-	last time.Time
-	// failed is set by a reading that failed: the store may be down, and then
+	mu          sync.Mutex
+	observed    map[string]observation
+	lastRefresh time.Time
+	// readFailed is set by a reading that readFailed: the store may be down, and then
 	// holders cannot renew either.
-	failed bool
+	readFailed bool
 }
 
 // NewWatcher returns a watcher that has seen nothing yet. now must be monotonic.
 func NewWatcher(service table.Service, now func() time.Time, timing Timing) *Watcher {
-	return &Watcher{service: service, now: now, timeToLive: timing.TimeToLive, seen: map[string]sighting{}}
+	return &Watcher{service: service, now: now, timeToLive: timing.TimeToLive, observed: map[string]observation{}}
 }
 
 // Refresh reads all sessions, or those of the neighbours.
 func (w *Watcher) Refresh(ctx context.Context) error {
-	rows, all, err := w.read(ctx)
+	rows, all, err := w.readWatched(ctx)
 	if err != nil {
-		w.fail()
+		w.markReadFailed()
 		return Error.Wrap(err)
 	}
-	read := w.now()
+	readAt := w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.recover(read)
+	w.recover(readAt)
 	present := map[string]bool{}
 	for _, row := range rows {
-		id := sessionOf(row.Sort)
+		id := sessionID(row.Sort)
 		present[id] = true
-		w.see(id, row.Version, row.Body, read)
+		w.observe(id, row.Version, row.Body, readAt)
 	}
-	for id := range w.seen {
+	for id := range w.observed {
 		switch {
 		case present[id]:
-		case all || w.between(id, rows[len(rows)-1].Sort):
-			w.see(id, table.Absent, nil, read)
+		case all || w.inWatchedRange(id, rows[len(rows)-1].Sort):
+			w.observe(id, table.Absent, nil, readAt)
 		default:
 			// Others watch it now.
-			delete(w.seen, id)
+			delete(w.observed, id)
 		}
 	}
-	w.last = read
+	w.lastRefresh = readAt
 	return nil
 }
 
-// LookInterval is the time to leave between two calls of Refresh. Each reads all
+// RefreshInterval is the time to leave between two calls of Refresh. Each reads all
 // sessions, so it grows with their number and a node's share of the store stays the
 // same.
-func (w *Watcher) LookInterval() time.Duration {
-	return max(lookLeast, time.Duration(len(w.Live()))*lookPerSession)
+func (w *Watcher) RefreshInterval() time.Duration {
+	return max(minRefreshInterval, time.Duration(len(w.Live()))*refreshIntervalPerSession)
 }
 
-// Look reads one session.
-func (w *Watcher) Look(ctx context.Context, id string) error {
-	row, err := w.service.Get(ctx, rowKey(id))
+// RefreshSession reads one session.
+func (w *Watcher) RefreshSession(ctx context.Context, id string) error {
+	row, err := w.service.Get(ctx, sessionKey(id))
 	if err != nil && !errors.Is(err, table.ErrNotFound) {
-		w.fail()
+		w.markReadFailed()
 		return Error.Wrap(err)
 	}
-	read := w.now()
+	readAt := w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.recover(read)
+	w.recover(readAt)
 	// A missing row has version table.Absent.
-	w.see(id, row.Version, row.Body, read)
+	w.observe(id, row.Version, row.Body, readAt)
 	return nil
 }
 
-func (w *Watcher) fail() {
+func (w *Watcher) markReadFailed() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.failed = true
+	w.readFailed = true
 }
 
 // recover gives every session its whole time anew after a failed reading, so
 // that holders are not taken over for an outage they had to sit out. The caller
 // holds mu.
-func (w *Watcher) recover(read time.Time) {
-	if !w.failed {
+func (w *Watcher) recover(readAt time.Time) {
+	if !w.readFailed {
 		return
 	}
-	w.failed = false
-	for id, known := range w.seen {
+	w.readFailed = false
+	for id, known := range w.observed {
 		if known.version != table.Absent {
-			known.since, known.checked = read, read
-			w.seen[id] = known
+			known.unchangedSince, known.observedAt = readAt, readAt
+			w.observed[id] = known
 		}
 	}
 }
 
-// see takes in a reading. The caller holds mu.
+// observe takes in a reading. The caller holds mu.
 //
 // An unchanged version counts from the end of the first reading that showed
 // it, so a slow store cannot make a session look older than it is. A row that
 // was there and is gone was ended by its holder: its work is free at once.
-func (w *Watcher) see(id string, version uint64, body []byte, read time.Time) {
-	known, ok := w.seen[id]
+func (w *Watcher) observe(id string, version uint64, body []byte, readAt time.Time) {
+	known, ok := w.observed[id]
 	switch {
 	case ok && known.version == version:
-		known.checked = read
+		known.observedAt = readAt
 	case ok && version == table.Absent:
-		known = sighting{since: read.Add(-w.timeToLive), checked: read}
+		known = observation{unchangedSince: readAt.Add(-w.timeToLive), observedAt: readAt}
 	default:
-		known = sighting{version: version, since: read, checked: read}
+		known = observation{version: version, unchangedSince: readAt, observedAt: readAt}
 	}
 	known.body = body
-	w.seen[id] = known
+	w.observed[id] = known
 }
 
-// Sighting is what the last look showed of a session.
-type Sighting struct {
+// SessionState is what the last look showed of a session.
+type SessionState struct {
 	ID   string
 	Body []byte
 	// Version is that of the row, Still how long it has been seen unchanged.
-	Version uint64
-	Still   time.Duration
-	Expired bool
+	Version   uint64
+	Unchanged time.Duration
+	Expired   bool
 }
 
 // Node returns the id of the session's node.
-func (s *Sighting) Node() string { return Node(s.ID) }
+func (s *SessionState) Node() string { return Node(s.ID) }
 
 // Sessions returns the sessions that the last look showed, expired ones too, in
 // the order of their ids.
-func (w *Watcher) Sessions() []Sighting {
+func (w *Watcher) Sessions() []SessionState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var list []Sighting
-	for id, known := range w.seen {
+	var list []SessionState
+	for id, known := range w.observed {
 		if known.version == table.Absent {
 			continue
 		}
-		still := known.checked.Sub(known.since)
-		list = append(list, Sighting{ID: id, Body: known.body, Version: known.version, Still: still, Expired: still >= w.timeToLive})
+		unchanged := known.observedAt.Sub(known.unchangedSince)
+		list = append(list, SessionState{ID: id, Body: known.body, Version: known.version, Unchanged: unchanged, Expired: unchanged >= w.timeToLive})
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	return list
 }
 
-// lapsed returns the sessions that have expired and that this node should end: after
+// sessionsToEnd returns the sessions that have expired and that this node should end: after
 // turn more for each live session that stands between, for their nodes are nearer.
-func (w *Watcher) lapsed(turn time.Duration) []Sighting {
+func (w *Watcher) sessionsToEnd(stagger time.Duration) []SessionState {
 	sessions := w.Sessions()
-	own := rowKey(w.Self).Sort
-	slices.SortFunc(sessions, func(a, b Sighting) int {
-		keyA, keyB := rowKey(a.ID).Sort, rowKey(b.ID).Sort
+	own := sessionKey(w.Self).Sort
+	slices.SortFunc(sessions, func(a, b SessionState) int {
+		keyA, keyB := sessionKey(a.ID).Sort, sessionKey(b.ID).Sort
 		if (keyA > own) != (keyB > own) {
 			// What lies behind the end of the ring comes last.
 			return cmp.Compare(keyB, keyA)
 		}
 		return cmp.Compare(keyA, keyB)
 	})
-	var lapsed []Sighting
+	var toEnd []SessionState
 	nearer := 0
-	for _, seen := range sessions {
+	for _, session := range sessions {
 		switch {
-		case !seen.Expired:
+		case !session.Expired:
 			nearer++
-		case seen.Still >= w.timeToLive+time.Duration(nearer)*turn:
-			lapsed = append(lapsed, seen)
+		case session.Unchanged >= w.timeToLive+time.Duration(nearer)*stagger:
+			toEnd = append(toEnd, session)
 		}
 	}
-	return lapsed
+	return toEnd
 }
 
 // Age returns the time since the last successful Refresh.
 func (w *Watcher) Age() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.now().Sub(w.last)
+	return w.now().Sub(w.lastRefresh)
 }
 
 // Expired reports whether a session's work may be taken over, as of the last
@@ -215,13 +215,13 @@
 func (w *Watcher) Expired(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	known, ok := w.seen[id]
+	known, ok := w.observed[id]
 	if !ok {
 		// Not among the rows of the last Refresh; it counts from then on.
-		w.see(id, table.Absent, nil, w.last)
+		w.observe(id, table.Absent, nil, w.lastRefresh)
 		return false
 	}
-	return known.checked.Sub(known.since) >= w.timeToLive
+	return known.observedAt.Sub(known.unchangedSince) >= w.timeToLive
 }
 
 // Sweep deletes rows that have been expired for long, so that restarts do not
@@ -229,9 +229,9 @@
 func (w *Watcher) Sweep(ctx context.Context) {
 	w.mu.Lock()
 	var old []table.Write
-	for id, known := range w.seen {
-		if known.version != table.Absent && known.checked.Sub(known.since) > sweepMultiple*w.timeToLive {
-			old = append(old, table.Write{Key: rowKey(id), Kind: table.Delete, Expect: known.version})
+	for id, known := range w.observed {
+		if known.version != table.Absent && known.observedAt.Sub(known.unchangedSince) > sweepMultiple*w.timeToLive {
+			old = append(old, table.Write{Key: sessionKey(id), Kind: table.Delete, Expect: known.version})
 		}
 	}
 	w.mu.Unlock()
@@ -244,17 +244,17 @@
 // Preferred is the live session that should do a piece of work that any could
 // do (rendezvous hashing), so that work is spread and nodes seldom race.
 func Preferred(live []string, work string) string {
-	best := ""
-	var bestWeight uint64
+	preferred := ""
+	var maxWeight uint64
 	for _, session := range live {
 		sum := fnv.New64a()
 		_, _ = sum.Write([]byte(session))
 		_, _ = sum.Write([]byte(work))
-		if weight := sum.Sum64(); best == "" || weight > bestWeight {
-			best, bestWeight = session, weight
+		if weight := sum.Sum64(); preferred == "" || weight > maxWeight {
+			preferred, maxWeight = session, weight
 		}
 	}
-	return best
+	return preferred
 }
 
 // Preferred returns the live session that should do a piece of work.
@@ -270,15 +270,15 @@
 	}
 	share := map[string]bool{}
 	for _, work := range works {
-		if best := heaviest(keys, xxhash.Sum64String(work)); best >= 0 && live[best] == self {
+		if best := indexOfMaxWeight(keys, xxhash.Sum64String(work)); best >= 0 && live[best] == self {
 			share[work] = true
 		}
 	}
 	return share
 }
 
-// heaviest returns the index of the key that weighs most for a work, or -1.
-func heaviest(keys []uint64, work uint64) int {
+// indexOfMaxWeight returns the index of the key that weighs most for a work, or -1.
+func indexOfMaxWeight(keys []uint64, work uint64) int {
 	best := -1
 	var bestWeight uint64
 	for i, key := range keys {
@@ -297,8 +297,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var live []string
-	for id, known := range w.seen {
-		if known.version != table.Absent && known.checked.Sub(known.since) < w.timeToLive {
+	for id, known := range w.observed {
+		if known.version != table.Absent && known.observedAt.Sub(known.unchangedSince) < w.timeToLive {
 			live = append(live, id)
 		}
 	}
@@ -335,18 +335,18 @@
 func (w *Watcher) Gone(node string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	seen := false
-	for id, known := range w.seen {
+	observed := false
+	for id, known := range w.observed {
 		if Node(id) != node {
 			continue
 		}
-		seen = true
-		if known.checked.Sub(known.since) < w.timeToLive {
+		observed = true
+		if known.observedAt.Sub(known.unchangedSince) < w.timeToLive {
 			return false
 		}
 	}
-	if !seen {
-		w.see(node+sessionSeparator, table.Absent, nil, w.last)
+	if !observed {
+		w.observe(node+sessionSeparator, table.Absent, nil, w.lastRefresh)
 	}
-	return seen
+	return observed
 }
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -69,7 +69,7 @@
 // sessionView tells which nodes are there.
 type sessionView interface {
 	jobs.Owners
-	Sessions() []lease.Sighting
+	Sessions() []lease.SessionState
 }
 
 // core is what serves requests and runs jobs, whichever interface they come by.
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -112,8 +112,8 @@
 	})
 	g.replicas.ColdTolerance = replica.ColdTolerance{Over: g.settings.Gateway.Cold.Over, Slack: g.settings.Gateway.Cold.Slack}
 	g.roster, g.near = roster, &neighbours{roster: roster}
-	roster.Ended = g.logEnded
-	roster.ReportTo(&g.unreadable)
+	roster.OnEnded = g.logEnded
+	roster.ReportUnreadableTo(&g.unreadable)
 	g.zoneOf = func(node string) string { return roster.Member(node).Zone }
 	g.session.Member = lease.Member{
 		Address: g.settings.Gateway.Peers, Zone: g.settings.Node.Zone, Region: g.settings.Node.Region,
--- a/internal/node/gatewaybootstrap.go
+++ b/internal/node/gatewaybootstrap.go
@@ -126,7 +126,7 @@
 	}
 	told := heldTold{
 		Config: tellFeed(g.configWatch.Held()), Replicas: tellFeed(g.replicaWatch.Held()),
-		Members: tellFeed(table.Changes{Changes: g.roster.Held()}, g.jobWatch.Age()),
+		Members: tellFeed(table.Changes{Changes: g.roster.MemberRows()}, g.jobWatch.Age()),
 	}
 	body, err := cbor.Marshal(told)
 	if err != nil {
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -54,7 +54,7 @@
 func (n *Node) join(ctx context.Context) bool {
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-		err := n.session.Replace(callCtx)
+		err := n.session.DeletePreviousSessions(callCtx)
 		if err == nil {
 			err = n.session.Ensure(callCtx)
 		}
--- a/internal/resource/publish_test.go
+++ b/internal/resource/publish_test.go
@@ -39,21 +39,21 @@
 // seenSessions are the sessions that a publisher sees.
 type seenSessions struct {
 	mu   sync.Mutex
-	list []lease.Sighting
+	list []lease.SessionState
 }
 
 func (s *seenSessions) Refresh(context.Context) error { return nil }
 
-func (s *seenSessions) Sessions() []lease.Sighting {
+func (s *seenSessions) Sessions() []lease.SessionState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]lease.Sighting(nil), s.list...)
+	return append([]lease.SessionState(nil), s.list...)
 }
 
 func (s *seenSessions) set(id string, applied uint64, expired bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	next := lease.Sighting{ID: id, Body: EncodeApplied(applied), Expired: expired}
+	next := lease.SessionState{ID: id, Body: EncodeApplied(applied), Expired: expired}
 	for i := range s.list {
 		if s.list[i].ID == id {
 			s.list[i] = next
--- a/internal/resource/status.go
+++ b/internal/resource/status.go
@@ -21,7 +21,7 @@
 // Sessions tells which nodes there are. The lease watcher implements it.
 type Sessions interface {
 	Refresh(ctx context.Context) error
-	Sessions() []lease.Sighting
+	Sessions() []lease.SessionState
 }
 
 // Publisher brings writes into force: it commits them and waits until the
