--- a/internal/lease/away.go
+++ b/internal/lease/away.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// awayRetention is how long a node is remembered after its last session was ended: cuts of
-// nodes from the store have been seen to last 12 s, and it may be serving all the while.
+// awayRetention is how long a node is remembered after its last session ended. Nodes have been cut
+// off from the store for up to 12 s while they continued to serve.
 const awayRetention = 30 * time.Second
 
-// awayNode is a node whose last session was ended.
+// awayNode is a node whose last session has ended.
 type awayNode struct {
 	since time.Time
-	// member is what its last member row member.
+	// member is the content of its last member row.
 	member Member
 }
 
-// markAway notes that a node has no session any more. The caller holds mu.
+// markAway records that the last session of a node has ended. The caller holds mu.
 func (r *Roster) markAway(node string) {
 	if node != Node(r.session.ID()) {
 		r.away[node] = awayNode{since: r.watcher.now(), member: r.memberInfo[node]}
@@ -25,7 +25,7 @@
 	delete(r.memberInfo, node)
 }
 
-// expireAway drops the nodes that have been away for long. The caller holds mu.
+// expireAway forgets nodes that have been away for longer than awayRetention. The caller holds mu.
 func (r *Roster) expireAway() {
 	for node, awayInfo := range r.away {
 		if r.watcher.now().Sub(awayInfo.since) > awayRetention {
@@ -35,7 +35,7 @@
 	}
 }
 
-// Away returns the nodes whose sessions were ended a short time ago, in order.
+// Away returns the nodes whose last session ended within awayRetention, sorted.
 func (r *Roster) Away() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lease/away_test.go
+++ b/internal/lease/away_test.go
@@ -10,27 +10,27 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestRoster_NodeIsAwayAfterItsSessionEnds: it may be serving, so it is
-// remembered with its address, until it is back or awayKept has passed.
+// A node whose session has ended may still be serving, so it is remembered until it rejoins or
+// awayRetention has passed.
 func TestRoster_NodeIsAwayAfterItsSessionEnds(t *testing.T) {
 	f := newFleet(t, 4)
 	f.dead[1], f.dead[2] = true, true
 	f.advance(6)
 	if got := f.rosters[0].Away(); !slices.Equal(got, []string{"n001", "n002"}) {
-		t.Fatalf("away are %v", got)
+		t.Fatalf("away: %v", got)
 	}
 	f.dead[1] = false
 	f.advance(3)
 	if got := f.rosters[0].Away(); !slices.Equal(got, []string{"n002"}) {
-		t.Fatalf("away are %v after one is back", got)
+		t.Fatalf("away after one node has rejoined: %v", got)
 	}
 	before := f.rosters[0].Generation()
 	f.now = f.now.Add(awayRetention)
 	if f.rosters[0].Generation() == before {
-		t.Fatal("the nodes are the same after one was forgotten")
+		t.Fatal("the generation is unchanged after a node was forgotten")
 	}
 	if got := f.rosters[0].Away(); len(got) > 0 {
-		t.Fatalf("away are %v for ever", got)
+		t.Fatalf("away after awayRetention: %v", got)
 	}
 }
 
@@ -47,18 +47,18 @@
 	}
 	f.deliverChanges()
 	if got := f.rosters[0].Address("other"); got != "10.0.0.1:1" {
-		t.Fatalf("a node that is away is at %q", got)
+		t.Fatalf("address of the away node is %q", got)
 	}
 }
 
-// TestSession_UnconfirmedIsNeverUnderestimated: others count from when a write was done, so it
-// is counted here from before that, whatever answer is lost.
+// Other nodes measure from the completion of a write. Unconfirmed must measure from an earlier time,
+// whichever responses are lost.
 func TestSession_UnconfirmedIsNeverUnderestimated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared := tabletest.New()
 		session := NewSession(shared, "n", rosterTiming)
 		if session.Unconfirmed() < time.Hour {
-			t.Fatal("a session that was never written is confirmed")
+			t.Fatal("a session that was never written counts as confirmed")
 		}
 		check := func(fault tabletest.Fault, readFault error, want time.Duration) {
 			t.Helper()
@@ -82,7 +82,7 @@
 		check(tabletest.Lost, nil, 0)
 		check(tabletest.Late, nil, time.Second)
 		check(tabletest.None, nil, 0)
-		// What is read back now may be the write of a second ago.
+		// The version read back may be that of the write one second ago.
 		check(tabletest.Lost, table.ErrUnavailable, time.Second)
 		check(tabletest.Lost, nil, time.Second)
 		check(tabletest.None, nil, 0)
--- a/internal/lease/ensure_test.go
+++ b/internal/lease/ensure_test.go
@@ -8,8 +8,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// A renewal that waits for a lost answer does not hold up those who only ask whether the
-// session is there: the loop that sends items and each acceptance of a job do.
+// Guards against callers of Ensure, such as item dispatch and job admission, that block while a
+// renewal waits for a lost response.
 func TestSession_EnsureOfExistingSessionDoesNotWaitForRenewal(t *testing.T) {
 	service := &unresponsiveTable{Service: tabletest.New()}
 	session := NewSession(service, "n", Timing{TimeToLive: 3 * time.Second, RenewInterval: time.Second})
@@ -24,7 +24,7 @@
 	for range 6 {
 		start := time.Now()
 		if err := session.Ensure(t.Context()); err != nil || time.Since(start) > 150*time.Millisecond {
-			t.Errorf("Ensure took %v, %v", time.Since(start), err)
+			t.Errorf("Ensure took %v, error %v", time.Since(start), err)
 		}
 		time.Sleep(37 * time.Millisecond)
 	}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -16,10 +16,10 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// testTiming leaves room for two failed renewals.
+// testTiming allows for two failed renewals within the time to live.
 var testTiming = Timing{TimeToLive: 8 * time.Second, RenewInterval: 2500 * time.Millisecond}
 
-// clock is a monotonic clock that tests move.
+// manualClock is a monotonic clock that tests advance by hand.
 type manualClock struct{ now time.Time }
 
 func (c *manualClock) read() time.Time { return c.now }
@@ -61,12 +61,12 @@
 	clock.now = clock.now.Add(testTiming.TimeToLive)
 	refreshSession(t, watcher, session.ID())
 	if !watcher.Expired(session.ID()) {
-		t.Fatal("a session that stood still did not expire")
+		t.Fatal("an unchanged session did not expire")
 	}
 }
 
-// While the store is down nobody sees anything, so nothing expires however long
-// it takes; after its return a holder has a whole time to live.
+// While the store is down no observation succeeds, so nothing may expire. After an outage every
+// holder has its full time to live again.
 func TestWatcher_NothingExpiresDuringStoreOutage(t *testing.T) {
 	service, store := newService(t)
 	session := NewSession(service, "a", testTiming)
@@ -79,7 +79,7 @@
 	store.Faults.Set(emulator.Condition{Down: true})
 	clock.now = clock.now.Add(100 * testTiming.TimeToLive)
 	if watcher.RefreshSession(t.Context(), session.ID()) == nil {
-		t.Fatal("the store answered while it was down")
+		t.Fatal("a read succeeded while the store was down")
 	}
 	if watcher.Expired(session.ID()) {
 		t.Fatal("a session expired while the store was down")
@@ -89,12 +89,12 @@
 	clock.now = clock.now.Add(testTiming.TimeToLive / 2)
 	refreshSession(t, watcher, session.ID())
 	if watcher.Expired(session.ID()) {
-		t.Fatal("a session expired before a whole time to live after the outage")
+		t.Fatal("a session expired before its full time to live after the outage")
 	}
 	clock.now = clock.now.Add(testTiming.TimeToLive)
 	refreshSession(t, watcher, session.ID())
 	if !watcher.Expired(session.ID()) {
-		t.Fatal("a dead session does not expire after an outage")
+		t.Fatal("a session that is no longer renewed did not expire after the outage")
 	}
 }
 
@@ -111,11 +111,11 @@
 	}
 	refreshSession(t, watcher, session.ID())
 	if !watcher.Expired(session.ID()) {
-		t.Fatal("an ended session holds its work")
+		t.Fatal("an ended session has not expired")
 	}
 }
 
-// A named lease has one holder, and each next holder a higher epoch.
+// A named lease has one holder at a time, and every new holder gets a higher epoch.
 func TestAcquire_EpochIncreasesPerHolder(t *testing.T) {
 	service, _ := newService(t)
 	clock := &manualClock{now: time.Unix(100, 0)}
@@ -137,17 +137,17 @@
 		t.Fatalf("takeover: grant %+v, error %v", grant, err)
 	}
 	if _, err := Acquire(t.Context(), service, first, watcher, "placement/p"); !errors.Is(err, ErrHeld) {
-		t.Fatalf("the old holder, woken: %v", err)
+		t.Fatalf("previous holder: %v", err)
 	}
 }
 
 func TestSameNode(t *testing.T) {
 	if !SameNode("a#1", "a#2") || SameNode("a#1", "ab#1") {
-		t.Fatal("sessions of a node are told apart by its whole id")
+		t.Fatal("sessions must be compared by the whole node ID")
 	}
 }
 
-// Every piece of work is one live session's, and the sessions have like shares.
+// Every piece of work is assigned to exactly one live session, and the shares are balanced.
 func TestWatcher_ShareAssignsEachWorkToOneSession(t *testing.T) {
 	service, _ := newService(t)
 	watcher := NewWatcher(service, time.Now, testTiming)
@@ -170,7 +170,7 @@
 	for _, id := range ids {
 		share := watcher.Share(id, works)
 		if len(share) < len(works)/8 || len(share) > len(works)/2 {
-			t.Errorf("session %s has %d of %d", id, len(share), len(works))
+			t.Errorf("session %s has %d of %d pieces of work", id, len(share), len(works))
 		}
 		for work := range share {
 			owners[work]++
@@ -178,16 +178,17 @@
 	}
 	for _, work := range works {
 		if owners[work] != 1 {
-			t.Fatalf("%s is done by %d sessions", work, owners[work])
+			t.Fatalf("%s is assigned to %d sessions, want 1", work, owners[work])
 		}
 	}
 }
 
-// hangingService lets commits hang until their callers give up, as lost answers do.
+// hangingService is a Service whose selected commits block until their context is done, like commits
+// whose response is lost.
 type hangingService struct {
 	table.Service
 	calls atomic.Int64
-	// hangs tells which calls hang.
+	// hangs reports whether a call hangs; calls are counted from 1.
 	hangs func(call int64) bool
 }
 
@@ -199,9 +200,8 @@
 	return s.Service.Commit(ctx, operation, writes...)
 }
 
-// A finding (urnik scale-1, seed 11): with answers of the store lost now and then,
-// nodes that lived were taken for lost, and their items were run again elsewhere. A
-// renewal waited a whole second for an answer that was lost.
+// Guards against sessions that expire although their node is alive: a renewal that waits too long
+// for a lost response misses the time to live.
 func TestSession_RunRenewsDespiteLostResponses(t *testing.T) {
 	service, _ := newService(t)
 	hanging := &hangingService{Service: service, hangs: func(call int64) bool { return call > 1 && call%4 != 0 }}
@@ -216,13 +216,13 @@
 		time.Sleep(50 * time.Millisecond)
 		refreshSession(t, watcher, session.ID())
 		if watcher.Expired(session.ID()) {
-			t.Fatal("a session that is renewed expired")
+			t.Fatal("the session expired although Run renews it")
 		}
 	}
 }
 
-// TestSession_EndedSessionIsNotRenewed guards that a stopping node, whose renewals go on
-// until the process leaves, does not write its session anew after it has ended it.
+// Guards against a stopping node that writes its session again after End, since Run continues
+// until the process exits.
 func TestSession_EndedSessionIsNotRenewed(t *testing.T) {
 	shared := tabletest.New()
 	session := NewSession(shared, "n", Timing{TimeToLive: 3 * time.Second, RenewInterval: time.Second})
@@ -233,16 +233,17 @@
 		t.Fatal(err)
 	}
 	for range 3 {
-		// What a renewal after the end answers does not matter.
+		// Whether these calls return an error does not matter.
 		_ = session.Renew(t.Context())
 		_ = session.Ensure(t.Context())
 	}
 	if rows, err := listSessions(t.Context(), shared); err != nil || len(rows) != 0 {
-		t.Fatalf("rows %v, %v, want none", rows, err)
+		t.Fatalf("session rows after End: %v, error %v, want none", rows, err)
 	}
 }
 
-// unresponsiveTable answers no commit until it is told to.
+// unresponsiveTable is a Service whose commits block until their context is done while unresponsive
+// is set.
 type unresponsiveTable struct {
 	table.Service
 	unresponsive atomic.Bool
@@ -256,8 +257,8 @@
 	return s.Service.Commit(ctx, operation, writes...)
 }
 
-// A finding (aspsc-dakar trouble-2): a node that started while the part with the sessions
-// was silent waited for its first write for good, and took no items for the whole day.
+// Guards against a starting node that waits forever for its first write because the partition of
+// the session rows does not respond.
 func TestSession_EnsureTimesOutOnUnresponsiveStore(t *testing.T) {
 	service := &unresponsiveTable{Service: tabletest.New()}
 	service.unresponsive.Store(true)
@@ -265,10 +266,10 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	if err := session.Ensure(ctx); err == nil || ctx.Err() != nil {
-		t.Fatalf("%v, %v, want an error long before the caller's own time is up", err, ctx.Err())
+		t.Fatalf("error %v, context error %v, want an error before the context is done", err, ctx.Err())
 	}
 	service.unresponsive.Store(false)
 	if err := session.Ensure(ctx); err != nil {
-		t.Fatalf("once the store answers: %v", err)
+		t.Fatalf("after the store has recovered: %v", err)
 	}
 }
--- a/internal/lease/named.go
+++ b/internal/lease/named.go
@@ -12,8 +12,8 @@
 // namedPartition holds the rows of named leases.
 const namedPartition = "leases"
 
-// Grant is the right to act under a name. Its epoch rises with each holder, so
-// that effects fenced by it are refused once another holder has acted.
+// Grant is the right to act under the name of a lease. The epoch increases with each holder, so
+// that writes fenced by an older epoch are rejected once a newer holder has written.
 type Grant struct {
 	Holder string
 	Epoch  uint64
@@ -22,9 +22,9 @@
 // ErrHeld reports that another session holds the lease.
 var ErrHeld = errors.New("lease held by another session")
 
-// decodeGrant reads the row of a lease. One that cannot be read is held by nobody. Whoever
-// held it is fenced by the next epoch, which must be higher than any before: each grant is a
-// write of the row, so no epoch has come further than the row's version.
+// decodeGrant decodes the row of a lease. An unreadable lease has no holder. Its epoch must be at
+// least that of the previous holder, which is fenced by the next one: every grant writes the row,
+// so no epoch can exceed the row's version.
 func decodeGrant(row table.Row, unreadable *table.Unreadable) Grant {
 	var grant Grant
 	if err := row.Decode(&grant); err != nil {
@@ -34,8 +34,8 @@
 	return grant
 }
 
-// Acquire takes a named lease for a session, or confirms that it holds it. It
-// returns ErrHeld while the holder's session has not expired.
+// Acquire acquires a named lease for a session, or confirms that the session holds it. It returns
+// ErrHeld while the session of another holder has not expired.
 func Acquire(ctx context.Context, service table.Service, session *Session, watcher *Watcher, name string) (Grant, error) {
 	key := table.Key{Partition: namedPartition, Sort: name}
 	row, err := service.Get(ctx, key)
--- a/internal/lease/neighbours.go
+++ b/internal/lease/neighbours.go
@@ -6,7 +6,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// readWatched returns the rows of the sessions to look at, and whether these are all.
+// readWatched returns the rows of the watched sessions, and whether these are all sessions.
 func (w *Watcher) readWatched(ctx context.Context) (rows []table.Row, all bool, err error) {
 	if w.Neighbours == 0 {
 		rows, err = listSessions(ctx, w.service)
@@ -36,7 +36,7 @@
 	return rows, true, nil
 }
 
-// listAfter lists so many sessions of a partition after a key, fewer if there are no more.
+// listAfter lists up to count sessions of a partition whose sort keys follow after.
 func (w *Watcher) listAfter(ctx context.Context, partition, after string, count int) ([]table.Row, error) {
 	var rows []table.Row
 	for {
@@ -53,8 +53,8 @@
 	}
 }
 
-// filterSessions returns the rows that are sessions' by their keys. What a row says is not
-// looked at: that it is written again is what counts.
+// filterSessions drops the rows whose keys are not session keys, and reports them. The bodies
+// are not checked: only the renewal of a row matters.
 func (w *Watcher) filterSessions(rows []table.Row) []table.Row {
 	sessions := make([]table.Row, 0, len(rows))
 	for _, row := range rows {
@@ -68,8 +68,8 @@
 	return sessions
 }
 
-// inWatchedRange reports whether a session's row lies in the ring inWatchedRange this one's and
-// the last that was read.
+// inWatchedRange reports whether the row of a session lies on the ring between this node's own
+// row and the last row that was read.
 func (w *Watcher) inWatchedRange(id, lastKey string) bool {
 	own, key := sessionKey(w.Self).Sort, sessionKey(id).Sort
 	if lastKey > own {
--- a/internal/lease/nodes.go
+++ b/internal/lease/nodes.go
@@ -6,14 +6,14 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// Nodes returns the nodes of the live sessions, each once.
+// Nodes returns the distinct nodes of the live sessions, sorted.
 func (r *Roster) Nodes() []string { return slices.Clone(r.nodesShared()) }
 
-// Self returns this node.
+// Self returns the ID of this node.
 func (r *Roster) Self() string { return Node(r.session.ID()) }
 
-// Places returns the nodes of the live sessions with where they are, as far as they
-// told: the place of those whose member row is of an earlier version is zero.
+// Places returns the nodes of the live sessions with their locations. The location is zero if a
+// node's member row was written by an earlier version of the program.
 func (r *Roster) Places() []place.Node {
 	nodes := r.nodesShared()
 	places := make([]place.Node, 0, len(nodes))
@@ -24,10 +24,10 @@
 	return places
 }
 
-// Count returns the number of nodes of the live sessions.
+// Count returns the number of nodes with live sessions.
 func (r *Roster) Count() int { return len(r.nodesShared()) }
 
-// nodesShared returns the nodes of the live sessions, which must not be changed.
+// nodesShared returns the nodes of the live sessions. The slice is shared and must not be modified.
 func (r *Roster) nodesShared() []string {
 	r.mu.Lock()
 	sorted, generation := r.sortedNodes, r.generation
@@ -44,8 +44,8 @@
 	return sorted
 }
 
-// Joined reports whether this node's own session is among the members that are known, so that
-// those are which came before it.
+// Joined reports whether this node's own member row has been received. All rows that were written
+// before it have then been received too.
 func (r *Roster) Joined() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lease/places_test.go
+++ b/internal/lease/places_test.go
@@ -10,8 +10,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestRoster_PlacesComeFromMemberRows: all nodes see each one alike, also one whose
-// member row is of an earlier version and tells no place.
+// All nodes see the same locations. A node whose member row was written by an earlier version has
+// no location.
 func TestRoster_PlacesComeFromMemberRows(t *testing.T) {
 	f := newPlacedFleet(t, []place.Place{{Zone: "n-a", Region: "north"}, {Zone: "s-a", Region: "south"}, {}})
 	want := []place.Node{
@@ -21,12 +21,12 @@
 	}
 	for i, roster := range f.rosters {
 		if got := roster.Places(); !slices.Equal(got, want) {
-			t.Errorf("node %d sees %v, want %v", i, got, want)
+			t.Errorf("places of node %d: %v, want %v", i, got, want)
 		}
 	}
 }
 
-// newPlacedFleet returns a fleet whose nodes tell where they are.
+// newPlacedFleet returns a fleet of nodes at the given locations.
 func newPlacedFleet(t *testing.T, places []place.Place) *fleet {
 	t.Helper()
 	f := newFleet(t, 0)
--- a/internal/lease/roster.go
+++ b/internal/lease/roster.go
@@ -13,65 +13,66 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// memberPrefix begins the keys of member rows.
+// memberPrefix is the prefix of the sort keys of member rows.
 const memberPrefix = "member/"
 
 const (
-	// minRefreshInterval is the least time between two looks at sessions.
+	// minRefreshInterval is the minimum time between two calls of Refresh.
 	minRefreshInterval = 400 * time.Millisecond
-	// refreshIntervalPerSession bounds the looks of all nodes to 125 a second, some 15 KB a second
-	// for each node where a look reads all sessions.
+	// refreshIntervalPerSession limits all nodes together to 125 reads per second. A read of all
+	// sessions then costs about 15 KB/s per node.
 	refreshIntervalPerSession = 8 * time.Millisecond
-	// maxRefreshInterval bounds the time between two looks at the neighbours, which cost the
-	// same in any fleet; two of them fit into a session's time to live of 3 s.
+	// maxRefreshInterval is the maximum time between two reads of the neighbours, whose cost
+	// does not depend on the fleet. Two reads fit into the session time to live of 3 s.
 	maxRefreshInterval = 1200 * time.Millisecond
 )
 
-// endStagger is how much longer than a nearer watcher one waits before it ends an
-// expired session itself: a look of the nearer one and its commit fit into it.
+// endStagger is the delay before a node ends an expired session on behalf of a closer node. It
+// covers one read and one commit of the closer node.
 const endStagger = 1500 * time.Millisecond
 
-// watchedNeighbours is the number of sessions that each node watches, and is watched by.
-// If 6 in 10 nodes die at once, all watchers of a given one die with it in 1.7% of
-// the cases; it is then noticed once those between it and the next live node are.
+// watchedNeighbours is the number of sessions that each node watches, and the number of nodes
+// that watch each session. If 6 of 10 nodes fail at once, all watchers of a failed node have failed
+// too in 1.7% of the cases; it is then detected after the sessions between it and the next live
+// node have been ended.
 const watchedNeighbours = 8
 
 func memberKey(partition, id string) table.Key {
 	return table.Key{Partition: partition, Sort: memberPrefix + id}
 }
 
-// Member is what a node tells of itself in its member row. A row of an earlier version
-// of the program tells less; what it leaves out is zero.
+// Member describes a node in its member row. Fields that an earlier version of the program did not
+// write are zero.
 type Member struct {
-	// Address is host:port for other nodes.
+	// Address is the host:port at which other nodes reach this node.
 	Address string `cbor:"1,keyasint,omitempty"`
-	// Zone and Region are where the node stands.
+	// Zone and Region are the location of the node.
 	Zone   string `cbor:"2,keyasint,omitempty"`
 	Region string `cbor:"3,keyasint,omitempty"`
-	// Cores is the node's share of a core, LinkMbps the bandwidth of its link in Mbit/s,
-	// MemoryMB its memory in megabytes; 0 if they are not set.
+	// Cores is the node's CPU share in cores, LinkMbps its network bandwidth in Mbit/s and
+	// MemoryMB its memory in megabytes; 0 means unset.
 	Cores    float64 `cbor:"4,keyasint,omitempty"`
 	LinkMbps float64 `cbor:"5,keyasint,omitempty"`
 	MemoryMB int     `cbor:"6,keyasint,omitempty"`
 }
 
-// encodeMember returns the body of a member row; nil if there is nothing to say.
+// encodeMember returns the body of a member row, or nil for the zero Member.
 func encodeMember(member Member) []byte {
 	if member == (Member{}) {
 		return nil
 	}
 	body, err := cbor.Marshal(member)
 	if err != nil {
-		// A member holds nothing that cannot be encoded.
+		// Encoding cannot fail: Member has only plain fields.
 		panic(err)
 	}
 	return body
 }
 
-// errNotSessionKey reports a row whose key is not that of a session.
-var errNotSessionKey = errors.New("the key names no session")
+// errNotSessionKey reports a member or session row whose key does not contain a session ID.
+var errNotSessionKey = errors.New("key does not contain a session ID")
 
-// decodeMember reads the member row of a session. An empty one has nothing to say.
+// decodeMember decodes the member row of a session. An empty body is the zero Member.
 func decodeMember(id string, row table.Row) (member Member, err error) {
 	if !isSessionID(id) {
 		return Member{}, row.Refuse(table.Content, errNotSessionKey)
@@ -85,43 +86,44 @@
 	return member, nil
 }
 
-// Roster tells which sessions there are in a fleet where not every node reads all of
-// them, for that costs nodes x nodes. Beside its session, which is renewed, each node
-// has a member row in a group of rows that all nodes follow; both come and go in the
-// same commits. A node watches a few sessions only, and ends those that have expired
-// for everybody. The zero value is not usable. It is safe for concurrent use.
+// Roster tracks the live sessions of a fleet in which no node reads all session rows, because that
+// would cost O(n²) reads. In addition to its session row, which it renews, each node has a member
+// row in a group that all nodes follow; both rows are created and deleted in the same commits. Each
+// node watches only a few neighbours and deletes their rows when they expire. Use NewRoster to
+// create a Roster. It is safe for concurrent use.
 type Roster struct {
 	service   table.Service
 	partition string
 	session   *Session
 	watcher   *Watcher
-	// OnEnded, if set, is told of each session that was ended because it had expired.
+	// OnEnded, if set, is called for each expired session that this node tried to end.
 	OnEnded func(id string, err error)
-	// unreadable is told of member rows that cannot be read.
+	// unreadable receives member rows that cannot be decoded.
 	unreadable *table.Unreadable
 
 	mu sync.Mutex
-	// memberVersions are the versions of the member rows, nodes the number of each node's.
+	// memberVersions holds the versions of the member rows by session, sessionCounts the number
+	// of sessions by node.
 	memberVersions map[string]uint64
 	sessionCounts  map[string]int
-	// unreadableVersions are the versions of member rows that could never be read. They make no node,
-	// and go with their sessions.
+	// unreadableVersions holds the versions of member rows that could never be decoded. They do
+	// not count as nodes and are deleted with their sessions.
 	unreadableVersions map[string]uint64
-	// memberInfo is what the newest member rows of nodes tell.
+	// memberInfo holds the newest decoded member row of each node.
 	memberInfo map[string]Member
-	// away are the nodes whose sessions were ended a short time ago.
+	// away holds the nodes whose last session ended within awayRetention.
 	away map[string]awayNode
-	// generation rises with each change of the nodes; sorted are these, nil if they have
-	// changed since they were last asked for.
+	// generation increases with each change to the set of nodes. sortedNodes caches that set; it
+	// is nil after a change.
 	generation  uint64
 	sortedNodes []string
-	// missingSince are the nodes without a member that somebody asked about, since when.
+	// missingSince holds the nodes without a member row that callers have asked about, with the
+	// time of the first question; zero if the row was seen to be deleted.
 	missingSince map[string]time.Time
 }
 
-// NewRoster returns a roster that has seen nothing and whose own session is the
-// given one. Member rows lie in a partition that the node follows; now must be
-// monotonic.
+// NewRoster returns an empty roster for the node of session. partition holds the member rows and
+// must belong to a group that the node follows; now must be monotonic.
 func NewRoster(service table.Service, session *Session, partition string, now func() time.Time, timing Timing) *Roster {
 	session.MemberPartition = partition
 	watcher := NewWatcher(service, now, timing)
@@ -133,12 +135,12 @@
 	}
 }
 
-// ReportUnreadableTo has rows told that cannot be read. It is called before the roster is used.
+// ReportUnreadableTo sets the receiver of rows that cannot be decoded. Call it before first use.
 func (r *Roster) ReportUnreadableTo(unreadable *table.Unreadable) {
 	r.unreadable, r.watcher.Unreadable = unreadable, unreadable
 }
 
-// Apply takes in changes of the group with the member rows.
+// Apply applies changes of the group that contains the member rows.
 func (r *Roster) Apply(changes table.Changes, _ bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -155,9 +157,9 @@
 	}
 }
 
-// add notes a member row. One that cannot be read makes no node: if another writer left it,
-// no session would ever expire, and what is given to that node to do would lie for good. A
-// node that is known stays, with what it told before. The caller holds mu.
+// add records a member row. One that cannot be decoded does not add a node: no session would
+// expire for a row left by another writer, and work assigned to that node would never be done. A
+// known node stays, with its previous information. The caller holds mu.
 func (r *Roster) add(id string, row table.Row) {
 	member, err := decodeMember(id, row)
 	r.unreadable.Report(err)
@@ -191,8 +193,8 @@
 	return changes
 }
 
-// remove notes that a session was ended, by itself or by those who watched it. Its
-// work is free at once. The caller holds mu.
+// remove records that a session was ended, by its own node or by a watcher. Its work can be taken
+// over immediately. The caller holds mu.
 func (r *Roster) remove(id string) {
 	delete(r.unreadableVersions, id)
 	if _, ok := r.memberVersions[id]; !ok {
@@ -207,7 +209,7 @@
 	r.missingSince[node] = time.Time{}
 }
 
-// Refresh looks at the neighbours and ends the sessions of those that are gone.
+// Refresh reads the neighbours and ends those sessions that have expired.
 func (r *Roster) Refresh(ctx context.Context) error {
 	if err := r.watcher.Refresh(ctx); err != nil {
 		return err
@@ -221,16 +223,16 @@
 	return nil
 }
 
-// errMemberRowUnknown reports a session whose member row has not come by the feed yet.
-var errMemberRowUnknown = errors.New("member row not known yet")
+// errMemberRowUnknown reports a session whose member row has not been received yet.
+var errMemberRowUnknown = errors.New("member row not yet received")
 
-// RefreshInterval is the time to leave between two calls of Refresh.
+// RefreshInterval returns the time to leave between two calls of Refresh.
 func (r *Roster) RefreshInterval() time.Duration {
 	return min(max(minRefreshInterval, time.Duration(len(r.Live()))*refreshIntervalPerSession), maxRefreshInterval)
 }
 
-// endSession deletes both rows of an expired session, unless it has been renewed since it
-// was looked at. One row without the other would never go.
+// endSession deletes both rows of an expired session unless it has been renewed since it was read.
+// The rows are deleted together because a remaining one would never be cleaned up.
 func (r *Roster) endSession(ctx context.Context, session SessionState) error {
 	r.mu.Lock()
 	memberVersion, known := r.memberVersions[session.ID]
@@ -247,7 +249,7 @@
 	return Error.Wrap(err)
 }
 
-// Live returns the sessions that are there, this node's own among them.
+// Live returns the live sessions, including this node's own.
 func (r *Roster) Live() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -264,14 +266,14 @@
 // Preferred returns the live session that should do a piece of work.
 func (r *Roster) Preferred(work string) string { return Preferred(r.Live(), work) }
 
-// invalidateNodes notes that the nodes are others. The caller holds mu.
+// invalidateNodes records a change to the set of nodes. The caller holds mu.
 func (r *Roster) invalidateNodes() {
 	r.generation++
 	r.sortedNodes = nil
 }
 
-// Generation is a number that is another whenever the nodes may have changed, those that
-// are away included.
+// Generation returns a number that changes whenever the set of nodes, including those that are
+// away, may have changed.
 func (r *Roster) Generation() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -279,7 +281,7 @@
 	return r.generation
 }
 
-// Expired reports whether a session's work may be taken over.
+// Expired reports whether the work of a session may be taken over.
 func (r *Roster) Expired(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -289,8 +291,8 @@
 	return r.missingForTimeToLive(Node(id))
 }
 
-// Address returns where a node is reached, or was before it was away; empty if it has not
-// told.
+// Address returns the address of a node, or its last known address while it is away. It returns
+// "" if the address is not known.
 func (r *Roster) Address(node string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -300,8 +302,8 @@
 	return r.memberInfo[node].Address
 }
 
-// Member returns what a node has told of itself, or had before it was away; zero if
-// nothing.
+// Member returns the description of a node, or its last known description while it is away. It
+// returns the zero Member if the node is not known.
 func (r *Roster) Member(node string) Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -314,7 +316,7 @@
 	return r.memberInfo[node]
 }
 
-// Region returns the region that a node has told; empty if it has not.
+// Region returns the region of a node, or "" if it is not known.
 func (r *Roster) Region(node string) string { return r.Member(node).Region }
 
 // Gone reports whether a node has no session.
@@ -327,9 +329,9 @@
 	return r.missingForTimeToLive(node)
 }
 
-// missingForTimeToLive reports whether a node has been without a member row for long enough. One
-// whose row was seen to go has; for one that was never seen its time begins with the
-// first question, for its row may still be on its way. The caller holds mu.
+// missingForTimeToLive reports whether a node has had no member row for the time to live. This holds
+// immediately if its row was seen to be deleted. For a node that was never seen the time starts
+// with the first call, because its row may not have been received yet. The caller holds mu.
 func (r *Roster) missingForTimeToLive(node string) bool {
 	since, ok := r.missingSince[node]
 	if !ok {
@@ -339,8 +341,8 @@
 	return r.watcher.now().Sub(since) >= r.watcher.timeToLive
 }
 
-// Sessions returns the sessions that are there, in the order of their ids. Of those
-// that this node watches it tells whether they have expired.
+// Sessions returns the live sessions, sorted by ID. Expired is only set for sessions that this node
+// watches.
 func (r *Roster) Sessions() []SessionState {
 	expired := map[string]bool{}
 	for _, watched := range r.watcher.Sessions() {
--- a/internal/lease/roster_test.go
+++ b/internal/lease/roster_test.go
@@ -13,13 +13,13 @@
 
 const memberGroup = "members"
 
-// fleet is a fleet of nodes on a clock of its own, each with a session and a roster.
+// fleet is a set of nodes with a session and a roster each, on a simulated clock.
 type fleet struct {
 	t       *testing.T
 	shared  *tabletest.Table
 	now     time.Time
 	rosters []*Roster
-	// revisions is the revision up to which the rosters have the feed.
+	// revisions holds, by node, the revision up to which the roster has received the feed.
 	revisions []uint64
 	dead      map[int]bool
 }
@@ -41,7 +41,7 @@
 	return f
 }
 
-// deliverChanges brings all live rosters the changes of the members.
+// deliverChanges applies the pending changes of the member rows to the rosters of all live nodes.
 func (f *fleet) deliverChanges() {
 	for i, roster := range f.rosters {
 		if f.dead[i] {
@@ -58,7 +58,8 @@
 	}
 }
 
-// advance lets time advance in looks of a second, in which the live nodes renew.
+// advance moves the clock in steps of one second, in each of which the live nodes renew their
+// sessions and refresh their rosters.
 func (f *fleet) advance(seconds int) {
 	for range seconds {
 		f.now = f.now.Add(time.Second)
@@ -72,7 +73,7 @@
 		}
 		for i, roster := range f.rosters {
 			if !f.dead[i] {
-				// A store that is down is a test's own doing.
+				// Tests may take the store down.
 				_ = roster.Refresh(f.t.Context())
 			}
 		}
@@ -89,7 +90,7 @@
 		for other := range f.rosters {
 			node := fmt.Sprintf("n%03d", other)
 			if roster.Gone(node) != want[other] {
-				f.t.Fatalf("node %d sees node %d as gone: %v, want %v", i, other, !want[other], want[other])
+				f.t.Fatalf("node %d reports node %d as gone: %v, want %v", i, other, !want[other], want[other])
 			}
 			if slices.Contains(roster.Nodes(), node) == want[other] {
 				f.t.Fatalf("node %d lists node %d: %v", i, other, want[other])
@@ -98,8 +99,8 @@
 	}
 }
 
-// TestRoster_AllNodesLearnOfDeadNodes kills nodes of a fleet that is larger
-// than any one watches, among them a run of neighbours.
+// Nodes fail in a fleet that is larger than the number of watched neighbours, among them a run of
+// consecutive neighbours.
 func TestRoster_AllNodesLearnOfDeadNodes(t *testing.T) {
 	f := newFleet(t, 40)
 	f.advance(2)
@@ -107,7 +108,7 @@
 	for i := range 24 {
 		f.dead[i] = true
 	}
-	// Those behind a run of dead neighbours are seen once these are ended.
+	// Nodes behind a run of failed neighbours are only watched once the neighbours have been ended.
 	f.advance(12)
 	f.checkGone(f.dead)
 }
@@ -129,8 +130,7 @@
 	f.checkGone(f.dead)
 }
 
-// TestRoster_PausedNodeRejoins lets a node stand still until it is ended: it
-// notices at its next renewal and is a member again.
+// A node that pauses until its session is ended creates its rows again at its next renewal.
 func TestRoster_PausedNodeRejoins(t *testing.T) {
 	f := newFleet(t, 12)
 	f.dead[5] = true
@@ -150,7 +150,7 @@
 		f.now = f.now.Add(time.Second)
 		for _, roster := range f.rosters {
 			if roster.Refresh(t.Context()) == nil {
-				t.Fatal("the store is not down")
+				t.Fatal("a refresh succeeded while the store is down")
 			}
 		}
 	}
@@ -169,20 +169,19 @@
 	f.checkGone(f.dead)
 }
 
-// TestRoster_UnknownNodeIsNotGoneImmediately asks about a node whose member row has
-// not come yet.
+// The member row of an unknown node may not have been received yet.
 func TestRoster_UnknownNodeIsNotGoneImmediately(t *testing.T) {
 	f := newFleet(t, 2)
 	if f.rosters[0].Gone("later") {
-		t.Fatal("a node that has not been seen yet counts as gone")
+		t.Fatal("a node whose row may not have been received yet is gone")
 	}
 	f.now = f.now.Add(rosterTiming.TimeToLive)
 	if !f.rosters[0].Gone("later") {
-		t.Fatal("a node that never came does not count as gone")
+		t.Fatal("a node without a row for the time to live is not gone")
 	}
 }
 
-// TestRoster_RegionIsEmptyIfNotInMemberRow has a row of before beside one that tells.
+// A member row written by an earlier version has no region.
 func TestRoster_RegionIsEmptyIfNotInMemberRow(t *testing.T) {
 	f := newFleet(t, 1)
 	rows := table.Changes{Revision: 100}
@@ -193,22 +192,22 @@
 	f.rosters[0].Apply(rows, false)
 	for node, want := range map[string]string{"old": "", "new": "north", "unknown": ""} {
 		if got := f.rosters[0].Region(node); got != want {
-			t.Errorf("node %s stands in %q, want %q", node, got, want)
+			t.Errorf("region of node %s is %q, want %q", node, got, want)
 		}
 	}
 }
 
-// TestRoster_JoinedOnceOwnRowIsRead: what another node knows, or what was read before the
-// session was written, may lack those that started at the same time.
+// Rows copied from another node, or read before the own session was written, may lack nodes that
+// started at the same time, so they do not count as joined.
 func TestRoster_JoinedOnceOwnRowIsRead(t *testing.T) {
 	f := newFleet(t, 2)
 	if !f.rosters[0].Joined() {
-		t.Error("a node that has read its row has not joined")
+		t.Error("a node that has received its own row has not joined")
 	}
 	session := NewSession(f.shared, "late", rosterTiming)
 	late := NewRoster(f.shared, session, memberGroup, func() time.Time { return f.now }, rosterTiming)
 	late.Apply(table.Changes{Changes: f.rosters[0].MemberRows()}, true)
 	if late.Joined() || late.Count() != 3 {
-		t.Errorf("a node that goes by what another one knows: joined %v, %d nodes", late.Joined(), late.Count())
+		t.Errorf("after applying rows of another node: joined %v, %d nodes", late.Joined(), late.Count())
 	}
 }
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -1,12 +1,12 @@
-// Package lease lets a node hold work in the table service such that another
-// node can take it over when the holder is gone.
+// Package lease lets a node hold work such that another node can take it over after the holder
+// has failed.
 //
-// A node holds everything through one session row, which it renews. A
-// contender may take work of a session over once it has itself watched the row
-// unchanged for the time to live, on its own monotonic clock; so no clock is
-// compared between machines, and while the store is down nobody can take over.
-// Every effect of a holder is conditional on the version of the row it holds,
-// so a holder that wakes up late is refused by the store.
+// A node holds all of its work through one session row in the table service, which it renews
+// periodically. Another node may take over the work of a session once it has itself observed the
+// row unchanged for the time to live, measured on its own monotonic clock. Clocks of different
+// machines are therefore never compared, and nobody can take work over while the store is down.
+// Every write of a holder is conditional on the version of the row it holds, so the store rejects
+// the writes of a holder that resumes after its work was taken over.
 package lease
 
 import (
@@ -32,18 +32,17 @@
 var Error = errs.Class("lease")
 
 const (
-	// sessionSeparator parts the node's id from the run's in a session's id.
+	// sessionSeparator separates the node ID from the run ID in a session ID.
 	sessionSeparator = "#"
-	// ringHashDigits is the number of digits of a hash that a row's key begins with.
+	// ringHashDigits is the number of hexadecimal digits of the hash at the start of a sort key.
 	ringHashDigits = 8
-	// partitionCount is the number of partitionCount that hold the session rows. One of them
-	// takes a limited rate of writes (300 a second on the users' platform), and each of
-	// 320 nodes renews once a second.
+	// partitionCount is the number of partitions that hold the session rows. A partition of the
+	// platform's store takes 300 writes per second, and each of 320 nodes renews once per second.
 	partitionCount = 2
 	// sweepMultiple times TimeToLive is the age at which an abandoned row is deleted.
 	sweepMultiple = 10
-	// renewAttempts is how many tries fit into an interval at first, and renewRetry
-	// parts it into the pauses between tries that fail.
+	// renewAttempts is the number of initial attempts that fit into a renewal interval, and
+	// renewRetryDivisor the fraction of the interval to wait after a failed attempt.
 	renewAttempts     = 4
 	renewRetryDivisor = 16
 )
@@ -53,51 +52,51 @@
 	service table.Service
 	id      string
 
-	// Body, if set before the session is used, returns what the row says.
+	// Body, if set before first use, returns the body of the session row.
 	Body func() []byte
-	// MemberPartition, if set before the session is used, is where a second row says
-	// that the session is there, for as long as it is; see Roster.
+	// MemberPartition, if set before first use, is the partition of a member row that exists as
+	// long as the session; see Roster.
 	MemberPartition string
-	// Member, if set before the session is used, is what the member row tells of the node.
+	// Member, if set before first use, is the content of the member row.
 	Member Member
 
-	// confirmedAt is when the last write of the row that is known to be done was begun.
+	// confirmedAt is the start time of the last write of the row that is known to have succeeded.
 	confirmedAt atomic.Pointer[time.Time]
 
 	mu      sync.Mutex
 	version uint64
-	// memberVersion is the version of the memberVersion row.
+	// memberVersion is the version of the member row.
 	memberVersion uint64
 	created       bool
-	// unresolvedSince is when the first write was begun of those whose outcome is not known.
+	// unresolvedSince is the start time of the first write whose outcome is not yet known.
 	unresolvedSince time.Time
-	// ended is set once the session is to be ended: it is never written again.
+	// ended is set by End; the row is not written afterwards.
 	ended  bool
 	timing Timing
 }
 
-// Timing is how fast lost holders are noticed.
+// Timing determines how fast failed holders are detected.
 type Timing struct {
-	// TimeToLive is how long a session must be seen unchanged before its work
-	// may be taken over.
+	// TimeToLive is how long a session must be observed unchanged before its work may be taken
+	// over.
 	TimeToLive time.Duration
-	// RenewInterval should leave room for two failed renewals within TimeToLive.
+	// RenewInterval should allow for two failed renewals within TimeToLive.
 	RenewInterval time.Duration
 }
 
-// NewSession returns a session with a fresh id for this run of a node.
+// NewSession returns a session with a new ID for this run of a node.
 func NewSession(service table.Service, node string, timing Timing) *Session {
 	return &Session{service: service, id: node + sessionSeparator + table.NewOperation()[:12], timing: timing}
 }
 
-// Node returns the node of a session.
+// Node returns the node ID of a session.
 func Node(session string) string {
 	node, _, _ := strings.Cut(session, sessionSeparator)
 	return node
 }
 
-// sessionKey is the key of a session's row. It begins with a hash of the node, so the
-// rows that follow each other are of nodes from anywhere.
+// sessionKey returns the key of a session's row. The sort key starts with a hash of the node, so
+// that consecutive rows belong to unrelated nodes.
 func sessionKey(id string) table.Key {
 	hash := ringHash(id)
 	return table.Key{Partition: partitionName(partitionOf(hash)), Sort: fmt.Sprintf("%0*x", ringHashDigits, hash) + id}
@@ -105,12 +104,12 @@
 
 func ringHash(id string) uint32 { return uint32(xxhash.Sum64String(Node(id))) }
 
-// partitionOf cuts the ring of hashes into pieces, so that the order of partitions
-// and of keys in them is that of the ring.
+// partitionOf maps a hash to a partition. The order of the partitions, and of the keys within
+// each, is the order of the ring.
 func partitionOf(hash uint32) int { return int(uint64(hash) * partitionCount >> 32) }
 
-// partitionName names a partitionName. The name within the table is unlike those of other
-// tables, for the users' platform counts the writes by it alone.
+// partitionName returns the name of a partition. The part after the slash differs from that of all
+// other tables, because the platform counts writes by it alone.
 func partitionName(index int) string { return fmt.Sprintf("sessions/session-%d", index) }
 
 // listSessions reads all session rows.
@@ -126,28 +125,28 @@
 	return all, nil
 }
 
-// sessionID returns the session whose row has a key.
+// sessionID returns the session ID contained in a sort key.
 func sessionID(sortKey string) string { return sortKey[min(len(sortKey), ringHashDigits):] }
 
-// isSessionID reports whether an id is made like those of NewSession.
+// isSessionID reports whether id has the form of an ID created by NewSession.
 func isSessionID(id string) bool {
 	node, run, found := strings.Cut(id, sessionSeparator)
 	return found && node != "" && run != ""
 }
 
-// SameNode reports whether two sessions belong to runs of the same node. Only
-// one run lives at a time, so the other session is over.
+// SameNode reports whether two sessions are runs of the same node. A node has one run at a time, so
+// one of two different sessions is over.
 func SameNode(a, b string) bool { return Node(a) == Node(b) }
 
-// ID identifies the session; it is never used again after a restart.
+// ID returns the ID of the session. It is never reused after a restart.
 func (s *Session) ID() string { return s.id }
 
-// Ensure creates the row unless it exists. Work is held only afterwards. It waits for an
-// answer no longer than the interval of renewals: a lost one never comes, and the next
+// Ensure creates the session row unless it exists. It must succeed before the session holds work.
+// It waits for a response no longer than RenewInterval, because a response may be lost; the next
 // call tries again.
 func (s *Session) Ensure(ctx context.Context) error {
 	if s.confirmedAt.Load() != nil {
-		// A renewal that hangs holds the lock for up to its time.
+		// Avoids waiting for mu, which a renewal that hangs may hold until its timeout.
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.timing.RenewInterval)
@@ -160,7 +159,7 @@
 	return s.renew(ctx)
 }
 
-// Renew raises the version of the row.
+// Renew writes the next version of the row.
 func (s *Session) Renew(ctx context.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,8 +169,8 @@
 	return s.renew(ctx)
 }
 
-// renew writes the next version. The caller holds mu. Nobody else writes the
-// row, so after an unknown outcome the version is read back.
+// renew writes the next version of the row. After an unknown outcome it reads the version back, which
+// is safe because no other writer puts the row. The caller holds mu.
 func (s *Session) renew(ctx context.Context) error {
 	write := table.Write{Key: sessionKey(s.id), Expect: s.version, Body: s.body()}
 	writes := []table.Write{write}
@@ -199,7 +198,7 @@
 	switch {
 	case readErr == nil:
 		if row.Version != s.version {
-			// One of the writes was done whose answers were lost.
+			// One of the writes with a lost response has succeeded.
 			s.confirm(s.unresolvedSince)
 		}
 		s.version = row.Version
@@ -211,15 +210,15 @@
 	return Error.Wrap(err)
 }
 
-// confirm notes that a write was done that was begun at a time. The caller holds mu.
+// confirm records that a write started at start has succeeded. The caller holds mu.
 func (s *Session) confirm(start time.Time) {
 	s.confirmedAt.Store(&start)
 	s.unresolvedSince = time.Time{}
 }
 
-// Unconfirmed is how long ago the last write of the row that is known to be done was
-// begun. Others may take the session for lost once that is TimeToLive, never before. It
-// is the longest time there is for a session that was never written.
+// Unconfirmed returns the time since the start of the last write of the row that is known to have
+// succeeded. Other nodes may consider the session expired once this reaches TimeToLive, but never
+// earlier. It returns the maximum duration for a session that was never written.
 func (s *Session) Unconfirmed() time.Duration {
 	start := s.confirmedAt.Load()
 	if start == nil {
@@ -228,9 +227,8 @@
 	return clock.Since(*start)
 }
 
-// readMemberVersion reads the version of the member row back, which one commit has written
-// with the session's row. Without it the session cannot be ended, only expire. The
-// caller holds mu.
+// readMemberVersion reads back the version of the member row, which was written in the same commit as
+// the session row. Without it the session can only expire, not be ended. The caller holds mu.
 func (s *Session) readMemberVersion(ctx context.Context) {
 	if s.MemberPartition == "" {
 		return
@@ -247,8 +245,8 @@
 	return s.Body()
 }
 
-// DeletePreviousSessions deletes the rows that earlier runs of this node have left. A run that
-// is gone holds nothing; what it held is taken over at once.
+// DeletePreviousSessions deletes the session rows of earlier runs of this node, so that their work
+// can be taken over immediately.
 func (s *Session) DeletePreviousSessions(ctx context.Context) error {
 	rows, err := listSessions(ctx, s.service)
 	if err != nil {
@@ -267,7 +265,7 @@
 	return nil
 }
 
-// End deletes the row, so that what is still held can be taken over at once, and stops
+// End deletes the session row, so that the remaining work can be taken over immediately, and stops
 // renewals.
 func (s *Session) End(ctx context.Context) error {
 	s.mu.Lock()
@@ -284,9 +282,9 @@
 	return Error.Wrap(err)
 }
 
-// Run renews until the context ends. A try waits for its answer a quarter of the
-// interval at first, for answers can be lost, and longer once two have failed, for
-// the store can be slow.
+// Run renews the session until ctx is done. The first attempts time out after a quarter of the
+// interval, because a response may be lost; after two failures the timeout grows, because the
+// store may be slow.
 func (s *Session) Run(ctx context.Context) {
 	failures := 0
 	delay := s.timing.RenewInterval
--- a/internal/lease/suspend_test.go
+++ b/internal/lease/suspend_test.go
@@ -8,8 +8,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestSession_UnconfirmedIncludesSuspension guards that a node which slept does not take its
-// session for confirmed, for others have ended it meanwhile.
+// Guards against a node that treats its session as confirmed after a suspension, during which other
+// nodes may have ended it.
 func TestSession_UnconfirmedIncludesSuspension(t *testing.T) {
 	machine := clocktest.New(t)
 	session := NewSession(tabletest.New(), "a", testTiming)
@@ -17,18 +17,18 @@
 		t.Fatal(err)
 	}
 	if since := session.Unconfirmed(); since > time.Second {
-		t.Fatalf("unconfirmed for %v after a renewal", since)
+		t.Fatalf("unconfirmed for %v after the session was created", since)
 	}
 	for slept := 300 * time.Millisecond; slept < 5*time.Second; slept += 300 * time.Millisecond {
 		machine.Suspend(300 * time.Millisecond)
 		if since := session.Unconfirmed(); since < slept {
-			t.Fatalf("unconfirmed for %v after sleeps of %v", since, slept)
+			t.Fatalf("unconfirmed for %v after suspensions of %v", since, slept)
 		}
 	}
 	if err := session.Renew(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	if since := session.Unconfirmed(); since > time.Second {
-		t.Fatalf("unconfirmed for %v after the renewal that follows", since)
+		t.Fatalf("unconfirmed for %v after a renewal", since)
 	}
 }
--- a/internal/lease/unreadable_test.go
+++ b/internal/lease/unreadable_test.go
@@ -11,7 +11,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// reportedKeys collects the rows that are reported.
+// reportedKeys collects the keys of rows reported as unreadable.
 type reportedKeys struct {
 	mu   sync.Mutex
 	keys []table.Key
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestRoster_ForeignMemberRowAddsNoNode leaves rows that no node wrote: work given
-// to such a node would lie for good, for no session of it ever expires.
+// Guards against nodes that appear because of member rows that no node wrote: their sessions never
+// expire, so work assigned to them would never be done.
 func TestRoster_ForeignMemberRowAddsNoNode(t *testing.T) {
 	fleet := newFleet(t, 3)
 	reported := &reportedKeys{}
@@ -49,37 +49,37 @@
 		fleet.advance(1)
 	}
 	if nodes := fleet.rosters[0].Nodes(); !slices.Equal(nodes, []string{"n000", "n001", "n002"}) {
-		t.Errorf("the nodes are %v", nodes)
+		t.Errorf("nodes: %v", nodes)
 	}
 	if len(reported.keys) != 4 {
-		t.Errorf("told of %v", reported.keys)
+		t.Errorf("reported rows: %v, want 4", reported.keys)
 	}
 	fleet.rosters[0].Gone("ghost")
 	fleet.advance(4)
 	if !fleet.rosters[0].Gone("ghost") {
-		t.Error("the work of a node that never was cannot be taken over")
+		t.Error("a node that never existed is not gone")
 	}
 }
 
-// TestRoster_CorruptMemberRowKeepsKnownNode damages the row of a node that is known: it is
-// there, as it told before, and its session is ended once the node is gone.
+// A known node whose member row is corrupted stays in the roster, and its session is ended once the
+// node has failed.
 func TestRoster_CorruptMemberRowKeepsKnownNode(t *testing.T) {
 	fleet := newFleet(t, 3)
 	id := fleet.rosters[1].session.ID()
 	put(t, fleet.shared, memberKey(memberGroup, id), fleet.rosters[0].memberVersions[id], []byte{0xff})
 	fleet.deliverChanges()
 	if fleet.rosters[0].Count() != 3 {
-		t.Fatalf("the nodes are %v", fleet.rosters[0].Nodes())
+		t.Fatalf("nodes: %v", fleet.rosters[0].Nodes())
 	}
 	fleet.dead[1] = true
 	fleet.advance(12)
 	if fleet.rosters[0].Count() != 2 || !fleet.rosters[0].Gone("n001") {
-		t.Errorf("the nodes are %v", fleet.rosters[0].Nodes())
+		t.Errorf("nodes: %v", fleet.rosters[0].Nodes())
 	}
 }
 
-// TestWatcher_SkipsRowsThatAreNotSessions puts rows of another writer between those of
-// the neighbours: the neighbours are watched all the same.
+// Rows of other writers between those of the neighbours are skipped, and the neighbours are still
+// watched.
 func TestWatcher_SkipsRowsThatAreNotSessions(t *testing.T) {
 	fleet := newFleet(t, 4)
 	reported := &reportedKeys{}
@@ -96,18 +96,18 @@
 	roster.OnEnded = func(string, error) { ended++ }
 	fleet.advance(2)
 	if seen := roster.watcher.Sessions(); before != 0 || len(seen) != 3 {
-		t.Errorf("sees %v", seen)
+		t.Errorf("watched sessions: %v", seen)
 	}
 	fleet.advance(10)
 	if ended != 0 || roster.Count() != 4 {
-		t.Errorf("%d sessions ended, %v are there", ended, roster.Nodes())
+		t.Errorf("%d sessions ended, nodes: %v", ended, roster.Nodes())
 	}
 	if len(reported.keys) != 10*partitionCount {
-		t.Errorf("told of %d rows, want each once", len(reported.keys))
+		t.Errorf("%d reports, want one per row", len(reported.keys))
 	}
 }
 
-// TestAcquire_UnreadableLeaseIsFreeWithHigherEpoch damages the row of a lease.
+// An unreadable lease row can be taken over with a higher epoch, which fences the previous holder.
 func TestAcquire_UnreadableLeaseIsFreeWithHigherEpoch(t *testing.T) {
 	shared := tabletest.New()
 	clock := &manualClock{now: time.Unix(100, 0)}
@@ -127,14 +127,15 @@
 	put(t, shared, key, row.Version, []byte{0xff, 0xff})
 	taken, err := Acquire(t.Context(), shared, second, watcher, "x")
 	if err != nil || taken.Epoch <= held.Epoch || len(reported.keys) != 1 {
-		t.Fatalf("%+v after %+v, %v, told of %v", taken, held, err, reported.keys)
+		t.Fatalf("grant %+v after %+v, error %v, reported rows: %v", taken, held, err, reported.keys)
 	}
 	if _, err := Acquire(t.Context(), shared, first, watcher, "x"); !errors.Is(err, ErrHeld) {
-		t.Errorf("the holder before: %v", err)
+		t.Errorf("previous holder: %v", err)
 	}
 }
 
-// FuzzDecodeMember takes no node from a row that cannot be read.
+// FuzzDecodeMember checks that no member is decoded from an invalid ID or an empty body, and that
+// every error is an UnreadableError.
 func FuzzDecodeMember(f *testing.F) {
 	f.Add("n#1", encodeMember(Member{Address: "10.0.0.1:1", Zone: "z"}))
 	f.Add("n", []byte{})
@@ -142,10 +143,10 @@
 	f.Fuzz(func(t *testing.T, id string, body []byte) {
 		member, err := decodeMember(id, table.Row{Body: body})
 		if err == nil && (Node(id) == "" || (member != (Member{}) && len(body) == 0)) {
-			t.Fatalf("%q tells %+v", id, member)
+			t.Fatalf("%q decodes to %+v", id, member)
 		}
 		if found := (*table.UnreadableError)(nil); err != nil && !errors.As(err, &found) {
-			t.Fatalf("refused as %v", err)
+			t.Fatalf("error is not an UnreadableError: %v", err)
 		}
 	})
 }
--- a/internal/lease/watcher.go
+++ b/internal/lease/watcher.go
@@ -16,43 +16,42 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// observation is what was seen of a session: its version, since when, and when it
-// was last looked at.
+// observation records the last known state of a session's row.
 type observation struct {
 	body           []byte
 	version        uint64
-	unchangedSince time.Time
+	unchangedSince time.Time // end of the first read that returned version
 	observedAt     time.Time
 }
 
-// Watcher tells which sessions have expired. It is safe for concurrent use.
+// Watcher determines which sessions have expired by watching their rows for renewals. It is
+// safe for concurrent use.
 type Watcher struct {
 	service    table.Service
 	now        func() time.Time
 	timeToLive time.Duration
-	// Self and Neighbours, if set before the watcher is used, narrow Refresh to so
-	// many sessions that follow this one in the order of the rows, as in a ring. Each
-	// session is then watched by so many others, and a look costs the same in a fleet
-	// of any size.
+	// Self and Neighbours, if set before first use, limit Refresh to the Neighbours sessions that
+	// follow Self on the hash ring of session rows. Each session is then watched by the same
+	// number of others, and the cost of Refresh does not depend on the size of the fleet.
 	Self       string
 	Neighbours int
-	// Unreadable, if set before the watcher is used, is told of rows that are no session's.
+	// Unreadable, if set before first use, receives rows that do not belong to a session.
 	Unreadable *table.Unreadable
 
 	mu          sync.Mutex
 	observed    map[string]observation
 	lastRefresh time.Time
-	// readFailed is set by a reading that readFailed: the store may be down, and then
-	// holders cannot renew either.
+	// readFailed is set after a failed read. The store may be down, in which case holders
+	// cannot renew their sessions either.
 	readFailed bool
 }
 
-// NewWatcher returns a watcher that has seen nothing yet. now must be monotonic.
+// NewWatcher returns a watcher with no observations. now must be monotonic.
 func NewWatcher(service table.Service, now func() time.Time, timing Timing) *Watcher {
 	return &Watcher{service: service, now: now, timeToLive: timing.TimeToLive, observed: map[string]observation{}}
 }
 
-// Refresh reads all sessions, or those of the neighbours.
+// Refresh reads all sessions, or only the neighbours if Neighbours is set.
 func (w *Watcher) Refresh(ctx context.Context) error {
 	rows, all, err := w.readWatched(ctx)
 	if err != nil {
@@ -75,7 +74,7 @@
 		case all || w.inWatchedRange(id, rows[len(rows)-1].Sort):
 			w.observe(id, table.Absent, nil, readAt)
 		default:
-			// Others watch it now.
+			// The session has left the watched range; other nodes watch it.
 			delete(w.observed, id)
 		}
 	}
@@ -83,14 +82,13 @@
 	return nil
 }
 
-// RefreshInterval is the time to leave between two calls of Refresh. Each reads all
-// sessions, so it grows with their number and a node's share of the store stays the
-// same.
+// RefreshInterval returns the time to leave between two calls of Refresh. Since Refresh reads all
+// sessions, the interval grows with their number to keep this node's load on the store constant.
 func (w *Watcher) RefreshInterval() time.Duration {
 	return max(minRefreshInterval, time.Duration(len(w.Live()))*refreshIntervalPerSession)
 }
 
-// RefreshSession reads one session.
+// RefreshSession reads a single session.
 func (w *Watcher) RefreshSession(ctx context.Context, id string) error {
 	row, err := w.service.Get(ctx, sessionKey(id))
 	if err != nil && !errors.Is(err, table.ErrNotFound) {
@@ -112,9 +110,8 @@
 	w.readFailed = true
 }
 
-// recover gives every session its whole time anew after a failed reading, so
-// that holders are not taken over for an outage they had to sit out. The caller
-// holds mu.
+// recover restarts the time to live of every session after a failed read, so that no holder
+// loses its work because of a store outage. The caller holds mu.
 func (w *Watcher) recover(readAt time.Time) {
 	if !w.readFailed {
 		return
@@ -128,11 +125,11 @@
 	}
 }
 
-// observe takes in a reading. The caller holds mu.
+// observe records the result of a read. The caller holds mu.
 //
-// An unchanged version counts from the end of the first reading that showed
-// it, so a slow store cannot make a session look older than it is. A row that
-// was there and is gone was ended by its holder: its work is free at once.
+// The time for which a version is unchanged starts at the end of the first read that returned it,
+// so that a slow store cannot make a session look older than it is. A row that existed and is
+// gone was deleted by its holder, so the session expires immediately.
 func (w *Watcher) observe(id string, version uint64, body []byte, readAt time.Time) {
 	known, ok := w.observed[id]
 	switch {
@@ -147,21 +144,21 @@
 	w.observed[id] = known
 }
 
-// SessionState is what the last look showed of a session.
+// SessionState is the state of a session as of the last read.
 type SessionState struct {
 	ID   string
 	Body []byte
-	// Version is that of the row, Still how long it has been seen unchanged.
+	// Version is the version of the row, Unchanged how long it has been observed to stay the same.
 	Version   uint64
 	Unchanged time.Duration
 	Expired   bool
 }
 
-// Node returns the id of the session's node.
+// Node returns the ID of the node that the session belongs to.
 func (s *SessionState) Node() string { return Node(s.ID) }
 
-// Sessions returns the sessions that the last look showed, expired ones too, in
-// the order of their ids.
+// Sessions returns the sessions that existed at the last read, expired ones included, sorted
+// by ID.
 func (w *Watcher) Sessions() []SessionState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -177,15 +174,16 @@
 	return list
 }
 
-// sessionsToEnd returns the sessions that have expired and that this node should end: after
-// turn more for each live session that stands between, for their nodes are nearer.
+// sessionsToEnd returns the expired sessions that this node should delete. A session qualifies once
+// it has been expired for stagger times the number of live sessions that lie between it and
+// this node on the ring, because the nodes of those sessions are closer and try first.
 func (w *Watcher) sessionsToEnd(stagger time.Duration) []SessionState {
 	sessions := w.Sessions()
 	own := sessionKey(w.Self).Sort
 	slices.SortFunc(sessions, func(a, b SessionState) int {
 		keyA, keyB := sessionKey(a.ID).Sort, sessionKey(b.ID).Sort
 		if (keyA > own) != (keyB > own) {
-			// What lies behind the end of the ring comes last.
+			// Sessions past the wrap-around of the ring sort last.
 			return cmp.Compare(keyB, keyA)
 		}
 		return cmp.Compare(keyA, keyB)
@@ -210,22 +208,21 @@
 	return w.now().Sub(w.lastRefresh)
 }
 
-// Expired reports whether a session's work may be taken over, as of the last
-// look at it.
+// Expired reports whether the work of a session may be taken over, as of the last read.
 func (w *Watcher) Expired(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	known, ok := w.observed[id]
 	if !ok {
-		// Not among the rows of the last Refresh; it counts from then on.
+		// Unknown at the last Refresh: its time to live starts at that point.
 		w.observe(id, table.Absent, nil, w.lastRefresh)
 		return false
 	}
 	return known.observedAt.Sub(known.unchangedSince) >= w.timeToLive
 }
 
-// Sweep deletes rows that have been expired for long, so that restarts do not
-// pile rows up.
+// Sweep deletes rows that have been expired for a long time, so that rows left by restarted
+// nodes do not accumulate.
 func (w *Watcher) Sweep(ctx context.Context) {
 	w.mu.Lock()
 	var old []table.Write
@@ -236,13 +233,13 @@
 	}
 	w.mu.Unlock()
 	for _, write := range old {
-		// A conflict means that the session lives after all, or is gone already.
+		// On a conflict the session was renewed or is already deleted.
 		_, _ = w.service.Commit(ctx, table.NewOperation(), write)
 	}
 }
 
-// Preferred is the live session that should do a piece of work that any could
-// do (rendezvous hashing), so that work is spread and nodes seldom race.
+// Preferred returns the live session that should do a piece of work that any session could do. It
+// uses rendezvous hashing, which spreads the work and makes races between nodes rare.
 func Preferred(live []string, work string) string {
 	preferred := ""
 	var maxWeight uint64
@@ -260,8 +257,8 @@
 // Preferred returns the live session that should do a piece of work.
 func (w *Watcher) Preferred(work string) string { return Preferred(w.Live(), work) }
 
-// Share returns those of many pieces of work that a session should do, if each
-// is done by one live session (rendezvous hashing). It hashes every name once.
+// Share returns the subset of works that rendezvous hashing over the live sessions assigns to
+// self. Unlike Preferred, it hashes every session and every name only once.
 func (w *Watcher) Share(self string, works []string) map[string]bool {
 	live := w.Live()
 	keys := make([]uint64, len(live))
@@ -277,7 +274,8 @@
 	return share
 }
 
-// indexOfMaxWeight returns the index of the key that weighs most for a work, or -1.
+// indexOfMaxWeight returns the index of the key with the highest weight for a piece of work, or
+// -1 if there are no keys.
 func indexOfMaxWeight(keys []uint64, work uint64) int {
 	best := -1
 	var bestWeight uint64
@@ -292,7 +290,7 @@
 	return best
 }
 
-// Live returns the sessions that were there at the last Refresh and are not expired.
+// Live returns the sessions that existed at the last Refresh and have not expired.
 func (w *Watcher) Live() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -305,10 +303,11 @@
 	return live
 }
 
-// Nodes returns the nodes of the live sessions, each once.
+// Nodes returns the distinct nodes of the live sessions, sorted.
 func (w *Watcher) Nodes() []string { return nodesOf(w.Live()) }
 
-// Places returns the nodes of the live sessions, of which it is not known where they are.
+// Places returns the nodes of the live sessions without their locations, which session rows do
+// not contain.
 func (w *Watcher) Places() []place.Node {
 	var nodes []place.Node
 	for _, node := range w.Nodes() {
@@ -317,10 +316,10 @@
 	return nodes
 }
 
-// Region returns the empty region: sessions do not tell where nodes stand.
+// Region returns "": session rows do not contain the locations of nodes.
 func (w *Watcher) Region(string) string { return "" }
 
-// nodesOf returns the nodes of sessions, each once.
+// nodesOf returns the distinct nodes of sessions, sorted.
 func nodesOf(sessions []string) []string {
 	nodes := make([]string, 0, len(sessions))
 	for _, session := range sessions {
@@ -330,8 +329,8 @@
 	return slices.Compact(nodes)
 }
 
-// Gone reports whether a node has no session that may be alive, as of the last
-// look. One that was never seen counts from then on.
+// Gone reports whether no session of a node can be alive, as of the last read. For a node that was
+// never observed the time to live starts with the last Refresh.
 func (w *Watcher) Gone(node string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
