--- a/internal/batch/unreadable_test.go
+++ b/internal/batch/unreadable_test.go
@@ -12,7 +12,7 @@
 func TestService_ABatchThatCannotBeReadLeavesTheOthers(t *testing.T) {
 	shared := tabletest.New()
 	told := 0
-	service := &Service{Table: shared, Unreadable: &table.Unreadable{Tell: func(*table.UnreadableError) { told++ }}}
+	service := &Service{Table: shared, Unreadable: &table.Unreadable{OnUnreadable: func(*table.UnreadableError) { told++ }}}
 	for _, id := range []string{"a", "b", "c"} {
 		body, err := encode(&Job{ID: id, Tenant: "t"})
 		if err != nil {
--- a/internal/idempotency/unreadable_test.go
+++ b/internal/idempotency/unreadable_test.go
@@ -15,7 +15,7 @@
 	shared := tabletest.New()
 	store := NewStore(shared)
 	told := 0
-	store.Unreadable = &table.Unreadable{Tell: func(*table.UnreadableError) { told++ }}
+	store.Unreadable = &table.Unreadable{OnUnreadable: func(*table.UnreadableError) { told++ }}
 	claim, err := store.Begin(t.Context(), "tenant", "key", []byte("body"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/jobs/accept_test.go
+++ b/internal/jobs/accept_test.go
@@ -128,7 +128,7 @@
 		}
 		refused := submitAtOnce(t, shared, quota, jobsPerNode)
 		shared.CommitFault = nil
-		shared.Land()
+		shared.ApplyLate()
 		checkAccepted(rt, shared, quota, refused)
 	})
 }
--- a/internal/jobs/commit.go
+++ b/internal/jobs/commit.go
@@ -273,7 +273,7 @@
 		}
 		var index int
 		if _, err := fmt.Sscanf(number, "%d", &index); err != nil {
-			s.View.Unreadable.Report(row.Refuse(table.Content, err))
+			s.View.Unreadable.Report(row.AsUnreadable(table.Content, err))
 			continue
 		}
 		var text storedResult
--- a/internal/jobs/commit_test.go
+++ b/internal/jobs/commit_test.go
@@ -38,7 +38,7 @@
 		listAtOnce(rt, nodes, items, endAfter)
 		shared.CommitFault = nil
 		before := listedAt(rt, nodes[0])
-		shared.Land()
+		shared.ApplyLate()
 		after := listedAt(rt, nodes[1])
 		checkListed(rt, before, after, items)
 	})
--- a/internal/jobs/content.go
+++ b/internal/jobs/content.go
@@ -91,7 +91,7 @@
 	}
 	same := func(item Item, head ItemHead) bool { return item.ID == head.ID }
 	if !slices.EqualFunc(items, job.Items, same) {
-		return nil, content.Refuse(table.Content, errOtherItems)
+		return nil, content.AsUnreadable(table.Content, errOtherItems)
 	}
 	return items, nil
 }
@@ -128,11 +128,11 @@
 	content := &table.Row{Key: chunkKey(job.ID, 0)}
 	for number := range job.Chunks {
 		if number >= len(rows) || rows[number].Key != chunkKey(job.ID, number) {
-			return nil, content.Refuse(table.Content, errChunkGone)
+			return nil, content.AsUnreadable(table.Content, errChunkGone)
 		}
 		row := rows[number]
 		if row.Unreadable != nil {
-			return nil, row.Refuse(table.Envelope, row.Unreadable)
+			return nil, row.AsUnreadable(table.Envelope, row.Unreadable)
 		}
 		content.Key, content.Version = row.Key, row.Version
 		content.Body = append(content.Body, row.Body...)
@@ -165,7 +165,7 @@
 	row := &table.Row{Key: table.Key{Partition: objectPartition, Sort: name}}
 	body, err := s.getObject(ctx, name)
 	if notFound(err) {
-		return nil, row.Refuse(table.Content, err)
+		return nil, row.AsUnreadable(table.Content, err)
 	}
 	row.Body = body
 	return row, err
--- a/internal/jobs/quota_test.go
+++ b/internal/jobs/quota_test.go
@@ -147,7 +147,7 @@
 		}
 		done.Wait()
 		shared.CommitFault = nil
-		shared.Land()
+		shared.ApplyLate()
 		checkAccepted(rt, shared, slices.Max(quotas), refused)
 	})
 }
--- a/internal/jobs/standing.go
+++ b/internal/jobs/standing.go
@@ -27,7 +27,7 @@
 		if !ok || row.Version == write.Expect {
 			continue
 		}
-		unreadable.Report(row.Refuse(table.Content, errStands))
+		unreadable.Report(row.AsUnreadable(table.Content, errStands))
 		if row.Decode(&storedResult{}) != nil {
 			s[row.Key] = row.Version
 		}
--- a/internal/jobs/unreadable_test.go
+++ b/internal/jobs/unreadable_test.go
@@ -30,7 +30,7 @@
 // tellTo has a view report to r.
 func (r *toldRows) tellTo(view *View) {
 	r.told = map[table.Key]int{}
-	view.Unreadable = &table.Unreadable{Tell: func(found *table.UnreadableError) {
+	view.Unreadable = &table.Unreadable{OnUnreadable: func(found *table.UnreadableError) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.told[found.Key]++
--- a/internal/jobs/view.go
+++ b/internal/jobs/view.go
@@ -119,7 +119,7 @@
 // inPart reports whether a row lies where its job's rows are. Another one is not the job's.
 func (v *View) inPart(row table.Row, own table.Key) bool {
 	if row.Key != own {
-		v.Unreadable.Report(row.Refuse(table.Content, errOtherPart))
+		v.Unreadable.Report(row.AsUnreadable(table.Content, errOtherPart))
 		return false
 	}
 	return true
@@ -163,7 +163,7 @@
 		return false
 	}
 	if err := check(); err != nil {
-		v.Unreadable.Report(row.Refuse(table.Content, err))
+		v.Unreadable.Report(row.AsUnreadable(table.Content, err))
 		return false
 	}
 	return true
--- a/internal/lease/neighbours.go
+++ b/internal/lease/neighbours.go
@@ -60,7 +60,7 @@
 	for _, row := range rows {
 		id := sessionID(row.Sort)
 		if !isSessionID(id) || sessionKey(id) != row.Key {
-			w.Unreadable.Report(row.Refuse(table.Content, errNotSessionKey))
+			w.Unreadable.Report(row.AsUnreadable(table.Content, errNotSessionKey))
 			continue
 		}
 		sessions = append(sessions, row)
--- a/internal/lease/roster.go
+++ b/internal/lease/roster.go
@@ -75,7 +75,7 @@
 // decodeMember decodes the member row of a session. An empty body is the zero Member.
 func decodeMember(id string, row table.Row) (member Member, err error) {
 	if !isSessionID(id) {
-		return Member{}, row.Refuse(table.Content, errNotSessionKey)
+		return Member{}, row.AsUnreadable(table.Content, errNotSessionKey)
 	}
 	if row.Unreadable == nil && len(row.Body) == 0 {
 		return Member{}, nil
--- a/internal/lease/unreadable_test.go
+++ b/internal/lease/unreadable_test.go
@@ -18,7 +18,7 @@
 }
 
 func (r *reportedKeys) reporter() *table.Unreadable {
-	return &table.Unreadable{Tell: func(found *table.UnreadableError) {
+	return &table.Unreadable{OnUnreadable: func(found *table.UnreadableError) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.keys = append(r.keys, found.Key)
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -111,7 +111,7 @@
 	c.sampled = log.Sample(&zerolog.BurstSampler{
 		Burst: sampleBurst, Period: time.Second, NextSampler: &zerolog.BasicSampler{N: sampleEvery},
 	})
-	c.unreadable.Tell = c.logUnreadable
+	c.unreadable.OnUnreadable = c.logUnreadable
 	c.replicas.Ejected = c.logEjected
 	c.replicas.Zone = outside.zone
 	c.replicas.EjectedByMany = c.logEjectedByMany
@@ -174,9 +174,9 @@
 func (c *core) jobPace() table.Pace {
 	spacing := max(jobSpacing, time.Duration(len(c.owners.Live()))*jobSpacingPerSession)
 	if c.jobs.Tell == nil || c.jobs.Waiting() > 0 {
-		return table.Pace{Announced: spacing, Usual: spacing}
+		return table.Pace{AfterAnnouncement: spacing, Default: spacing}
 	}
-	return table.Pace{Announced: spacing, Usual: max(jobSpacingUsual, spacing)}
+	return table.Pace{AfterAnnouncement: spacing, Default: max(jobSpacingUsual, spacing)}
 }
 
 // ownSession returns this node's session, which exists in the store.
@@ -187,15 +187,15 @@
 // watch returns a watcher of a feed that logs when its source is lost and regained.
 func (c *core) watch(name string, feed table.Feed, apply func(table.Changes, bool)) *table.Watcher {
 	watcher := table.NewWatcher(feed, apply)
-	watcher.Lost = func(err error) {
+	watcher.OnLost = func(err error) {
 		c.log.Warn().Str("dependency", name).Err(err).Msg("dependency lost")
 	}
-	watcher.Regained = func(outage time.Duration) {
+	watcher.OnRegained = func(outage time.Duration) {
 		c.log.Info().Str("dependency", name).Dur("outage_ms", outage).Msg("dependency regained")
 	}
-	watcher.Reread = func(read table.WholeRead) {
+	watcher.OnReread = func(read table.WholeRead) {
 		c.log.Info().Str("dependency", name).Int("pages", read.Pages).Int("failures", read.Failures).
-			Dur("took_ms", read.Took).Msg("read whole again, what was known stood still meanwhile")
+			Dur("took_ms", read.Elapsed).Msg("read whole again, what was known stood still meanwhile")
 	}
 	return watcher
 }
@@ -205,8 +205,8 @@
 func (c *core) watchReplicas(feed table.Feed, apply func(table.Changes, bool)) *table.Watcher {
 	list := &datedList{Feed: feed, replicas: c.replicas}
 	watcher := c.watch("replica list", list, list.applied(apply))
-	regained := watcher.Regained
-	watcher.Regained = func(outage time.Duration) {
+	regained := watcher.OnRegained
+	watcher.OnRegained = func(outage time.Duration) {
 		c.replicas.Outage(outage, clock.Now())
 		regained(outage)
 	}
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -30,7 +30,7 @@
 	list := c.watchReplicas(tabletest.New().Feed("servers"), func(table.Changes, bool) {})
 	leave := func(regained *table.Watcher) int {
 		c.replicas.Put(replica.Info{ID: "r", Pool: "p", Slots: 1})
-		regained.Regained(6 * time.Second)
+		regained.OnRegained(6 * time.Second)
 		c.replicas.Remove("r", time.Now())
 		return len(c.replicas.Snapshot("p", 0, time.Now()))
 	}
--- a/internal/node/gatewaybootstrap.go
+++ b/internal/node/gatewaybootstrap.go
@@ -86,7 +86,7 @@
 // informed reports whether this node knows enough to serve, from the store or from
 // another node.
 func (g *Gateway) informed() bool {
-	return g.configWatch.Informed() && g.replicaWatch.Informed() && g.jobWatch.Informed()
+	return g.configWatch.Populated() && g.replicaWatch.Populated() && g.jobWatch.Populated()
 }
 
 // listenHeld opens the port where this node passes on what it knows: that of the
@@ -125,7 +125,7 @@
 		return
 	}
 	told := heldTold{
-		Config: tellFeed(g.configWatch.Held()), Replicas: tellFeed(g.replicaWatch.Held()),
+		Config: tellFeed(g.configWatch.Snapshot()), Replicas: tellFeed(g.replicaWatch.Snapshot()),
 		Members: tellFeed(table.Changes{Changes: g.roster.MemberRows()}, g.jobWatch.Age()),
 	}
 	body, err := cbor.Marshal(told)
@@ -160,7 +160,7 @@
 
 // storeSilence is the time since the store last answered a look of this node.
 func (g *Gateway) storeSilence() time.Duration {
-	return min(g.configWatch.Silence(), g.replicaWatch.Silence(), g.jobWatch.Silence())
+	return min(g.configWatch.SinceLastResponse(), g.replicaWatch.SinceLastResponse(), g.jobWatch.SinceLastResponse())
 }
 
 // fetchHeld asks a node for what it knows.
--- a/internal/node/gatewayviews.go
+++ b/internal/node/gatewayviews.go
@@ -39,7 +39,7 @@
 		}
 		config, err := platform.DecodeConfig(change.Body)
 		if err != nil {
-			g.countUnreadable(change.Refuse(table.Content, err))
+			g.countUnreadable(change.AsUnreadable(table.Content, err))
 			g.log.Error().Err(err).Uint64("row_version", change.Version).Msg("configuration refused, the last good one stays in force")
 			continue
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -172,7 +172,7 @@
 }
 
 func (n *Node) pollInterval() time.Duration {
-	return max(table.DefaultPoll, time.Duration(len(n.owners.Live()))*pollPerSession)
+	return max(table.DefaultPollInterval, time.Duration(len(n.owners.Live()))*pollPerSession)
 }
 
 func (n *Node) buildConfiguration() {
--- a/internal/node/suspend_test.go
+++ b/internal/node/suspend_test.go
@@ -17,7 +17,7 @@
 func TestCore_AViewFromBeforeASuspensionIsTooOldToSendBy(t *testing.T) {
 	machine := clocktest.New(t)
 	c := testCore()
-	c.jobWatch.Pace = func() table.Pace { return table.Pace{Announced: time.Millisecond, Usual: time.Minute} }
+	c.jobWatch.Pace = func() table.Pace { return table.Pace{AfterAnnouncement: time.Millisecond, Default: time.Minute} }
 	tabletest.Follow(t, c.jobWatch)
 	fresh := func() bool { return c.viewAge() < time.Second }
 	wait := func(what string, holds func() bool) {
--- a/internal/node/unreadable.go
+++ b/internal/node/unreadable.go
@@ -35,7 +35,7 @@
 // goes on, and nothing more is sent to it. Its slots are not divided, for no node may use
 // them. It takes requests again when an entry comes that can be read.
 func (c *core) retireReplica(row table.Row, err error) {
-	c.unreadable.Report(row.Refuse(table.Content, err))
+	c.unreadable.Report(row.AsUnreadable(table.Content, err))
 	known, ok := c.replicas.Get(row.Sort)
 	if !ok {
 		return
@@ -51,7 +51,7 @@
 	if routes == nil || routes.Declares(info.Pool) {
 		return
 	}
-	g.unreadable.Report(row.Refuse(table.Unknown, errNoPool))
+	g.unreadable.Report(row.AsUnreadable(table.Unknown, errNoPool))
 }
 
 // reportPools reports the listed replicas whose pools a new configuration does not declare.
@@ -59,7 +59,7 @@
 	if g.replicaWatch == nil {
 		return
 	}
-	listed, _ := g.replicaWatch.Held()
+	listed, _ := g.replicaWatch.Snapshot()
 	for _, change := range listed.Changes {
 		if info, err := platform.DecodeReplica(change.Sort, change.Body); err == nil {
 			g.reportPool(change.Row, info)
--- a/internal/node/unreadable_test.go
+++ b/internal/node/unreadable_test.go
@@ -114,7 +114,7 @@
 		gateway.applyConfig(table.Changes{Changes: []table.Change{{Row: table.Row{Key: table.Key{Partition: "op", Sort: "config"}, Version: version, Body: body}}}}, false)
 	}
 	gateway.replicaWatch = table.NewWatcher(nil, gateway.applyReplicas)
-	gateway.replicaWatch.Keep = true
+	gateway.replicaWatch.KeepRows = true
 	early := table.Changes{Changes: []table.Change{serverRow("early", 1, serverBody("other"))}}
 	gateway.replicaWatch.Seed(early, 0, gateway.applyReplicas)
 	if lines(log) != 0 {
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -134,7 +134,7 @@
 		}
 		n.rows.Apply(changes, whole)
 	})
-	n.watcher.Pace = func() table.Pace { return table.Pace{Announced: fleetLook, Usual: fleetLook} }
+	n.watcher.Pace = func() table.Pace { return table.Pace{AfterAnnouncement: fleetLook, Default: fleetLook} }
 	go n.watcher.Run(ctx)
 	go n.publisher.Run(ctx)
 	return n
--- a/internal/resource/change.go
+++ b/internal/resource/change.go
@@ -78,10 +78,10 @@
 		return Change{}, err
 	}
 	if resourceKey(change.Kind, change.Name) != row.Key {
-		return Change{}, row.Refuse(table.Content, errOtherResource)
+		return Change{}, row.AsUnreadable(table.Content, errOtherResource)
 	}
 	if !change.Deleted && len(change.Spec) > 0 && !json.Valid(change.Spec) {
-		return Change{}, row.Refuse(table.Content, errNoJSON)
+		return Change{}, row.AsUnreadable(table.Content, errNoJSON)
 	}
 	change.Revision = row.Version
 	return change, nil
--- a/internal/resource/unreadable_test.go
+++ b/internal/resource/unreadable_test.go
@@ -41,7 +41,7 @@
 	} {
 		store := NewStore(nil)
 		told := 0
-		store.Unreadable = &table.Unreadable{Tell: func(*table.UnreadableError) { told++ }}
+		store.Unreadable = &table.Unreadable{OnUnreadable: func(*table.UnreadableError) { told++ }}
 		read := func(revision uint64, body []byte) {
 			store.Apply(table.Changes{Revision: revision, Changes: []table.Change{siteRow(revision, body)}}, false)
 		}
--- a/internal/table/asof.go
+++ b/internal/table/asof.go
@@ -6,49 +6,49 @@
 	"github.com/wheelhoist/wheelhoist/internal/clock"
 )
 
-// delayWindow is how long the shortest way of an answer is remembered for, at least. Two
+// minDelayWindow is how long the shortest way of an answer is remembered for, at least. Two
 // steady clocks that differ by 50 ppm drift apart by 3 ms in it.
-const delayWindow = time.Minute
+const minDelayWindow = time.Minute
 
-// sourceClock tells how old answers are when they come. A service stamps its answers with its
+// ageEstimator tells how old answers are when they come. A service stamps its answers with its
 // own steady clock; how far that runs from this node's is not known, but the answer with the
 // shortest way bounds it from one side. Of an answer that was long on its way, on a slow
 // connection or before a busy service, the rest of that is seen. The zero value has heard of none.
-type sourceClock struct {
-	// least is the smallest difference of the two clocks in this window and the one before.
-	least, before time.Duration
-	// since is when this window began; zero before the first answer.
-	since time.Time
+type ageEstimator struct {
+	// minOffset is the smallest difference of the two clocks in this window and the one previousMinOffset.
+	minOffset, previousMinOffset time.Duration
+	// windowStart is when this window began; zero before the first answer.
+	windowStart time.Time
 }
 
 // asOf returns when an answer was given that was asked for and received at times of this node
 // and stamped by the service. It is never before it was asked for, and never later than it was
 // given but for the shortest way that any answer took.
-func (c *sourceClock) asOf(asked, received time.Time, stamp time.Duration) time.Time {
-	difference := received.Sub(clockOrigin) - stamp
-	c.note(received, difference)
-	given := received.Add(min(c.least, c.before) - difference)
-	if given.Before(asked) {
-		return asked
+func (e *ageEstimator) asOf(sent, received time.Time, stamp time.Duration) time.Time {
+	offset := received.Sub(clockOrigin) - stamp
+	e.record(received, offset)
+	answeredAt := received.Add(min(e.minOffset, e.previousMinOffset) - offset)
+	if answeredAt.Before(sent) {
+		return sent
 	}
-	return given
+	return answeredAt
 }
 
-func (c *sourceClock) note(received time.Time, difference time.Duration) {
+func (e *ageEstimator) record(received time.Time, offset time.Duration) {
 	switch {
-	case c.since.IsZero():
-		c.least, c.before, c.since = difference, difference, received
-	case received.Sub(c.since) > delayWindow:
-		c.before, c.least, c.since = c.least, difference, received
+	case e.windowStart.IsZero():
+		e.minOffset, e.previousMinOffset, e.windowStart = offset, offset, received
+	case received.Sub(e.windowStart) > minDelayWindow:
+		e.previousMinOffset, e.minOffset, e.windowStart = e.minOffset, offset, received
 	default:
-		c.least = min(c.least, difference)
+		e.minOffset = min(e.minOffset, offset)
 	}
 }
 
-// answeredAt notes the age of an answer, unless its feed has told it.
-func (w *Watcher) answeredAt(asked time.Time, changes Changes) Changes {
+// withAsOf notes the age of an answer, unless its feed has told it.
+func (w *Watcher) withAsOf(sent time.Time, changes Changes) Changes {
 	if changes.AsOf.IsZero() {
-		changes.AsOf = w.source.asOf(asked, clock.Now(), changes.Now)
+		changes.AsOf = w.ages.asOf(sent, clock.Now(), changes.Now)
 	}
 	return changes
 }
--- a/internal/table/dynamo.go
+++ b/internal/table/dynamo.go
@@ -62,7 +62,7 @@
 
 // Get implements Service.
 func (d *Dynamo) Get(ctx context.Context, key Key) (Row, error) {
-	answer, err := d.client.GetItem(ctx, &dynamodb.GetItemInput{
+	output, err := d.client.GetItem(ctx, &dynamodb.GetItemInput{
 		TableName:      aws.String(d.table),
 		Key:            keyAttributes(key),
 		ConsistentRead: aws.Bool(true),
@@ -70,10 +70,10 @@
 	if err != nil {
 		return Row{}, classify(err)
 	}
-	if len(answer.Item) == 0 {
+	if len(output.Item) == 0 {
 		return Row{}, Error.Wrap(ErrNotFound)
 	}
-	return decodeRow(answer.Item), nil
+	return decodeRow(output.Item), nil
 }
 
 // List implements Service. The service cuts an answer at 1 MB, so it may take
@@ -81,7 +81,7 @@
 func (d *Dynamo) List(ctx context.Context, partition, after string, limit int) ([]Row, error) {
 	var rows []Row
 	for {
-		answer, err := d.client.Query(ctx, &dynamodb.QueryInput{
+		output, err := d.client.Query(ctx, &dynamodb.QueryInput{
 			TableName:              aws.String(d.table),
 			KeyConditionExpression: aws.String("pk = :partition AND sk > :after"),
 			ExpressionAttributeValues: map[string]types.AttributeValue{
@@ -94,10 +94,10 @@
 		if err != nil {
 			return nil, classify(err)
 		}
-		for _, item := range answer.Items {
+		for _, item := range output.Items {
 			rows = append(rows, decodeRow(item))
 		}
-		if len(answer.LastEvaluatedKey) == 0 || len(answer.Items) == 0 || len(rows) >= limit {
+		if len(output.LastEvaluatedKey) == 0 || len(output.Items) == 0 || len(rows) >= limit {
 			return rows, nil
 		}
 		after = rows[len(rows)-1].Sort
@@ -180,13 +180,13 @@
 // service makes sure of, is there all the same and cannot be read.
 func decodeRow(item map[string]types.AttributeValue) Row {
 	var row Row
-	var found rowDecoder
-	row.Partition = found.text(item, attributePartition)
-	row.Sort = found.text(item, attributeSort)
-	row.Operation = found.text(item, attributeOperation)
-	row.Version = found.number(item, attributeVersion)
-	if found.err != nil {
-		row.Unreadable = found.err
+	var decoder attributeDecoder
+	row.Partition = decoder.text(item, attributePartition)
+	row.Sort = decoder.text(item, attributeSort)
+	row.Operation = decoder.text(item, attributeOperation)
+	row.Version = decoder.number(item, attributeVersion)
+	if decoder.err != nil {
+		row.Unreadable = decoder.err
 		return row
 	}
 	if body, ok := item[attributeBody].(*types.AttributeValueMemberB); ok {
@@ -195,27 +195,27 @@
 	return row
 }
 
-// rowDecoder collects the first decoding error of a row.
-type rowDecoder struct{ err error }
+// attributeDecoder collects the first decoding error of a row.
+type attributeDecoder struct{ err error }
 
-func (e *rowDecoder) text(item map[string]types.AttributeValue, name string) string {
+func (d *attributeDecoder) text(item map[string]types.AttributeValue, name string) string {
 	value, ok := item[name].(*types.AttributeValueMemberS)
 	if !ok {
-		e.err = Error.New("row lacks string attribute %q", name)
+		d.err = Error.New("row lacks string attribute %q", name)
 		return ""
 	}
 	return value.Value
 }
 
-func (e *rowDecoder) number(item map[string]types.AttributeValue, name string) uint64 {
+func (d *attributeDecoder) number(item map[string]types.AttributeValue, name string) uint64 {
 	value, ok := item[name].(*types.AttributeValueMemberN)
 	if !ok {
-		e.err = Error.New("row lacks number attribute %q", name)
+		d.err = Error.New("row lacks number attribute %q", name)
 		return 0
 	}
 	parsed, err := strconv.ParseUint(value.Value, 10, 64)
 	if err != nil {
-		e.err = Error.Wrap(err)
+		d.err = Error.Wrap(err)
 	}
 	return parsed
 }
@@ -236,16 +236,16 @@
 		return Error.Wrap(outcome.Failed(fmt.Errorf("%w: %w", ErrConflict, err)))
 	case errors.As(err, &throughput), errors.As(err, &limit), errors.As(err, &throttling):
 		return Error.Wrap(outcome.Failed(fmt.Errorf("%w: %w", ErrThrottled, err)))
-	case refusedConnection(err):
+	case isDialError(err):
 		return Error.Wrap(outcome.Failed(fmt.Errorf("%w: %w", ErrUnavailable, err)))
 	default:
 		return Error.Wrap(outcome.Undecided(fmt.Errorf("%w: %w", ErrUnavailable, err)))
 	}
 }
 
-// refusedConnection reports whether no connection was made, so that no byte of
+// isDialError reports whether no connection was made, so that no byte of
 // the request can have reached the service.
-func refusedConnection(err error) bool {
+func isDialError(err error) bool {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return true
--- a/internal/table/log.go
+++ b/internal/table/log.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// logKept is the number of changes that a log holds; who is further behind
+	// logRetention is the number of changes that a log holds; who is further behind
 	// reads the whole group.
-	logKept = 1024
-	// logTries bounds how often a commit is tried anew because another commit
+	logRetention = 1024
+	// logAttempts bounds how often a commit is tried anew because another commit
 	// to the same group came first.
-	logTries = 40
-	// logPause is the longest pause before such a try.
-	logPause  = 10 * time.Millisecond
-	logPrefix = "log/"
+	logAttempts = 40
+	// logMaxDelay is the longest pause before such a try.
+	logMaxDelay = 10 * time.Millisecond
+	logPrefix   = "log/"
 	// headsPartition holds the head rows of all groups, so that one call reads them.
 	headsPartition = "log-heads"
 )
@@ -92,13 +92,13 @@
 		return versions, err
 	}
 	var err error
-	for try := range logTries {
+	for attempt := range logAttempts {
 		var head uint64
-		if head, err = l.head(ctx, group, try > 0); err != nil {
+		if head, err = l.head(ctx, group, attempt > 0); err != nil {
 			return nil, outcome.Failed(err)
 		}
 		var versions []uint64
-		versions, err = l.commitAt(ctx, group, head, fmt.Sprintf("%s.%d", operation, try), writes)
+		versions, err = l.commitAtHead(ctx, group, head, fmt.Sprintf("%s.%d", operation, attempt), writes)
 		if err == nil || !errors.Is(err, ErrConflict) {
 			return versions, err
 		}
@@ -106,7 +106,7 @@
 		if !errors.Is(explained, errHeadMoved) {
 			return nil, explained
 		}
-		if !retry.Sleep(ctx, jittered(logPause)) {
+		if !retry.Sleep(ctx, jittered(logMaxDelay)) {
 			return nil, outcome.Failed(ErrUnavailable)
 		}
 	}
@@ -117,21 +117,21 @@
 var errHeadMoved = errors.New("log head has moved")
 
 // head returns the revision of a group, from memory unless fresh.
-func (l *Logged) head(ctx context.Context, group string, fresh bool) (uint64, error) {
+func (l *Logged) head(ctx context.Context, group string, refresh bool) (uint64, error) {
 	l.mu.Lock()
-	known, ok := l.heads[group]
+	cached, ok := l.heads[group]
 	l.mu.Unlock()
-	if ok && !fresh {
-		return known, nil
+	if ok && !refresh {
+		return cached, nil
 	}
 	revision, err := readHead(ctx, l.Service, group)
 	if err == nil {
-		l.learn(group, revision)
+		l.recordHead(group, revision)
 	}
 	return revision, err
 }
 
-func (l *Logged) learn(group string, revision uint64) {
+func (l *Logged) recordHead(group string, revision uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.heads == nil {
@@ -148,8 +148,8 @@
 	return row.Version, err
 }
 
-// commitAt commits under the condition that the group's head has not moved.
-func (l *Logged) commitAt(ctx context.Context, group string, head uint64, operation string, writes []Write) ([]uint64, error) {
+// commitAtHead commits under the condition that the group's head has not moved.
+func (l *Logged) commitAtHead(ctx context.Context, group string, head uint64, operation string, writes []Write) ([]uint64, error) {
 	revision := head + 1
 	all := make([]Write, 0, len(writes)+3)
 	versions := make([]uint64, len(writes))
@@ -173,14 +173,14 @@
 	all = append(all,
 		Write{Key: headKey(group), Expect: head, Next: revision},
 		Write{Key: logKey(group, revision), Expect: Absent, Next: revision, Body: body})
-	if revision > logKept {
-		old := revision - logKept
-		all = append(all, Write{Key: logKey(group, old), Kind: Delete, Expect: old})
+	if revision > logRetention {
+		expired := revision - logRetention
+		all = append(all, Write{Key: logKey(group, expired), Kind: Delete, Expect: expired})
 	}
 	if _, err := l.Service.Commit(ctx, operation, all...); err != nil {
 		return nil, err
 	}
-	l.learn(group, revision)
+	l.recordHead(group, revision)
 	return versions, nil
 }
 
@@ -188,7 +188,7 @@
 // into errHeadMoved if all of them hold.
 func (l *Logged) explain(ctx context.Context, writes []Write, head uint64, conflict error) error {
 	explained := &ConflictError{Revision: head}
-	broken := false
+	conditionFailed := false
 	for _, write := range writes {
 		row, err := l.Service.Get(ctx, write.Key)
 		switch {
@@ -198,9 +198,9 @@
 		default:
 			explained.Rows = append(explained.Rows, row)
 		}
-		broken = broken || row.Version != write.Expect
+		conditionFailed = conditionFailed || row.Version != write.Expect
 	}
-	if !broken {
+	if !conditionFailed {
 		return outcome.Failed(errHeadMoved)
 	}
 	return outcome.Failed(explained)
--- a/internal/table/log_test.go
+++ b/internal/table/log_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestLogged_FollowersSeeEveryChange(t *testing.T) {
+func TestLogged_FollowersReceiveEveryChange(t *testing.T) {
 	plain := newPlain()
 	rows := followRows(t, plain)
 	logged := &table.Logged{Service: plain, Groups: []string{testGroup}}
@@ -129,7 +129,7 @@
 	eventually(t, "the row made again", func() bool { return rows()["y"] == "3" })
 }
 
-func TestLogged_ConflictCarriesTheRows(t *testing.T) {
+func TestLogged_ConflictContainsRows(t *testing.T) {
 	plain := newPlain()
 	logged := &table.Logged{Service: plain, Groups: []string{testGroup}}
 	if _, err := logged.Commit(t.Context(), "a", put("x", table.Absent, "1")); err != nil {
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestLogged_RacingWritersAllCommitAndNoRevisionIsLost(t *testing.T) {
+func TestLogged_ConcurrentWritersAllCommit(t *testing.T) {
 	plain := newPlain()
 	rows := followRows(t, plain)
 	const writers, each = 6, 10
@@ -166,7 +166,7 @@
 	eventually(t, "all rows", func() bool { return len(rows()) == writers*each })
 }
 
-func TestPolledFeed_BehindTheKeptLogReadsTheWhole(t *testing.T) {
+func TestPolledFeed_CompactedLogRequiresWholeRead(t *testing.T) {
 	plain := newPlain()
 	logged := &table.Logged{Service: plain, Groups: []string{testGroup}}
 	version := uint64(table.Absent)
--- a/internal/table/pace_test.go
+++ b/internal/table/pace_test.go
@@ -21,16 +21,16 @@
 	return table.Changes{Revision: uint64(f.calls.Add(1)) + 1}, nil
 }
 
-func TestWatcher_RestsUntilNewsIsAnnounced(t *testing.T) {
-	const announced, usual = 100 * time.Millisecond, time.Second
+func TestWatcher_PaceShortensAfterAnnounce(t *testing.T) {
+	const announced, defaultPace = 100 * time.Millisecond, time.Second
 	synctest.Test(t, func(t *testing.T) {
 		feed := &busyFeed{}
 		watcher := table.NewWatcher(feed, func(table.Changes, bool) {})
-		watcher.Pace = func() table.Pace { return table.Pace{Announced: announced, Usual: usual} }
+		watcher.Pace = func() table.Pace { return table.Pace{AfterAnnouncement: announced, Default: defaultPace} }
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go watcher.Run(ctx)
-		time.Sleep(10*usual + usual/2)
+		time.Sleep(10*defaultPace + defaultPace/2)
 		if calls := feed.calls.Load(); calls != 10 {
 			t.Errorf("%d calls in 10 rests without news", calls)
 		}
--- a/internal/table/poll.go
+++ b/internal/table/poll.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// DefaultPoll is the time between two looks at the heads.
-	DefaultPoll = 120 * time.Millisecond
+	// DefaultPollInterval is the time between two looks at the heads.
+	DefaultPollInterval = 120 * time.Millisecond
 	// pollTimeout bounds one look.
 	pollTimeout = 2 * time.Second
 	// maxGroups bounds the groups of a service.
 	maxGroups = 100
-	// logPage bounds the rows of one answer.
-	logPage = 100
+	// logPageSize bounds the rows of one answer.
+	logPageSize = 100
 )
 
-// errNoLook reports that no look at the heads was answered in a whole wait for news: nobody
+// errNoPollAnswered reports that no look at the heads was answered in a whole wait for news: nobody
 // knows whether there is any.
-var errNoLook = fmt.Errorf("%w: no look at the heads was answered", ErrUnavailable)
+var errNoPollAnswered = fmt.Errorf("%w: no look at the heads was answered", ErrUnavailable)
 
 // Heads looks at the heads of all groups of a Logged service now and then, for
 // any number of feeds. It is safe for concurrent use.
@@ -38,11 +38,11 @@
 
 	mu    sync.Mutex
 	heads map[string]uint64
-	looks uint64
-	// lookedAt is when the last look that was answered began.
-	lookedAt time.Time
-	err      error
-	changed  chan struct{}
+	polls uint64
+	// answeredPollStart is when the last look that was answered began.
+	answeredPollStart time.Time
+	err               error
+	changed           chan struct{}
 }
 
 // NewHeads returns heads that have not been looked at; Run looks.
@@ -53,30 +53,30 @@
 // Run looks until the context ends.
 func (h *Heads) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		h.look(ctx)
+		h.poll(ctx)
 		retry.Sleep(ctx, h.interval())
 	}
 }
 
 func (h *Heads) interval() time.Duration {
 	if h.Interval == nil {
-		return DefaultPoll
+		return DefaultPollInterval
 	}
 	return h.Interval()
 }
 
-func (h *Heads) look(ctx context.Context) {
+func (h *Heads) poll(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	began := clock.Now()
+	start := clock.Now()
 	rows, err := h.Service.List(callCtx, headsPartition, "", maxGroups)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.err = err
 	if err == nil {
-		h.lookedAt = began
+		h.answeredPollStart = start
 	}
-	h.looks++
+	h.polls++
 	for _, row := range rows {
 		h.heads[row.Sort] = max(h.heads[row.Sort], row.Version)
 	}
@@ -84,44 +84,44 @@
 	h.changed = make(chan struct{})
 }
 
-// headLook is what one look showed of a group.
-type headLook struct {
+// headState is what one look showed of a group.
+type headState struct {
 	revision uint64
-	number   uint64
-	// began is when the last look that was answered began.
-	began time.Time
-	err   error
-	next  <-chan struct{}
+	poll     uint64
+	// asOf is when the last look that was answered asOf.
+	asOf time.Time
+	err  error
+	next <-chan struct{}
 }
 
-func (h *Heads) at(group string) headLook {
+func (h *Heads) state(group string) headState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return headLook{revision: h.heads[group], number: h.looks, began: h.lookedAt, err: h.err, next: h.changed}
+	return headState{revision: h.heads[group], poll: h.polls, asOf: h.answeredPollStart, err: h.err, next: h.changed}
 }
 
 // await waits until a group is beyond a revision, up to wait, and returns the last look. Its
 // error is that of a look made meanwhile that failed, or says that none was answered.
-func (h *Heads) await(ctx context.Context, group string, revision uint64, wait time.Duration) (headLook, error) {
+func (h *Heads) await(ctx context.Context, group string, revision uint64, wait time.Duration) (headState, error) {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
-	first := h.at(group)
-	for now := first; ; now = h.at(group) {
+	first := h.state(group)
+	for current := first; ; current = h.state(group) {
 		switch {
-		case now.revision > revision:
-			return now, nil
-		case now.number > first.number && now.err != nil:
-			return now, now.err
+		case current.revision > revision:
+			return current, nil
+		case current.poll > first.poll && current.err != nil:
+			return current, current.err
 		}
 		select {
 		case <-ctx.Done():
-			return now, ctx.Err()
+			return current, ctx.Err()
 		case <-deadline.C:
-			if now.number == first.number {
-				return now, Error.Wrap(errNoLook)
+			if current.poll == first.poll {
+				return current, Error.Wrap(errNoPollAnswered)
 			}
-			return now, nil
-		case <-now.next:
+			return current, nil
+		case <-current.next:
 		}
 	}
 }
@@ -143,20 +143,20 @@
 	if err != nil {
 		return Changes{}, cursor, err
 	}
-	rows, err := f.Heads.Service.List(ctx, f.Parts[cursor.Part], cursor.Key, logPage)
+	rows, err := f.Heads.Service.List(ctx, f.Parts[cursor.Part], cursor.Key, logPageSize)
 	if err != nil {
 		return Changes{}, cursor, err
 	}
-	page := Changes{Revision: head, Now: timeOfDay()}
+	page := Changes{Revision: head, Now: wallClock()}
 	for _, row := range rows {
 		if row.Unreadable != nil {
 			// Without a version it may go no further than this.
-			f.Heads.Unreadable.Report(row.Refuse(Envelope, row.Unreadable))
+			f.Heads.Unreadable.Report(row.AsUnreadable(Envelope, row.Unreadable))
 		}
 		page.Changes = append(page.Changes, Change{Row: row})
 	}
 	next := Cursor{Part: cursor.Part + 1}
-	if len(rows) == logPage {
+	if len(rows) == logPageSize {
 		next = Cursor{Part: cursor.Part, Key: rows[len(rows)-1].Sort}
 	}
 	next.Done = next.Part == len(f.Parts)
@@ -165,28 +165,28 @@
 
 // After implements Feed.
 func (f PolledFeed) After(ctx context.Context, revision uint64, wait time.Duration) (Changes, error) {
-	seen, err := f.Heads.await(ctx, f.Group, revision, wait)
+	state, err := f.Heads.await(ctx, f.Group, revision, wait)
 	if err != nil {
 		return Changes{}, err
 	}
-	if seen.revision <= revision {
-		return Changes{Revision: revision, Now: timeOfDay(), AsOf: seen.began}, nil
+	if state.revision <= revision {
+		return Changes{Revision: revision, Now: wallClock(), AsOf: state.asOf}, nil
 	}
 	return f.since(ctx, revision)
 }
 
 func (f PolledFeed) since(ctx context.Context, revision uint64) (Changes, error) {
-	began := clock.Now()
-	rows, err := f.Heads.Service.List(ctx, logPrefix+f.Group, logKey(f.Group, revision).Sort, logPage)
+	start := clock.Now()
+	rows, err := f.Heads.Service.List(ctx, logPrefix+f.Group, logKey(f.Group, revision).Sort, logPageSize)
 	if err != nil {
 		return Changes{}, err
 	}
-	read := Changes{Revision: revision, Now: timeOfDay(), AsOf: began, More: len(rows) == logPage}
+	read := Changes{Revision: revision, Now: wallClock(), AsOf: start, More: len(rows) == logPageSize}
 	for _, row := range rows {
 		if row.Version != read.Revision+1 {
 			return Changes{}, Error.Wrap(ErrCompacted)
 		}
-		changes, err := decodeLogged(row)
+		changes, err := decodeLogRow(row)
 		if err != nil {
 			// What it said of the group is in the group's rows: a whole read goes by them.
 			f.Heads.Unreadable.Report(err)
@@ -198,21 +198,21 @@
 	return read, nil
 }
 
-func decodeLogged(row Row) ([]Change, error) {
+func decodeLogRow(row Row) ([]Change, error) {
 	var logged []loggedChange
 	if err := row.Decode(&logged); err != nil {
 		return nil, err
 	}
 	changes := make([]Change, len(logged))
-	for i, one := range logged {
-		changes[i] = Change{Removed: one.Removed, Row: Row{
-			Key: Key{Partition: one.Partition, Sort: one.Sort}, Version: row.Version,
-			Operation: row.Operation, Body: one.Body,
+	for i, change := range logged {
+		changes[i] = Change{Removed: change.Removed, Row: Row{
+			Key: Key{Partition: change.Partition, Sort: change.Sort}, Version: row.Version,
+			Operation: row.Operation, Body: change.Body,
 		}}
 	}
 	return changes, nil
 }
 
-// timeOfDay stands in for a service's steady clock where the protocol has none: the
+// wallClock stands in for a service's steady clock where the protocol has none: the
 // time of day. Only deadlines that are hours away are told by it.
-func timeOfDay() time.Duration { return time.Duration(time.Now().UnixNano()) }
+func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
--- a/internal/table/settle.go
+++ b/internal/table/settle.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	settleFirstDelay = 50 * time.Millisecond
-	settleMaxDelay   = time.Second
+	settleMinDelay = 50 * time.Millisecond
+	settleMaxDelay = time.Second
 )
 
 // CommitSettled commits and resolves an unknown outcome before it returns.
@@ -23,35 +23,35 @@
 // another operation, nobody can tell any more, and the unknown error stays.
 // Put the row that is never overwritten first to make the read-back decisive.
 func CommitSettled(ctx context.Context, service Service, operation string, writes ...Write) error {
-	_, err := commitSettled(ctx, service, operation, writes...)
+	_, err := commitAndResolve(ctx, service, operation, writes...)
 	return err
 }
 
 // CommitRow is CommitSettled for one row that is put. It returns the row's version.
 func CommitRow(ctx context.Context, service Service, operation string, write Write) (uint64, error) {
-	versions, err := commitSettled(ctx, service, operation, write)
+	versions, err := commitAndResolve(ctx, service, operation, write)
 	if err != nil {
 		return 0, err
 	}
 	return versions[0], nil
 }
 
-// commitSettled returns the versions of the rows, or only that of the first put
+// commitAndResolve returns the versions of the rows, or only that of the first put
 // row if it had to be read back.
-func commitSettled(ctx context.Context, service Service, operation string, writes ...Write) ([]uint64, error) {
+func commitAndResolve(ctx context.Context, service Service, operation string, writes ...Write) ([]uint64, error) {
 	versions, err := service.Commit(ctx, operation, writes...)
-	delay := settleFirstDelay
-	sentBefore := false
+	delay := settleMinDelay
+	resent := false
 	for {
 		switch {
 		case err == nil:
 			return versions, nil
-		case outcome.Of(err) == outcome.NotDone && !sentBefore:
+		case outcome.Of(err) == outcome.NotDone && !resent:
 			return nil, err
 		case errors.Is(err, ErrConflict):
 			return resolveConflict(ctx, service, operation, writes, err)
 		}
-		sentBefore = true
+		resent = true
 		if !retry.Sleep(ctx, delay) {
 			return nil, err
 		}
@@ -63,18 +63,18 @@
 // resolveConflict decides a conflict answered to a resent commit: the first
 // sending may be what changed the row.
 func resolveConflict(ctx context.Context, service Service, operation string, writes []Write, conflict error) ([]uint64, error) {
-	probe, ok := firstPut(writes)
+	firstPutWrite, ok := firstPut(writes)
 	if !ok {
 		return nil, outcome.Undecided(conflict)
 	}
-	row, err := service.Get(ctx, probe.Key)
+	row, err := service.Get(ctx, firstPutWrite.Key)
 	switch {
 	case err == nil && strings.HasPrefix(row.Operation, operation):
 		// A Logged service ends the id with the number of its try.
 		return []uint64{row.Version}, nil
-	case err == nil && row.Version == probe.Expect:
+	case err == nil && row.Version == firstPutWrite.Expect:
 		return nil, conflict
-	case errors.Is(err, ErrNotFound) && probe.Expect == Absent:
+	case errors.Is(err, ErrNotFound) && firstPutWrite.Expect == Absent:
 		return nil, conflict
 	default:
 		return nil, outcome.Undecided(conflict)
--- a/internal/table/tabletest/tabletest.go
+++ b/internal/table/tabletest/tabletest.go
@@ -40,7 +40,7 @@
 	rows    map[table.Key]table.Row
 	log     []table.Change
 	version uint64
-	began   time.Time
+	start   time.Time
 	late    []lateCommit
 	changed chan struct{}
 	// CommitFault, if set, decides the fate of each commit. ReadFault, if set,
@@ -58,7 +58,7 @@
 
 // New returns an empty table.
 func New() *Table {
-	return &Table{rows: map[table.Key]table.Row{}, began: clock.Now(), changed: make(chan struct{})}
+	return &Table{rows: map[table.Key]table.Row{}, start: clock.Now(), changed: make(chan struct{})}
 }
 
 func (t *Table) readFault() error {
@@ -121,47 +121,47 @@
 	return versions, err
 }
 
-// Land carries out the late commits whose conditions still hold. It returns how
+// ApplyLate carries out the late commits whose conditions still hold. It returns how
 // many did.
-func (t *Table) Land() int {
+func (t *Table) ApplyLate() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	landed := 0
+	applied := 0
 	for _, commit := range t.late {
 		if _, err := t.apply(commit.operation, commit.writes); err == nil {
-			landed++
+			applied++
 		}
 	}
 	t.late = nil
-	return landed
+	return applied
 }
 
 // apply carries out a commit. The caller holds mu.
 func (t *Table) apply(operation string, writes []table.Write) ([]uint64, error) {
 	conflict := &table.ConflictError{Revision: t.version}
-	holds := true
+	conditionsHold := true
 	for _, write := range writes {
 		row, ok := t.rows[write.Key]
 		if ok {
 			conflict.Rows = append(conflict.Rows, row)
 		}
-		holds = holds && row.Version == write.Expect
+		conditionsHold = conditionsHold && row.Version == write.Expect
 	}
-	if !holds {
+	if !conditionsHold {
 		return nil, outcome.Failed(conflict)
 	}
 	t.version++
 	versions := make([]uint64, len(writes))
 	for i, write := range writes {
 		versions[i] = t.version
-		t.change(operation, write)
+		t.applyWrite(operation, write)
 	}
 	close(t.changed)
 	t.changed = make(chan struct{})
 	return versions, nil
 }
 
-func (t *Table) change(operation string, write table.Write) {
+func (t *Table) applyWrite(operation string, write table.Write) {
 	row := table.Row{Key: write.Key, Version: t.version, Operation: operation, Body: write.Body}
 	switch write.Kind {
 	case table.Put:
@@ -188,7 +188,7 @@
 	group string
 }
 
-func (f *feed) member(key table.Key) bool {
+func (f *feed) contains(key table.Key) bool {
 	return key.Partition == f.group || strings.HasPrefix(key.Partition, f.group+"/")
 }
 
@@ -199,13 +199,13 @@
 	if err := f.table.readFault(); err != nil {
 		return table.Changes{}, cursor, err
 	}
-	all := f.table.stamp()
+	changes := f.table.emptyChanges()
 	for key, row := range f.table.rows {
-		if f.member(key) {
-			all.Changes = append(all.Changes, table.Change{Row: row})
+		if f.contains(key) {
+			changes.Changes = append(changes.Changes, table.Change{Row: row})
 		}
 	}
-	return all, table.Cursor{Done: true}, nil
+	return changes, table.Cursor{Done: true}, nil
 }
 
 // After implements table.Feed.
@@ -235,19 +235,19 @@
 	if err := f.table.readFault(); err != nil {
 		return table.Changes{}, nil, err
 	}
-	changes := f.table.stamp()
+	changes := f.table.emptyChanges()
 	if revision < f.table.version && len(f.table.log) == 0 {
 		return changes, nil, table.ErrCompacted
 	}
 	for _, change := range f.table.log {
-		if change.Version > revision && f.member(change.Key) {
+		if change.Version > revision && f.contains(change.Key) {
 			changes.Changes = append(changes.Changes, change)
 		}
 	}
 	return changes, f.table.changed, nil
 }
 
-// stamp returns changes without rows. The caller holds mu.
-func (t *Table) stamp() table.Changes {
-	return table.Changes{Revision: t.version, Now: clock.Since(t.began)}
+// emptyChanges returns changes without rows. The caller holds mu.
+func (t *Table) emptyChanges() table.Changes {
+	return table.Changes{Revision: t.version, Now: clock.Since(t.start)}
 }
--- a/internal/table/unreadable.go
+++ b/internal/table/unreadable.go
@@ -39,9 +39,9 @@
 // Unwrap returns the cause.
 func (e *UnreadableError) Unwrap() error { return e.Err }
 
-// Refuse returns the error that says why a row is not read. An UnreadableError keeps the
+// AsUnreadable returns the error that says why a row is not read. An UnreadableError keeps the
 // reason that it has.
-func (r *Row) Refuse(reason Reason, err error) *UnreadableError {
+func (r *Row) AsUnreadable(reason Reason, err error) *UnreadableError {
 	if r.Unreadable != nil {
 		reason, err = Envelope, r.Unreadable
 	}
@@ -54,27 +54,27 @@
 // Decode reads the CBOR body of a row into a record. Its error is an UnreadableError.
 func (r *Row) Decode(record any) error {
 	if r.Unreadable != nil {
-		return r.Refuse(Envelope, r.Unreadable)
+		return r.AsUnreadable(Envelope, r.Unreadable)
 	}
 	if err := cbor.Unmarshal(r.Body, record); err != nil {
-		return r.Refuse(Encoding, err)
+		return r.AsUnreadable(Encoding, err)
 	}
 	return nil
 }
 
-// toldMost bounds the rows whose report is remembered, some 0.3 MB: of more that are read
+// maxReported bounds the rows whose report is remembered, some 0.3 MB: of more that are read
 // again and again, some are reported more than once.
-const toldMost = 1024
+const maxReported = 1024
 
 // Unreadable reports rows that cannot be read, each version of a row once: a reader may come
 // by it with every look. A nil Unreadable, and the zero value, report nothing. It is safe for
 // concurrent use.
 type Unreadable struct {
-	// Tell is told of each. It is set before use.
-	Tell func(*UnreadableError)
+	// OnUnreadable is told of each. It is set before use.
+	OnUnreadable func(*UnreadableError)
 
-	mu   sync.Mutex
-	told map[Key]uint64
+	mu       sync.Mutex
+	reported map[Key]uint64
 	// order are the keys of told, the oldest first.
 	order []Key
 }
@@ -82,33 +82,33 @@
 // Report reports the UnreadableError in err's chain, unless that was done before. Other
 // errors are not its concern.
 func (u *Unreadable) Report(err error) {
-	var found *UnreadableError
-	if u == nil || u.Tell == nil || !errors.As(err, &found) {
+	var unreadable *UnreadableError
+	if u == nil || u.OnUnreadable == nil || !errors.As(err, &unreadable) {
 		return
 	}
-	if u.note(found.Key, found.Version) {
-		u.Tell(found)
+	if u.recordVersion(unreadable.Key, unreadable.Version) {
+		u.OnUnreadable(unreadable)
 	}
 }
 
-// note remembers a version of a row. It reports whether that is new.
-func (u *Unreadable) note(key Key, version uint64) bool {
+// recordVersion remembers a version of a row. It reports whether that is new.
+func (u *Unreadable) recordVersion(key Key, version uint64) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	known, ok := u.told[key]
-	if ok && known >= version {
+	reportedVersion, ok := u.reported[key]
+	if ok && reportedVersion >= version {
 		return false
 	}
-	if u.told == nil {
-		u.told = map[Key]uint64{}
+	if u.reported == nil {
+		u.reported = map[Key]uint64{}
 	}
-	u.told[key] = version
+	u.reported[key] = version
 	if ok {
 		return true
 	}
 	u.order = append(u.order, key)
-	if len(u.order) > toldMost {
-		delete(u.told, u.order[0])
+	if len(u.order) > maxReported {
+		delete(u.reported, u.order[0])
 		u.order = u.order[1:]
 	}
 	return true
--- a/internal/table/unreadable_test.go
+++ b/internal/table/unreadable_test.go
@@ -10,9 +10,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-func TestUnreadable_TellsEachVersionOnce(t *testing.T) {
-	told := 0
-	unreadable := &Unreadable{Tell: func(*UnreadableError) { told++ }}
+func TestUnreadable_ReportsEachVersionOnce(t *testing.T) {
+	reports := 0
+	unreadable := &Unreadable{OnUnreadable: func(*UnreadableError) { reports++ }}
 	report := func(sort string, version uint64) {
 		row := Row{Key: Key{Partition: "p", Sort: sort}, Version: version, Body: []byte{0xff}}
 		var record int
@@ -23,42 +23,42 @@
 	}
 	report("b", 3)
 	report("a", 4)
-	if told != 3 {
-		t.Errorf("told %d times, want 3", told)
+	if reports != 3 {
+		t.Errorf("told %d times, want 3", reports)
 	}
 	unreadable.Report(nil)
 	unreadable.Report(errors.New("another matter"))
-	(*Unreadable)(nil).Report((&Row{}).Decode(&told))
-	(&Unreadable{}).Report((&Row{}).Decode(&told))
-	if told != 3 {
-		t.Errorf("told %d times, want 3", told)
+	(*Unreadable)(nil).Report((&Row{}).Decode(&reports))
+	(&Unreadable{}).Report((&Row{}).Decode(&reports))
+	if reports != 3 {
+		t.Errorf("told %d times, want 3", reports)
 	}
 }
 
-// TestUnreadable_RemembersABoundedNumber has many readers come by many rows.
-func TestUnreadable_RemembersABoundedNumber(t *testing.T) {
-	unreadable := &Unreadable{Tell: func(*UnreadableError) {}}
+// TestUnreadable_MemoryIsBounded has many readers come by many rows.
+func TestUnreadable_MemoryIsBounded(t *testing.T) {
+	unreadable := &Unreadable{OnUnreadable: func(*UnreadableError) {}}
 	var group sync.WaitGroup
 	for reader := range 4 {
 		group.Go(func() {
-			for number := range toldMost {
+			for number := range maxReported {
 				row := Row{Key: Key{Sort: fmt.Sprint(reader, number)}, Version: 1}
-				unreadable.Report(row.Refuse(Content, ErrNotFound))
+				unreadable.Report(row.AsUnreadable(Content, ErrNotFound))
 			}
 		})
 	}
 	group.Wait()
-	if len(unreadable.told) != toldMost || len(unreadable.order) != toldMost {
-		t.Errorf("%d and %d are remembered", len(unreadable.told), len(unreadable.order))
+	if len(unreadable.reported) != maxReported || len(unreadable.order) != maxReported {
+		t.Errorf("%d and %d are remembered", len(unreadable.reported), len(unreadable.order))
 	}
 }
 
-func TestRow_DecodeSaysWhatCannotBeRead(t *testing.T) {
+func TestRow_DecodeReportsReason(t *testing.T) {
 	whole, err := cbor.Marshal(7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		row    Row
 		reason Reason
 	}{
@@ -68,31 +68,31 @@
 		{Row{Unreadable: ErrNotFound}, Envelope},
 		{Row{Body: whole, Unreadable: ErrNotFound}, Envelope},
 	} {
-		one.row.Version = 5
+		test.row.Version = 5
 		var record int
-		err := one.row.Decode(&record)
+		err := test.row.Decode(&record)
 		var found *UnreadableError
-		if (err == nil) != (one.reason == "") || (errors.As(err, &found) && (found.Reason != one.reason || found.Version != 5)) {
-			t.Errorf("%+v: %v", one.row, err)
+		if (err == nil) != (test.reason == "") || (errors.As(err, &found) && (found.Reason != test.reason || found.Version != 5)) {
+			t.Errorf("%+v: %v", test.row, err)
 		}
 	}
 }
 
-// TestPolledFeed_ADamagedLogRowLeadsToAWholeRead has the log of a group lie in a row that
+// TestPolledFeed_CorruptLogRowRequiresWholeRead has the log of a group lie in a row that
 // cannot be read: what it said is in the group's rows.
-func TestPolledFeed_ADamagedLogRowLeadsToAWholeRead(t *testing.T) {
+func TestPolledFeed_CorruptLogRowRequiresWholeRead(t *testing.T) {
 	service := &fixedService{rows: []Row{{Key: logKey("g", 8), Version: 8, Body: []byte{0xff}}}}
-	told := 0
+	reports := 0
 	heads := NewHeads(service)
-	heads.Unreadable = &Unreadable{Tell: func(*UnreadableError) { told++ }}
+	heads.Unreadable = &Unreadable{OnUnreadable: func(*UnreadableError) { reports++ }}
 	feed := PolledFeed{Heads: heads, Group: "g", Parts: []string{"g"}}
 	for range 2 {
 		if _, err := feed.since(t.Context(), 7); !errors.Is(err, ErrCompacted) {
 			t.Fatalf("the feed answers %v", err)
 		}
 	}
-	if told != 1 {
-		t.Errorf("told %d times", told)
+	if reports != 1 {
+		t.Errorf("told %d times", reports)
 	}
 }
 
--- a/internal/table/watch.go
+++ b/internal/table/watch.go
@@ -14,22 +14,22 @@
 
 // Watch timing.
 const (
-	// watchWait bounds one wait for changes, so that a silent connection is noticed.
-	watchWait = 1500 * time.Millisecond
-	// watchSlack is how much longer than its wait a call may take.
-	watchSlack = 900 * time.Millisecond
-	// watchReadTimeout bounds the read of a page; many nodes that start at the
+	// watchMaxWait bounds one wait for changes, so that a silent connection is noticed.
+	watchMaxWait = 1500 * time.Millisecond
+	// watchTimeoutMargin is how much longer than its wait a call may take.
+	watchTimeoutMargin = 900 * time.Millisecond
+	// pageMaxTimeout bounds the read of a page; many nodes that start at the
 	// same time share the store's link.
-	watchReadTimeout = 4 * time.Second
-	// watchReadFirst bounds the first try of a page, and doubles with each failure: a
+	pageMaxTimeout = 4 * time.Second
+	// pageMinTimeout bounds the first try of a page, and doubles with each failure: a
 	// page that was lost in an outage must not hold up the read long after it.
-	watchReadFirst  = time.Second
-	watchRetryFirst = 25 * time.Millisecond
-	watchRetryMax   = 300 * time.Millisecond
-	// pageFailures in a row end a whole read, and pageRetryMax bounds the pause
+	pageMinTimeout     = time.Second
+	watchRetryMinDelay = 25 * time.Millisecond
+	watchRetryMaxDelay = 300 * time.Millisecond
+	// pageMaxFailures in a row end a whole read, and pageRetryMax bounds the pause
 	// between them.
-	pageFailures = 20
-	pageRetryMax = time.Second
+	pageMaxFailures   = 20
+	pageRetryMaxDelay = time.Second
 )
 
 // Watcher follows a feed and hands every change to Apply, in order. A view
@@ -41,46 +41,46 @@
 	Apply func(changes Changes, whole bool)
 	// Pace, if set, bounds the number of calls while much changes.
 	Pace func() Pace
-	// Lost and Regained are told when the service stops and starts to answer.
-	Lost     func(error)
-	Regained func(outage time.Duration)
+	// OnLost and Regained are told when the service stops and starts to answer.
+	OnLost     func(error)
+	OnRegained func(outage time.Duration)
 
-	// Reread is told of each whole read that is done but the first: the feed stood still all
+	// OnReread is told of each whole read that is done but the first: the feed stood still all
 	// the while, and what was known is as old as it took. It may be nil.
-	Reread func(WholeRead)
+	OnReread func(WholeRead)
 
-	// Keep has the watcher keep the rows themselves, for Held. It is set before use.
-	Keep bool
+	// KeepRows has the watcher keep the rows themselves, for Held. It is set before use.
+	KeepRows bool
 
 	// mu orders what is taken in from the service and from Seed.
 	mu       sync.Mutex
-	known    map[Key]uint64
-	held     map[Key]Row
+	versions map[Key]uint64
+	rows     map[Key]Row
 	revision uint64
-	// fresh is when the service gave the newest answer, seeded when it gave the one that a
+	// newestAnswer is when the service gave the newest answer, seeded when it gave the one that a
 	// seed came from, since clockOrigin; 0 is never.
-	fresh  atomic.Int64
-	seeded atomic.Int64
-	// answered is when any call was last answered, a page of a whole read also.
-	answered atomic.Int64
-	failedAt time.Time
-	source   sourceClock
-	refresh  chan struct{}
+	newestAnswer atomic.Int64
+	seededAnswer atomic.Int64
+	// lastResponse is when any call was last lastResponse, a page of a whole read also.
+	lastResponse atomic.Int64
+	outageStart  time.Time
+	ages         ageEstimator
+	refresh      chan struct{}
 	// announced holds an announcement of news until the next rest between calls.
 	announced chan struct{}
 }
 
 // Pace is the least time between the beginnings of two calls of a watcher.
 type Pace struct {
-	// Announced holds while somebody has announced news, Usual otherwise.
-	Announced, Usual time.Duration
+	// AfterAnnouncement holds while somebody has announced news, Default otherwise.
+	AfterAnnouncement, Default time.Duration
 }
 
 // WholeRead is how a read of a whole group went.
 type WholeRead struct {
 	// Pages that were answered, and tries that failed.
 	Pages, Failures int
-	Took            time.Duration
+	Elapsed         time.Duration
 }
 
 // clockOrigin makes steady times comparable as integers.
@@ -88,72 +88,72 @@
 
 // NewWatcher returns a watcher that has seen nothing.
 func NewWatcher(feed Feed, apply func(Changes, bool)) *Watcher {
-	return &Watcher{Feed: feed, Apply: apply, known: map[Key]uint64{}, held: map[Key]Row{}, refresh: make(chan struct{}, 1), announced: make(chan struct{}, 1)}
+	return &Watcher{Feed: feed, Apply: apply, versions: map[Key]uint64{}, rows: map[Key]Row{}, refresh: make(chan struct{}, 1), announced: make(chan struct{}, 1)}
 }
 
 // Age returns the time since the service gave the newest answer, here or, before the first one,
 // where a seed came from. A whole read is as old as its first page.
 func (w *Watcher) Age() time.Duration {
-	fresh := w.fresh.Load()
-	if fresh == 0 {
-		fresh = w.seeded.Load()
+	newest := w.newestAnswer.Load()
+	if newest == 0 {
+		newest = w.seededAnswer.Load()
 	}
-	return clock.Since(clockOrigin) - time.Duration(fresh)
+	return clock.Since(clockOrigin) - time.Duration(newest)
 }
 
-// Silence returns the time since the service last answered any call of this watcher, a
+// SinceLastResponse returns the time since the service last answered any call of this watcher, a
 // page of a whole read that is not done yet also; since the start of the process if none.
-func (w *Watcher) Silence() time.Duration {
-	return clock.Since(clockOrigin) - time.Duration(w.answered.Load())
+func (w *Watcher) SinceLastResponse() time.Duration {
+	return clock.Since(clockOrigin) - time.Duration(w.lastResponse.Load())
 }
 
-// Informed reports whether the whole group has been read once, here or where a seed came
+// Populated reports whether the whole group has been read once, here or where a seed came
 // from.
-func (w *Watcher) Informed() bool { return w.Ready() || w.seeded.Load() != 0 }
+func (w *Watcher) Populated() bool { return w.Ready() || w.seededAnswer.Load() != 0 }
 
-// Held returns the rows of the group as they were known an age ago. Keep must be set.
-func (w *Watcher) Held() (held Changes, age time.Duration) {
+// Snapshot returns the rows of the group as they were known an age ago. Keep must be set.
+func (w *Watcher) Snapshot() (snapshot Changes, age time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	held.Revision = w.revision
-	for _, row := range w.held {
-		held.Changes = append(held.Changes, Change{Row: row})
+	snapshot.Revision = w.revision
+	for _, row := range w.rows {
+		snapshot.Changes = append(snapshot.Changes, Change{Row: row})
 	}
-	return held, w.Age()
+	return snapshot, w.Age()
 }
 
 // Seed takes in the rows of the group as somebody else knew them an age ago, until the
 // service answers here: its first whole read then takes the place of them. They go to
 // apply. It reports whether they were taken.
-func (w *Watcher) Seed(held Changes, age time.Duration, apply func(Changes, bool)) bool {
+func (w *Watcher) Seed(snapshot Changes, age time.Duration, apply func(Changes, bool)) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.Informed() {
+	if w.Populated() {
 		return false
 	}
-	w.seeded.Store(int64(clock.Since(clockOrigin) - age))
-	w.note(held.Changes)
-	apply(held, true)
+	w.seededAnswer.Store(int64(clock.Since(clockOrigin) - age))
+	w.recordVersions(snapshot.Changes)
+	apply(snapshot, true)
 	return true
 }
 
-// note notes the versions of rows, and the rows if they are kept. The caller holds mu.
-func (w *Watcher) note(changes []Change) {
+// recordVersions notes the versions of rows, and the rows if they are kept. The caller holds mu.
+func (w *Watcher) recordVersions(changes []Change) {
 	for _, change := range changes {
 		if change.Removed {
-			delete(w.known, change.Key)
-			delete(w.held, change.Key)
+			delete(w.versions, change.Key)
+			delete(w.rows, change.Key)
 			continue
 		}
-		w.known[change.Key] = change.Version
-		if w.Keep {
-			w.held[change.Key] = change.Row
+		w.versions[change.Key] = change.Version
+		if w.KeepRows {
+			w.rows[change.Key] = change.Row
 		}
 	}
 }
 
 // Ready reports whether the whole group has been read once.
-func (w *Watcher) Ready() bool { return w.fresh.Load() != 0 }
+func (w *Watcher) Ready() bool { return w.newestAnswer.Load() != 0 }
 
 // Refresh asks for a whole read soon, because the feed seems to be behind.
 func (w *Watcher) Refresh() {
@@ -175,21 +175,21 @@
 // Run follows the feed until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	whole := true
-	delay := watchRetryFirst
+	delay := watchRetryMinDelay
 	for ctx.Err() == nil {
-		began := clock.Now()
+		start := clock.Now()
 		err := w.step(ctx, whole)
 		switch {
 		case err == nil:
 			whole = false
-			delay = watchRetryFirst
-			w.rest(ctx, began)
+			delay = watchRetryMinDelay
+			w.waitForNextCall(ctx, start)
 		case errors.Is(err, ErrCompacted):
 			whole = true
 		case ctx.Err() == nil:
-			w.failed(err)
+			w.callFailed(err)
 			retry.Sleep(ctx, jittered(delay))
-			delay = min(2*delay, watchRetryMax)
+			delay = min(2*delay, watchRetryMaxDelay)
 		}
 		select {
 		case <-w.refresh:
@@ -199,19 +199,19 @@
 	}
 }
 
-// rest waits until the next call after one that began at a time.
-func (w *Watcher) rest(ctx context.Context, began time.Time) {
+// waitForNextCall waits until the next call after one that began at a time.
+func (w *Watcher) waitForNextCall(ctx context.Context, start time.Time) {
 	if w.Pace == nil {
 		return
 	}
 	pace := w.Pace()
-	usual := time.NewTimer(pace.Usual - clock.Since(began))
-	defer usual.Stop()
+	timer := time.NewTimer(pace.Default - clock.Since(start))
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-usual.C:
+	case <-timer.C:
 	case <-w.announced:
-		retry.Sleep(ctx, pace.Announced-clock.Since(began))
+		retry.Sleep(ctx, pace.AfterAnnouncement-clock.Since(start))
 	}
 }
 
@@ -219,31 +219,31 @@
 	if whole {
 		return w.stepWhole(ctx)
 	}
-	callCtx, cancel := context.WithTimeout(ctx, watchWait+watchSlack)
+	callCtx, cancel := context.WithTimeout(ctx, watchMaxWait+watchTimeoutMargin)
 	defer cancel()
-	asked := clock.Now()
-	changes, err := w.Feed.After(callCtx, w.revision, watchWait)
+	sent := clock.Now()
+	changes, err := w.Feed.After(callCtx, w.revision, watchMaxWait)
 	if err == nil {
-		changes = w.answeredAt(asked, changes)
-		w.succeeded(changes)
-		w.take(changes, false)
+		changes = w.withAsOf(sent, changes)
+		w.callSucceeded(changes)
+		w.apply(changes, false)
 	}
 	return err
 }
 
 // stepWhole reads the whole group and takes it in.
 func (w *Watcher) stepWhole(ctx context.Context) error {
-	began := clock.Now()
-	again := w.Ready()
+	start := clock.Now()
+	reread := w.Ready()
 	changes, read, err := w.readWhole(ctx)
 	if err != nil {
 		return err
 	}
-	w.succeeded(changes)
-	w.takeWhole(changes)
-	if again && w.Reread != nil {
-		read.Took = clock.Since(began)
-		w.Reread(read)
+	w.callSucceeded(changes)
+	w.applyWhole(changes)
+	if reread && w.OnReread != nil {
+		read.Elapsed = clock.Since(start)
+		w.OnReread(read)
 	}
 	return nil
 }
@@ -255,19 +255,19 @@
 	var whole Changes
 	var cursor Cursor
 	var read WholeRead
-	failures := 0
+	failuresInRow := 0
 	for first := true; !cursor.Done; {
-		page, next, err := w.readPage(ctx, cursor, failures)
+		page, next, err := w.readPage(ctx, cursor, failuresInRow)
 		if err != nil {
-			failures++
+			failuresInRow++
 			read.Failures++
-			if failures > pageFailures || ctx.Err() != nil {
+			if failuresInRow > pageMaxFailures || ctx.Err() != nil {
 				return Changes{}, read, err
 			}
-			retry.Sleep(ctx, jittered(min(watchRetryFirst<<min(failures, 8), pageRetryMax)))
+			retry.Sleep(ctx, jittered(min(watchRetryMinDelay<<min(failuresInRow, 8), pageRetryMaxDelay)))
 			continue
 		}
-		failures = 0
+		failuresInRow = 0
 		read.Pages++
 		whole.Changes = append(whole.Changes, page.Changes...)
 		if first {
@@ -279,16 +279,16 @@
 }
 
 // readPage makes one try of a page that has failed so many times.
-func (w *Watcher) readPage(ctx context.Context, cursor Cursor, failures int) (Changes, Cursor, error) {
-	callCtx, cancel := context.WithTimeout(ctx, min(watchReadFirst<<min(failures, 8), watchReadTimeout))
+func (w *Watcher) readPage(ctx context.Context, cursor Cursor, previousFailures int) (Changes, Cursor, error) {
+	callCtx, cancel := context.WithTimeout(ctx, min(pageMinTimeout<<min(previousFailures, 8), pageMaxTimeout))
 	defer cancel()
-	asked := clock.Now()
+	sent := clock.Now()
 	page, next, err := w.Feed.Page(callCtx, cursor)
 	if err != nil {
 		return page, next, err
 	}
-	w.answered.Store(int64(clock.Since(clockOrigin)))
-	return w.answeredAt(asked, page), next, nil
+	w.lastResponse.Store(int64(clock.Since(clockOrigin)))
+	return w.withAsOf(sent, page), next, nil
 }
 
 // jittered returns between half and all of a delay, so that nodes that were
@@ -297,8 +297,8 @@
 	return delay/2 + rand.N(delay/2+1)
 }
 
-// takeWhole turns a whole read into changes: rows that it lacks were removed.
-func (w *Watcher) takeWhole(read Changes) {
+// applyWhole turns a whole read into changes: rows that it lacks were removed.
+func (w *Watcher) applyWhole(read Changes) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if read.Revision < w.revision {
@@ -308,55 +308,55 @@
 	for _, change := range read.Changes {
 		present[change.Key] = true
 	}
-	for key := range w.known {
+	for key := range w.versions {
 		if !present[key] {
 			removed := Change{Row: Row{Key: key, Version: read.Revision}, Removed: true}
 			read.Changes = append(read.Changes, removed)
 		}
 	}
-	w.takeLocked(read, true)
+	w.applyLocked(read, true)
 }
 
-func (w *Watcher) take(changes Changes, whole bool) {
+func (w *Watcher) apply(changes Changes, whole bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.takeLocked(changes, whole)
+	w.applyLocked(changes, whole)
 }
 
-// takeLocked is take for a caller that holds mu.
-func (w *Watcher) takeLocked(changes Changes, whole bool) {
+// applyLocked is take for a caller that holds mu.
+func (w *Watcher) applyLocked(changes Changes, whole bool) {
 	newer := changes.Changes[:0]
 	for _, change := range changes.Changes {
-		if change.Version <= w.known[change.Key] {
+		if change.Version <= w.versions[change.Key] {
 			continue
 		}
 		newer = append(newer, change)
 	}
-	w.note(newer)
+	w.recordVersions(newer)
 	changes.Changes = newer
 	w.revision = max(w.revision, changes.Revision)
 	w.Apply(changes, whole)
 }
 
-// succeeded notes an answer. It comes before the changes are applied, so that
+// callSucceeded notes an answer. It comes before the changes are applied, so that
 // those who take them know of an outage that lies behind.
-func (w *Watcher) succeeded(changes Changes) {
-	given := int64(changes.AsOf.Sub(clockOrigin))
-	if known := w.fresh.Load(); !changes.More && (known == 0 || given > known) {
-		w.fresh.Store(given)
+func (w *Watcher) callSucceeded(changes Changes) {
+	asOf := int64(changes.AsOf.Sub(clockOrigin))
+	if newest := w.newestAnswer.Load(); !changes.More && (newest == 0 || asOf > newest) {
+		w.newestAnswer.Store(asOf)
 	}
-	w.answered.Store(int64(clock.Since(clockOrigin)))
-	if !w.failedAt.IsZero() && w.Regained != nil {
-		w.Regained(clock.Since(w.failedAt))
+	w.lastResponse.Store(int64(clock.Since(clockOrigin)))
+	if !w.outageStart.IsZero() && w.OnRegained != nil {
+		w.OnRegained(clock.Since(w.outageStart))
 	}
-	w.failedAt = time.Time{}
+	w.outageStart = time.Time{}
 }
 
-func (w *Watcher) failed(err error) {
-	if w.failedAt.IsZero() {
-		w.failedAt = clock.Now()
-		if w.Lost != nil {
-			w.Lost(err)
+func (w *Watcher) callFailed(err error) {
+	if w.outageStart.IsZero() {
+		w.outageStart = clock.Now()
+		if w.OnLost != nil {
+			w.OnLost(err)
 		}
 	}
 }
--- a/internal/table/watch_test.go
+++ b/internal/table/watch_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestWatcher_RemovedWhileHistoryIsForgotten(t *testing.T) {
+func TestWatcher_RemovalIsSeenAfterCompaction(t *testing.T) {
 	service := tabletest.New()
 	version := commit(t, service, table.Write{Key: key("a")})
 	var removed, put atomic.Int32
@@ -58,12 +58,12 @@
 	eventually(t, "removal seen", func() bool { return removed.Load() == 1 && put.Load() >= 2 })
 }
 
-// scripted is a feed that answers as told.
-type scripted struct {
+// scriptedFeed is a feed that answers as told.
+type scriptedFeed struct {
 	answers chan func() (table.Changes, error)
 }
 
-func (s *scripted) Page(ctx context.Context, cursor table.Cursor) (table.Changes, table.Cursor, error) {
+func (s *scriptedFeed) Page(ctx context.Context, cursor table.Cursor) (table.Changes, table.Cursor, error) {
 	changes, err := s.After(ctx, 0, 0)
 	if err != nil {
 		return changes, cursor, err
@@ -71,7 +71,7 @@
 	return changes, table.Cursor{Done: true}, nil
 }
 
-func (s *scripted) After(ctx context.Context, _ uint64, _ time.Duration) (table.Changes, error) {
+func (s *scriptedFeed) After(ctx context.Context, _ uint64, _ time.Duration) (table.Changes, error) {
 	select {
 	case answer := <-s.answers:
 		return answer()
@@ -80,8 +80,8 @@
 	}
 }
 
-func TestWatcher_NeverStepsBack(t *testing.T) {
-	feed := &scripted{answers: make(chan func() (table.Changes, error))}
+func TestWatcher_IgnoresOlderVersions(t *testing.T) {
+	feed := &scriptedFeed{answers: make(chan func() (table.Changes, error))}
 	applied := make(chan uint64, 10)
 	watcher := table.NewWatcher(feed, func(changes table.Changes, _ bool) {
 		for _, change := range changes.Changes {
@@ -111,14 +111,14 @@
 	}
 }
 
-func TestWatcher_TellsOfTheOutageBeforeTheChanges(t *testing.T) {
+func TestWatcher_ReportsOutageBeforeChanges(t *testing.T) {
 	// A finding: removals that an outage caused were applied before those who
 	// take them knew that there had been one.
-	feed := &scripted{answers: make(chan func() (table.Changes, error))}
+	feed := &scriptedFeed{answers: make(chan func() (table.Changes, error))}
 	order := make(chan string, 4)
 	watcher := table.NewWatcher(feed, func(table.Changes, bool) { order <- "applied" })
-	watcher.Lost = func(error) { order <- "lost" }
-	watcher.Regained = func(time.Duration) { order <- "regained" }
+	watcher.OnLost = func(error) { order <- "lost" }
+	watcher.OnRegained = func(time.Duration) { order <- "regained" }
 	tabletest.Follow(t, watcher)
 	feed.answers <- func() (table.Changes, error) { return table.Changes{Revision: 1}, nil }
 	feed.answers <- func() (table.Changes, error) { return table.Changes{}, errors.New("down") }
@@ -130,13 +130,13 @@
 	}
 }
 
-// pages is a feed of three pages, the second of which fails at first.
-type pages struct {
+// pagedFeed is a feed of three pagedFeed, the second of which fails at first.
+type pagedFeed struct {
 	failures atomic.Int32
 	reads    [3]atomic.Int32
 }
 
-func (p *pages) Page(_ context.Context, cursor table.Cursor) (table.Changes, table.Cursor, error) {
+func (p *pagedFeed) Page(_ context.Context, cursor table.Cursor) (table.Changes, table.Cursor, error) {
 	p.reads[cursor.Part].Add(1)
 	if cursor.Part == 1 && p.failures.Add(1) <= 3 {
 		return table.Changes{}, cursor, table.ErrThrottled
@@ -147,7 +147,7 @@
 	return table.Changes{Changes: []table.Change{{Row: row}}, Revision: revision}, next, nil
 }
 
-func (p *pages) After(ctx context.Context, revision uint64, _ time.Duration) (table.Changes, error) {
+func (p *pagedFeed) After(ctx context.Context, revision uint64, _ time.Duration) (table.Changes, error) {
 	if revision != 10 {
 		return table.Changes{}, errors.New("not as of the first page")
 	}
@@ -155,10 +155,10 @@
 	return table.Changes{}, ctx.Err()
 }
 
-func TestWatcher_RefusedPageIsReadAgainByItself(t *testing.T) {
+func TestWatcher_RetriesOnlyFailedPage(t *testing.T) {
 	// A finding: 300 nodes that started together were refused some of their
 	// pages, began from the first one again, and served only after 30 s.
-	feed := &pages{}
+	feed := &pagedFeed{}
 	applied := make(chan int, 1)
 	watcher := table.NewWatcher(feed, func(changes table.Changes, _ bool) { applied <- len(changes.Changes) })
 	tabletest.Follow(t, watcher)
@@ -170,38 +170,38 @@
 	}
 }
 
-// pageFeed is a feed whose pages hang until their time is up, as often as told.
-type pageFeed struct {
-	hang  int
-	times []time.Duration
+// hangingPageFeed is a feed whose pages hang until their time is up, as often as told.
+type hangingPageFeed struct {
+	hangs    int
+	timeouts []time.Duration
 }
 
-func (f *pageFeed) Page(ctx context.Context, _ table.Cursor) (table.Changes, table.Cursor, error) {
+func (f *hangingPageFeed) Page(ctx context.Context, _ table.Cursor) (table.Changes, table.Cursor, error) {
 	deadline, _ := ctx.Deadline()
-	f.times = append(f.times, time.Until(deadline))
-	if len(f.times) <= f.hang {
+	f.timeouts = append(f.timeouts, time.Until(deadline))
+	if len(f.timeouts) <= f.hangs {
 		return table.Changes{}, table.Cursor{}, context.DeadlineExceeded
 	}
 	return table.Changes{}, table.Cursor{Done: true}, nil
 }
 
-func (f *pageFeed) After(ctx context.Context, _ uint64, _ time.Duration) (table.Changes, error) {
+func (f *hangingPageFeed) After(ctx context.Context, _ uint64, _ time.Duration) (table.Changes, error) {
 	<-ctx.Done()
 	return table.Changes{}, ctx.Err()
 }
 
-// TestWatcher_APageThatHangsIsAskedForAgainSoon guards that a first read which meets a
+// TestWatcher_PageTimeoutGrowsWithFailures guards that a first read which meets a
 // silent store does not hang on long after the store is well: a page has a second at
 // first, and more with each failure, for the store may be slow.
-func TestWatcher_APageThatHangsIsAskedForAgainSoon(t *testing.T) {
-	feed := &pageFeed{hang: 3}
+func TestWatcher_PageTimeoutGrowsWithFailures(t *testing.T) {
+	feed := &hangingPageFeed{hangs: 3}
 	ready := make(chan struct{})
 	watcher := table.NewWatcher(feed, func(table.Changes, bool) { close(ready) })
 	tabletest.Follow(t, watcher)
 	<-ready
 	for i, limit := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second} {
-		if feed.times[i] > limit || feed.times[i] < limit/2 {
-			t.Errorf("try %d has %v, want %v", i, feed.times[i], limit)
+		if feed.timeouts[i] > limit || feed.timeouts[i] < limit/2 {
+			t.Errorf("try %d has %v, want %v", i, feed.timeouts[i], limit)
 		}
 	}
 }
