--- a/internal/table/asof.go
+++ b/internal/table/asof.go
@@ -6,24 +6,24 @@
 	"github.com/wheelhoist/wheelhoist/internal/clock"
 )
 
-// minDelayWindow is how long the shortest way of an answer is remembered for, at least. Two
-// steady clocks that differ by 50 ppm drift apart by 3 ms in it.
+// minDelayWindow is the minimum time for which the shortest observed delay is used. Two clocks
+// whose rates differ by 50 ppm drift apart by 3 ms in that time.
 const minDelayWindow = time.Minute
 
-// ageEstimator tells how old answers are when they come. A service stamps its answers with its
-// own steady clock; how far that runs from this node's is not known, but the answer with the
-// shortest way bounds it from one side. Of an answer that was long on its way, on a slow
-// connection or before a busy service, the rest of that is seen. The zero value has heard of none.
+// ageEstimator estimates when received answers were generated. A service stamps its answers with its
+// own monotonic clock, whose offset from the local clock is unknown. The answer with the shortest
+// delay bounds the offset from one side, so any additional delay of other answers, in the
+// network or in the service, can be computed. The zero value is ready for use.
 type ageEstimator struct {
-	// minOffset is the smallest difference of the two clocks in this window and the one previousMinOffset.
+	// The smallest clock offsets observed in the current and the previous window.
 	minOffset, previousMinOffset time.Duration
-	// windowStart is when this window began; zero before the first answer.
+	// windowStart is the start of the current window; zero before the first answer.
 	windowStart time.Time
 }
 
-// asOf returns when an answer was given that was asked for and received at times of this node
-// and stamped by the service. It is never before it was asked for, and never later than it was
-// given but for the shortest way that any answer took.
+// asOf returns the local time at which an answer was generated, given the local times at which it
+// was requested and received and the time stamp of the service. The result is not before sent, and
+// late by at most the shortest delay of any answer.
 func (e *ageEstimator) asOf(sent, received time.Time, stamp time.Duration) time.Time {
 	offset := received.Sub(clockOrigin) - stamp
 	e.record(received, offset)
@@ -45,7 +45,7 @@
 	}
 }
 
-// withAsOf notes the age of an answer, unless its feed has told it.
+// withAsOf sets AsOf of an answer unless its feed has set it.
 func (w *Watcher) withAsOf(sent time.Time, changes Changes) Changes {
 	if changes.AsOf.IsZero() {
 		changes.AsOf = w.ages.asOf(sent, clock.Now(), changes.Now)
--- a/internal/table/asof_test.go
+++ b/internal/table/asof_test.go
@@ -17,7 +17,7 @@
 	var estimator ageEstimator
 	start := clock.Now()
 	nodeTime := func(at time.Duration) time.Time { return start.Add(at) }
-	// The service's clock reads an hour when this node's reads begin.
+	// The clock of the service reads one hour at the local time start.
 	serviceTime := func(at time.Duration) time.Duration { return time.Hour + at }
 	const minDelay = 2 * time.Millisecond
 	for _, c := range []struct {
@@ -25,21 +25,20 @@
 		sent, answered, received time.Duration
 		want                     time.Duration
 	}{
-		{"the first", 0, 100 * time.Millisecond, 100*time.Millisecond + minDelay, 100*time.Millisecond + minDelay},
-		{"a late one", time.Second, 1100 * time.Millisecond, 3 * time.Second, 1100*time.Millisecond + minDelay},
-		{"stamped before it was asked for", 4 * time.Second, 3 * time.Second, 5 * time.Second, 4 * time.Second},
-		{"a late one that begins a window", 70 * time.Second, 70 * time.Second, 71 * time.Second, 70*time.Second + minDelay},
-		{"by the window before", 71 * time.Second, 71 * time.Second, 72 * time.Second, 71*time.Second + minDelay},
+		{"first answer", 0, 100 * time.Millisecond, 100*time.Millisecond + minDelay, 100*time.Millisecond + minDelay},
+		{"delayed answer", time.Second, 1100 * time.Millisecond, 3 * time.Second, 1100*time.Millisecond + minDelay},
+		{"stamped before it was requested", 4 * time.Second, 3 * time.Second, 5 * time.Second, 4 * time.Second},
+		{"delayed answer that starts a window", 70 * time.Second, 70 * time.Second, 71 * time.Second, 70*time.Second + minDelay},
+		{"uses the previous window", 71 * time.Second, 71 * time.Second, 72 * time.Second, 71*time.Second + minDelay},
 	} {
 		got := estimator.asOf(nodeTime(c.sent), nodeTime(c.received), serviceTime(c.answered))
 		if got.Sub(nodeTime(c.want)).Abs() > time.Microsecond {
-			t.Errorf("%s: given at %v, taken for given at %v", c.name, c.want, got.Sub(start))
+			t.Errorf("%s: generated at %v, estimated %v", c.name, c.want, got.Sub(start))
 		}
 	}
 }
 
-// TestAgeEstimator_RecoversFromClockStep has the service's clock step back: answers look old, but
-// not for longer than two windows.
+// If the service's clock steps back, answers seem older than they are, but for at most two windows.
 func TestAgeEstimator_RecoversFromClockStep(t *testing.T) {
 	var estimator ageEstimator
 	start := clock.Now()
@@ -52,19 +51,19 @@
 	received = received.Add(time.Second)
 	sent := received.Add(-time.Second)
 	if got := estimator.asOf(sent, received, received.Sub(start)-3*(minDelayWindow+time.Second)); got.Before(sent) {
-		t.Errorf("an answer counts as given %v before it came", received.Sub(got))
+		t.Errorf("the answer is estimated to be %v old, which is before its request", received.Sub(got))
 	}
 	if estimator.previousMinOffset < received.Sub(clockOrigin)-4*(minDelayWindow+time.Second) {
-		t.Errorf("the clock before the step is remembered: %v", estimator.previousMinOffset)
+		t.Errorf("the offset before the step is still used: %v", estimator.previousMinOffset)
 	}
 }
 
-// blockingHeads loses the answers to looks at the heads while it is held.
+// blockingHeads blocks reads of the log heads while blocked is set.
 type blockingHeads struct {
 	Service
 	rows    map[string][]Row
 	blocked atomic.Bool
-	// delay is how long an answer to a look is on its delay.
+	// delay is the time that a read of the heads takes.
 	delay time.Duration
 }
 
@@ -97,8 +96,8 @@
 	return found, nil
 }
 
-// TestPolledFeed_AgeGrowsWhileNoPollIsAnswered has a table fall silent for a minute. No look at the heads
-// is answered, which is no news that there is none, and the clock goes on.
+// While no poll of the heads completes, the age of the view grows, the outage is reported once, and
+// the wall clock in Changes.Now goes on.
 func TestPolledFeed_AgeGrowsWhileNoPollIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -114,15 +113,15 @@
 		go watcher.Run(ctx)
 		time.Sleep(5 * time.Second)
 		if age := watcher.Age(); age > 2*time.Second {
-			t.Errorf("%v old while all is answered", age)
+			t.Errorf("age %v while all polls complete", age)
 		}
 		service.blocked.Store(true)
 		time.Sleep(time.Minute)
 		if age := watcher.Age(); age < time.Minute-time.Second || lost != 1 {
-			t.Errorf("%v old after a minute of silence, told as lost %d times", age, lost)
+			t.Errorf("age %v after a minute without responses, %d outages reported, want 1", age, lost)
 		}
 		if behind := wallClock() - now; behind > time.Minute+time.Second {
-			t.Errorf("the clock is %v behind", behind)
+			t.Errorf("Changes.Now is %v behind", behind)
 		}
 	})
 }
@@ -140,19 +139,18 @@
 		go heads.Run(ctx)
 		changes, err := feed.After(ctx, 1, time.Second)
 		if !errors.Is(err, ErrUnavailable) {
-			t.Errorf("before any look was answered: %+v, %v", changes, err)
+			t.Errorf("before any poll completed: %+v, error %v", changes, err)
 		}
 		service.blocked.Store(false)
 		time.Sleep(pollTimeout)
 		changes, err = feed.After(ctx, 1, 3*time.Second)
 		if err != nil || changes.Now != wallClock() || clock.Since(changes.AsOf) < service.delay || clock.Since(changes.AsOf) > time.Second {
-			t.Errorf("%v behind, as of %v ago, %v", wallClock()-changes.Now, clock.Since(changes.AsOf), err)
+			t.Errorf("Changes.Now is %v behind, AsOf %v ago, error %v", wallClock()-changes.Now, clock.Since(changes.AsOf), err)
 		}
 	})
 }
 
-// TestPolledFeed_FullPageSetsMore guards that a view which is more than a page
-// behind is not taken for complete.
+// Guards against a view that is more than one page behind but considered complete.
 func TestPolledFeed_FullPageSetsMore(t *testing.T) {
 	service := &blockingHeads{rows: map[string][]Row{headsPartition: {{Key: headKey("g"), Version: 250}}}}
 	for number := uint64(1); number <= 250; number++ {
@@ -162,13 +160,12 @@
 	for revision, more := range map[uint64]bool{0: true, 200: false} {
 		changes, err := feed.since(t.Context(), revision)
 		if err != nil || changes.More != more {
-			t.Errorf("after %d up to %d: more %v, %v", revision, changes.Revision, changes.More, err)
+			t.Errorf("changes after %d up to %d: More is %v, error %v", revision, changes.Revision, changes.More, err)
 		}
 	}
 }
 
-// slowFeed brings a whole read whose second page takes a while, and one answer that is as
-// long on its way; then it falls silent.
+// slowFeed returns a whole read with a slow second page, then one slow answer, then blocks.
 type slowFeed struct {
 	delay time.Duration
 	calls int
@@ -191,8 +188,8 @@
 	return answer, nil
 }
 
-// TestWatcher_AgeIncludesResponseDelay guards that the age is that of the source's answer: keys that
-// were taken away and configurations are judged by it.
+// Guards against an age that is measured from the receipt of an answer instead of its generation. Keys
+// and configurations that were withdrawn are checked against the age.
 func TestWatcher_AgeIncludesResponseDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -203,11 +200,11 @@
 		go watcher.Run(ctx)
 		time.Sleep(feed.delay + time.Millisecond)
 		if age := watcher.Age(); age < feed.delay {
-			t.Errorf("a whole read that took %v counts as %v old", feed.delay, age)
+			t.Errorf("age after a whole read of %v is %v", feed.delay, age)
 		}
 		time.Sleep(feed.delay)
 		if age := watcher.Age(); age < feed.delay || age > 2*feed.delay {
-			t.Errorf("an answer that was %v on its way counts as %v old", feed.delay, age)
+			t.Errorf("age after an answer with a delay of %v is %v", feed.delay, age)
 		}
 	})
 }
--- a/internal/table/dynamo.go
+++ b/internal/table/dynamo.go
@@ -17,7 +17,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/outcome"
 )
 
-// Attribute names of a stored row.
+// Names of the attributes of a stored row.
 const (
 	attributePartition = "pk"
 	attributeSort      = "sk"
@@ -33,11 +33,11 @@
 	Table     string
 	AccessKey string
 	SecretKey string
-	// HTTPClient may be nil.
+	// HTTPClient may be nil to use the default client.
 	HTTPClient *http.Client
 }
 
-// Dynamo is a Service on the DynamoDB protocol (API version 2012-08-10).
+// Dynamo is a Service that uses the DynamoDB protocol (API version 2012-08-10).
 type Dynamo struct {
 	client *dynamodb.Client
 	table  string
@@ -45,8 +45,8 @@
 
 var _ Service = (*Dynamo)(nil)
 
-// NewDynamo returns the adapter. The SDK's own retries are off: retries are
-// budgeted by the callers.
+// NewDynamo returns an adapter with the given configuration. The retries of the SDK are disabled,
+// because callers retry within their own limits.
 func NewDynamo(config DynamoConfig) *Dynamo {
 	options := dynamodb.Options{
 		Region:       config.Region,
@@ -76,8 +76,7 @@
 	return decodeRow(output.Item), nil
 }
 
-// List implements Service. The service cuts an answer at 1 MB, so it may take
-// several calls.
+// List implements Service. The service limits a response to 1 MB, so List may need several calls.
 func (d *Dynamo) List(ctx context.Context, partition, after string, limit int) ([]Row, error) {
 	var rows []Row
 	for {
@@ -176,8 +175,8 @@
 	return &types.AttributeValueMemberN{Value: strconv.FormatUint(value, 10)}
 }
 
-// decodeRow returns an item as a row. One that lacks an attribute beside its key, which the
-// service makes sure of, is there all the same and cannot be read.
+// decodeRow converts an item to a row. If an attribute is missing or invalid, the row is returned
+// with Unreadable set; the service guarantees that the key attributes exist.
 func decodeRow(item map[string]types.AttributeValue) Row {
 	var row Row
 	var decoder attributeDecoder
@@ -195,7 +194,7 @@
 	return row
 }
 
-// attributeDecoder collects the first decoding error of a row.
+// attributeDecoder decodes attributes and records the last error.
 type attributeDecoder struct{ err error }
 
 func (d *attributeDecoder) text(item map[string]types.AttributeValue, name string) string {
@@ -220,7 +219,7 @@
 	return parsed
 }
 
-// classify maps an SDK error to this package's errors with an outcome.
+// classify converts an error of the SDK to an error of this package with an outcome.
 func classify(err error) error {
 	if err == nil {
 		return nil
@@ -243,8 +242,8 @@
 	}
 }
 
-// isDialError reports whether no connection was made, so that no byte of
-// the request can have reached the service.
+// isDialError reports whether no connection was established, so that the service cannot have
+// received any of the request.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
--- a/internal/table/feed.go
+++ b/internal/table/feed.go
@@ -6,59 +6,55 @@
 	"time"
 )
 
-// ErrCompacted reports that the service has forgotten the changes asked for.
-// A whole read is needed to go on.
+// ErrCompacted reports that the requested changes are no longer in the log. The group must be read
+// as a whole.
 var ErrCompacted = errors.New("table history compacted")
 
-// Change is a row that was put, or one that was removed.
+// Change is a row that was put or removed.
 type Change struct {
 	Row
 	Removed bool
 }
 
-// Changes are changes of a group of rows in the order of their versions.
+// Changes is a list of changes of a group, ordered by version.
 type Changes struct {
 	Changes []Change
-	// Revision is the newest version that the changes reflect; the next call
-	// goes on from here.
+	// Revision is the newest version that the changes include; pass it to the next After.
 	Revision uint64
-	// Now is the service's steady clock; clocks of machines are never compared.
+	// Now is the monotonic clock of the service. It is never compared with another clock.
 	Now time.Duration
-	// AsOf is when the service gave this answer, by this node's clock: of what was written
-	// later nothing is known. Of a whole read it is when its first page was given. A feed whose
-	// service stamps its answers by Now leaves it to the Watcher. Zero is never.
+	// AsOf is the local time at which the service generated the answer; later writes are not
+	// included. For a whole read it is that of the first page. Zero means unknown: Watcher then
+	// estimates it from Now.
 	AsOf time.Time
-	// More says that changes up to AsOf are still to come.
+	// More reports that further changes up to AsOf remain to be read.
 	More bool
 }
 
-// Cursor is a place within the whole read of a group.
+// Cursor is a position in a whole read of a group.
 type Cursor struct {
-	// Part counts the parts that have been read.
+	// Part is the index of the current part.
 	Part int
-	// Key is the first key to read of the next part.
+	// Key is the last key that was read in the part; empty at its start.
 	Key  string
 	Done bool
 }
 
-// Feed delivers a group of rows and its changes. Implementations are safe for
-// concurrent use.
+// Feed reads a group of rows and its changes. Implementations are safe for concurrent use.
 type Feed interface {
-	// Page reads a piece of the whole group as changes, none of them Removed.
-	// It begins at the zero Cursor and returns the Cursor to go on from, which
-	// is Done after the last piece.
+	// Page reads one page of the whole group, as changes that are not Removed. It starts at the
+	// zero Cursor and returns the Cursor of the next page, which is Done after the last one.
 	Page(ctx context.Context, cursor Cursor) (Changes, Cursor, error)
-	// After waits for changes after a revision, up to wait. It returns none,
-	// or ErrCompacted.
+	// After waits up to wait for changes after a revision. It returns empty Changes if there are
+	// none, or ErrCompacted.
 	After(ctx context.Context, revision uint64, wait time.Duration) (Changes, error)
 }
 
-// ConflictError is an ErrConflict that carries the rows named by the conditions
-// as they stand, so that the caller need not read them again.
+// ConflictError is an ErrConflict with the current rows, which the caller need not read again.
 type ConflictError struct {
-	// Rows that exist, of those that the commit had conditions on.
+	// Rows contains the existing rows among those that the commit had conditions on.
 	Rows []Row
-	// Revision is the newest version of the service at that moment.
+	// Revision is the newest version of the service at the time of the conflict.
 	Revision uint64
 }
 
@@ -68,7 +64,7 @@
 // Is makes the error match ErrConflict.
 func (e *ConflictError) Is(target error) bool { return target == ErrConflict }
 
-// Row returns the row with a key, if it exists.
+// Row returns the row with the given key, if it exists.
 func (e *ConflictError) Row(key Key) (Row, bool) {
 	for _, row := range e.Rows {
 		if row.Key == key {
--- a/internal/table/log.go
+++ b/internal/table/log.go
@@ -15,39 +15,38 @@
 )
 
 const (
-	// logRetention is the number of changes that a log holds; who is further behind
-	// reads the whole group.
+	// logRetention is the number of commits in the log of a group. A follower that is further
+	// behind must read the whole group.
 	logRetention = 1024
-	// logAttempts bounds how often a commit is tried anew because another commit
-	// to the same group came first.
+	// logAttempts limits the attempts of a commit that loses to other commits of the same group.
 	logAttempts = 40
-	// logMaxDelay is the longest pause before such a try.
+	// logMaxDelay is the maximum delay before another attempt.
 	logMaxDelay = 10 * time.Millisecond
 	logPrefix   = "log/"
-	// headsPartition holds the head rows of all groups, so that one call reads them.
+	// headsPartition holds the head rows of all groups, so that one call reads all of them.
 	headsPartition = "log-heads"
 )
 
-// Logged makes the groups of a Service followable by polling, for services that
-// tell nobody of changes. Each commit to a group also moves the group's head
-// row on and adds a log row with the changes, in the same transaction; so
-// revisions are numbered without gaps, and the version of a row is the revision
-// of the commit that wrote it.
+// Logged is a Service that adds a change log to groups of rows, so that they can be followed by
+// polling. It is for services without change notifications. Each commit to a group also increments
+// the group's head row and adds a log row with the changes, in the same transaction. Revisions
+// are therefore numbered without gaps, and the version of a row is the revision of the commit that
+// wrote it.
 //
-// A group is a name; its partitions are the name itself and "name/...". A
-// commit touches one group at most.
+// A group contains the partitions named after it and "name/...". A commit may change rows of at
+// most one group.
 type Logged struct {
 	Service
 	Groups []string
 
 	mu sync.Mutex
-	// heads are the revisions last seen.
+	// heads caches the newest known revision of each group.
 	heads map[string]uint64
 }
 
 var _ Service = (*Logged)(nil)
 
-// loggedChange is a change in a log row.
+// loggedChange is an encoded change in a log row.
 type loggedChange struct {
 	Partition string `cbor:"1,keyasint"`
 	Sort      string `cbor:"2,keyasint"`
@@ -66,7 +65,7 @@
 	return Key{Partition: logPrefix + group, Sort: fmt.Sprintf("%020d", revision)}
 }
 
-// groupOf returns the group that a commit changes, or "".
+// groupOf returns the group that a commit changes, or "" if there is none.
 func (l *Logged) groupOf(writes []Write) string {
 	for _, write := range writes {
 		if write.Kind == Check {
@@ -81,7 +80,7 @@
 	return ""
 }
 
-// Commit implements Service. A conflict carries the rows as they stand.
+// Commit implements Service. A conflict error contains the current rows.
 func (l *Logged) Commit(ctx context.Context, operation string, writes ...Write) ([]uint64, error) {
 	group := l.groupOf(writes)
 	if group == "" {
@@ -113,10 +112,10 @@
 	return nil, outcome.Failed(errors.Join(ErrThrottled, err))
 }
 
-// errHeadMoved reports a conflict about nothing but the head of the log.
+// errHeadMoved reports a commit that conflicts only with the head row of its group.
 var errHeadMoved = errors.New("log head has moved")
 
-// head returns the revision of a group, from memory unless fresh.
+// head returns the revision of a group, from the cache unless refresh is set.
 func (l *Logged) head(ctx context.Context, group string, refresh bool) (uint64, error) {
 	l.mu.Lock()
 	cached, ok := l.heads[group]
@@ -148,7 +147,7 @@
 	return row.Version, err
 }
 
-// commitAtHead commits under the condition that the group's head has not moved.
+// commitAtHead commits on condition that head is still the revision of the group.
 func (l *Logged) commitAtHead(ctx context.Context, group string, head uint64, operation string, writes []Write) ([]uint64, error) {
 	revision := head + 1
 	all := make([]Write, 0, len(writes)+3)
@@ -184,8 +183,8 @@
 	return versions, nil
 }
 
-// explain turns a conflict into one that carries the rows of the conditions, or
-// into errHeadMoved if all of them hold.
+// explain converts a conflict into a ConflictError with the current rows, or into errHeadMoved if
+// all conditions of writes hold.
 func (l *Logged) explain(ctx context.Context, writes []Write, head uint64, conflict error) error {
 	explained := &ConflictError{Revision: head}
 	conditionFailed := false
--- a/internal/table/log_test.go
+++ b/internal/table/log_test.go
@@ -13,8 +13,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// plainTable is a service whose rows have versions of their own and that tells
-// nobody of changes, like the DynamoDB protocol.
+// plainTable is a Service without change notifications whose rows have independent versions, like one
+// with the DynamoDB protocol.
 type plainTable struct {
 	mu   sync.Mutex
 	rows map[table.Key]table.Row
@@ -76,7 +76,7 @@
 	return table.Write{Key: table.Key{Partition: testGroup + "/0", Sort: sort}, Expect: expect, Body: []byte(body)}
 }
 
-// followRows runs a watcher of the group and returns a function that reads its rows.
+// followRows runs a watcher of the group and returns a function that returns its rows.
 func followRows(t *testing.T, plain table.Service) func() map[string]string {
 	t.Helper()
 	var mu sync.Mutex
@@ -114,19 +114,19 @@
 	logged := &table.Logged{Service: plain, Groups: []string{testGroup}}
 	versions, err := logged.Commit(t.Context(), "a", put("x", table.Absent, "1"), put("y", table.Absent, "1"))
 	if err != nil || versions[0] != versions[1] {
-		t.Fatalf("versions %v, %v", versions, err)
+		t.Fatalf("versions %v, error %v", versions, err)
 	}
-	eventually(t, "both rows", func() bool { return len(rows()) == 2 })
+	eventually(t, "both rows to be received", func() bool { return len(rows()) == 2 })
 	if _, err := logged.Commit(t.Context(), "b", put("x", versions[0], "2"),
 		table.Write{Key: put("y", 0, "").Key, Kind: table.Delete, Expect: versions[0]}); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the change and the removal", func() bool { return len(rows()) == 1 && rows()["x"] == "2" })
-	// A row that is made again after its removal is seen again.
+	eventually(t, "the change and the removal to be received", func() bool { return len(rows()) == 1 && rows()["x"] == "2" })
+	// A row that is created again after its removal is received again.
 	if _, err := logged.Commit(t.Context(), "c", put("y", table.Absent, "3")); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the row made again", func() bool { return rows()["y"] == "3" })
+	eventually(t, "the new row to be received", func() bool { return rows()["y"] == "3" })
 }
 
 func TestLogged_ConflictContainsRows(t *testing.T) {
@@ -138,10 +138,10 @@
 	_, err := logged.Commit(t.Context(), "b", put("x", table.Absent, "2"))
 	var conflict *table.ConflictError
 	if !errors.As(err, &conflict) || outcome.Of(err) != outcome.NotDone {
-		t.Fatalf("error is %v", err)
+		t.Fatalf("error %v", err)
 	}
 	if row, ok := conflict.Row(put("x", 0, "").Key); !ok || string(row.Body) != "1" {
-		t.Fatalf("conflict shows %+v", conflict.Rows)
+		t.Fatalf("rows in the conflict: %+v", conflict.Rows)
 	}
 }
 
@@ -163,7 +163,7 @@
 		}()
 	}
 	group.Wait()
-	eventually(t, "all rows", func() bool { return len(rows()) == writers*each })
+	eventually(t, "all rows to be received", func() bool { return len(rows()) == writers*each })
 }
 
 func TestPolledFeed_CompactedLogRequiresWholeRead(t *testing.T) {
--- a/internal/table/operation.go
+++ b/internal/table/operation.go
@@ -5,8 +5,8 @@
 	"encoding/hex"
 )
 
-// NewOperation returns a fresh operation id: 128 random bits in hex. Together
-// with a short suffix it fits a DynamoDB client request token (36 characters).
+// NewOperation returns a new operation ID of 128 random bits in hexadecimal. With a short suffix it
+// still fits into a DynamoDB client request token of 36 characters.
 func NewOperation() string {
 	var id [16]byte
 	_, _ = rand.Read(id[:]) // never fails, see crypto/rand
--- a/internal/table/pace_test.go
+++ b/internal/table/pace_test.go
@@ -10,7 +10,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// busyFeed answers at once, as if something changed all the time.
+// busyFeed returns from After immediately, as if rows changed all the time.
 type busyFeed struct{ calls atomic.Int64 }
 
 func (f *busyFeed) Page(context.Context, table.Cursor) (table.Changes, table.Cursor, error) {
@@ -32,24 +32,24 @@
 		go watcher.Run(ctx)
 		time.Sleep(10*defaultPace + defaultPace/2)
 		if calls := feed.calls.Load(); calls != 10 {
-			t.Errorf("%d calls in 10 rests without news", calls)
+			t.Errorf("%d calls in 10 intervals without an announcement", calls)
 		}
 		before := feed.calls.Load()
 		watcher.Announce()
 		watcher.Announce()
 		synctest.Wait()
 		if calls := feed.calls.Load() - before; calls != 1 {
-			t.Errorf("%d calls when news was announced half a rest after the last one, want 1", calls)
+			t.Errorf("%d calls after an announcement in the middle of an interval, want 1", calls)
 		}
-		// What is announced just after a call waits for the shorter rest, and is not lost.
+		// An announcement just after a call takes effect after the shorter interval.
 		watcher.Announce()
 		time.Sleep(announced / 2)
 		if calls := feed.calls.Load() - before; calls > 2 {
-			t.Errorf("%d calls within the shorter rest", calls)
+			t.Errorf("%d calls within the shorter interval", calls)
 		}
 		time.Sleep(announced)
 		if calls := feed.calls.Load() - before; calls != 2 && calls != 3 {
-			t.Errorf("%d calls after the shorter rest", calls)
+			t.Errorf("%d calls after the shorter interval", calls)
 		}
 	})
 }
--- a/internal/table/poll.go
+++ b/internal/table/poll.go
@@ -12,45 +12,45 @@
 )
 
 const (
-	// DefaultPollInterval is the time between two looks at the heads.
+	// DefaultPollInterval is the default time between two polls of the heads.
 	DefaultPollInterval = 120 * time.Millisecond
-	// pollTimeout bounds one look.
+	// pollTimeout limits one poll.
 	pollTimeout = 2 * time.Second
-	// maxGroups bounds the groups of a service.
+	// maxGroups limits the number of groups of a service.
 	maxGroups = 100
-	// logPageSize bounds the rows of one answer.
+	// logPageSize limits the number of rows per call.
 	logPageSize = 100
 )
 
-// errNoPollAnswered reports that no look at the heads was answered in a whole wait for news: nobody
-// knows whether there is any.
-var errNoPollAnswered = fmt.Errorf("%w: no look at the heads was answered", ErrUnavailable)
+// errNoPollAnswered reports that no poll of the heads completed during a wait, so it is unknown
+// whether there are changes.
+var errNoPollAnswered = fmt.Errorf("%w: no poll of the log heads completed", ErrUnavailable)
 
-// Heads looks at the heads of all groups of a Logged service now and then, for
-// any number of feeds. It is safe for concurrent use.
+// Heads polls the heads of all groups of a Logged service periodically, for any number of feeds. It
+// is safe for concurrent use.
 type Heads struct {
 	Service Service
-	// Interval, if set, is the time between two looks; it may grow with the
-	// fleet, so that the service's load does not.
+	// Interval, if set, returns the time between two polls. It may grow with the fleet, to keep
+	// the load on the service constant.
 	Interval func() time.Duration
-	// Unreadable, if set, is told of rows of the logs that cannot be read.
+	// Unreadable, if set, receives rows that cannot be decoded.
 	Unreadable *Unreadable
 
 	mu    sync.Mutex
 	heads map[string]uint64
 	polls uint64
-	// answeredPollStart is when the last look that was answered began.
+	// answeredPollStart is the start time of the last successful poll.
 	answeredPollStart time.Time
 	err               error
 	changed           chan struct{}
 }
 
-// NewHeads returns heads that have not been looked at; Run looks.
+// NewHeads returns a Heads that has not polled yet. Call Run to poll.
 func NewHeads(service Service) *Heads {
 	return &Heads{Service: service, heads: map[string]uint64{}, changed: make(chan struct{})}
 }
 
-// Run looks until the context ends.
+// Run polls until ctx is done.
 func (h *Heads) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		h.poll(ctx)
@@ -84,11 +84,11 @@
 	h.changed = make(chan struct{})
 }
 
-// headState is what one look showed of a group.
+// headState is the state of a group after the last poll.
 type headState struct {
 	revision uint64
 	poll     uint64
-	// asOf is when the last look that was answered asOf.
+	// asOf is the start time of the last successful poll.
 	asOf time.Time
 	err  error
 	next <-chan struct{}
@@ -100,8 +100,8 @@
 	return headState{revision: h.heads[group], poll: h.polls, asOf: h.answeredPollStart, err: h.err, next: h.changed}
 }
 
-// await waits until a group is beyond a revision, up to wait, and returns the last look. Its
-// error is that of a look made meanwhile that failed, or says that none was answered.
+// await waits up to wait until a group is beyond a revision, and returns the state after the last
+// poll. It returns an error if a poll fails during the wait, or if no poll completes in it.
 func (h *Heads) await(ctx context.Context, group string, revision uint64, wait time.Duration) (headState, error) {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
@@ -126,18 +126,18 @@
 	}
 }
 
-// PolledFeed follows a group of a Logged service.
+// PolledFeed is a Feed of a group of a Logged service.
 type PolledFeed struct {
 	Heads *Heads
 	Group string
-	// Parts are the partitions of the group, in the order of a whole read.
+	// Parts lists the partitions of the group, in the order of a whole read.
 	Parts []string
 }
 
 var _ Feed = PolledFeed{}
 
-// Page implements Feed. The revision is that of the head before the page was
-// read, so nothing is missed by going on from there.
+// Page implements Feed. It reads the head before the page, so that the changes after the returned
+// revision include all that the page lacks.
 func (f PolledFeed) Page(ctx context.Context, cursor Cursor) (Changes, Cursor, error) {
 	head, err := readHead(ctx, f.Heads.Service, f.Group)
 	if err != nil {
@@ -150,7 +150,7 @@
 	page := Changes{Revision: head, Now: wallClock()}
 	for _, row := range rows {
 		if row.Unreadable != nil {
-			// Without a version it may go no further than this.
+			// If the version is missing too, the watcher ignores the row, so it is reported here.
 			f.Heads.Unreadable.Report(row.AsUnreadable(Envelope, row.Unreadable))
 		}
 		page.Changes = append(page.Changes, Change{Row: row})
@@ -188,7 +188,7 @@
 		}
 		changes, err := decodeLogRow(row)
 		if err != nil {
-			// What it said of the group is in the group's rows: a whole read goes by them.
+			// The change is also in the rows of the group, which a whole read returns.
 			f.Heads.Unreadable.Report(err)
 			return Changes{}, Error.Wrap(errors.Join(ErrCompacted, err))
 		}
@@ -213,6 +213,6 @@
 	return changes, nil
 }
 
-// wallClock stands in for a service's steady clock where the protocol has none: the
-// time of day. Only deadlines that are hours away are told by it.
+// wallClock returns the wall clock in place of the service's monotonic clock, which the protocol
+// does not have. It only serves deadlines that are hours away.
 func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
--- a/internal/table/seed_test.go
+++ b/internal/table/seed_test.go
@@ -13,7 +13,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// presentKeys is a view of the keys that are there.
+// presentKeys is a view of the keys that exist.
 type presentKeys struct {
 	mu   sync.Mutex
 	keys map[string]uint64
@@ -40,8 +40,7 @@
 	return slices.Sorted(maps.Keys(p.keys))
 }
 
-// TestWatcher_SeedIsReplacedByFirstWholeRead has a watcher start by what another one
-// held, of which a row has gone and another has come since.
+// A seed is used until the first whole read, which adds and removes the rows that have changed since.
 func TestWatcher_SeedIsReplacedByFirstWholeRead(t *testing.T) {
 	service := tabletest.New()
 	gone := commit(t, service, table.Write{Key: key("gone")})
@@ -50,35 +49,35 @@
 	source := table.NewWatcher(service.Feed(group), first.apply)
 	source.KeepRows = true
 	tabletest.Follow(t, source)
-	eventually(t, "first read", func() bool { return source.Ready() && len(first.names()) == 2 })
+	eventually(t, "the first read", func() bool { return source.Ready() && len(first.names()) == 2 })
 	snapshot, _ := source.Snapshot()
 	if len(snapshot.Changes) != 2 {
-		t.Fatalf("%d rows held", len(snapshot.Changes))
+		t.Fatalf("%d rows in the snapshot, want 2", len(snapshot.Changes))
 	}
 	starting := table.NewWatcher(service.Feed(group), second.apply)
 	const age = time.Hour
 	if starting.Populated() || !starting.Seed(snapshot, age, second.apply) {
-		t.Fatal("seed not taken")
+		t.Fatal("the seed was rejected")
 	}
 	if !starting.Populated() || starting.Ready() || starting.Age() < age || len(second.names()) != 2 {
-		t.Fatalf("informed %v, ready %v, age %v, rows %v", starting.Populated(), starting.Ready(), starting.Age(), second.names())
+		t.Fatalf("populated %v, ready %v, age %v, rows %v", starting.Populated(), starting.Ready(), starting.Age(), second.names())
 	}
 	if starting.Seed(table.Changes{}, 0, second.apply) {
-		t.Error("a second seed was taken")
+		t.Error("a second seed was accepted")
 	}
 	commit(t, service, table.Write{Key: key("gone"), Kind: table.Delete, Expect: gone})
 	commit(t, service, table.Write{Key: key("new")})
 	tabletest.Follow(t, starting)
-	eventually(t, "whole read", func() bool { return starting.Ready() && slices.Equal(second.names(), []string{"new", "stays"}) })
+	eventually(t, "the whole read", func() bool { return starting.Ready() && slices.Equal(second.names(), []string{"new", "stays"}) })
 	if starting.Age() > age/2 {
-		t.Errorf("age %v after the service has answered", starting.Age())
+		t.Errorf("age %v after a response of the service", starting.Age())
 	}
 	if starting.Seed(snapshot, 0, second.apply) || !slices.Equal(second.names(), []string{"new", "stays"}) {
-		t.Error("a seed was taken after the service had answered")
+		t.Error("a seed was accepted after a response of the service")
 	}
 }
 
-// slowPages is a feed of many pages, each of which takes a while.
+// slowPages is a feed with several pages, each of which takes some time to read.
 type slowPages struct {
 	busyFeed
 	page  time.Duration
@@ -92,9 +91,9 @@
 	return table.Changes{Revision: 1}, next, nil
 }
 
-// TestWatcher_SlowFirstReadIsNotSilence has a first read take long, as it does when a whole
-// fleet starts. In a sweep, 300 machines before 3,000 replicas took that for a store that is
-// away: they asked each other for all they knew, some 300 MB between regions.
+// Guards against a slow first read, as when a whole fleet starts, that is mistaken for an unresponsive
+// store: 300 nodes in front of 3,000 replicas then requested all data from each other, about 300 MB
+// between regions.
 func TestWatcher_SlowFirstReadIsNotSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := &slowPages{page: 400 * time.Millisecond, pages: 10}
@@ -106,14 +105,14 @@
 		time.Sleep(feed.page + time.Millisecond)
 		for !watcher.Ready() {
 			if silence := watcher.SinceLastResponse(); silence > feed.page+time.Millisecond {
-				t.Fatalf("silent for %v while pages come each %v", silence, feed.page)
+				t.Fatalf("%v since the last response while a page is read every %v", silence, feed.page)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 		cancel()
 		time.Sleep(time.Minute)
 		if silence := watcher.SinceLastResponse(); silence < time.Minute {
-			t.Errorf("silent for %v after a minute without a call", silence)
+			t.Errorf("%v since the last response after a minute without calls", silence)
 		}
 	})
 }
--- a/internal/table/settle.go
+++ b/internal/table/settle.go
@@ -17,17 +17,16 @@
 
 // CommitSettled commits and resolves an unknown outcome before it returns.
 //
-// After an unknown answer it reads the first put row back. A row that carries
-// the operation id proves the commit; an unchanged row means that it can be
-// sent again under the same operation id. If the row has moved on under
-// another operation, nobody can tell any more, and the unknown error stays.
-// Put the row that is never overwritten first to make the read-back decisive.
+// After an unknown outcome it reads back the row of the first put. If the row has the operation ID,
+// the commit has succeeded; if the row is unchanged, the commit is sent again with the same
+// operation ID. If another operation has changed the row, the outcome cannot be determined and the
+// error remains unknown. To avoid this, callers should first put a row that is never overwritten.
 func CommitSettled(ctx context.Context, service Service, operation string, writes ...Write) error {
 	_, err := commitAndResolve(ctx, service, operation, writes...)
 	return err
 }
 
-// CommitRow is CommitSettled for one row that is put. It returns the row's version.
+// CommitRow is like CommitSettled for a single put, and returns the version of the row.
 func CommitRow(ctx context.Context, service Service, operation string, write Write) (uint64, error) {
 	versions, err := commitAndResolve(ctx, service, operation, write)
 	if err != nil {
@@ -36,8 +35,8 @@
 	return versions[0], nil
 }
 
-// commitAndResolve returns the versions of the rows, or only that of the first put
-// row if it had to be read back.
+// commitAndResolve implements CommitSettled. It returns the versions of the rows, or only that of
+// the first put if the row had to be read back.
 func commitAndResolve(ctx context.Context, service Service, operation string, writes ...Write) ([]uint64, error) {
 	versions, err := service.Commit(ctx, operation, writes...)
 	delay := settleMinDelay
@@ -60,8 +59,8 @@
 	}
 }
 
-// resolveConflict decides a conflict answered to a resent commit: the first
-// sending may be what changed the row.
+// resolveConflict handles a conflict of a commit that was sent more than once, since an earlier
+// attempt may be what changed the row.
 func resolveConflict(ctx context.Context, service Service, operation string, writes []Write, conflict error) ([]uint64, error) {
 	firstPutWrite, ok := firstPut(writes)
 	if !ok {
@@ -70,7 +69,7 @@
 	row, err := service.Get(ctx, firstPutWrite.Key)
 	switch {
 	case err == nil && strings.HasPrefix(row.Operation, operation):
-		// A Logged service ends the id with the number of its try.
+		// Logged.Commit appends the number of its attempt to the operation ID.
 		return []uint64{row.Version}, nil
 	case err == nil && row.Version == firstPutWrite.Expect:
 		return nil, conflict
--- a/internal/table/suspend_test.go
+++ b/internal/table/suspend_test.go
@@ -9,8 +9,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestWatcher_AgeIncludesSuspension guards that what a node knew before it slept is not
-// taken for what is so now.
+// Guards against a node that treats data from before a suspension as current.
 func TestWatcher_AgeIncludesSuspension(t *testing.T) {
 	machine := clocktest.New(t)
 	watcher := table.NewWatcher(tabletest.New().Feed("g"), func(table.Changes, bool) {})
@@ -18,12 +17,12 @@
 	tabletest.Follow(t, watcher)
 	for deadline := time.Now().Add(10 * time.Second); !watcher.Ready(); {
 		if time.Now().After(deadline) {
-			t.Fatal("not read")
+			t.Fatal("the whole read did not complete in time")
 		}
 		time.Sleep(time.Millisecond)
 	}
 	machine.Suspend(9 * time.Second)
 	if age, silence := watcher.Age(), watcher.SinceLastResponse(); age < 9*time.Second || silence < 9*time.Second {
-		t.Fatalf("aged %v, silent for %v after a sleep of 9 s", age, silence)
+		t.Fatalf("age %v, last response %v ago after a suspension of 9 s", age, silence)
 	}
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,9 +1,9 @@
-// Package table is the port to the platform's transactional table service.
+// Package table defines the interface to the platform's transactional table service, and an
+// adapter to the DynamoDB protocol.
 //
-// All lasting state that needs agreement lives in rows with a version. A row
-// is only ever changed by a write that names the version it expects, so every
-// change is a compare-and-set and no two writers can both succeed from the
-// same version.
+// All persistent state that needs agreement is stored in versioned rows. A row is only changed by
+// a write that names the version it expects, so every change is a compare-and-set and no two
+// writers can both succeed from the same version.
 package table
 
 import (
@@ -21,7 +21,7 @@
 	ErrNotFound = errors.New("row not found")
 	// ErrConflict reports that a condition did not hold. The write had no effect.
 	ErrConflict = errors.New("row version conflict")
-	// ErrThrottled reports that the service refused the call for its rate. It had no effect.
+	// ErrThrottled reports that the service rejected the call by rate limiting. It had no effect.
 	ErrThrottled = errors.New("table service throttled")
 	// ErrUnavailable reports that the service could not be reached.
 	ErrUnavailable = errors.New("table service unavailable")
@@ -30,7 +30,7 @@
 // Absent is the expected version of a row that must not exist.
 const Absent uint64 = 0
 
-// Key names a row. Rows of one partition are listed in the order of Sort.
+// Key identifies a row. The rows of a partition are ordered by Sort.
 type Key struct {
 	Partition string
 	Sort      string
@@ -39,18 +39,18 @@
 // Row is a stored row.
 type Row struct {
 	Key
-	// Version rises by every write; it is never Absent for a stored row.
+	// Version increases with every write. It is never Absent for a stored row.
 	Version uint64
-	// Operation is the id of the operation that wrote this version.
+	// Operation is the ID of the operation that wrote this version.
 	Operation string
 	// Body is opaque to the service.
 	Body []byte
-	// Unreadable says why the stored value cannot be read; nil if it can. The row is there
-	// all the same: Key and Version hold, Body and Operation are empty.
+	// Unreadable is the error from decoding the stored value, or nil. If set, Key and Version are
+	// valid, and Body and Operation are empty.
 	Unreadable error
 }
 
-// WriteKind says what a Write does when its condition holds.
+// WriteKind is the effect of a Write whose condition holds.
 type WriteKind int
 
 const (
@@ -62,18 +62,18 @@
 	Check
 )
 
-// Write is one conditional change within a commit.
+// Write is a conditional change within a commit.
 type Write struct {
 	Key
 	Kind WriteKind
-	// Expect is the version the row must have, or Absent.
+	// Expect is the version that the row must have, or Absent.
 	Expect uint64
 	// Next is the version stored by Put. Zero means Expect+1.
 	Next uint64
 	Body []byte
 }
 
-// NextVersion returns the version the row has after the write.
+// NextVersion returns the version that the row has after the write.
 func (w Write) NextVersion() uint64 {
 	if w.Next != 0 {
 		return w.Next
@@ -83,20 +83,20 @@
 
 // Service is the table service. Implementations are safe for concurrent use.
 //
-// Errors of Commit carry an outcome (see package outcome): ErrConflict and
-// ErrThrottled are not done; a lost connection or a time-out is unknown.
+// Errors of Commit carry an outcome (see package outcome): NotDone for ErrConflict and
+// ErrThrottled, unknown for a lost connection or a timeout.
 type Service interface {
-	// Get reads one row with strong consistency. It returns ErrNotFound.
+	// Get reads a row with strong consistency. It returns ErrNotFound if there is none.
 	Get(ctx context.Context, key Key) (Row, error)
 	// List reads up to limit rows of a partition with Sort > after, in order.
 	List(ctx context.Context, partition, after string, limit int) ([]Row, error)
-	// Commit applies all writes or none. The operation id makes a resent
-	// commit idempotent and is stored with every row that is put.
-	// It returns the versions of the rows written, in the order of writes.
+	// Commit applies all writes or none, and returns the versions of the rows in the order of
+	// writes. The operation ID makes a commit that is sent again idempotent, and is stored with
+	// every row that is put.
 	Commit(ctx context.Context, operation string, writes ...Write) ([]uint64, error)
 }
 
-// ListAll reads a whole partition in pages.
+// ListAll reads all rows of a partition, in pages.
 func ListAll(ctx context.Context, service Service, partition string) ([]Row, error) {
 	const pageSize = 500
 	var rows []Row
--- a/internal/table/tabletest/tabletest.go
+++ b/internal/table/tabletest/tabletest.go
@@ -1,4 +1,4 @@
-// Package tabletest is a table service in memory with faults, for tests.
+// Package tabletest provides an in-memory table service with fault injection, for tests.
 package tabletest
 
 import (
@@ -14,27 +14,27 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// errLost is the cause of an answer that never comes.
+// errLost is the error of a commit whose response is lost.
 var errLost = errors.New("answer lost")
 
-// Fault is what happens to a commit.
+// Fault is an injected fault of a commit.
 type Fault int
 
 // Faults of commits.
 const (
-	// None lets the commit through.
+	// None lets the commit succeed.
 	None Fault = iota
-	// Down refuses it; nothing is done.
+	// Down rejects the commit without effect.
 	Down
-	// Lost does it and loses the answer.
+	// Lost applies the commit and loses the response.
 	Lost
-	// Late loses the answer and does it when Land is called, if its conditions
+	// Late loses the response and applies the commit when ApplyLate is called, if its conditions
 	// still hold then.
 	Late
 )
 
-// Table keeps rows in memory. One counter gives the versions of all rows, as
-// with the platform's store. It is safe for concurrent use.
+// Table is an in-memory table.Service. All rows share one version counter, as in the platform's
+// store. It is safe for concurrent use.
 type Table struct {
 	mu      sync.Mutex
 	rows    map[table.Key]table.Row
@@ -43,8 +43,8 @@
 	start   time.Time
 	late    []lateCommit
 	changed chan struct{}
-	// CommitFault, if set, decides the fate of each commit. ReadFault, if set,
-	// is the error of each reading call.
+	// CommitFault, if set, returns the fault of each commit. ReadFault, if set, returns the error
+	// of each read.
 	CommitFault func(writes []table.Write) Fault
 	ReadFault   func() error
 }
@@ -121,8 +121,7 @@
 	return versions, err
 }
 
-// ApplyLate carries out the late commits whose conditions still hold. It returns how
-// many did.
+// ApplyLate applies the late commits whose conditions still hold, and returns their number.
 func (t *Table) ApplyLate() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -136,7 +135,7 @@
 	return applied
 }
 
-// apply carries out a commit. The caller holds mu.
+// apply applies a commit. The caller holds mu.
 func (t *Table) apply(operation string, writes []table.Write) ([]uint64, error) {
 	conflict := &table.ConflictError{Revision: t.version}
 	conditionsHold := true
@@ -173,14 +172,14 @@
 	}
 }
 
-// Compact forgets the history of changes.
+// Compact discards the change log.
 func (t *Table) Compact() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.log = nil
 }
 
-// Feed follows the partitions of a group of the table.
+// Feed returns a feed of a group of the table.
 func (t *Table) Feed(group string) table.Feed { return &feed{table: t, group: group} }
 
 type feed struct {
@@ -221,7 +220,7 @@
 		case <-ctx.Done():
 			return table.Changes{}, outcome.Undecided(ctx.Err())
 		case <-deadline.C:
-			// Nothing had come by now, not by the beginning of the wait.
+			// The changes are as of now, not as of the start of the wait.
 			changes, _, err = f.since(revision)
 			return changes, err
 		case <-changed:
@@ -247,7 +246,7 @@
 	return changes, f.table.changed, nil
 }
 
-// emptyChanges returns changes without rows. The caller holds mu.
+// emptyChanges returns the current revision and time without any changes. The caller holds mu.
 func (t *Table) emptyChanges() table.Changes {
 	return table.Changes{Revision: t.version, Now: clock.Since(t.start)}
 }
--- a/internal/table/unreadable.go
+++ b/internal/table/unreadable.go
@@ -8,23 +8,23 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Reason says what of a row cannot be read, as metrics name it.
+// Reason is the part of a row that cannot be read. Metrics use it as a label.
 type Reason string
 
 const (
-	// Envelope means that what the store keeps around the body cannot be read.
+	// Envelope means that the attributes stored around the body are invalid.
 	Envelope Reason = "envelope"
-	// Encoding means that the body is not of the encoding that its writer uses.
+	// Encoding means that the body is not valid CBOR, or not of the expected type.
 	Encoding Reason = "encoding"
-	// Content means that the body is well encoded and says what cannot be.
+	// Content means that the body decodes to an invalid value.
 	Content Reason = "content"
-	// Unknown means that the row is sound and names something that is not known here.
+	// Unknown means that the row is valid but refers to something unknown.
 	Unknown Reason = "unknown"
 )
 
 // UnreadableError reports a row, or another stored object, that cannot be read.
 type UnreadableError struct {
-	// Key and Version name what cannot be read; Version is 0 for what has none.
+	// Key and Version identify the object; Version is 0 for objects without one.
 	Key     Key
 	Version uint64
 	Reason  Reason
@@ -36,11 +36,11 @@
 	return fmt.Sprintf("%s/%s at version %d cannot be read (%s): %v", e.Key.Partition, e.Key.Sort, e.Version, e.Reason, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *UnreadableError) Unwrap() error { return e.Err }
 
-// AsUnreadable returns the error that says why a row is not read. An UnreadableError keeps the
-// reason that it has.
+// AsUnreadable returns an UnreadableError for a row that cannot be used because of err. If err wraps an
+// UnreadableError, its reason and cause are kept.
 func (r *Row) AsUnreadable(reason Reason, err error) *UnreadableError {
 	if r.Unreadable != nil {
 		reason, err = Envelope, r.Unreadable
@@ -51,7 +51,7 @@
 	return &UnreadableError{Key: r.Key, Version: r.Version, Reason: reason, Err: err}
 }
 
-// Decode reads the CBOR body of a row into a record. Its error is an UnreadableError.
+// Decode decodes the CBOR body of a row into record. Its error is an UnreadableError.
 func (r *Row) Decode(record any) error {
 	if r.Unreadable != nil {
 		return r.AsUnreadable(Envelope, r.Unreadable)
@@ -62,25 +62,25 @@
 	return nil
 }
 
-// maxReported bounds the rows whose report is remembered, some 0.3 MB: of more that are read
-// again and again, some are reported more than once.
+// maxReported limits the number of remembered rows, which take about 0.3 MB. If more rows are
+// unreadable, some are reported more than once.
 const maxReported = 1024
 
-// Unreadable reports rows that cannot be read, each version of a row once: a reader may come
-// by it with every look. A nil Unreadable, and the zero value, report nothing. It is safe for
-// concurrent use.
+// Unreadable reports rows that cannot be read, once per version of a row, since a reader may come
+// across the same row with every read. A nil Unreadable and the zero value report nothing. It is safe
+// for concurrent use.
 type Unreadable struct {
-	// OnUnreadable is told of each. It is set before use.
+	// OnUnreadable is called for each reported row. Set it before first use.
 	OnUnreadable func(*UnreadableError)
 
 	mu       sync.Mutex
 	reported map[Key]uint64
-	// order are the keys of told, the oldest first.
+	// order lists the keys of reported, oldest first.
 	order []Key
 }
 
-// Report reports the UnreadableError in err's chain, unless that was done before. Other
-// errors are not its concern.
+// Report reports the UnreadableError in the chain of err, unless it was reported before. Other
+// errors are ignored.
 func (u *Unreadable) Report(err error) {
 	var unreadable *UnreadableError
 	if u == nil || u.OnUnreadable == nil || !errors.As(err, &unreadable) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// recordVersion remembers a version of a row. It reports whether that is new.
+// recordVersion records a version of a row, and reports whether it is new.
 func (u *Unreadable) recordVersion(key Key, version uint64) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/table/unreadable_test.go
+++ b/internal/table/unreadable_test.go
@@ -24,18 +24,18 @@
 	report("b", 3)
 	report("a", 4)
 	if reports != 3 {
-		t.Errorf("told %d times, want 3", reports)
+		t.Errorf("%d reports, want 3", reports)
 	}
 	unreadable.Report(nil)
-	unreadable.Report(errors.New("another matter"))
+	unreadable.Report(errors.New("another error"))
 	(*Unreadable)(nil).Report((&Row{}).Decode(&reports))
 	(&Unreadable{}).Report((&Row{}).Decode(&reports))
 	if reports != 3 {
-		t.Errorf("told %d times, want 3", reports)
+		t.Errorf("%d reports, want 3", reports)
 	}
 }
 
-// TestUnreadable_MemoryIsBounded has many readers come by many rows.
+// The number of remembered rows stays bounded with concurrent readers of many unreadable rows.
 func TestUnreadable_MemoryIsBounded(t *testing.T) {
 	unreadable := &Unreadable{OnUnreadable: func(*UnreadableError) {}}
 	var group sync.WaitGroup
@@ -49,7 +49,7 @@
 	}
 	group.Wait()
 	if len(unreadable.reported) != maxReported || len(unreadable.order) != maxReported {
-		t.Errorf("%d and %d are remembered", len(unreadable.reported), len(unreadable.order))
+		t.Errorf("%d and %d rows are remembered", len(unreadable.reported), len(unreadable.order))
 	}
 }
 
@@ -78,8 +78,7 @@
 	}
 }
 
-// TestPolledFeed_CorruptLogRowRequiresWholeRead has the log of a group lie in a row that
-// cannot be read: what it said is in the group's rows.
+// A corrupt log row requires a whole read, because the rows of the group contain its changes.
 func TestPolledFeed_CorruptLogRowRequiresWholeRead(t *testing.T) {
 	service := &fixedService{rows: []Row{{Key: logKey("g", 8), Version: 8, Body: []byte{0xff}}}}
 	reports := 0
@@ -88,15 +87,15 @@
 	feed := PolledFeed{Heads: heads, Group: "g", Parts: []string{"g"}}
 	for range 2 {
 		if _, err := feed.since(t.Context(), 7); !errors.Is(err, ErrCompacted) {
-			t.Fatalf("the feed answers %v", err)
+			t.Fatalf("error %v, want ErrCompacted", err)
 		}
 	}
 	if reports != 1 {
-		t.Errorf("told %d times", reports)
+		t.Errorf("%d reports, want 1", reports)
 	}
 }
 
-// fixedService lists the same rows to everybody.
+// fixedService returns the same rows from every List.
 type fixedService struct {
 	Service
 	rows []Row
--- a/internal/table/watch.go
+++ b/internal/table/watch.go
@@ -14,85 +14,85 @@
 
 // Watch timing.
 const (
-	// watchMaxWait bounds one wait for changes, so that a silent connection is noticed.
+	// watchMaxWait limits one wait for changes, so that a dead connection is detected.
 	watchMaxWait = 1500 * time.Millisecond
-	// watchTimeoutMargin is how much longer than its wait a call may take.
+	// watchTimeoutMargin is the time that a call may take in addition to its wait.
 	watchTimeoutMargin = 900 * time.Millisecond
-	// pageMaxTimeout bounds the read of a page; many nodes that start at the
-	// same time share the store's link.
+	// pageMaxTimeout limits the read of a page. It allows for many nodes that start at the same
+	// time and share the network link of the store.
 	pageMaxTimeout = 4 * time.Second
-	// pageMinTimeout bounds the first try of a page, and doubles with each failure: a
-	// page that was lost in an outage must not hold up the read long after it.
+	// pageMinTimeout is the timeout of the first read of a page, and doubles with each failure. It is
+	// short so that a response lost in an outage does not delay the read long after the outage.
 	pageMinTimeout     = time.Second
 	watchRetryMinDelay = 25 * time.Millisecond
 	watchRetryMaxDelay = 300 * time.Millisecond
-	// pageMaxFailures in a row end a whole read, and pageRetryMax bounds the pause
-	// between them.
+	// pageMaxFailures is the number of consecutive failures after which a whole read is aborted,
+	// pageRetryMaxDelay the maximum delay between them.
 	pageMaxFailures   = 20
 	pageRetryMaxDelay = time.Second
 )
 
-// Watcher follows a feed and hands every change to Apply, in order. A view
-// never steps back: of each row only newer versions are handed on, and a row is
-// taken as removed by a whole read only if that read is newer than what is known.
+// Watcher follows a feed and passes every change to Apply, in order. Its view never goes back in
+// time: only newer versions of a row are passed on, and a row that is missing from a whole read
+// is only considered removed if the read is newer than the known revision.
 type Watcher struct {
 	Feed Feed
-	// Apply takes changes. whole marks the answer of a whole read.
+	// Apply is called with new changes; whole is set for the result of a whole read.
 	Apply func(changes Changes, whole bool)
-	// Pace, if set, bounds the number of calls while much changes.
+	// Pace, if set, limits the rate of calls while there are many changes.
 	Pace func() Pace
-	// OnLost and Regained are told when the service stops and starts to answer.
+	// OnLost and OnRegained, if set, are called when the service stops and resumes responding.
 	OnLost     func(error)
 	OnRegained func(outage time.Duration)
 
-	// OnReread is told of each whole read that is done but the first: the feed stood still all
-	// the while, and what was known is as old as it took. It may be nil.
+	// OnReread, if set, is called after each whole read except the first. No changes are received
+	// during the read, so known rows were up to WholeRead.Elapsed out of date.
 	OnReread func(WholeRead)
 
-	// KeepRows has the watcher keep the rows themselves, for Held. It is set before use.
+	// KeepRows makes the watcher keep the rows for Snapshot. Set it before first use.
 	KeepRows bool
 
-	// mu orders what is taken in from the service and from Seed.
+	// mu orders updates from the service and from Seed.
 	mu       sync.Mutex
 	versions map[Key]uint64
 	rows     map[Key]Row
 	revision uint64
-	// newestAnswer is when the service gave the newest answer, seeded when it gave the one that a
-	// seed came from, since clockOrigin; 0 is never.
+	// newestAnswer is the time at which the service generated the newest answer, seededAnswer that
+	// of the answer a seed came from, as durations since clockOrigin; 0 means never.
 	newestAnswer atomic.Int64
 	seededAnswer atomic.Int64
-	// lastResponse is when any call was last lastResponse, a page of a whole read also.
+	// lastResponse is the time of the last response to any call, including pages of whole reads.
 	lastResponse atomic.Int64
 	outageStart  time.Time
 	ages         ageEstimator
 	refresh      chan struct{}
-	// announced holds an announcement of news until the next rest between calls.
+	// announced holds a pending announcement until the next wait between calls.
 	announced chan struct{}
 }
 
-// Pace is the least time between the beginnings of two calls of a watcher.
+// Pace is the minimum time between the starts of two calls of a watcher.
 type Pace struct {
-	// AfterAnnouncement holds while somebody has announced news, Default otherwise.
+	// AfterAnnouncement applies after a call of Announce, Default otherwise.
 	AfterAnnouncement, Default time.Duration
 }
 
-// WholeRead is how a read of a whole group went.
+// WholeRead describes a completed read of a whole group.
 type WholeRead struct {
-	// Pages that were answered, and tries that failed.
+	// Pages is the number of pages read, Failures the number of failed attempts.
 	Pages, Failures int
 	Elapsed         time.Duration
 }
 
-// clockOrigin makes steady times comparable as integers.
+// clockOrigin is the reference for times stored as integers.
 var clockOrigin = clock.Now()
 
-// NewWatcher returns a watcher that has seen nothing.
+// NewWatcher returns a watcher that has not read anything. Call Run to follow the feed.
 func NewWatcher(feed Feed, apply func(Changes, bool)) *Watcher {
 	return &Watcher{Feed: feed, Apply: apply, versions: map[Key]uint64{}, rows: map[Key]Row{}, refresh: make(chan struct{}, 1), announced: make(chan struct{}, 1)}
 }
 
-// Age returns the time since the service gave the newest answer, here or, before the first one,
-// where a seed came from. A whole read is as old as its first page.
+// Age returns the time since the service generated the newest answer received by this watcher or,
+// before the first one, the answer that a seed came from. A whole read is as old as its first page.
 func (w *Watcher) Age() time.Duration {
 	newest := w.newestAnswer.Load()
 	if newest == 0 {
@@ -101,17 +101,17 @@
 	return clock.Since(clockOrigin) - time.Duration(newest)
 }
 
-// SinceLastResponse returns the time since the service last answered any call of this watcher, a
-// page of a whole read that is not done yet also; since the start of the process if none.
+// SinceLastResponse returns the time since the service last responded to any call of this watcher,
+// including pages of an unfinished whole read, or since the start of the process if it never has.
 func (w *Watcher) SinceLastResponse() time.Duration {
 	return clock.Since(clockOrigin) - time.Duration(w.lastResponse.Load())
 }
 
-// Populated reports whether the whole group has been read once, here or where a seed came
-// from.
+// Populated reports whether the watcher has the rows of the whole group, from a whole read or a
+// seed.
 func (w *Watcher) Populated() bool { return w.Ready() || w.seededAnswer.Load() != 0 }
 
-// Snapshot returns the rows of the group as they were known an age ago. Keep must be set.
+// Snapshot returns the rows of the group and their age. It requires KeepRows.
 func (w *Watcher) Snapshot() (snapshot Changes, age time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -122,9 +122,9 @@
 	return snapshot, w.Age()
 }
 
-// Seed takes in the rows of the group as somebody else knew them an age ago, until the
-// service answers here: its first whole read then takes the place of them. They go to
-// apply. It reports whether they were taken.
+// Seed passes rows of the group known to another node, with their age, to apply. They are used until
+// the first whole read replaces them. Seed reports false, without effect, if the watcher is
+// already populated.
 func (w *Watcher) Seed(snapshot Changes, age time.Duration, apply func(Changes, bool)) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -137,7 +137,7 @@
 	return true
 }
 
-// recordVersions notes the versions of rows, and the rows if they are kept. The caller holds mu.
+// recordVersions records the versions of rows, and the rows with KeepRows. The caller holds mu.
 func (w *Watcher) recordVersions(changes []Change) {
 	for _, change := range changes {
 		if change.Removed {
@@ -152,10 +152,10 @@
 	}
 }
 
-// Ready reports whether the whole group has been read once.
+// Ready reports whether the whole group has been read at least once.
 func (w *Watcher) Ready() bool { return w.newestAnswer.Load() != 0 }
 
-// Refresh asks for a whole read soon, because the feed seems to be behind.
+// Refresh requests a whole read, for a feed that seems to be behind.
 func (w *Watcher) Refresh() {
 	select {
 	case w.refresh <- struct{}{}:
@@ -163,8 +163,8 @@
 	}
 }
 
-// Announce says that there is news, or that somebody waits for some: the rest between
-// two calls ends early.
+// Announce signals that there are changes, or that a caller waits for some. The wait before the
+// next call is shortened to Pace.AfterAnnouncement.
 func (w *Watcher) Announce() {
 	select {
 	case w.announced <- struct{}{}:
@@ -172,7 +172,7 @@
 	}
 }
 
-// Run follows the feed until the context ends.
+// Run follows the feed until ctx is done.
 func (w *Watcher) Run(ctx context.Context) {
 	whole := true
 	delay := watchRetryMinDelay
@@ -199,7 +199,7 @@
 	}
 }
 
-// waitForNextCall waits until the next call after one that began at a time.
+// waitForNextCall waits until the next call is due, given the start of the previous one.
 func (w *Watcher) waitForNextCall(ctx context.Context, start time.Time) {
 	if w.Pace == nil {
 		return
@@ -231,7 +231,7 @@
 	return err
 }
 
-// stepWhole reads the whole group and takes it in.
+// stepWhole reads the whole group and applies it.
 func (w *Watcher) stepWhole(ctx context.Context) error {
 	start := clock.Now()
 	reread := w.Ready()
@@ -248,9 +248,9 @@
 	return nil
 }
 
-// readWhole reads all pages. A page that fails is read again by itself, so that
-// many nodes that start at the same time get through a store that refuses some.
-// The read counts as of its first page: what changes meanwhile comes by the feed.
+// readWhole reads all pages. A failed page is retried by itself, so that many nodes starting at the
+// same time make progress against a store that rejects some calls. The result is as of the first
+// page; later changes are received through the feed.
 func (w *Watcher) readWhole(ctx context.Context) (Changes, WholeRead, error) {
 	var whole Changes
 	var cursor Cursor
@@ -278,7 +278,7 @@
 	return whole, read, nil
 }
 
-// readPage makes one try of a page that has failed so many times.
+// readPage attempts to read a page, with a timeout that grows with the previous failures.
 func (w *Watcher) readPage(ctx context.Context, cursor Cursor, previousFailures int) (Changes, Cursor, error) {
 	callCtx, cancel := context.WithTimeout(ctx, min(pageMinTimeout<<min(previousFailures, 8), pageMaxTimeout))
 	defer cancel()
@@ -291,13 +291,13 @@
 	return w.withAsOf(sent, page), next, nil
 }
 
-// jittered returns between half and all of a delay, so that nodes that were
-// refused together do not come back together.
+// jittered returns a random delay between half and all of delay, so that nodes rejected at the same
+// time do not retry at the same time.
 func jittered(delay time.Duration) time.Duration {
 	return delay/2 + rand.N(delay/2+1)
 }
 
-// applyWhole turns a whole read into changes: rows that it lacks were removed.
+// applyWhole applies a whole read. Known rows that it does not contain have been removed.
 func (w *Watcher) applyWhole(read Changes) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -323,7 +323,7 @@
 	w.applyLocked(changes, whole)
 }
 
-// applyLocked is take for a caller that holds mu.
+// applyLocked implements apply. The caller holds mu.
 func (w *Watcher) applyLocked(changes Changes, whole bool) {
 	newer := changes.Changes[:0]
 	for _, change := range changes.Changes {
@@ -338,8 +338,8 @@
 	w.Apply(changes, whole)
 }
 
-// callSucceeded notes an answer. It comes before the changes are applied, so that
-// those who take them know of an outage that lies behind.
+// callSucceeded records a response. It must be called before the changes are applied, because
+// handlers of the changes need to know of an outage that has ended.
 func (w *Watcher) callSucceeded(changes Changes) {
 	asOf := int64(changes.AsOf.Sub(clockOrigin))
 	if newest := w.newestAnswer.Load(); !changes.More && (newest == 0 || asOf > newest) {
--- a/internal/table/watch_test.go
+++ b/internal/table/watch_test.go
@@ -24,13 +24,13 @@
 	return versions[0]
 }
 
-// follow runs a watcher until the test ends.
+// eventually waits until holds returns true.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
 	for !holds() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -50,15 +50,15 @@
 		}
 	})
 	tabletest.Follow(t, watcher)
-	eventually(t, "first read", func() bool { return put.Load() == 1 })
+	eventually(t, "the first read", func() bool { return put.Load() == 1 })
 	commit(t, service, table.Write{Key: key("a"), Kind: table.Delete, Expect: version})
 	service.Compact()
 	commit(t, service, table.Write{Key: key("b")})
 	service.Compact()
-	eventually(t, "removal seen", func() bool { return removed.Load() == 1 && put.Load() >= 2 })
+	eventually(t, "the removal to be received", func() bool { return removed.Load() == 1 && put.Load() >= 2 })
 }
 
-// scriptedFeed is a feed that answers as told.
+// scriptedFeed is a feed whose answers are sent by the test.
 type scriptedFeed struct {
 	answers chan func() (table.Changes, error)
 }
@@ -106,14 +106,14 @@
 	want := []uint64{5, 0, 0, 6, 0}
 	for i := range want {
 		if seen[i] != want[i] {
-			t.Fatalf("versions applied are %v, want %v", seen, want)
+			t.Fatalf("applied versions: %v, want %v", seen, want)
 		}
 	}
 }
 
 func TestWatcher_ReportsOutageBeforeChanges(t *testing.T) {
-	// A finding: removals that an outage caused were applied before those who
-	// take them knew that there had been one.
+	// Guards against removals that are applied before the handlers of the changes know of the
+	// outage that caused them.
 	feed := &scriptedFeed{answers: make(chan func() (table.Changes, error))}
 	order := make(chan string, 4)
 	watcher := table.NewWatcher(feed, func(table.Changes, bool) { order <- "applied" })
@@ -130,7 +130,7 @@
 	}
 }
 
-// pagedFeed is a feed of three pagedFeed, the second of which fails at first.
+// pagedFeed is a feed of three pages, the second of which fails three times.
 type pagedFeed struct {
 	failures atomic.Int32
 	reads    [3]atomic.Int32
@@ -149,28 +149,28 @@
 
 func (p *pagedFeed) After(ctx context.Context, revision uint64, _ time.Duration) (table.Changes, error) {
 	if revision != 10 {
-		return table.Changes{}, errors.New("not as of the first page")
+		return table.Changes{}, errors.New("revision is not that of the first page")
 	}
 	<-ctx.Done()
 	return table.Changes{}, ctx.Err()
 }
 
 func TestWatcher_RetriesOnlyFailedPage(t *testing.T) {
-	// A finding: 300 nodes that started together were refused some of their
-	// pages, began from the first one again, and served only after 30 s.
+	// Guards against a rejected page that restarts the whole read: 300 nodes that started at the
+	// same time needed 30 s until they could serve.
 	feed := &pagedFeed{}
 	applied := make(chan int, 1)
 	watcher := table.NewWatcher(feed, func(changes table.Changes, _ bool) { applied <- len(changes.Changes) })
 	tabletest.Follow(t, watcher)
 	if rows := <-applied; rows != 3 {
-		t.Fatalf("%d rows were read, want 3", rows)
+		t.Fatalf("%d rows read, want 3", rows)
 	}
 	if feed.reads[0].Load() != 1 || feed.reads[2].Load() != 1 {
-		t.Fatal("pages that had been read were read again")
+		t.Fatal("pages that had succeeded were read again")
 	}
 }
 
-// hangingPageFeed is a feed whose pages hang until their time is up, as often as told.
+// hangingPageFeed is a feed whose first hangs pages time out.
 type hangingPageFeed struct {
 	hangs    int
 	timeouts []time.Duration
@@ -190,9 +190,8 @@
 	return table.Changes{}, ctx.Err()
 }
 
-// TestWatcher_PageTimeoutGrowsWithFailures guards that a first read which meets a
-// silent store does not hang on long after the store is well: a page has a second at
-// first, and more with each failure, for the store may be slow.
+// Guards against a first read that hangs long after a store outage has ended. The timeout of a page
+// starts at one second and doubles with each failure, since the store may be slow.
 func TestWatcher_PageTimeoutGrowsWithFailures(t *testing.T) {
 	feed := &hangingPageFeed{hangs: 3}
 	ready := make(chan struct{})
@@ -201,7 +200,7 @@
 	<-ready
 	for i, limit := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second} {
 		if feed.timeouts[i] > limit || feed.timeouts[i] < limit/2 {
-			t.Errorf("try %d has %v, want %v", i, feed.timeouts[i], limit)
+			t.Errorf("timeout of attempt %d is %v, want %v", i, feed.timeouts[i], limit)
 		}
 	}
 }
