--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -14,53 +14,53 @@
 )
 
 const (
-	// lookEvery is how much steady time passes at most between two looks at the clock that
+	// bootTimeCheckInterval is how much steady time passes at most between two looks at the clock that
 	// counts suspensions: a look is a system call, of some 100 ns.
-	lookEvery = 100 * time.Millisecond
-	// tolerance is how far two readings of clocks may lie apart that are taken one after the
+	bootTimeCheckInterval = 100 * time.Millisecond
+	// clockTolerance is how far two readings of clocks may lie apart that are taken one after the
 	// other. What is shorter is no suspension.
-	tolerance = time.Millisecond
-	// readTries bounds how often the clocks are read until they are read close together.
-	readTries = 4
-	// longestLife bounds the life of a process. A steady clock beyond it is one that tests
+	clockTolerance = time.Millisecond
+	// readAttempts bounds how often the clocks are read until they are read close together.
+	readAttempts = 4
+	// maxProcessAge bounds the life of a process. A steady clock beyond it is one that tests
 	// make up, in which nothing is suspended.
-	longestLife = 20 * 365 * 24 * time.Hour
-	// deadlineLook is how late a deadline that passed in a suspension is noticed after it.
-	deadlineLook = 200 * time.Millisecond
+	maxProcessAge = 20 * 365 * 24 * time.Hour
+	// deadlineCheckInterval is how late a deadline that passed in a suspension is noticed after it.
+	deadlineCheckInterval = 200 * time.Millisecond
 )
 
-// origin is when the process began to look at clocks.
-var origin = time.Now()
+// processStart is when the process began to look at clocks.
+var processStart = time.Now()
 
 // reading is what the last look showed.
 type reading struct {
-	// steady is when that was, by the steady clock since origin.
-	steady time.Duration
-	// drift is how far the time of day had run ahead of the steady clock since origin. It
+	// monotonic is when that was, by the monotonic clock since origin.
+	monotonic time.Duration
+	// wallOffset is how far the time of day had run ahead of the steady clock since origin. It
 	// changes when the machine was suspended, or when the time of day was set.
-	drift time.Duration
-	// slept is the time since origin that the steady clock left out.
-	slept time.Duration
-	// woke is when slept last grew, by Now.
-	woke time.Time
+	wallOffset time.Duration
+	// suspended is the time since origin that the steady clock left out.
+	suspended time.Duration
+	// resumedAt is when slept last grew, by Now.
+	resumedAt time.Time
 }
 
 var (
-	last   atomic.Pointer[reading]
-	lookMu sync.Mutex
-	// source reads the clock that counts suspensions; begun is what it showed at origin.
-	source = bootTime
-	begun  = sourceBegun()
+	lastReading atomic.Pointer[reading]
+	readMu      sync.Mutex
+	// bootTimeSource reads the clock that counts suspensions; begun is what it showed at origin.
+	bootTimeSource  = bootTime
+	bootTimeAtStart = readBootTimeAtStart()
 )
 
-// sourceBegun returns what the source showed at origin.
-func sourceBegun() time.Duration {
+// readBootTimeAtStart returns what the source showed at origin.
+func readBootTimeAtStart() time.Duration {
 	for {
-		now, steady, ok := readBoth(source)
+		bootNow, monotonic, ok := readBoth(bootTimeSource)
 		if ok {
-			return now - steady
+			return bootNow - monotonic
 		}
-		if _, tells := source(); !tells {
+		if _, supported := bootTimeSource(); !supported {
 			return 0
 		}
 	}
@@ -69,7 +69,7 @@
 // CountsSuspension reports whether this system has a clock that counts suspensions. If not,
 // Now is the steady clock.
 func CountsSuspension() bool {
-	_, ok := source()
+	_, ok := bootTimeSource()
 	return ok
 }
 
@@ -80,16 +80,16 @@
 // into line by 5 ms a second is half a second off after 100 s.
 func Now() time.Time {
 	now := time.Now()
-	steady := now.Sub(origin)
-	if steady < 0 || steady > longestLife {
+	monotonic := now.Sub(processStart)
+	if monotonic < 0 || monotonic > maxProcessAge {
 		return now.Round(0)
 	}
-	drift := now.Round(0).Sub(origin.Round(0)) - steady
-	known := last.Load()
-	if known == nil || (drift-known.drift).Abs() > tolerance || steady-known.steady > lookEvery {
-		known = look(steady, drift)
+	wallOffset := now.Round(0).Sub(processStart.Round(0)) - monotonic
+	latest := lastReading.Load()
+	if latest == nil || (wallOffset-latest.wallOffset).Abs() > clockTolerance || monotonic-latest.monotonic > bootTimeCheckInterval {
+		latest = readClocks(monotonic, wallOffset)
 	}
-	return origin.Add(steady + known.slept)
+	return processStart.Add(monotonic + latest.suspended)
 }
 
 // Since returns the time that has passed since a time of Now.
@@ -98,42 +98,42 @@
 // Until returns the time until a time of Now.
 func Until(then time.Time) time.Duration { return then.Sub(Now()) }
 
-// Slept returns how long the machine has been suspended since the process began.
-func Slept() time.Duration {
+// Suspended returns how long the machine has been suspended since the process began.
+func Suspended() time.Duration {
 	Now()
-	if known := last.Load(); known != nil {
-		return known.slept
+	if latest := lastReading.Load(); latest != nil {
+		return latest.suspended
 	}
 	return 0
 }
 
-// SinceWake returns the time since the machine was last found to have been suspended. It
+// SinceResume returns the time since the machine was last found to have been suspended. It
 // reports false if it never was.
-func SinceWake() (time.Duration, bool) {
+func SinceResume() (time.Duration, bool) {
 	now := Now()
-	known := last.Load()
-	if known == nil || known.woke.IsZero() {
+	latest := lastReading.Load()
+	if latest == nil || latest.resumedAt.IsZero() {
 		return 0, false
 	}
-	return now.Sub(known.woke), true
+	return now.Sub(latest.resumedAt), true
 }
 
-// look reads the clock that counts suspensions.
-func look(steady, drift time.Duration) *reading {
-	lookMu.Lock()
-	defer lookMu.Unlock()
-	next := reading{steady: steady, drift: drift}
-	if known := last.Load(); known != nil {
-		next.slept, next.woke = known.slept, known.woke
+// readClocks reads the clock that counts suspensions.
+func readClocks(monotonic, wallOffset time.Duration) *reading {
+	readMu.Lock()
+	defer readMu.Unlock()
+	next := reading{monotonic: monotonic, wallOffset: wallOffset}
+	if previous := lastReading.Load(); previous != nil {
+		next.suspended, next.resumedAt = previous.suspended, previous.resumedAt
 	}
-	if boot, at, ok := readBoth(source); ok {
+	if boot, monotonicNow, ok := readBoth(bootTimeSource); ok {
 		// A suspension adds; what shrinks is an error of reading.
-		if slept := boot - begun - at; slept > next.slept+tolerance {
-			next.slept = slept
-			next.woke = origin.Add(steady + slept)
+		if suspended := boot - bootTimeAtStart - monotonicNow; suspended > next.suspended+clockTolerance {
+			next.suspended = suspended
+			next.resumedAt = processStart.Add(monotonic + suspended)
 		}
 	}
-	last.Store(&next)
+	lastReading.Store(&next)
 	return &next
 }
 
@@ -141,15 +141,15 @@
 // source, and that of the steady clock since origin. It reports false if the source tells
 // nothing, or if each time something came between the two readings: what lies between them
 // would look like a suspension.
-func readBoth(source func() (time.Duration, bool)) (boot, steady time.Duration, ok bool) {
-	for range readTries {
-		before := time.Since(origin)
+func readBoth(source func() (time.Duration, bool)) (boot, monotonic time.Duration, ok bool) {
+	for range readAttempts {
+		before := time.Since(processStart)
 		boot, ok = source()
 		if !ok {
 			return 0, 0, false
 		}
-		after := time.Since(origin)
-		if after-before < tolerance/2 {
+		after := time.Since(processStart)
+		if after-before < clockTolerance/2 {
 			return boot, before + (after-before)/2, true
 		}
 	}
@@ -160,12 +160,12 @@
 // the machine is suspended is noticed shortly after that.
 func WithDeadline(parent context.Context, deadline time.Time, cause error) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
-	watch := &deadlineWatch{deadline: deadline, cancel: cancel, cause: cause}
-	watch.mu.Lock()
-	defer watch.mu.Unlock()
-	watch.timer = time.AfterFunc(min(max(0, Until(deadline)), deadlineLook), watch.check)
+	dt := &deadlineTimer{deadline: deadline, cancel: cancel, cause: cause}
+	dt.mu.Lock()
+	defer dt.mu.Unlock()
+	dt.timer = time.AfterFunc(min(max(0, Until(deadline)), deadlineCheckInterval), dt.check)
 	return &deadlineContext{Context: ctx, deadline: deadline}, func() {
-		watch.stop()
+		dt.stop()
 		cancel(context.Canceled)
 	}
 }
@@ -178,11 +178,11 @@
 
 // Deadline implements context.Context.
 func (c *deadlineContext) Deadline() (time.Time, bool) {
-	own := time.Now().Add(Until(c.deadline))
-	if parent, ok := c.Context.Deadline(); ok && parent.Before(own) {
+	local := time.Now().Add(Until(c.deadline))
+	if parent, ok := c.Context.Deadline(); ok && parent.Before(local) {
 		return parent, true
 	}
-	return own, true
+	return local, true
 }
 
 // Err implements context.Context.
@@ -197,8 +197,8 @@
 	return err
 }
 
-// deadlineWatch cancels a context when its deadline has passed.
-type deadlineWatch struct {
+// deadlineTimer cancels a context when its deadline has passed.
+type deadlineTimer struct {
 	deadline time.Time
 	cancel   context.CancelCauseFunc
 	cause    error
@@ -208,51 +208,51 @@
 	stopped bool
 }
 
-func (w *deadlineWatch) check() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	left := Until(w.deadline)
+func (t *deadlineTimer) check() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	remaining := Until(t.deadline)
 	switch {
-	case w.stopped:
-	case left <= 0:
-		w.cancel(w.cause)
+	case t.stopped:
+	case remaining <= 0:
+		t.cancel(t.cause)
 	default:
-		w.timer.Reset(min(left, deadlineLook))
+		t.timer.Reset(min(remaining, deadlineCheckInterval))
 	}
 }
 
-func (w *deadlineWatch) stop() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.stopped = true
-	w.timer.Stop()
+func (t *deadlineTimer) stop() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.stopped = true
+	t.timer.Stop()
 }
 
-// SetSource has a source take the place of the system's clock that counts suspensions, until
+// SetBootTimeSource has a source take the place of the system's clock that counts suspensions, until
 // restore is called: for tests, and for programs that try out what a suspension does. It is
 // not safe for concurrent use with itself.
-func SetSource(with func() (time.Duration, bool)) (restore func()) {
-	lookMu.Lock()
-	before, beforeBegun := source, begun
-	source = with
-	begun = sourceBegun()
-	last.Store(nil)
-	lookMu.Unlock()
+func SetBootTimeSource(source func() (time.Duration, bool)) (restore func()) {
+	readMu.Lock()
+	previousSource, previousBootTimeAtStart := bootTimeSource, bootTimeAtStart
+	bootTimeSource = source
+	bootTimeAtStart = readBootTimeAtStart()
+	lastReading.Store(nil)
+	readMu.Unlock()
 	return func() {
-		lookMu.Lock()
-		defer lookMu.Unlock()
-		source, begun = before, beforeBegun
-		last.Store(nil)
+		readMu.Lock()
+		defer readMu.Unlock()
+		bootTimeSource, bootTimeAtStart = previousSource, previousBootTimeAtStart
+		lastReading.Store(nil)
 	}
 }
 
-// Look has the next reading of the time look at the clock that counts suspensions.
-func Look() {
-	lookMu.Lock()
-	defer lookMu.Unlock()
-	if known := last.Load(); known != nil {
-		next := *known
-		next.steady -= 2 * lookEvery
-		last.Store(&next)
+// ForceCheck has the next reading of the time look at the clock that counts suspensions.
+func ForceCheck() {
+	readMu.Lock()
+	defer readMu.Unlock()
+	if current := lastReading.Load(); current != nil {
+		next := *current
+		next.monotonic -= 2 * bootTimeCheckInterval
+		lastReading.Store(&next)
 	}
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -17,55 +17,55 @@
 func TestNow_CountsSuspensions(t *testing.T) {
 	machine := clocktest.New(t)
 	before := clock.Now()
-	for _, length := range []time.Duration{5 * time.Second, 20 * time.Millisecond, time.Hour} {
-		steady := time.Now()
-		at := clock.Now()
-		machine.Suspend(length)
-		passed := clock.Since(at)
-		if beyond := passed - length - time.Since(steady); beyond.Abs() > 10*time.Millisecond {
-			t.Errorf("after a suspension of %v, %v have passed", length, passed)
+	for _, duration := range []time.Duration{5 * time.Second, 20 * time.Millisecond, time.Hour} {
+		monotonicStart := time.Now()
+		start := clock.Now()
+		machine.Suspend(duration)
+		elapsed := clock.Since(start)
+		if excess := elapsed - duration - time.Since(monotonicStart); excess.Abs() > 10*time.Millisecond {
+			t.Errorf("after a suspension of %v, %v have passed", duration, elapsed)
 		}
 	}
-	if slept := clock.Slept(); (slept - time.Hour - 5020*time.Millisecond).Abs() > 10*time.Millisecond {
-		t.Errorf("slept for %v", slept)
+	if suspended := clock.Suspended(); (suspended - time.Hour - 5020*time.Millisecond).Abs() > 10*time.Millisecond {
+		t.Errorf("slept for %v", suspended)
 	}
-	if since, woke := clock.SinceWake(); !woke || since > time.Second {
-		t.Errorf("woke %v ago, %v", since, woke)
+	if since, resumed := clock.SinceResume(); !resumed || since > time.Second {
+		t.Errorf("woke %v ago, %v", since, resumed)
 	}
 	if clock.Since(before) < time.Hour {
 		t.Error("an earlier time is not as long ago as the suspensions are long")
 	}
 }
 
-func TestNow_GoesWithTheSteadyClockMeanwhile(t *testing.T) {
-	began, steady := clock.Now(), time.Now()
-	previous := began
-	for time.Since(steady) < 300*time.Millisecond {
+func TestNow_FollowsMonotonicClockBetweenSuspensions(t *testing.T) {
+	start, monotonicStart := clock.Now(), time.Now()
+	previous := start
+	for time.Since(monotonicStart) < 300*time.Millisecond {
 		now := clock.Now()
 		if now.Before(previous) {
 			t.Fatalf("went back by %v", previous.Sub(now))
 		}
 		previous = now
 	}
-	if apart := clock.Since(began) - time.Since(steady); apart.Abs() > 10*time.Millisecond {
-		t.Errorf("%v apart from the steady clock", apart)
+	if difference := clock.Since(start) - time.Since(monotonicStart); difference.Abs() > 10*time.Millisecond {
+		t.Errorf("%v apart from the steady clock", difference)
 	}
-	if apart := time.Until(began) - clock.Until(began); apart.Abs() > 100*time.Millisecond {
-		t.Errorf("%v apart from the time of day", apart)
+	if difference := time.Until(start) - clock.Until(start); difference.Abs() > 100*time.Millisecond {
+		t.Errorf("%v apart from the time of day", difference)
 	}
 }
 
-func TestNow_IsThatOfTheBubble(t *testing.T) {
+func TestNow_UsesSynctestClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before := clock.Now()
 		time.Sleep(time.Hour)
-		if passed := clock.Since(before); passed != time.Hour {
-			t.Errorf("%v have passed in an hour", passed)
+		if elapsed := clock.Since(before); elapsed != time.Hour {
+			t.Errorf("%v have passed in an hour", elapsed)
 		}
 	})
 }
 
-func TestWithDeadline_EndsAtItsTime(t *testing.T) {
+func TestWithDeadline_ExpiresAtDeadline(t *testing.T) {
 	ctx, cancel := clock.WithDeadline(t.Context(), clock.Now().Add(50*time.Millisecond), errLate)
 	defer cancel()
 	if deadline, ok := ctx.Deadline(); !ok || time.Until(deadline) > 60*time.Millisecond {
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestWithDeadline_NoticesOneThatPassedInASuspension(t *testing.T) {
+func TestWithDeadline_ExpiresAfterSuspension(t *testing.T) {
 	machine := clocktest.New(t)
 	ctx, cancel := clock.WithDeadline(t.Context(), clock.Now().Add(time.Hour), errLate)
 	defer cancel()
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestWithDeadline_CancelsOnce(t *testing.T) {
+func TestWithDeadline_ReportsCancellation(t *testing.T) {
 	ctx, cancel := clock.WithDeadline(t.Context(), clock.Now().Add(time.Hour), errLate)
 	cancel()
 	if !errors.Is(ctx.Err(), context.Canceled) {
@@ -103,15 +103,15 @@
 	}
 }
 
-// TestNow_GoesByTheSteadyClock guards that times of Now can be told from those of package time by
+// TestNow_HasMonotonicReading guards that times of Now can be told from those of package time by
 // what passed between them: the time of day may be set, or brought into line, meanwhile.
-func TestNow_GoesByTheSteadyClock(t *testing.T) {
+func TestNow_HasMonotonicReading(t *testing.T) {
 	before := time.Now()
 	now := clock.Now()
 	if strings.Contains(now.String(), "m=") != strings.Contains(before.String(), "m=") {
 		t.Fatalf("%v has no monotonic reading as %v has", now, before)
 	}
-	if passed := now.Sub(before); passed < 0 || passed > time.Minute {
-		t.Errorf("%v passed", passed)
+	if elapsed := now.Sub(before); elapsed < 0 || elapsed > time.Minute {
+		t.Errorf("%v passed", elapsed)
 	}
 }
--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -12,23 +12,23 @@
 
 // Machine is a machine that can be suspended.
 type Machine struct {
-	begun time.Time
-	slept atomic.Int64
+	start     time.Time
+	suspended atomic.Int64
 }
 
 // New has package clock go by a machine for the time of a test.
 func New(t testing.TB) *Machine {
-	machine := &Machine{begun: time.Now()}
-	t.Cleanup(clock.SetSource(machine.bootTime))
+	machine := &Machine{start: time.Now()}
+	t.Cleanup(clock.SetBootTimeSource(machine.bootTime))
 	return machine
 }
 
 func (m *Machine) bootTime() (time.Duration, bool) {
-	return time.Since(m.begun) + time.Duration(m.slept.Load()), true
+	return time.Since(m.start) + time.Duration(m.suspended.Load()), true
 }
 
 // Suspend has the machine have been suspended for so long.
-func (m *Machine) Suspend(length time.Duration) {
-	m.slept.Add(int64(length))
-	clock.Look()
+func (m *Machine) Suspend(duration time.Duration) {
+	m.suspended.Add(int64(duration))
+	clock.ForceCheck()
 }
--- a/internal/table/seed_test.go
+++ b/internal/table/seed_test.go
@@ -104,15 +104,15 @@
 		go watcher.Run(ctx)
 		time.Sleep(feed.page + time.Millisecond)
 		for !watcher.Ready() {
-			if silence := watcher.SinceLastResponse(); silence > feed.page+time.Millisecond {
-				t.Fatalf("%v since the last response while a page is read every %v", silence, feed.page)
+			if sinceResponse := watcher.SinceLastResponse(); sinceResponse > feed.page+time.Millisecond {
+				t.Fatalf("%v since the last response while a page is read every %v", sinceResponse, feed.page)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 		cancel()
 		time.Sleep(time.Minute)
-		if silence := watcher.SinceLastResponse(); silence < time.Minute {
-			t.Errorf("%v since the last response after a minute without calls", silence)
+		if sinceResponse := watcher.SinceLastResponse(); sinceResponse < time.Minute {
+			t.Errorf("%v since the last response after a minute without calls", sinceResponse)
 		}
 	})
 }
--- a/internal/table/suspend_test.go
+++ b/internal/table/suspend_test.go
@@ -22,7 +22,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	machine.Suspend(9 * time.Second)
-	if age, silence := watcher.Age(), watcher.SinceLastResponse(); age < 9*time.Second || silence < 9*time.Second {
-		t.Fatalf("age %v, last response %v ago after a suspension of 9 s", age, silence)
+	if age, sinceResponse := watcher.Age(), watcher.SinceLastResponse(); age < 9*time.Second || sinceResponse < 9*time.Second {
+		t.Fatalf("age %v, last response %v ago after a suspension of 9 s", age, sinceResponse)
 	}
 }
