--- a/internal/clock/boottime_linux.go
+++ b/internal/clock/boottime_linux.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootTime returns the time since the machine was started, suspensions included. It reports
-// false if the system does not tell.
+// bootTime returns the time since the machine was booted, including suspensions. It reports false if
+// the system call fails.
 func bootTime() (time.Duration, bool) {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
--- a/internal/clock/boottime_other.go
+++ b/internal/clock/boottime_other.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// bootTime reports false: this system is not known to have a clock that counts suspensions.
+// bootTime reports false: no clock that includes suspensions is implemented for this system.
 func bootTime() (time.Duration, bool) { return 0, false }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,9 +1,9 @@
-// Package clock tells time that goes on while the machine is suspended.
+// Package clock provides a clock that continues while the machine is suspended.
 //
-// The steady clock of package time stands still meanwhile, on the systems that nodes run on.
-// A node that goes by it takes a lease for its own that lapsed while it slept, and what it
-// last heard for new. All leases, windows, ages and deadlines of this repository go by this
-// package, so a suspension is to them what a process that was stopped for as long is.
+// The monotonic clock of package time stops during a suspension on the systems that nodes run on. A
+// node that uses it would consider a lease valid that has expired during the suspension, and old
+// information current. Leases, time windows, ages and deadlines therefore use this package, so that
+// a suspension has the same effect as a process that is stopped for as long.
 package clock
 
 import (
@@ -14,46 +14,47 @@
 )
 
 const (
-	// bootTimeCheckInterval is how much steady time passes at most between two looks at the clock that
-	// counts suspensions: a look is a system call, of some 100 ns.
+	// bootTimeCheckInterval is the maximum monotonic time between two reads of the boot time. A
+	// read is a system call that takes about 100 ns.
 	bootTimeCheckInterval = 100 * time.Millisecond
-	// clockTolerance is how far two readings of clocks may lie apart that are taken one after the
-	// other. What is shorter is no suspension.
+	// clockTolerance is the maximum difference between two clocks that are read one after the
+	// other. A shorter difference is not considered a suspension.
 	clockTolerance = time.Millisecond
-	// readAttempts bounds how often the clocks are read until they are read close together.
+	// readAttempts limits the attempts to read two clocks close enough together.
 	readAttempts = 4
-	// maxProcessAge bounds the life of a process. A steady clock beyond it is one that tests
-	// make up, in which nothing is suspended.
+	// maxProcessAge is the maximum age of a process. A monotonic time beyond it belongs to the
+	// simulated clock of a test, in which there are no suspensions.
 	maxProcessAge = 20 * 365 * 24 * time.Hour
-	// deadlineCheckInterval is how late a deadline that passed in a suspension is noticed after it.
+	// deadlineCheckInterval is the maximum delay with which a deadline that passed during a
+	// suspension is detected.
 	deadlineCheckInterval = 200 * time.Millisecond
 )
 
-// processStart is when the process began to look at clocks.
+// processStart is the reference for all clock readings.
 var processStart = time.Now()
 
-// reading is what the last look showed.
+// reading is a reading of the clocks.
 type reading struct {
-	// monotonic is when that was, by the monotonic clock since origin.
+	// monotonic is the monotonic time since processStart.
 	monotonic time.Duration
-	// wallOffset is how far the time of day had run ahead of the steady clock since origin. It
-	// changes when the machine was suspended, or when the time of day was set.
+	// wallOffset is how far the wall clock is ahead of the monotonic clock since processStart. It
+	// changes with a suspension or when the wall clock is set.
 	wallOffset time.Duration
-	// suspended is the time since origin that the steady clock left out.
+	// suspended is the total duration of suspensions since processStart.
 	suspended time.Duration
-	// resumedAt is when slept last grew, by Now.
+	// resumedAt is the time, as returned by Now, at which suspended last increased.
 	resumedAt time.Time
 }
 
 var (
 	lastReading atomic.Pointer[reading]
 	readMu      sync.Mutex
-	// bootTimeSource reads the clock that counts suspensions; begun is what it showed at origin.
+	// bootTimeSource reads the boot time; bootTimeAtStart is its value at processStart.
 	bootTimeSource  = bootTime
 	bootTimeAtStart = readBootTimeAtStart()
 )
 
-// readBootTimeAtStart returns what the source showed at origin.
+// readBootTimeAtStart returns the boot time at processStart, or 0 if there is no boot time.
 func readBootTimeAtStart() time.Duration {
 	for {
 		bootNow, monotonic, ok := readBoth(bootTimeSource)
@@ -66,18 +67,18 @@
 	}
 }
 
-// CountsSuspension reports whether this system has a clock that counts suspensions. If not,
-// Now is the steady clock.
+// CountsSuspension reports whether this system has a clock that includes suspensions. If not, Now
+// returns the monotonic clock.
 func CountsSuspension() bool {
 	_, ok := bootTimeSource()
 	return ok
 }
 
-// Now returns the time: the time of day of the process's start, and what has passed since,
-// suspensions too. Its monotonic reading counts them as well, so times of Now are compared by what
-// passed between them whatever is done to the time of day meanwhile, and so are they with times
-// of package time while the machine has not been suspended: a time of day that is brought
-// into line by 5 ms a second is half a second off after 100 s.
+// Now returns the wall clock at the start of the process plus the time elapsed since then, including
+// suspensions. The result has a monotonic reading that also includes suspensions. Differences
+// between results of Now are therefore independent of changes to the wall clock, as are differences
+// to times of package time while the machine has not been suspended. A wall clock that is slewed
+// by 5 ms per second would be off by half a second after 100 s.
 func Now() time.Time {
 	now := time.Now()
 	monotonic := now.Sub(processStart)
@@ -92,13 +93,13 @@
 	return processStart.Add(monotonic + latest.suspended)
 }
 
-// Since returns the time that has passed since a time of Now.
+// Since returns the time elapsed since a time returned by Now.
 func Since(then time.Time) time.Duration { return Now().Sub(then) }
 
-// Until returns the time until a time of Now.
+// Until returns the time until a time comparable with Now.
 func Until(then time.Time) time.Duration { return then.Sub(Now()) }
 
-// Suspended returns how long the machine has been suspended since the process began.
+// Suspended returns the total time for which the machine was suspended since the process started.
 func Suspended() time.Duration {
 	Now()
 	if latest := lastReading.Load(); latest != nil {
@@ -107,8 +108,8 @@
 	return 0
 }
 
-// SinceResume returns the time since the machine was last found to have been suspended. It
-// reports false if it never was.
+// SinceResume returns the time since the end of the last suspension was detected. It returns false
+// if there was none.
 func SinceResume() (time.Duration, bool) {
 	now := Now()
 	latest := lastReading.Load()
@@ -118,7 +119,7 @@
 	return now.Sub(latest.resumedAt), true
 }
 
-// readClocks reads the clock that counts suspensions.
+// readClocks reads the boot time and stores a new reading.
 func readClocks(monotonic, wallOffset time.Duration) *reading {
 	readMu.Lock()
 	defer readMu.Unlock()
@@ -127,7 +128,7 @@
 		next.suspended, next.resumedAt = previous.suspended, previous.resumedAt
 	}
 	if boot, monotonicNow, ok := readBoth(bootTimeSource); ok {
-		// A suspension adds; what shrinks is an error of reading.
+		// Suspensions only add up; a smaller value is a measurement error.
 		if suspended := boot - bootTimeAtStart - monotonicNow; suspended > next.suspended+clockTolerance {
 			next.suspended = suspended
 			next.resumedAt = processStart.Add(monotonic + suspended)
@@ -137,9 +138,8 @@
 	return &next
 }
 
-// readBoth reads a source and the steady clock close together. It returns the reading of the
-// source, and that of the steady clock since origin. It reports false if the source tells
-// nothing, or if each time something came between the two readings: what lies between them
+// readBoth reads source and the monotonic clock since processStart close together. It reports false if
+// source has no value, or if the process was delayed between the readings in every attempt, which
 // would look like a suspension.
 func readBoth(source func() (time.Duration, bool)) (boot, monotonic time.Duration, ok bool) {
 	for range readAttempts {
@@ -156,8 +156,8 @@
 	return 0, 0, false
 }
 
-// WithDeadline is context.WithDeadlineCause for a time of Now. A deadline that passes while
-// the machine is suspended is noticed shortly after that.
+// WithDeadline is like context.WithDeadlineCause for a deadline comparable with Now. A deadline that
+// passes while the machine is suspended is detected shortly after the machine resumes.
 func WithDeadline(parent context.Context, deadline time.Time, cause error) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	dt := &deadlineTimer{deadline: deadline, cancel: cancel, cause: cause}
@@ -170,7 +170,7 @@
 	}
 }
 
-// deadlineContext is a context that tells its deadline, by the clock of package time.
+// deadlineContext is a context whose Deadline is a time of package time.
 type deadlineContext struct {
 	context.Context
 	deadline time.Time
@@ -228,9 +228,8 @@
 	t.timer.Stop()
 }
 
-// SetBootTimeSource has a source take the place of the system's clock that counts suspensions, until
-// restore is called: for tests, and for programs that try out what a suspension does. It is
-// not safe for concurrent use with itself.
+// SetBootTimeSource replaces the system's boot time by source until restore is called. It is for
+// tests and for programs that simulate suspensions. It must not be called concurrently with itself.
 func SetBootTimeSource(source func() (time.Duration, bool)) (restore func()) {
 	readMu.Lock()
 	previousSource, previousBootTimeAtStart := bootTimeSource, bootTimeAtStart
@@ -246,7 +245,7 @@
 	}
 }
 
-// ForceCheck has the next reading of the time look at the clock that counts suspensions.
+// ForceCheck makes the next call of Now read the boot time.
 func ForceCheck() {
 	readMu.Lock()
 	defer readMu.Unlock()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -23,17 +23,17 @@
 		machine.Suspend(duration)
 		elapsed := clock.Since(start)
 		if excess := elapsed - duration - time.Since(monotonicStart); excess.Abs() > 10*time.Millisecond {
-			t.Errorf("after a suspension of %v, %v have passed", duration, elapsed)
+			t.Errorf("with a suspension of %v, %v elapsed", duration, elapsed)
 		}
 	}
 	if suspended := clock.Suspended(); (suspended - time.Hour - 5020*time.Millisecond).Abs() > 10*time.Millisecond {
-		t.Errorf("slept for %v", suspended)
+		t.Errorf("suspended for %v", suspended)
 	}
 	if since, resumed := clock.SinceResume(); !resumed || since > time.Second {
-		t.Errorf("woke %v ago, %v", since, resumed)
+		t.Errorf("resumed %v ago, reported %v", since, resumed)
 	}
 	if clock.Since(before) < time.Hour {
-		t.Error("an earlier time is not as long ago as the suspensions are long")
+		t.Error("less time has elapsed since the start of the test than was suspended")
 	}
 }
 
@@ -43,15 +43,15 @@
 	for time.Since(monotonicStart) < 300*time.Millisecond {
 		now := clock.Now()
 		if now.Before(previous) {
-			t.Fatalf("went back by %v", previous.Sub(now))
+			t.Fatalf("Now went back by %v", previous.Sub(now))
 		}
 		previous = now
 	}
 	if difference := clock.Since(start) - time.Since(monotonicStart); difference.Abs() > 10*time.Millisecond {
-		t.Errorf("%v apart from the steady clock", difference)
+		t.Errorf("elapsed time differs from the monotonic clock by %v", difference)
 	}
 	if difference := time.Until(start) - clock.Until(start); difference.Abs() > 100*time.Millisecond {
-		t.Errorf("%v apart from the time of day", difference)
+		t.Errorf("Until differs from time.Until by %v", difference)
 	}
 }
 
@@ -60,7 +60,7 @@
 		before := clock.Now()
 		time.Sleep(time.Hour)
 		if elapsed := clock.Since(before); elapsed != time.Hour {
-			t.Errorf("%v have passed in an hour", elapsed)
+			t.Errorf("%v elapsed, want 1h", elapsed)
 		}
 	})
 }
@@ -69,11 +69,11 @@
 	ctx, cancel := clock.WithDeadline(t.Context(), clock.Now().Add(50*time.Millisecond), errLate)
 	defer cancel()
 	if deadline, ok := ctx.Deadline(); !ok || time.Until(deadline) > 60*time.Millisecond {
-		t.Errorf("deadline in %v", time.Until(deadline))
+		t.Errorf("the deadline is in %v", time.Until(deadline))
 	}
 	<-ctx.Done()
 	if !errors.Is(ctx.Err(), context.DeadlineExceeded) || !errors.Is(context.Cause(ctx), errLate) {
-		t.Errorf("ended with %v, %v", ctx.Err(), context.Cause(ctx))
+		t.Errorf("error %v, cause %v", ctx.Err(), context.Cause(ctx))
 	}
 }
 
@@ -85,7 +85,7 @@
 	select {
 	case <-ctx.Done():
 	case <-time.After(10 * time.Second):
-		t.Fatal("not noticed")
+		t.Fatal("the context did not expire after the suspension")
 	}
 }
 
@@ -93,7 +93,7 @@
 	ctx, cancel := clock.WithDeadline(t.Context(), clock.Now().Add(time.Hour), errLate)
 	cancel()
 	if !errors.Is(ctx.Err(), context.Canceled) {
-		t.Errorf("ended with %v", ctx.Err())
+		t.Errorf("error %v", ctx.Err())
 	}
 }
 
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestNow_HasMonotonicReading guards that times of Now can be told from those of package time by
-// what passed between them: the time of day may be set, or brought into line, meanwhile.
+// Times of Now must be comparable with times of package time by their monotonic readings, because the
+// wall clock may be set or slewed in the meantime.
 func TestNow_HasMonotonicReading(t *testing.T) {
 	before := time.Now()
 	now := clock.Now()
@@ -112,6 +112,6 @@
 		t.Fatalf("%v has no monotonic reading as %v has", now, before)
 	}
 	if elapsed := now.Sub(before); elapsed < 0 || elapsed > time.Minute {
-		t.Errorf("%v passed", elapsed)
+		t.Errorf("%v elapsed", elapsed)
 	}
 }
--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -1,5 +1,5 @@
-// Package clocktest suspends a machine that is not there: the steady clock goes on as it
-// does, and the clock that counts suspensions runs ahead of it by hand.
+// Package clocktest simulates suspensions of the machine: the monotonic clock continues, and the
+// boot time is advanced by hand.
 package clocktest
 
 import (
@@ -10,13 +10,13 @@
 	"github.com/wheelhoist/wheelhoist/internal/clock"
 )
 
-// Machine is a machine that can be suspended.
+// Machine is a simulated machine that can be suspended.
 type Machine struct {
 	start     time.Time
 	suspended atomic.Int64
 }
 
-// New has package clock go by a machine for the time of a test.
+// New replaces the boot time of package clock by that of a new machine until the test ends.
 func New(t testing.TB) *Machine {
 	machine := &Machine{start: time.Now()}
 	t.Cleanup(clock.SetBootTimeSource(machine.bootTime))
@@ -27,7 +27,7 @@
 	return time.Since(m.start) + time.Duration(m.suspended.Load()), true
 }
 
-// Suspend has the machine have been suspended for so long.
+// Suspend simulates a suspension of the given duration, which ends now.
 func (m *Machine) Suspend(duration time.Duration) {
 	m.suspended.Add(int64(duration))
 	clock.ForceCheck()
