--- a/internal/object/s3.go
+++ b/internal/object/s3.go
@@ -65,14 +65,14 @@
 
 // Get implements Store.
 func (s *S3) Get(ctx context.Context, key string) (io.ReadCloser, error) {
-	answer, err := s.client.GetObject(ctx, &s3.GetObjectInput{
+	output, err := s.client.GetObject(ctx, &s3.GetObjectInput{
 		Bucket: aws.String(s.bucket),
 		Key:    aws.String(key),
 	})
 	if err != nil {
 		return nil, classify(err)
 	}
-	return answer.Body, nil
+	return output.Body, nil
 }
 
 // Delete implements Store.
--- a/internal/resource/change.go
+++ b/internal/resource/change.go
@@ -78,16 +78,16 @@
 		return Change{}, err
 	}
 	if resourceKey(change.Kind, change.Name) != row.Key {
-		return Change{}, row.AsUnreadable(table.Content, errOtherResource)
+		return Change{}, row.AsUnreadable(table.Content, errKeyMismatch)
 	}
 	if !change.Deleted && len(change.Spec) > 0 && !json.Valid(change.Spec) {
-		return Change{}, row.AsUnreadable(table.Content, errNoJSON)
+		return Change{}, row.AsUnreadable(table.Content, errInvalidJSON)
 	}
 	change.Revision = row.Version
 	return change, nil
 }
 
 var (
-	errOtherResource = errors.New("the row names another resource than its key")
-	errNoJSON        = errors.New("the specification is not JSON")
+	errKeyMismatch = errors.New("the row names another resource than its key")
+	errInvalidJSON = errors.New("the specification is not JSON")
 )
--- a/internal/resource/publish_test.go
+++ b/internal/resource/publish_test.go
@@ -18,8 +18,8 @@
 	return Change{Operation: note, Kind: v1.KindSitePolicy, Name: name, Spec: []byte(fmt.Sprintf(`{"note":%q}`, note))}
 }
 
-// newCopy is a node's copy of the configuration.
-func newCopy(t *testing.T, shared *tabletest.Table) *Store {
+// newFollowingStore is a node's copy of the configuration.
+func newFollowingStore(t *testing.T, shared *tabletest.Table) *Store {
 	t.Helper()
 	store := NewStore(nil)
 	watcher := table.NewWatcher(shared.Feed(Group), store.Apply)
@@ -36,38 +36,38 @@
 	}
 }
 
-// seenSessions are the sessions that a publisher sees.
-type seenSessions struct {
-	mu   sync.Mutex
-	list []lease.SessionState
+// fakeSessions are the sessions that a publisher sees.
+type fakeSessions struct {
+	mu       sync.Mutex
+	sessions []lease.SessionState
 }
 
-func (s *seenSessions) Refresh(context.Context) error { return nil }
+func (s *fakeSessions) Refresh(context.Context) error { return nil }
 
-func (s *seenSessions) Sessions() []lease.SessionState {
+func (s *fakeSessions) Sessions() []lease.SessionState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]lease.SessionState(nil), s.list...)
+	return append([]lease.SessionState(nil), s.sessions...)
 }
 
-func (s *seenSessions) set(id string, applied uint64, expired bool) {
+func (s *fakeSessions) set(id string, applied uint64, expired bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := lease.SessionState{ID: id, Body: EncodeApplied(applied), Expired: expired}
-	for i := range s.list {
-		if s.list[i].ID == id {
-			s.list[i] = next
+	for i := range s.sessions {
+		if s.sessions[i].ID == id {
+			s.sessions[i] = next
 			return
 		}
 	}
-	s.list = append(s.list, next)
+	s.sessions = append(s.sessions, next)
 }
 
-func TestWriter_RacingWritersOfOneResource(t *testing.T) {
+func TestWriter_OneOfConcurrentCreatesSucceeds(t *testing.T) {
 	shared := tabletest.New()
 	writer := NewWriter(shared)
 	var mu sync.Mutex
-	won := 0
+	succeeded := 0
 	var group sync.WaitGroup
 	for operator := range 8 {
 		group.Add(1)
@@ -78,19 +78,19 @@
 			defer mu.Unlock()
 			switch {
 			case err == nil:
-				won++
+				succeeded++
 			case !errors.Is(err, ErrVersionMismatch):
 				t.Errorf("operator %d: %v", operator, err)
 			}
 		}()
 	}
 	group.Wait()
-	if won != 1 {
-		t.Fatalf("%d operators created the resource", won)
+	if succeeded != 1 {
+		t.Fatalf("%d operators created the resource", succeeded)
 	}
 }
 
-func TestWriter_DeletedResourceIsNotThere(t *testing.T) {
+func TestWriter_DeletedResourceDoesNotExist(t *testing.T) {
 	shared := tabletest.New()
 	writer := NewWriter(shared)
 	if _, err := writer.Commit(t.Context(), policyChange("site", "a"), Precondition{}); err != nil {
@@ -103,7 +103,7 @@
 	if _, err := writer.Commit(t.Context(), remove, Precondition{}); !errors.Is(err, ErrNotFound) {
 		t.Fatalf("deleting it again: %v", err)
 	}
-	store := newCopy(t, shared)
+	store := newFollowingStore(t, shared)
 	eventually(t, "the copy", func() bool { return store.Revision() > 0 })
 	if _, ok := store.Snapshot().Get(v1.KindSitePolicy, "site"); ok {
 		t.Fatal("a deleted resource is in the copy")
@@ -118,7 +118,7 @@
 	})
 }
 
-func TestWriter_LostAnswerIsFoundOut(t *testing.T) {
+func TestWriter_ResolvesLostResponse(t *testing.T) {
 	shared := tabletest.New()
 	faults := []tabletest.Fault{tabletest.Lost}
 	shared.CommitFault = func([]table.Write) tabletest.Fault {
@@ -135,7 +135,7 @@
 	}
 }
 
-func TestStore_NeverGoesBack(t *testing.T) {
+func TestStore_IgnoresOlderRevisions(t *testing.T) {
 	store := NewStore(nil)
 	row := func(revision uint64, note string) table.Change {
 		body, err := encodeChange(policyChange("site", note))
@@ -152,9 +152,9 @@
 	}
 }
 
-func TestPublisher_AcceptedOnlyWhenInForceEverywhere(t *testing.T) {
+func TestPublisher_AcceptedOnceInForceOnAllNodes(t *testing.T) {
 	shared := tabletest.New()
-	sessions := &seenSessions{}
+	sessions := &fakeSessions{}
 	listed := map[string]bool{"a": true, "b": true, "cut": true}
 	publisher := &Publisher{
 		Writer: NewWriter(shared), Sessions: sessions, Listed: func(node string) bool { return listed[node] },
--- a/internal/resource/status.go
+++ b/internal/resource/status.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// acceptWait is how long a write waits for the revision to be in force on
+	// acceptTimeout is how long a write waits for the revision to be in force on
 	// all nodes before it is answered as pending. It stays below the goal of 4 s.
-	acceptWait = 3500 * time.Millisecond
-	// acceptCheck is the time between two looks at the sessions meanwhile.
-	acceptCheck = 40 * time.Millisecond
+	acceptTimeout = 3500 * time.Millisecond
+	// acceptPollInterval is the time between two looks at the sessions meanwhile.
+	acceptPollInterval = 40 * time.Millisecond
 )
 
 // Sessions tells which nodes there are. The lease watcher implements it.
@@ -49,14 +49,14 @@
 // the sessions.
 func (p *Publisher) Status(revision uint64) v1.Status {
 	status := v1.Status{Revision: revision}
-	seen := p.Sessions.Sessions()
+	sessions := p.Sessions.Sessions()
 	live := map[string]bool{}
-	for _, session := range seen {
+	for _, session := range sessions {
 		if !session.Expired {
 			live[session.Node()] = true
 		}
 	}
-	for _, session := range seen {
+	for _, session := range sessions {
 		node := session.Node()
 		if session.Expired && (live[node] || !p.Listed(node)) {
 			continue
@@ -85,7 +85,7 @@
 	if err != nil {
 		return Change{}, v1.Status{}, err
 	}
-	waitCtx, cancel := context.WithTimeout(ctx, acceptWait)
+	waitCtx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
 	for waitCtx.Err() == nil {
 		p.Refresh(waitCtx)
@@ -94,7 +94,7 @@
 		}
 		select {
 		case <-waitCtx.Done():
-		case <-time.After(acceptCheck):
+		case <-time.After(acceptPollInterval):
 		}
 	}
 	return committed, p.Status(committed.Revision), nil
--- a/internal/resource/store.go
+++ b/internal/resource/store.go
@@ -82,19 +82,19 @@
 	snapshot atomic.Pointer[Snapshot]
 
 	mu      sync.Mutex
-	changes []Change
+	history []Change
 	// changed is closed and replaced at every change.
-	changed chan struct{}
-	applied func(revision uint64)
+	changed   chan struct{}
+	onApplied func(revision uint64)
 }
 
 // NewStore returns an empty copy. applied, which may be nil, is called with
 // every revision that comes into force, in order.
-func NewStore(applied func(revision uint64)) *Store {
-	if applied == nil {
-		applied = func(uint64) {}
+func NewStore(onApplied func(revision uint64)) *Store {
+	if onApplied == nil {
+		onApplied = func(uint64) {}
 	}
-	store := &Store{changed: make(chan struct{}), applied: applied}
+	store := &Store{changed: make(chan struct{}), onApplied: onApplied}
 	store.snapshot.Store(&Snapshot{entries: map[v1.Kind]map[string]Entry{}})
 	return store
 }
@@ -129,26 +129,26 @@
 		return
 	}
 	s.snapshot.Store(current.with(changes, read.Revision))
-	s.keep(changes, whole)
-	s.announce()
-	s.applied(read.Revision)
+	s.appendHistory(changes, whole)
+	s.notify()
+	s.onApplied(read.Revision)
 }
 
-// keep adds changes to the history, which begins anew with a whole read. The
+// appendHistory adds changes to the history, which begins anew with a whole read. The
 // caller holds mu.
-func (s *Store) keep(changes []Change, whole bool) {
+func (s *Store) appendHistory(changes []Change, whole bool) {
 	if whole {
-		s.changes = nil
+		s.history = nil
 		return
 	}
-	s.changes = append(s.changes, changes...)
-	if len(s.changes) > historyLimit {
-		s.changes = append([]Change(nil), s.changes[len(s.changes)-historyLimit:]...)
+	s.history = append(s.history, changes...)
+	if len(s.history) > historyLimit {
+		s.history = append([]Change(nil), s.history[len(s.history)-historyLimit:]...)
 	}
 }
 
-// announce wakes the watchers. The caller holds mu.
-func (s *Store) announce() {
+// notify wakes the watchers. The caller holds mu.
+func (s *Store) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -163,12 +163,12 @@
 	if revision >= applied {
 		return nil, applied, s.changed, nil
 	}
-	if len(s.changes) == 0 || s.changes[0].Revision > revision+1 {
+	if len(s.history) == 0 || s.history[0].Revision > revision+1 {
 		return nil, applied, s.changed, ErrTooOld
 	}
 	// Revisions without a change in between are those of rows that cannot be read.
-	first, _ := slices.BinarySearchFunc(s.changes, revision+1, func(change Change, from uint64) int {
+	first, _ := slices.BinarySearchFunc(s.history, revision+1, func(change Change, from uint64) int {
 		return cmp.Compare(change.Revision, from)
 	})
-	return append([]Change(nil), s.changes[first:]...), applied, s.changed, nil
+	return append([]Change(nil), s.history[first:]...), applied, s.changed, nil
 }
--- a/internal/resource/unreadable_test.go
+++ b/internal/resource/unreadable_test.go
@@ -9,7 +9,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-func encoded(t *testing.T, change Change) []byte {
+func mustEncode(t *testing.T, change Change) []byte {
 	t.Helper()
 	body, err := encodeChange(change)
 	if err != nil {
@@ -31,27 +31,27 @@
 	return entry.Spec.(*v1.SitePolicySpec).Note
 }
 
-// TestStore_ARowThatCannotBeReadLeavesTheLastGoodOne damages the row of a resource: it stays
+// TestStore_UnreadableRowKeepsLastValidResource damages the row of a resource: it stays
 // in force, others go on, and who watches misses nothing and gets nothing twice.
-func TestStore_ARowThatCannotBeReadLeavesTheLastGoodOne(t *testing.T) {
+func TestStore_UnreadableRowKeepsLastValidResource(t *testing.T) {
 	for name, damaged := range map[string][]byte{
 		"bytes":          {0xff},
-		"other resource": encoded(t, policyChange("elsewhere", "x")),
-		"no JSON":        encoded(t, Change{Kind: v1.KindSitePolicy, Name: "site", Spec: []byte("{")}),
+		"other resource": mustEncode(t, policyChange("elsewhere", "x")),
+		"no JSON":        mustEncode(t, Change{Kind: v1.KindSitePolicy, Name: "site", Spec: []byte("{")}),
 	} {
 		store := NewStore(nil)
-		told := 0
-		store.Unreadable = &table.Unreadable{OnUnreadable: func(*table.UnreadableError) { told++ }}
-		read := func(revision uint64, body []byte) {
+		reports := 0
+		store.Unreadable = &table.Unreadable{OnUnreadable: func(*table.UnreadableError) { reports++ }}
+		apply := func(revision uint64, body []byte) {
 			store.Apply(table.Changes{Revision: revision, Changes: []table.Change{siteRow(revision, body)}}, false)
 		}
-		read(1, encoded(t, policyChange("site", "first")))
-		read(2, damaged)
-		if got := noteOf(t, store); got != "first" || store.Revision() != 2 || told != 1 {
-			t.Errorf("%s: %q at %d, told %d times", name, got, store.Revision(), told)
+		apply(1, mustEncode(t, policyChange("site", "first")))
+		apply(2, damaged)
+		if got := noteOf(t, store); got != "first" || store.Revision() != 2 || reports != 1 {
+			t.Errorf("%s: %q at %d, told %d times", name, got, store.Revision(), reports)
 		}
-		read(3, encoded(t, policyChange("site", "third")))
-		read(4, encoded(t, policyChange("site", "fourth")))
+		apply(3, mustEncode(t, policyChange("site", "third")))
+		apply(4, mustEncode(t, policyChange("site", "fourth")))
 		for since, want := range map[uint64]int{0: 3, 1: 2, 2: 2, 3: 1, 4: 0} {
 			if changes, _, _, err := store.Since(since); err != nil || len(changes) != want {
 				t.Errorf("%s: %d changes since %d, want %d, %v", name, len(changes), since, want, err)
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestWriter_ReplacesARowThatCannotBeRead lets an operator put a damaged resource right.
-func TestWriter_ReplacesARowThatCannotBeRead(t *testing.T) {
+// TestWriter_ReplacesUnreadableRow lets an operator put a damaged resource right.
+func TestWriter_ReplacesUnreadableRow(t *testing.T) {
 	shared := tabletest.New()
 	key := resourceKey(v1.KindSitePolicy, "site")
 	if _, err := shared.Commit(t.Context(), "other", table.Write{Key: key, Body: []byte{0xff}}); err != nil {
@@ -77,7 +77,7 @@
 	if _, err := writer.Commit(t.Context(), policyChange("site", "right"), Precondition{}); err != nil {
 		t.Fatal(err)
 	}
-	store := newCopy(t, shared)
+	store := newFollowingStore(t, shared)
 	eventually(t, "the copy", func() bool { return store.Revision() > 0 })
 	if got := noteOf(t, store); got != "right" {
 		t.Errorf("it is %q", got)
@@ -88,16 +88,16 @@
 func FuzzStore(f *testing.F) {
 	f.Add([]byte{0xff})
 	f.Add([]byte{})
-	whole, err := encodeChange(policyChange("site", "x"))
+	valid, err := encodeChange(policyChange("site", "x"))
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole)
+	f.Add(valid)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		store := NewStore(nil)
-		store.Apply(table.Changes{Revision: 1, Changes: []table.Change{siteRow(1, encoded(t, policyChange("site", "first")))}}, false)
+		store.Apply(table.Changes{Revision: 1, Changes: []table.Change{siteRow(1, mustEncode(t, policyChange("site", "first")))}}, false)
 		store.Apply(table.Changes{Revision: 2, Changes: []table.Change{siteRow(2, body)}}, false)
-		store.Apply(table.Changes{Revision: 3, Changes: []table.Change{siteRow(3, encoded(t, policyChange("site", "last")))}}, false)
+		store.Apply(table.Changes{Revision: 3, Changes: []table.Change{siteRow(3, mustEncode(t, policyChange("site", "last")))}}, false)
 		for since := range uint64(4) {
 			if _, _, _, err := store.Since(since); err != nil {
 				t.Fatal(err)
--- a/internal/resource/writer.go
+++ b/internal/resource/writer.go
@@ -10,9 +10,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// commitAttempts bounds how often a write runs anew because another write to
+// maxCommitAttempts bounds how often a write runs anew because another write to
 // the same resource came first.
-const commitAttempts = 24
+const maxCommitAttempts = 24
 
 // Precondition says which version of the resource a write expects.
 type Precondition struct {
@@ -36,8 +36,8 @@
 // Commit writes a change and returns it with its revision. The errors are
 // ErrVersionMismatch, ErrNotFound, ErrStoreUnavailable and ErrUndecided.
 func (w *Writer) Commit(ctx context.Context, change Change, precondition Precondition) (Change, error) {
-	for range commitAttempts {
-		committed, err := w.try(ctx, change, precondition)
+	for range maxCommitAttempts {
+		committed, err := w.commitOnce(ctx, change, precondition)
 		if !errors.Is(err, table.ErrConflict) {
 			return committed, err
 		}
@@ -45,9 +45,9 @@
 	return Change{}, Error.Wrap(fmt.Errorf("%w: too many competing writes", ErrStoreUnavailable))
 }
 
-func (w *Writer) try(ctx context.Context, change Change, precondition Precondition) (Change, error) {
+func (w *Writer) commitOnce(ctx context.Context, change Change, precondition Precondition) (Change, error) {
 	key := resourceKey(change.Kind, change.Name)
-	row, version, err := w.current(ctx, key)
+	row, version, err := w.readCurrent(ctx, key)
 	if err != nil {
 		return Change{}, err
 	}
@@ -78,10 +78,10 @@
 	}
 }
 
-// current reads a resource's row and the version that callers know: one that
+// readCurrent reads a resource's row and the version that callers know: one that
 // was deleted is not there for them. One that cannot be read is there, and a write takes
 // its place.
-func (w *Writer) current(ctx context.Context, key table.Key) (table.Row, uint64, error) {
+func (w *Writer) readCurrent(ctx context.Context, key table.Key) (table.Row, uint64, error) {
 	row, err := w.service.Get(ctx, key)
 	if errors.Is(err, table.ErrNotFound) {
 		return table.Row{}, table.Absent, nil
