--- a/internal/object/objecttest/objecttest.go
+++ b/internal/object/objecttest/objecttest.go
@@ -1,4 +1,4 @@
-// Package objecttest is an object store in memory, for tests.
+// Package objecttest provides an in-memory object store for tests.
 package objecttest
 
 import (
@@ -10,8 +10,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/object"
 )
 
-// Store keeps objects in memory. The zero value is an empty store. It is safe
-// for concurrent use.
+// Store is an in-memory object.Store. The zero value is an empty store. It is safe for concurrent
+// use.
 type Store struct {
 	mu      sync.Mutex
 	objects map[string][]byte
--- a/internal/object/s3.go
+++ b/internal/object/s3.go
@@ -22,11 +22,11 @@
 	Bucket    string
 	AccessKey string
 	SecretKey string
-	// HTTPClient may be nil.
+	// HTTPClient may be nil to use the default client.
 	HTTPClient *http.Client
 }
 
-// S3 is a Store on the S3 REST protocol with path-style addressing.
+// S3 is a Store that uses the S3 REST protocol with path-style addressing.
 type S3 struct {
 	client *s3.Client
 	bucket string
@@ -34,8 +34,8 @@
 
 var _ Store = (*S3)(nil)
 
-// NewS3 returns the adapter. The SDK's own retries are off: retries are
-// budgeted by the callers.
+// NewS3 returns an adapter with the given configuration. The retries of the SDK are disabled, because
+// callers retry within their own limits.
 func NewS3(config S3Config) *S3 {
 	options := s3.Options{
 		Region:                     config.Region,
--- a/internal/resource/change.go
+++ b/internal/resource/change.go
@@ -1,10 +1,10 @@
-// Package resource holds the configuration: the declared resources, their
-// revisions, and how a committed revision comes into force on every node.
+// Package resource implements the configuration: the declared resources, their revisions, and how a
+// committed revision is applied on every node.
 //
-// The table service holds the truth: one row a resource, in a group that keeps
-// a log, so revisions are numbered without gaps and each is one change. Every
-// node follows the group; its copy's applied revision only rises, and its
-// session says which revision that is.
+// The table service is the source of truth. It stores each resource in a row of a group with a change
+// log, so revisions are numbered without gaps and each of them is a single change. Every node
+// follows the group. The applied revision of its copy never decreases and is published in the
+// node's session.
 package resource
 
 import (
@@ -24,34 +24,34 @@
 var (
 	// ErrNotFound reports that no resource has the name.
 	ErrNotFound = errors.New("resource not found")
-	// ErrVersionMismatch reports that the resource has changed since it was read.
+	// ErrVersionMismatch reports that the resource does not have the version that a write expects.
 	ErrVersionMismatch = errors.New("resource version does not match")
-	// ErrTooOld reports that changes since a revision are no longer held.
+	// ErrTooOld reports that the history no longer contains all changes after a revision.
 	ErrTooOld = errors.New("revision too old")
-	// ErrStoreUnavailable reports that the table service could not carry out a
-	// write. Nothing was written.
+	// ErrStoreUnavailable reports that the table service could not perform a write. Nothing was
+	// written.
 	ErrStoreUnavailable = errors.New("configuration store unavailable")
-	// ErrUndecided reports that a write may or may not have taken place.
+	// ErrUndecided reports that it is unknown whether a write took place.
 	ErrUndecided = errors.New("configuration write undecided")
 )
 
-// Group is the table group of the configuration, and its one partition.
+// Group is the table group of the configuration, and its only partition.
 const Group = "config"
 
 // Change is one revision of the configuration.
 type Change struct {
 	_ struct{} `cbor:",toarray"`
-	// Revision is that of the row; the row itself does not repeat it.
+	// Revision is the version of the row. The encoded value is ignored when a row is decoded.
 	Revision  uint64
 	Operation string
 	Kind      v1.Kind
 	Name      string
-	// Spec is the specification in JSON; empty when Deleted.
+	// Spec is the specification in JSON; empty if Deleted.
 	Spec    []byte
 	Deleted bool
 }
 
-// resource returns the API form of the change's outcome.
+// resource returns the resource as it is after the change, in API form.
 func (c Change) resource() *v1.Resource {
 	return &v1.Resource{
 		APIVersion: v1.APIVersion, Kind: c.Kind,
@@ -60,8 +60,8 @@
 	}
 }
 
-// resourceKey names a resource's row. The row of a deleted resource stays, so
-// that its deletion is a change like any other.
+// resourceKey returns the key of a resource's row. A deleted resource keeps its row, so that the
+// deletion is a change like any other.
 func resourceKey(kind v1.Kind, name string) table.Key {
 	return table.Key{Partition: Group, Sort: string(kind) + "/" + name}
 }
@@ -71,7 +71,7 @@
 	return body, Error.Wrap(err)
 }
 
-// decodeChange reads a change from its row. Its error is a table.UnreadableError.
+// decodeChange decodes the row of a resource. Its error is a table.UnreadableError.
 func decodeChange(row table.Row) (Change, error) {
 	var change Change
 	if err := row.Decode(&change); err != nil {
@@ -88,6 +88,6 @@
 }
 
 var (
-	errKeyMismatch = errors.New("the row names another resource than its key")
-	errInvalidJSON = errors.New("the specification is not JSON")
+	errKeyMismatch = errors.New("resource in the row does not match the key")
+	errInvalidJSON = errors.New("specification is not valid JSON")
 )
--- a/internal/resource/publish_test.go
+++ b/internal/resource/publish_test.go
@@ -18,7 +18,7 @@
 	return Change{Operation: note, Kind: v1.KindSitePolicy, Name: name, Spec: []byte(fmt.Sprintf(`{"note":%q}`, note))}
 }
 
-// newFollowingStore is a node's copy of the configuration.
+// newFollowingStore returns a store that follows the configuration in shared until the test ends.
 func newFollowingStore(t *testing.T, shared *tabletest.Table) *Store {
 	t.Helper()
 	store := NewStore(nil)
@@ -31,12 +31,12 @@
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// fakeSessions are the sessions that a publisher sees.
+// fakeSessions implements Sessions with sessions set by the test.
 type fakeSessions struct {
 	mu       sync.Mutex
 	sessions []lease.SessionState
@@ -80,13 +80,13 @@
 			case err == nil:
 				succeeded++
 			case !errors.Is(err, ErrVersionMismatch):
-				t.Errorf("operator %d: %v", operator, err)
+				t.Errorf("writer %d: %v", operator, err)
 			}
 		}()
 	}
 	group.Wait()
 	if succeeded != 1 {
-		t.Fatalf("%d operators created the resource", succeeded)
+		t.Fatalf("%d writers created the resource, want 1", succeeded)
 	}
 }
 
@@ -101,18 +101,18 @@
 		t.Fatal(err)
 	}
 	if _, err := writer.Commit(t.Context(), remove, Precondition{}); !errors.Is(err, ErrNotFound) {
-		t.Fatalf("deleting it again: %v", err)
+		t.Fatalf("second deletion: %v", err)
 	}
 	store := newFollowingStore(t, shared)
-	eventually(t, "the copy", func() bool { return store.Revision() > 0 })
+	eventually(t, "the store to follow", func() bool { return store.Revision() > 0 })
 	if _, ok := store.Snapshot().Get(v1.KindSitePolicy, "site"); ok {
-		t.Fatal("a deleted resource is in the copy")
+		t.Fatal("a deleted resource is in the store")
 	}
-	// A resource that must not exist may be created after its deletion.
+	// A precondition that the resource must not exist holds after its deletion.
 	if _, err := writer.Commit(t.Context(), policyChange("site", "b"), Precondition{Set: true}); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the resource made again", func() bool {
+	eventually(t, "the new resource", func() bool {
 		_, ok := store.Snapshot().Get(v1.KindSitePolicy, "site")
 		return ok
 	})
@@ -131,7 +131,7 @@
 	}
 	committed, err := NewWriter(shared).Commit(t.Context(), policyChange("site", "a"), Precondition{})
 	if err != nil || committed.Revision == 0 {
-		t.Fatalf("committed %+v, %v", committed, err)
+		t.Fatalf("committed %+v, error %v", committed, err)
 	}
 }
 
@@ -163,24 +163,24 @@
 	sessions.set("b#1", 0, false)
 	committed, status, err := publisher.Write(t.Context(), policyChange("site", "x"), Precondition{})
 	if err != nil || status.Accepted() || len(status.Laggards) != 2 {
-		t.Fatalf("status %+v, %v", status, err)
+		t.Fatalf("status %+v, error %v", status, err)
 	}
 	sessions.set("a#1", committed.Revision, false)
 	sessions.set("b#1", committed.Revision, false)
 	if status := publisher.Status(committed.Revision); !status.Accepted() {
 		t.Fatalf("status %+v", status)
 	}
-	// A node that has lost the table may still serve the older revision, until
-	// its machine is off the list.
+	// A node that is cut off from the table may still serve an older revision until its machine leaves
+	// the list.
 	sessions.set("cut#1", committed.Revision, true)
 	if status := publisher.Status(committed.Revision); status.Accepted() {
-		t.Fatal("accepted though a node may serve another revision")
+		t.Fatal("accepted although a node may serve another revision")
 	}
 	listed["cut"] = false
 	if status := publisher.Status(committed.Revision); !status.Accepted() {
-		t.Fatalf("status %+v after its machine has left", status)
+		t.Fatalf("status %+v after the machine left the list", status)
 	}
-	// A node that was started again counts by its new session alone.
+	// After a restart of a node only its new session counts.
 	sessions.set("b#1", 0, true)
 	sessions.set("b#2", committed.Revision, false)
 	if status := publisher.Status(committed.Revision); !status.Accepted() {
--- a/internal/resource/status.go
+++ b/internal/resource/status.go
@@ -11,42 +11,41 @@
 )
 
 const (
-	// acceptTimeout is how long a write waits for the revision to be in force on
-	// all nodes before it is answered as pending. It stays below the goal of 4 s.
+	// acceptTimeout is how long a write waits until the revision is in force on all nodes before it
+	// is answered as pending. It is below the target of 4 s.
 	acceptTimeout = 3500 * time.Millisecond
-	// acceptPollInterval is the time between two looks at the sessions meanwhile.
+	// acceptPollInterval is the time between two reads of the sessions during that wait.
 	acceptPollInterval = 40 * time.Millisecond
 )
 
-// Sessions tells which nodes there are. The lease watcher implements it.
+// Sessions provides the sessions of all nodes. It is implemented by lease.Watcher.
 type Sessions interface {
 	Refresh(ctx context.Context) error
 	Sessions() []lease.SessionState
 }
 
-// Publisher brings writes into force: it commits them and waits until the
-// sessions of all nodes say that they have applied them.
+// Publisher commits writes and waits until all nodes have applied them, as reported in their
+// sessions.
 type Publisher struct {
 	Writer   *Writer
 	Sessions Sessions
-	// Listed reports whether a node's machine is on the platform's list. A node
-	// whose session has expired may still serve, cut off from the table, until
-	// its machine leaves the list; it counts as one that is behind.
+	// Listed reports whether the machine of a node is on the platform's list. A node whose session
+	// has expired may be cut off from the table but still serving until its machine leaves the
+	// list, so until then it counts as a laggard.
 	Listed func(node string) bool
 }
 
-// EncodeApplied is what a node's session says of the revision it has applied.
+// EncodeApplied returns the body of a session whose node has applied a revision.
 func EncodeApplied(revision uint64) []byte {
 	body, err := cbor.Marshal(revision)
 	if err != nil {
-		// A number always encodes.
+		// Encoding an integer cannot fail.
 		panic(err)
 	}
 	return body
 }
 
-// Status counts the nodes that have a revision in force, as of the last look at
-// the sessions.
+// Status reports on which nodes a revision is in force, as of the last read of the sessions.
 func (p *Publisher) Status(revision uint64) v1.Status {
 	status := v1.Status{Revision: revision}
 	sessions := p.Sessions.Sessions()
@@ -72,14 +71,14 @@
 	return status
 }
 
-// Refresh looks at the sessions.
+// Refresh reads the sessions.
 func (p *Publisher) Refresh(ctx context.Context) {
-	// Without an answer the last look stands.
+	// After an error the result of the last read is still used.
 	_ = p.Sessions.Refresh(ctx)
 }
 
-// Write commits a change, waits for it to come into force and reports where it
-// is. The status is accepted or pending when the error is nil.
+// Write commits a change, waits up to acceptTimeout until it is in force on all nodes and returns its
+// status. If the error is nil, the status is accepted or pending.
 func (p *Publisher) Write(ctx context.Context, change Change, precondition Precondition) (Change, v1.Status, error) {
 	committed, err := p.Writer.Commit(ctx, change, precondition)
 	if err != nil {
--- a/internal/resource/store.go
+++ b/internal/resource/store.go
@@ -12,13 +12,13 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// historyLimit is the number of changes a node keeps for watches and peers.
+// historyLimit is the number of changes that a node keeps for watches and peers.
 const historyLimit = 4096
 
 // Entry is one resource in a snapshot.
 type Entry struct {
 	Change Change
-	// Spec is the decoded specification. It must not be changed.
+	// Spec is the decoded specification. It must not be modified.
 	Spec v1.Spec
 }
 
@@ -28,13 +28,13 @@
 	entries  map[v1.Kind]map[string]Entry
 }
 
-// Get returns a resource.
+// Get returns a resource, and whether it exists.
 func (s *Snapshot) Get(kind v1.Kind, name string) (Entry, bool) {
 	entry, ok := s.entries[kind][name]
 	return entry, ok
 }
 
-// List returns the resources of a kind in the order of their names.
+// List returns the resources of a kind, sorted by name.
 func (s *Snapshot) List(kind v1.Kind) []Entry {
 	list := make([]Entry, 0, len(s.entries[kind]))
 	for _, entry := range s.entries[kind] {
@@ -44,10 +44,10 @@
 	return list
 }
 
-// Resource returns a resource in its API form.
+// Resource returns the resource in API form.
 func (e Entry) Resource() *v1.Resource { return e.Change.resource() }
 
-// with returns a copy that has changes applied, at a revision.
+// with returns a copy of the snapshot with changes applied.
 func (s *Snapshot) with(changes []Change, revision uint64) *Snapshot {
 	next := &Snapshot{Revision: max(s.Revision, revision), entries: make(map[v1.Kind]map[string]Entry, len(s.entries)+1)}
 	for kind, entries := range s.entries {
@@ -73,23 +73,23 @@
 
 // Store is a node's copy of the configuration. It is safe for concurrent use.
 //
-// Invariant: the revision of the snapshot never falls.
+// Invariant: the revision of the snapshot never decreases.
 type Store struct {
-	// Unreadable, if set before use, is told of rows that cannot be read. What was known of
-	// such a resource stays in force.
+	// Unreadable, if set before first use, receives rows that cannot be decoded. The previous
+	// value of such a resource stays in force.
 	Unreadable *table.Unreadable
 
 	snapshot atomic.Pointer[Snapshot]
 
 	mu      sync.Mutex
 	history []Change
-	// changed is closed and replaced at every change.
+	// changed is closed and replaced with every change.
 	changed   chan struct{}
 	onApplied func(revision uint64)
 }
 
-// NewStore returns an empty copy. applied, which may be nil, is called with
-// every revision that comes into force, in order.
+// NewStore returns an empty store. onApplied, which may be nil, is called with every applied
+// revision, in order.
 func NewStore(onApplied func(revision uint64)) *Store {
 	if onApplied == nil {
 		onApplied = func(uint64) {}
@@ -99,15 +99,14 @@
 	return store
 }
 
-// Snapshot returns the configuration in force.
+// Snapshot returns the current configuration.
 func (s *Store) Snapshot() *Snapshot { return s.snapshot.Load() }
 
 // Revision returns the applied revision.
 func (s *Store) Revision() uint64 { return s.Snapshot().Revision }
 
-// Apply takes in changes of Group, as a table.Watcher hands them on: in the
-// order of their revisions, each once. A whole read brings the newest state
-// only, so watches of the API cannot go on over it.
+// Apply applies changes of Group in the order in which a table.Watcher passes them on. If whole is
+// set, read contains only the newest state, so API watches cannot continue across it.
 func (s *Store) Apply(read table.Changes, whole bool) {
 	var changes []Change
 	for _, row := range read.Changes {
@@ -134,8 +133,7 @@
 	s.onApplied(read.Revision)
 }
 
-// appendHistory adds changes to the history, which begins anew with a whole read. The
-// caller holds mu.
+// appendHistory appends changes to the history, or clears it after a whole read. The caller holds mu.
 func (s *Store) appendHistory(changes []Change, whole bool) {
 	if whole {
 		s.history = nil
@@ -147,15 +145,14 @@
 	}
 }
 
-// notify wakes the watchers. The caller holds mu.
+// notify wakes the watches. The caller holds mu.
 func (s *Store) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Since returns the changes after a revision, the applied revision, and a
-// channel that is closed at the next change. It returns ErrTooOld when changes
-// after the revision are no longer held.
+// Since returns the changes after a revision, the applied revision, and a channel that is closed at
+// the next change. It returns ErrTooOld if the history no longer contains all of these changes.
 func (s *Store) Since(revision uint64) ([]Change, uint64, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,7 +163,7 @@
 	if len(s.history) == 0 || s.history[0].Revision > revision+1 {
 		return nil, applied, s.changed, ErrTooOld
 	}
-	// Revisions without a change in between are those of rows that cannot be read.
+	// Gaps between revisions are changes to rows that could not be decoded.
 	first, _ := slices.BinarySearchFunc(s.history, revision+1, func(change Change, from uint64) int {
 		return cmp.Compare(change.Revision, from)
 	})
--- a/internal/resource/unreadable_test.go
+++ b/internal/resource/unreadable_test.go
@@ -31,13 +31,13 @@
 	return entry.Spec.(*v1.SitePolicySpec).Note
 }
 
-// TestStore_UnreadableRowKeepsLastValidResource damages the row of a resource: it stays
-// in force, others go on, and who watches misses nothing and gets nothing twice.
+// A resource whose row becomes unreadable stays in force, other changes are applied, and a watch
+// neither misses nor repeats changes.
 func TestStore_UnreadableRowKeepsLastValidResource(t *testing.T) {
 	for name, damaged := range map[string][]byte{
-		"bytes":          {0xff},
+		"invalid CBOR":   {0xff},
 		"other resource": mustEncode(t, policyChange("elsewhere", "x")),
-		"no JSON":        mustEncode(t, Change{Kind: v1.KindSitePolicy, Name: "site", Spec: []byte("{")}),
+		"invalid JSON":   mustEncode(t, Change{Kind: v1.KindSitePolicy, Name: "site", Spec: []byte("{")}),
 	} {
 		store := NewStore(nil)
 		reports := 0
@@ -48,22 +48,22 @@
 		apply(1, mustEncode(t, policyChange("site", "first")))
 		apply(2, damaged)
 		if got := noteOf(t, store); got != "first" || store.Revision() != 2 || reports != 1 {
-			t.Errorf("%s: %q at %d, told %d times", name, got, store.Revision(), reports)
+			t.Errorf("%s: note %q at revision %d, %d reports", name, got, store.Revision(), reports)
 		}
 		apply(3, mustEncode(t, policyChange("site", "third")))
 		apply(4, mustEncode(t, policyChange("site", "fourth")))
 		for since, want := range map[uint64]int{0: 3, 1: 2, 2: 2, 3: 1, 4: 0} {
 			if changes, _, _, err := store.Since(since); err != nil || len(changes) != want {
-				t.Errorf("%s: %d changes since %d, want %d, %v", name, len(changes), since, want, err)
+				t.Errorf("%s: %d changes since %d, want %d, error %v", name, len(changes), since, want, err)
 			}
 		}
 		if got := noteOf(t, store); got != "fourth" {
-			t.Errorf("%s: %q", name, got)
+			t.Errorf("%s: note %q", name, got)
 		}
 	}
 }
 
-// TestWriter_ReplacesUnreadableRow lets an operator put a damaged resource right.
+// A write can replace a resource whose row is unreadable.
 func TestWriter_ReplacesUnreadableRow(t *testing.T) {
 	shared := tabletest.New()
 	key := resourceKey(v1.KindSitePolicy, "site")
@@ -72,19 +72,19 @@
 	}
 	writer := NewWriter(shared)
 	if _, err := writer.Commit(t.Context(), policyChange("site", "new"), Precondition{Set: true}); !errors.Is(err, ErrVersionMismatch) {
-		t.Errorf("as a new one: %v", err)
+		t.Errorf("write that expects no resource: %v", err)
 	}
 	if _, err := writer.Commit(t.Context(), policyChange("site", "right"), Precondition{}); err != nil {
 		t.Fatal(err)
 	}
 	store := newFollowingStore(t, shared)
-	eventually(t, "the copy", func() bool { return store.Revision() > 0 })
+	eventually(t, "the store to follow", func() bool { return store.Revision() > 0 })
 	if got := noteOf(t, store); got != "right" {
-		t.Errorf("it is %q", got)
+		t.Errorf("note %q", got)
 	}
 }
 
-// FuzzStore has any body of a row leave a copy that can be read and watched.
+// FuzzStore checks that the store stays usable after a row with an arbitrary body.
 func FuzzStore(f *testing.F) {
 	f.Add([]byte{0xff})
 	f.Add([]byte{})
@@ -104,7 +104,7 @@
 			}
 		}
 		if got := noteOf(t, store); got != "last" || len(store.Snapshot().List(v1.KindSitePolicy)) != 1 {
-			t.Fatalf("it is %q", got)
+			t.Fatalf("note %q", got)
 		}
 	})
 }
--- a/internal/resource/writer.go
+++ b/internal/resource/writer.go
@@ -10,19 +10,18 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// maxCommitAttempts bounds how often a write runs anew because another write to
-// the same resource came first.
+// maxCommitAttempts limits the attempts of a write that loses to other writes of the same resource.
 const maxCommitAttempts = 24
 
-// Precondition says which version of the resource a write expects.
+// Precondition is a condition of a write on the version of the resource.
 type Precondition struct {
-	// Set is false when any version will do.
+	// Set is false if any version is accepted.
 	Set bool
-	// Version is the expected resource version; 0 means that it must not exist.
+	// Version is the expected version; 0 means that the resource must not exist.
 	Version uint64
 }
 
-// holds reports whether the precondition allows a write over a version.
+// holds reports whether the precondition allows a write to a resource with the given version.
 func (p Precondition) holds(version uint64) bool { return !p.Set || p.Version == version }
 
 // Writer commits changes to the table service.
@@ -30,11 +29,11 @@
 	service table.Service
 }
 
-// NewWriter returns a writer.
+// NewWriter returns a writer that uses the given service.
 func NewWriter(service table.Service) *Writer { return &Writer{service: service} }
 
-// Commit writes a change and returns it with its revision. The errors are
-// ErrVersionMismatch, ErrNotFound, ErrStoreUnavailable and ErrUndecided.
+// Commit writes a change and returns it with its revision. The errors are ErrVersionMismatch,
+// ErrNotFound, ErrStoreUnavailable and ErrUndecided.
 func (w *Writer) Commit(ctx context.Context, change Change, precondition Precondition) (Change, error) {
 	for range maxCommitAttempts {
 		committed, err := w.commitOnce(ctx, change, precondition)
@@ -61,7 +60,7 @@
 	if err != nil {
 		return Change{}, err
 	}
-	// Each attempt is an operation of its own, for it expects another version.
+	// Each attempt needs its own operation ID because it expects a different version.
 	operation := table.NewOperation()
 	written, err := table.CommitRow(ctx, w.service, operation, table.Write{Key: key, Expect: row.Version, Body: body})
 	switch {
@@ -73,14 +72,13 @@
 	case outcome.Of(err) == outcome.NotDone:
 		return Change{}, Error.Wrap(fmt.Errorf("%w: %w", ErrStoreUnavailable, err))
 	default:
-		// The conflict, if any, is hidden: the write must not be tried anew.
+		// Hides a wrapped ErrConflict, for which Commit would try the write again.
 		return Change{}, Error.Wrap(fmt.Errorf("%w: %v", ErrUndecided, err))
 	}
 }
 
-// readCurrent reads a resource's row and the version that callers know: one that
-// was deleted is not there for them. One that cannot be read is there, and a write takes
-// its place.
+// readCurrent reads the row of a resource and the version that callers see, which is table.Absent for
+// a deleted resource. An unreadable row has its version, so that a write can replace it.
 func (w *Writer) readCurrent(ctx context.Context, key table.Key) (table.Row, uint64, error) {
 	row, err := w.service.Get(ctx, key)
 	if errors.Is(err, table.ErrNotFound) {
@@ -91,7 +89,7 @@
 	}
 	change, err := decodeChange(row)
 	if err != nil {
-		// Store.Apply reports it.
+		// Store.Apply reports the error.
 		return row, row.Version, nil
 	}
 	if change.Deleted {
@@ -100,7 +98,7 @@
 	return row, row.Version, nil
 }
 
-// NewChange builds the change that puts a checked resource.
+// NewChange returns the change that puts a validated resource.
 func NewChange(operation string, resource *v1.Resource) Change {
 	return Change{Operation: operation, Kind: resource.Kind, Name: resource.Metadata.Name, Spec: resource.Spec}
 }
