--- a/internal/resource/publish_test.go
+++ b/internal/resource/publish_test.go
@@ -69,18 +69,18 @@
 	var mu sync.Mutex
 	succeeded := 0
 	var group sync.WaitGroup
-	for operator := range 8 {
+	for number := range 8 {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			_, err := writer.Commit(t.Context(), policyChange("site", fmt.Sprint(operator)), Precondition{Set: true})
+			_, err := writer.Commit(t.Context(), policyChange("site", fmt.Sprint(number)), Precondition{Set: true})
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
 			case err == nil:
 				succeeded++
 			case !errors.Is(err, ErrVersionMismatch):
-				t.Errorf("writer %d: %v", operator, err)
+				t.Errorf("writer %d: %v", number, err)
 			}
 		}()
 	}
--- a/internal/resource/unreadable_test.go
+++ b/internal/resource/unreadable_test.go
@@ -34,7 +34,7 @@
 // A resource whose row becomes unreadable stays in force, other changes are applied, and a watch
 // neither misses nor repeats changes.
 func TestStore_UnreadableRowKeepsLastValidResource(t *testing.T) {
-	for name, damaged := range map[string][]byte{
+	for name, corrupt := range map[string][]byte{
 		"invalid CBOR":   {0xff},
 		"other resource": mustEncode(t, policyChange("elsewhere", "x")),
 		"invalid JSON":   mustEncode(t, Change{Kind: v1.KindSitePolicy, Name: "site", Spec: []byte("{")}),
@@ -46,7 +46,7 @@
 			store.Apply(table.Changes{Revision: revision, Changes: []table.Change{siteRow(revision, body)}}, false)
 		}
 		apply(1, mustEncode(t, policyChange("site", "first")))
-		apply(2, damaged)
+		apply(2, corrupt)
 		if got := noteOf(t, store); got != "first" || store.Revision() != 2 || reports != 1 {
 			t.Errorf("%s: note %q at revision %d, %d reports", name, got, store.Revision(), reports)
 		}
