--- a/internal/lease/suspend_test.go
+++ b/internal/lease/suspend_test.go
@@ -19,10 +19,10 @@
 	if since := session.Unconfirmed(); since > time.Second {
 		t.Fatalf("unconfirmed for %v after the session was created", since)
 	}
-	for slept := 300 * time.Millisecond; slept < 5*time.Second; slept += 300 * time.Millisecond {
+	for suspended := 300 * time.Millisecond; suspended < 5*time.Second; suspended += 300 * time.Millisecond {
 		machine.Suspend(300 * time.Millisecond)
-		if since := session.Unconfirmed(); since < slept {
-			t.Fatalf("unconfirmed for %v after suspensions of %v", since, slept)
+		if since := session.Unconfirmed(); since < suspended {
+			t.Fatalf("unconfirmed for %v after suspensions of %v", since, suspended)
 		}
 	}
 	if err := session.Renew(t.Context()); err != nil {
--- a/internal/lease/unreadable_test.go
+++ b/internal/lease/unreadable_test.go
@@ -115,7 +115,7 @@
 	watcher := NewWatcher(shared, clock.read, testTiming)
 	watcher.Unreadable = reported.reporter()
 	first, second := NewSession(shared, "a", testTiming), NewSession(shared, "b", testTiming)
-	held, err := Acquire(t.Context(), shared, first, watcher, "x")
+	granted, err := Acquire(t.Context(), shared, first, watcher, "x")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,8 +126,8 @@
 	}
 	put(t, shared, key, row.Version, []byte{0xff, 0xff})
 	taken, err := Acquire(t.Context(), shared, second, watcher, "x")
-	if err != nil || taken.Epoch <= held.Epoch || len(reported.keys) != 1 {
-		t.Fatalf("grant %+v after %+v, error %v, reported rows: %v", taken, held, err, reported.keys)
+	if err != nil || taken.Epoch <= granted.Epoch || len(reported.keys) != 1 {
+		t.Fatalf("grant %+v after %+v, error %v, reported rows: %v", taken, granted, err, reported.keys)
 	}
 	if _, err := Acquire(t.Context(), shared, first, watcher, "x"); !errors.Is(err, ErrHeld) {
 		t.Errorf("previous holder: %v", err)
