--- a/internal/object/s3.go
+++ b/internal/object/s3.go
@@ -35,7 +35,7 @@
 var _ Store = (*S3)(nil)
 
 // NewS3 returns an adapter with the given configuration. The retries of the SDK are disabled, because
-// callers retry within their own limits.
+// callers have their own retry budgets.
 func NewS3(config S3Config) *S3 {
 	options := s3.Options{
 		Region:                     config.Region,
--- a/internal/table/dynamo.go
+++ b/internal/table/dynamo.go
@@ -46,7 +46,7 @@
 var _ Service = (*Dynamo)(nil)
 
 // NewDynamo returns an adapter with the given configuration. The retries of the SDK are disabled,
-// because callers retry within their own limits.
+// because callers have their own retry budgets.
 func NewDynamo(config DynamoConfig) *Dynamo {
 	options := dynamodb.Options{
 		Region:       config.Region,
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -45,8 +45,8 @@
 	Operation string
 	// Body is opaque to the service.
 	Body []byte
-	// Unreadable is the error from decoding the stored value, or nil. If set, Key and Version are
-	// valid, and Body and Operation are empty.
+	// Unreadable is the error from decoding the stored value, or nil. If set, the row exists and
+	// Key is valid, but Body is empty. Version is 0 if it is missing from the stored value.
 	Unreadable error
 }
 
