--- a/internal/idempotency/unreadable_test.go
+++ b/internal/idempotency/unreadable_test.go
@@ -15,7 +15,7 @@
 	service := tabletest.New()
 	store := NewStore(service)
 	reported := 0
-	store.Unreadable = &table.Unreadable{Tell: func(*table.UnreadableError) { reported++ }}
+	store.Unreadable = &table.Unreadable{OnUnreadable: func(*table.UnreadableError) { reported++ }}
 	claim, err := store.Begin(t.Context(), "tenant", "key", []byte("body"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lease/roster.go
+++ b/internal/lease/roster.go
@@ -13,132 +13,134 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// memberPrefix begins the keys of member rows.
+// memberPrefix is the prefix of the sort keys of member rows.
 const memberPrefix = "member/"
 
 const (
-	// lookLeast is the least time between two looks at sessions.
-	lookLeast = 400 * time.Millisecond
-	// lookPerSession bounds the looks of all nodes to 125 a second, some 15 KB a second
-	// for each node where a look reads all sessions.
-	lookPerSession = 8 * time.Millisecond
-	// lookNeighbours bounds the time between two looks at the neighbours, which cost the
-	// same in any fleet; two of them fit into a session's time to live of 3 s.
-	lookNeighbours = 1200 * time.Millisecond
+	// minRefreshInterval is the minimum time between two calls of Refresh.
+	minRefreshInterval = 400 * time.Millisecond
+	// refreshIntervalPerSession limits all nodes together to 125 reads per second. A read of all
+	// sessions then costs about 15 KB/s per node.
+	refreshIntervalPerSession = 8 * time.Millisecond
+	// maxRefreshInterval is the maximum time between two reads of the neighbours, whose cost
+	// does not depend on the fleet. Two reads fit into the session time to live of 3 s.
+	maxRefreshInterval = 1200 * time.Millisecond
 )
 
-// watcherStagger is how much longer than a nearer watcher one waits before it ends an
-// expired session itself: a look of the nearer one and its commit fit into it.
-const watcherStagger = 1500 * time.Millisecond
+// endStagger is the delay before a node ends an expired session on behalf of a closer node. It
+// covers one read and one commit of the closer node.
+const endStagger = 1500 * time.Millisecond
 
-// neighbours is the number of sessions that each node watches, and is watched by.
-// If 6 in 10 nodes die at once, all watchers of a given one die with it in 1.7% of
-// the cases; it is then noticed once those between it and the next live node are.
-const neighbours = 8
+// watchedNeighbours is the number of sessions that each node watches, and the number of nodes
+// that watch each session. If 6 of 10 nodes fail at once, all watchers of a failed node have failed
+// too in 1.7% of the cases; it is then detected after the sessions between it and the next live
+// node have been ended.
+const watchedNeighbours = 8
 
 func memberKey(partition, id string) table.Key {
 	return table.Key{Partition: partition, Sort: memberPrefix + id}
 }
 
-// Member is what a node tells of itself in its member row. A row of an earlier version
-// of the program tells less; what it leaves out is zero.
+// Member describes a node in its member row. Fields that an earlier version of the program did not
+// write are zero.
 type Member struct {
-	// Address is host:port for other nodes.
+	// Address is the host:port at which other nodes reach this node.
 	Address string `cbor:"1,keyasint,omitempty"`
-	// Zone and Region are where the node stands.
+	// Zone and Region are the location of the node.
 	Zone   string `cbor:"2,keyasint,omitempty"`
 	Region string `cbor:"3,keyasint,omitempty"`
-	// Cores is the node's share of a core, LinkMbps the bandwidth of its link in Mbit/s,
-	// MemoryMB its memory in megabytes; 0 if they are not set.
+	// Cores is the node's CPU share in cores, LinkMbps its network bandwidth in Mbit/s and
+	// MemoryMB its memory in megabytes; 0 means unset.
 	Cores    float64 `cbor:"4,keyasint,omitempty"`
 	LinkMbps float64 `cbor:"5,keyasint,omitempty"`
 	MemoryMB int     `cbor:"6,keyasint,omitempty"`
 }
 
-// encodeMember returns the body of a member row; nil if there is nothing to say.
-func encodeMember(told Member) []byte {
-	if told == (Member{}) {
+// encodeMember returns the body of a member row, or nil for the zero Member.
+func encodeMember(member Member) []byte {
+	if member == (Member{}) {
 		return nil
 	}
-	body, err := cbor.Marshal(told)
+	body, err := cbor.Marshal(member)
 	if err != nil {
-		// A member holds nothing that cannot be encoded.
+		// Encoding cannot fail: Member has only plain fields.
 		panic(err)
 	}
 	return body
 }
 
-// errNoSession reports a row whose key is not that of a session.
-var errNoSession = errors.New("the key names no session")
+// errNotSessionKey reports a member or session row whose key does not contain a session ID.
+var errNotSessionKey = errors.New("key does not contain a session ID")
 
-// decodeMember reads the member row of a session. An empty one has nothing to say.
-func decodeMember(id string, row table.Row) (told Member, err error) {
-	if !isSession(id) {
-		return Member{}, row.Refuse(table.Content, errNoSession)
+// decodeMember decodes the member row of a session. An empty body is the zero Member.
+func decodeMember(id string, row table.Row) (member Member, err error) {
+	if !isSessionID(id) {
+		return Member{}, row.AsUnreadable(table.Content, errNotSessionKey)
 	}
 	if row.Unreadable == nil && len(row.Body) == 0 {
 		return Member{}, nil
 	}
-	if err := row.Decode(&told); err != nil {
+	if err := row.Decode(&member); err != nil {
 		return Member{}, err
 	}
-	return told, nil
+	return member, nil
 }
 
-// Roster tells which sessions there are in a fleet where not every node reads all of
-// them, for that costs nodes x nodes. Beside its session, which is renewed, each node
-// has a member row in a group of rows that all nodes follow; both come and go in the
-// same commits. A node watches a few sessions only, and ends those that have expired
-// for everybody. The zero value is not usable. It is safe for concurrent use.
+// Roster tracks the live sessions of a fleet in which no node reads all session rows, because that
+// would cost O(n²) reads. In addition to its session row, which it renews, each node has a member
+// row in a group that all nodes follow; both rows are created and deleted in the same commits. Each
+// node watches only a few neighbours and deletes their rows when they expire. Use NewRoster to
+// create a Roster. It is safe for concurrent use.
 type Roster struct {
 	service   table.Service
 	partition string
 	session   *Session
 	watcher   *Watcher
-	// Ended, if set, is told of each session that was ended because it had expired.
-	Ended func(id string, err error)
-	// unreadable is told of member rows that cannot be read.
+	// OnEnded, if set, is called for each expired session that this node tried to end.
+	OnEnded func(id string, err error)
+	// unreadable receives member rows that cannot be decoded.
 	unreadable *table.Unreadable
 
 	mu sync.Mutex
-	// members are the versions of the member rows, nodes the number of each node's.
-	members map[string]uint64
-	nodes   map[string]int
-	// unread are the versions of member rows that could never be read. They make no node,
-	// and go with their sessions.
-	unread map[string]uint64
-	// told is what the newest member rows of nodes tell.
-	told map[string]Member
-	// away are the nodes whose sessions were ended a short time ago.
-	away map[string]away
-	// generation rises with each change of the nodes; sorted are these, nil if they have
-	// changed since they were last asked for.
-	generation uint64
-	sorted     []string
-	// missing are the nodes without a member that somebody asked about, since when.
-	missing map[string]time.Time
+	// memberVersions holds the versions of the member rows by session, sessionCounts the number
+	// of sessions by node.
+	memberVersions map[string]uint64
+	sessionCounts  map[string]int
+	// unreadableVersions holds the versions of member rows that could never be decoded. They do
+	// not count as nodes and are deleted with their sessions.
+	unreadableVersions map[string]uint64
+	// memberInfo holds the newest decoded member row of each node.
+	memberInfo map[string]Member
+	// away holds the nodes whose last session ended within awayRetention.
+	away map[string]awayNode
+	// generation increases with each change to the set of nodes. sortedNodes caches that set; it
+	// is nil after a change.
+	generation  uint64
+	sortedNodes []string
+	// missingSince holds the nodes without a member row that callers have asked about, with the
+	// time of the first question; zero if the row was seen to be deleted.
+	missingSince map[string]time.Time
 }
 
-// NewRoster returns a roster that has seen nothing and whose own session is the
-// given one. Member rows lie in a partition that the node follows; now must be
-// monotonic.
+// NewRoster returns an empty roster for the node of session. partition holds the member rows and
+// must belong to a group that the node follows; now must be monotonic.
 func NewRoster(service table.Service, session *Session, partition string, now func() time.Time, timing Timing) *Roster {
 	session.MemberPartition = partition
 	watcher := NewWatcher(service, now, timing)
-	watcher.Self, watcher.Neighbours = session.ID(), neighbours
+	watcher.Self, watcher.Neighbours = session.ID(), watchedNeighbours
 	return &Roster{
 		service: service, partition: partition, session: session, watcher: watcher,
-		members: map[string]uint64{}, nodes: map[string]int{}, missing: map[string]time.Time{},
-		told: map[string]Member{}, away: map[string]away{}, unread: map[string]uint64{},
+		memberVersions: map[string]uint64{}, sessionCounts: map[string]int{}, missingSince: map[string]time.Time{},
+		memberInfo: map[string]Member{}, away: map[string]awayNode{}, unreadableVersions: map[string]uint64{},
 	}
 }
 
-// ReportTo has rows told that cannot be read. It is called before the roster is used.
-func (r *Roster) ReportTo(unreadable *table.Unreadable) {
+// ReportUnreadableTo sets the receiver of rows that cannot be decoded. Call it before first use.
+func (r *Roster) ReportUnreadableTo(unreadable *table.Unreadable) {
 	r.unreadable, r.watcher.Unreadable = unreadable, unreadable
 }
 
-// Apply takes in changes of the group with the member rows.
+// Apply applies changes of the group that contains the member rows.
 func (r *Roster) Apply(changes table.Changes, _ bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -155,105 +157,105 @@
 	}
 }
 
-// add notes a member row. One that cannot be read makes no node: if another writer left it,
-// no session would ever expire, and what is given to that node to do would lie for good. A
-// node that is known stays, with what it told before. The caller holds mu.
+// add records a member row. One that cannot be decoded does not add a node: no session would
+// expire for a row left by another writer, and work assigned to that node would never be done. A
+// known node stays, with its previous information. The caller holds mu.
 func (r *Roster) add(id string, row table.Row) {
-	told, err := decodeMember(id, row)
+	member, err := decodeMember(id, row)
 	r.unreadable.Report(err)
-	if _, known := r.members[id]; err != nil && !known {
-		r.unread[id] = row.Version
+	if _, known := r.memberVersions[id]; err != nil && !known {
+		r.unreadableVersions[id] = row.Version
 		return
 	}
-	delete(r.unread, id)
-	if _, ok := r.members[id]; !ok {
-		r.nodes[Node(id)]++
+	delete(r.unreadableVersions, id)
+	if _, ok := r.memberVersions[id]; !ok {
+		r.sessionCounts[Node(id)]++
 		delete(r.away, Node(id))
-		r.changed()
+		r.invalidateNodes()
 	}
-	r.members[id] = row.Version
-	delete(r.missing, Node(id))
-	if told != (Member{}) && told != r.told[Node(id)] {
-		r.told[Node(id)] = told
-		r.changed()
+	r.memberVersions[id] = row.Version
+	delete(r.missingSince, Node(id))
+	if member != (Member{}) && member != r.memberInfo[Node(id)] {
+		r.memberInfo[Node(id)] = member
+		r.invalidateNodes()
 	}
 }
 
-// Held returns the member rows that are known.
-func (r *Roster) Held() []table.Change {
+// MemberRows returns the member rows that are known.
+func (r *Roster) MemberRows() []table.Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	held := make([]table.Change, 0, len(r.members))
-	for id, version := range r.members {
-		row := table.Row{Key: memberKey(r.partition, id), Version: version, Body: encodeMember(r.told[Node(id)])}
-		held = append(held, table.Change{Row: row})
+	changes := make([]table.Change, 0, len(r.memberVersions))
+	for id, version := range r.memberVersions {
+		row := table.Row{Key: memberKey(r.partition, id), Version: version, Body: encodeMember(r.memberInfo[Node(id)])}
+		changes = append(changes, table.Change{Row: row})
 	}
-	return held
+	return changes
 }
 
-// remove notes that a session was ended, by itself or by those who watched it. Its
-// work is free at once. The caller holds mu.
+// remove records that a session was ended, by its own node or by a watcher. Its work can be taken
+// over immediately. The caller holds mu.
 func (r *Roster) remove(id string) {
-	delete(r.unread, id)
-	if _, ok := r.members[id]; !ok {
+	delete(r.unreadableVersions, id)
+	if _, ok := r.memberVersions[id]; !ok {
 		return
 	}
-	delete(r.members, id)
-	r.changed()
+	delete(r.memberVersions, id)
+	r.invalidateNodes()
 	node := Node(id)
-	if r.nodes[node]--; r.nodes[node] == 0 {
-		r.leave(node)
+	if r.sessionCounts[node]--; r.sessionCounts[node] == 0 {
+		r.markAway(node)
 	}
-	r.missing[node] = time.Time{}
+	r.missingSince[node] = time.Time{}
 }
 
-// Refresh looks at the neighbours and ends the sessions of those that are gone.
+// Refresh reads the neighbours and ends those sessions that have expired.
 func (r *Roster) Refresh(ctx context.Context) error {
 	if err := r.watcher.Refresh(ctx); err != nil {
 		return err
 	}
-	for _, seen := range r.watcher.lapsed(watcherStagger) {
-		err := r.end(ctx, seen)
-		if r.Ended != nil {
-			r.Ended(seen.ID, err)
+	for _, session := range r.watcher.sessionsToEnd(endStagger) {
+		err := r.endSession(ctx, session)
+		if r.OnEnded != nil {
+			r.OnEnded(session.ID, err)
 		}
 	}
 	return nil
 }
 
-// errMemberUnknown reports a session whose member row has not come by the feed yet.
-var errMemberUnknown = errors.New("member row not known yet")
+// errMemberRowUnknown reports a session whose member row has not been received yet.
+var errMemberRowUnknown = errors.New("member row not yet received")
 
-// LookInterval is the time to leave between two calls of Refresh.
-func (r *Roster) LookInterval() time.Duration {
-	return min(max(lookLeast, time.Duration(len(r.Live()))*lookPerSession), lookNeighbours)
+// RefreshInterval returns the time to leave between two calls of Refresh.
+func (r *Roster) RefreshInterval() time.Duration {
+	return min(max(minRefreshInterval, time.Duration(len(r.Live()))*refreshIntervalPerSession), maxRefreshInterval)
 }
 
-// end deletes both rows of an expired session, unless it has been renewed since it
-// was looked at. One row without the other would never go.
-func (r *Roster) end(ctx context.Context, seen Sighting) error {
+// endSession deletes both rows of an expired session unless it has been renewed since it was read.
+// The rows are deleted together because a remaining one would never be cleaned up.
+func (r *Roster) endSession(ctx context.Context, session SessionState) error {
 	r.mu.Lock()
-	member, known := r.members[seen.ID]
+	memberVersion, known := r.memberVersions[session.ID]
 	if !known {
-		member, known = r.unread[seen.ID]
+		memberVersion, known = r.unreadableVersions[session.ID]
 	}
 	r.mu.Unlock()
 	if !known {
-		return Error.Wrap(errMemberUnknown)
+		return Error.Wrap(errMemberRowUnknown)
 	}
 	_, err := r.service.Commit(ctx, table.NewOperation(),
-		table.Write{Key: rowKey(seen.ID), Kind: table.Delete, Expect: seen.Version},
-		table.Write{Key: memberKey(r.partition, seen.ID), Kind: table.Delete, Expect: member})
+		table.Write{Key: sessionKey(session.ID), Kind: table.Delete, Expect: session.Version},
+		table.Write{Key: memberKey(r.partition, session.ID), Kind: table.Delete, Expect: memberVersion})
 	return Error.Wrap(err)
 }
 
-// Live returns the sessions that are there, this node's own among them.
+// Live returns the live sessions, including this node's own.
 func (r *Roster) Live() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	live := make([]string, 0, len(r.members)+1)
+	live := make([]string, 0, len(r.memberVersions)+1)
 	own := r.session.ID()
-	for id := range r.members {
+	for id := range r.memberVersions {
 		if id != own && !SameNode(id, own) {
 			live = append(live, id)
 		}
@@ -264,92 +266,92 @@
 // Preferred returns the live session that should do a piece of work.
 func (r *Roster) Preferred(work string) string { return Preferred(r.Live(), work) }
 
-// changed notes that the nodes are others. The caller holds mu.
-func (r *Roster) changed() {
+// invalidateNodes records a change to the set of nodes. The caller holds mu.
+func (r *Roster) invalidateNodes() {
 	r.generation++
-	r.sorted = nil
+	r.sortedNodes = nil
 }
 
-// Generation is a number that is another whenever the nodes may have changed, those that
-// are away included.
+// Generation returns a number that changes whenever the set of nodes, including those that are
+// away, may have changed.
 func (r *Roster) Generation() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forgetAway()
+	r.expireAway()
 	return r.generation
 }
 
-// Expired reports whether a session's work may be taken over.
+// Expired reports whether the work of a session may be taken over.
 func (r *Roster) Expired(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, ok := r.members[id]; ok || id == r.session.ID() {
+	if _, ok := r.memberVersions[id]; ok || id == r.session.ID() {
 		return false
 	}
-	return r.missed(Node(id))
+	return r.missingForTimeToLive(Node(id))
 }
 
-// Address returns where a node is reached, or was before it was away; empty if it has not
-// told.
+// Address returns the address of a node, or its last known address while it is away. It returns
+// "" if the address is not known.
 func (r *Roster) Address(node string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if known, ok := r.away[node]; ok {
-		return known.told.Address
+	if awayInfo, ok := r.away[node]; ok {
+		return awayInfo.member.Address
 	}
-	return r.told[node].Address
+	return r.memberInfo[node].Address
 }
 
-// Member returns what a node has told of itself, or had before it was away; zero if
-// nothing.
+// Member returns the description of a node, or its last known description while it is away. It
+// returns the zero Member if the node is not known.
 func (r *Roster) Member(node string) Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if node == Node(r.session.ID()) {
 		return r.session.Member
 	}
-	if known, ok := r.away[node]; ok {
-		return known.told
+	if awayInfo, ok := r.away[node]; ok {
+		return awayInfo.member
 	}
-	return r.told[node]
+	return r.memberInfo[node]
 }
 
-// Region returns the region that a node has told; empty if it has not.
+// Region returns the region of a node, or "" if it is not known.
 func (r *Roster) Region(node string) string { return r.Member(node).Region }
 
 // Gone reports whether a node has no session.
 func (r *Roster) Gone(node string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if node == Node(r.session.ID()) || r.nodes[node] > 0 {
+	if node == Node(r.session.ID()) || r.sessionCounts[node] > 0 {
 		return false
 	}
-	return r.missed(node)
+	return r.missingForTimeToLive(node)
 }
 
-// missed reports whether a node has been without a member row for long enough. One
-// whose row was seen to go has; for one that was never seen its time begins with the
-// first question, for its row may still be on its way. The caller holds mu.
-func (r *Roster) missed(node string) bool {
-	since, ok := r.missing[node]
+// missingForTimeToLive reports whether a node has had no member row for the time to live. This holds
+// immediately if its row was seen to be deleted. For a node that was never seen the time starts
+// with the first call, because its row may not have been received yet. The caller holds mu.
+func (r *Roster) missingForTimeToLive(node string) bool {
+	since, ok := r.missingSince[node]
 	if !ok {
 		since = r.watcher.now()
-		r.missing[node] = since
+		r.missingSince[node] = since
 	}
 	return r.watcher.now().Sub(since) >= r.watcher.timeToLive
 }
 
-// Sessions returns the sessions that are there, in the order of their ids. Of those
-// that this node watches it tells whether they have expired.
-func (r *Roster) Sessions() []Sighting {
+// Sessions returns the live sessions, sorted by ID. Expired is only set for sessions that this node
+// watches.
+func (r *Roster) Sessions() []SessionState {
 	expired := map[string]bool{}
-	for _, seen := range r.watcher.Sessions() {
-		expired[seen.ID] = seen.Expired
+	for _, watched := range r.watcher.Sessions() {
+		expired[watched.ID] = watched.Expired
 	}
-	var list []Sighting
+	var list []SessionState
 	for _, id := range r.Live() {
-		list = append(list, Sighting{ID: id, Expired: expired[id]})
+		list = append(list, SessionState{ID: id, Expired: expired[id]})
 	}
-	slices.SortFunc(list, func(a, b Sighting) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(list, func(a, b SessionState) int { return strings.Compare(a.ID, b.ID) })
 	return list
 }
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -138,7 +138,7 @@
 		}
 		n.rows.Apply(changes, complete)
 	})
-	n.watcher.Pace = func() table.Pace { return table.Pace{Announced: fleetPollInterval, Usual: fleetPollInterval} }
+	n.watcher.Pace = func() table.Pace { return table.Pace{AfterAnnouncement: fleetPollInterval, Default: fleetPollInterval} }
 	go n.watcher.Run(ctx)
 	go n.publisher.Run(ctx)
 	return n
--- a/internal/resource/publish_test.go
+++ b/internal/resource/publish_test.go
@@ -18,8 +18,8 @@
 	return Change{Operation: note, Kind: v1.KindSitePolicy, Name: name, Spec: []byte(fmt.Sprintf(`{"note":%q}`, note))}
 }
 
-// newCopy is a node's copy of the configuration.
-func newCopy(t *testing.T, shared *tabletest.Table) *Store {
+// newFollowingStore returns a store that follows the configuration in shared until the test ends.
+func newFollowingStore(t *testing.T, shared *tabletest.Table) *Store {
 	t.Helper()
 	store := NewStore(nil)
 	watcher := table.NewWatcher(shared.Feed(Group), store.Apply)
@@ -31,66 +31,66 @@
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// seenSessions are the sessions that a publisher sees.
-type seenSessions struct {
-	mu   sync.Mutex
-	list []lease.Sighting
+// fakeSessions implements Sessions with sessions set by the test.
+type fakeSessions struct {
+	mu       sync.Mutex
+	sessions []lease.SessionState
 }
 
-func (s *seenSessions) Refresh(context.Context) error { return nil }
+func (s *fakeSessions) Refresh(context.Context) error { return nil }
 
-func (s *seenSessions) Sessions() []lease.Sighting {
+func (s *fakeSessions) Sessions() []lease.SessionState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]lease.Sighting(nil), s.list...)
+	return append([]lease.SessionState(nil), s.sessions...)
 }
 
-func (s *seenSessions) set(id string, applied uint64, expired bool) {
+func (s *fakeSessions) set(id string, applied uint64, expired bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	next := lease.Sighting{ID: id, Body: EncodeApplied(applied), Expired: expired}
-	for i := range s.list {
-		if s.list[i].ID == id {
-			s.list[i] = next
+	next := lease.SessionState{ID: id, Body: EncodeApplied(applied), Expired: expired}
+	for i := range s.sessions {
+		if s.sessions[i].ID == id {
+			s.sessions[i] = next
 			return
 		}
 	}
-	s.list = append(s.list, next)
+	s.sessions = append(s.sessions, next)
 }
 
-func TestWriter_RacingWritersOfOneResource(t *testing.T) {
+func TestWriter_OneOfConcurrentCreatesSucceeds(t *testing.T) {
 	shared := tabletest.New()
 	writer := NewWriter(shared)
 	var mu sync.Mutex
-	won := 0
+	succeeded := 0
 	var group sync.WaitGroup
-	for operator := range 8 {
+	for number := range 8 {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			_, err := writer.Commit(t.Context(), policyChange("site", fmt.Sprint(operator)), Precondition{Set: true})
+			_, err := writer.Commit(t.Context(), policyChange("site", fmt.Sprint(number)), Precondition{Set: true})
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
 			case err == nil:
-				won++
+				succeeded++
 			case !errors.Is(err, ErrVersionMismatch):
-				t.Errorf("operator %d: %v", operator, err)
+				t.Errorf("writer %d: %v", number, err)
 			}
 		}()
 	}
 	group.Wait()
-	if won != 1 {
-		t.Fatalf("%d operators created the resource", won)
+	if succeeded != 1 {
+		t.Fatalf("%d writers created the resource, want 1", succeeded)
 	}
 }
 
-func TestWriter_DeletedResourceIsNotThere(t *testing.T) {
+func TestWriter_DeletedResourceDoesNotExist(t *testing.T) {
 	shared := tabletest.New()
 	writer := NewWriter(shared)
 	if _, err := writer.Commit(t.Context(), policyChange("site", "a"), Precondition{}); err != nil {
@@ -101,24 +101,24 @@
 		t.Fatal(err)
 	}
 	if _, err := writer.Commit(t.Context(), remove, Precondition{}); !errors.Is(err, ErrNotFound) {
-		t.Fatalf("deleting it again: %v", err)
+		t.Fatalf("second deletion: %v", err)
 	}
-	store := newCopy(t, shared)
-	eventually(t, "the copy", func() bool { return store.Revision() > 0 })
+	store := newFollowingStore(t, shared)
+	eventually(t, "the store to follow", func() bool { return store.Revision() > 0 })
 	if _, ok := store.Snapshot().Get(v1.KindSitePolicy, "site"); ok {
-		t.Fatal("a deleted resource is in the copy")
+		t.Fatal("a deleted resource is in the store")
 	}
-	// A resource that must not exist may be created after its deletion.
+	// A precondition that the resource must not exist holds after its deletion.
 	if _, err := writer.Commit(t.Context(), policyChange("site", "b"), Precondition{Set: true}); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the resource made again", func() bool {
+	eventually(t, "the new resource", func() bool {
 		_, ok := store.Snapshot().Get(v1.KindSitePolicy, "site")
 		return ok
 	})
 }
 
-func TestWriter_LostAnswerIsFoundOut(t *testing.T) {
+func TestWriter_ResolvesLostResponse(t *testing.T) {
 	shared := tabletest.New()
 	faults := []tabletest.Fault{tabletest.Lost}
 	shared.CommitFault = func([]table.Write) tabletest.Fault {
@@ -131,11 +131,11 @@
 	}
 	committed, err := NewWriter(shared).Commit(t.Context(), policyChange("site", "a"), Precondition{})
 	if err != nil || committed.Revision == 0 {
-		t.Fatalf("committed %+v, %v", committed, err)
+		t.Fatalf("committed %+v, error %v", committed, err)
 	}
 }
 
-func TestStore_NeverGoesBack(t *testing.T) {
+func TestStore_IgnoresOlderRevisions(t *testing.T) {
 	store := NewStore(nil)
 	row := func(revision uint64, note string) table.Change {
 		body, err := encodeChange(policyChange("site", note))
@@ -152,9 +152,9 @@
 	}
 }
 
-func TestPublisher_AcceptedOnlyWhenInForceEverywhere(t *testing.T) {
+func TestPublisher_AcceptedOnceInForceOnAllNodes(t *testing.T) {
 	shared := tabletest.New()
-	sessions := &seenSessions{}
+	sessions := &fakeSessions{}
 	listed := map[string]bool{"a": true, "b": true, "cut": true}
 	publisher := &Publisher{
 		Writer: NewWriter(shared), Sessions: sessions, Listed: func(node string) bool { return listed[node] },
@@ -163,24 +163,24 @@
 	sessions.set("b#1", 0, false)
 	committed, status, err := publisher.Write(t.Context(), policyChange("site", "x"), Precondition{})
 	if err != nil || status.Accepted() || len(status.Laggards) != 2 {
-		t.Fatalf("status %+v, %v", status, err)
+		t.Fatalf("status %+v, error %v", status, err)
 	}
 	sessions.set("a#1", committed.Revision, false)
 	sessions.set("b#1", committed.Revision, false)
 	if status := publisher.Status(committed.Revision); !status.Accepted() {
 		t.Fatalf("status %+v", status)
 	}
-	// A node that has lost the table may still serve the older revision, until
-	// its machine is off the list.
+	// A node that is cut off from the table may still serve an older revision until its machine leaves
+	// the list.
 	sessions.set("cut#1", committed.Revision, true)
 	if status := publisher.Status(committed.Revision); status.Accepted() {
-		t.Fatal("accepted though a node may serve another revision")
+		t.Fatal("accepted although a node may serve another revision")
 	}
 	listed["cut"] = false
 	if status := publisher.Status(committed.Revision); !status.Accepted() {
-		t.Fatalf("status %+v after its machine has left", status)
+		t.Fatalf("status %+v after the machine left the list", status)
 	}
-	// A node that was started again counts by its new session alone.
+	// After a restart of a node only its new session counts.
 	sessions.set("b#1", 0, true)
 	sessions.set("b#2", committed.Revision, false)
 	if status := publisher.Status(committed.Revision); !status.Accepted() {
--- a/internal/table/tabletest/tabletest.go
+++ b/internal/table/tabletest/tabletest.go
@@ -1,4 +1,4 @@
-// Package tabletest is a table service in memory with faults, for tests.
+// Package tabletest provides an in-memory table service with fault injection, for tests.
 package tabletest
 
 import (
@@ -14,37 +14,37 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// errLost is the cause of an answer that never comes.
+// errLost is the error of a commit whose response is lost.
 var errLost = errors.New("answer lost")
 
-// Fault is what happens to a commit.
+// Fault is an injected fault of a commit.
 type Fault int
 
 // Faults of commits.
 const (
-	// None lets the commit through.
+	// None lets the commit succeed.
 	None Fault = iota
-	// Down refuses it; nothing is done.
+	// Down rejects the commit without effect.
 	Down
-	// Lost does it and loses the answer.
+	// Lost applies the commit and loses the response.
 	Lost
-	// Late loses the answer and does it when Land is called, if its conditions
+	// Late loses the response and applies the commit when ApplyLate is called, if its conditions
 	// still hold then.
 	Late
 )
 
-// Table keeps rows in memory. One counter gives the versions of all rows, as
-// with the platform's store. It is safe for concurrent use.
+// Table is an in-memory table.Service. All rows share one version counter, as in the platform's
+// store. It is safe for concurrent use.
 type Table struct {
 	mu      sync.Mutex
 	rows    map[table.Key]table.Row
 	log     []table.Change
 	version uint64
-	began   time.Time
+	start   time.Time
 	late    []lateCommit
 	changed chan struct{}
-	// CommitFault, if set, decides the fate of each commit. ReadFault, if set,
-	// is the error of each reading call.
+	// CommitFault, if set, returns the fault of each commit. ReadFault, if set, returns the error
+	// of each read.
 	CommitFault func(writes []table.Write) Fault
 	ReadFault   func() error
 }
@@ -58,7 +58,7 @@
 
 // New returns an empty table.
 func New() *Table {
-	return &Table{rows: map[table.Key]table.Row{}, began: clock.Now(), changed: make(chan struct{})}
+	return &Table{rows: map[table.Key]table.Row{}, start: clock.Now(), changed: make(chan struct{})}
 }
 
 func (t *Table) readFault() error {
@@ -121,47 +121,46 @@
 	return versions, err
 }
 
-// Land carries out the late commits whose conditions still hold. It returns how
-// many did.
-func (t *Table) Land() int {
+// ApplyLate applies the late commits whose conditions still hold, and returns their number.
+func (t *Table) ApplyLate() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	landed := 0
+	applied := 0
 	for _, commit := range t.late {
 		if _, err := t.apply(commit.operation, commit.writes); err == nil {
-			landed++
+			applied++
 		}
 	}
 	t.late = nil
-	return landed
+	return applied
 }
 
-// apply carries out a commit. The caller holds mu.
+// apply applies a commit. The caller holds mu.
 func (t *Table) apply(operation string, writes []table.Write) ([]uint64, error) {
 	conflict := &table.ConflictError{Revision: t.version}
-	holds := true
+	conditionsHold := true
 	for _, write := range writes {
 		row, ok := t.rows[write.Key]
 		if ok {
 			conflict.Rows = append(conflict.Rows, row)
 		}
-		holds = holds && row.Version == write.Expect
+		conditionsHold = conditionsHold && row.Version == write.Expect
 	}
-	if !holds {
+	if !conditionsHold {
 		return nil, outcome.Failed(conflict)
 	}
 	t.version++
 	versions := make([]uint64, len(writes))
 	for i, write := range writes {
 		versions[i] = t.version
-		t.change(operation, write)
+		t.applyWrite(operation, write)
 	}
 	close(t.changed)
 	t.changed = make(chan struct{})
 	return versions, nil
 }
 
-func (t *Table) change(operation string, write table.Write) {
+func (t *Table) applyWrite(operation string, write table.Write) {
 	row := table.Row{Key: write.Key, Version: t.version, Operation: operation, Body: write.Body}
 	switch write.Kind {
 	case table.Put:
@@ -173,14 +172,14 @@
 	}
 }
 
-// Compact forgets the history of changes.
+// Compact discards the change log.
 func (t *Table) Compact() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.log = nil
 }
 
-// Feed follows the partitions of a group of the table.
+// Feed returns a feed of a group of the table.
 func (t *Table) Feed(group string) table.Feed { return &feed{table: t, group: group} }
 
 type feed struct {
@@ -188,7 +187,7 @@
 	group string
 }
 
-func (f *feed) member(key table.Key) bool {
+func (f *feed) contains(key table.Key) bool {
 	return key.Partition == f.group || strings.HasPrefix(key.Partition, f.group+"/")
 }
 
@@ -199,13 +198,13 @@
 	if err := f.table.readFault(); err != nil {
 		return table.Changes{}, cursor, err
 	}
-	all := f.table.stamp()
+	changes := f.table.emptyChanges()
 	for key, row := range f.table.rows {
-		if f.member(key) {
-			all.Changes = append(all.Changes, table.Change{Row: row})
+		if f.contains(key) {
+			changes.Changes = append(changes.Changes, table.Change{Row: row})
 		}
 	}
-	return all, table.Cursor{Done: true}, nil
+	return changes, table.Cursor{Done: true}, nil
 }
 
 // After implements table.Feed.
@@ -221,7 +220,7 @@
 		case <-ctx.Done():
 			return table.Changes{}, outcome.Undecided(ctx.Err())
 		case <-deadline.C:
-			// Nothing had come by now, not by the beginning of the wait.
+			// The changes are as of now, not as of the start of the wait.
 			changes, _, err = f.since(revision)
 			return changes, err
 		case <-changed:
@@ -235,19 +234,19 @@
 	if err := f.table.readFault(); err != nil {
 		return table.Changes{}, nil, err
 	}
-	changes := f.table.stamp()
+	changes := f.table.emptyChanges()
 	if revision < f.table.version && len(f.table.log) == 0 {
 		return changes, nil, table.ErrCompacted
 	}
 	for _, change := range f.table.log {
-		if change.Version > revision && f.member(change.Key) {
+		if change.Version > revision && f.contains(change.Key) {
 			changes.Changes = append(changes.Changes, change)
 		}
 	}
 	return changes, f.table.changed, nil
 }
 
-// stamp returns changes without rows. The caller holds mu.
-func (t *Table) stamp() table.Changes {
-	return table.Changes{Revision: t.version, Now: clock.Since(t.began)}
+// emptyChanges returns the current revision and time without any changes. The caller holds mu.
+func (t *Table) emptyChanges() table.Changes {
+	return table.Changes{Revision: t.version, Now: clock.Since(t.start)}
 }
