--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -42,8 +42,8 @@
 			return outcome.Undecided(fmt.Errorf("%w: %w", ErrBroken, err))
 		}
 		now := clock.Now()
-		use.Heard(now)
-		use.First(now)
+		use.Received(now)
+		use.FirstEvent(now)
 		c.begun(now)
 		watch.begun(c.route.Gap)
 		if event.HasID && event.ID <= c.after {
@@ -114,8 +114,8 @@
 		return outcome.Undecided(fmt.Errorf("%w: longer than %d bytes", ErrBroken, maxWhole))
 	}
 	now := clock.Now()
-	use.Heard(now)
-	use.First(now)
+	use.Received(now)
+	use.FirstEvent(now)
 	if c.result.Started {
 		// The stream began elsewhere; this failure cannot replace its head.
 		return outcome.Undecided(fmt.Errorf("%w: status %d", ErrBroken, answer.Status))
--- a/internal/forward/cold.go
+++ b/internal/forward/cold.go
@@ -24,12 +24,12 @@
 type ColdFeeders interface {
 	// Ask asks a node for a place at a replica that it feeds. It reports whether the
 	// node gave one before the context ended.
-	Ask(ctx context.Context, feeder replica.Feeder) bool
+	Ask(ctx context.Context, feeder replica.ColdSender) bool
 }
 
 // coldOnly returns the error of a choice that waits for cold replicas alone, or nil.
 func coldOnly(err error) *replica.NoReplicaError {
-	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) && none.Cold() {
+	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) && none.WaitsForCold() {
 		return none
 	}
 	return nil
@@ -48,7 +48,7 @@
 	if c.forwarder.ColdFeeders == nil {
 		return nil
 	}
-	feeders := c.forwarder.Replicas.Feeders(c.result.Pool, &c.demand, clock.Now())
+	feeders := c.forwarder.Replicas.ColdSenders(c.result.Pool, &c.demand, clock.Now())
 	if len(feeders) == 0 {
 		return nil
 	}
@@ -61,7 +61,7 @@
 	if !granted || askCtx.Err() != nil || clock.Since(began) >= feederTimeout {
 		return nil
 	}
-	chosen, listed := c.forwarder.Replicas.Listed(asked.Replica, clock.Now())
+	chosen, listed := c.forwarder.Replicas.CandidateByID(asked.Replica, clock.Now())
 	if !listed || chosen.Evacuated {
 		return nil
 	}
@@ -71,8 +71,8 @@
 
 // chooseFeeder chooses at random, half of the times among those of replicas in a zone: if
 // the zone is cut off there is no way to others.
-func chooseFeeder(feeders []replica.Feeder, zone string) replica.Feeder {
-	var near []replica.Feeder
+func chooseFeeder(feeders []replica.ColdSender, zone string) replica.ColdSender {
+	var near []replica.ColdSender
 	for _, one := range feeders {
 		if one.Zone == zone {
 			near = append(near, one)
@@ -87,13 +87,13 @@
 // waitForReplica waits until there may be a replica to choose, as long as the route
 // allows.
 func (c *call) waitForReplica(ctx context.Context, err error) error {
-	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) && none.Lasts() {
+	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) && none.Persistent() {
 		// Nothing that may happen in time helps.
 		return err
 	}
 	room := waitForRoom
 	if none := coldOnly(err); none != nil {
-		c.forwarder.Replicas.HeldBack()
+		c.forwarder.Replicas.NoteHeldBack()
 		room = max(time.Millisecond, none.ColdWait)
 		if c.forwarder.fedElsewhere(err) {
 			room = coldLook
--- a/internal/forward/cold_test.go
+++ b/internal/forward/cold_test.go
@@ -15,7 +15,7 @@
 // coldForwarder returns a forwarder with one replica, which is cold.
 func coldForwarder(backend Backend, nodes []string, left time.Duration) *Forwarder {
 	forwarder := newForwarder(backend, 0)
-	forwarder.Replicas.LimitCold(map[string]replica.ColdLimit{testPool: {Rate: 15, Start: 3 * time.Second}})
+	forwarder.Replicas.SetColdLimits(map[string]replica.ColdLimit{testPool: {Rate: 15, Start: 3 * time.Second}})
 	forwarder.Replicas.Divide("a", nowhere(nodes...))
 	forwarder.Replicas.Put(replica.Info{ID: "cold", Pool: testPool, Address: "cold", Slots: 4, ColdLeft: left})
 	return forwarder
@@ -34,7 +34,7 @@
 	if took := time.Since(began); took < 250*time.Millisecond || took > 2*time.Second {
 		t.Errorf("three requests took %v", took)
 	}
-	if held := forwarder.Replicas.ColdHeld(); held == 0 {
+	if held := forwarder.Replicas.ColdHeldBack(); held == 0 {
 		t.Error("no request counts as held back")
 	}
 }
@@ -89,11 +89,11 @@
 
 // scriptedFeeders grant as told.
 type scriptedFeeders struct {
-	asked []replica.Feeder
+	asked []replica.ColdSender
 	grant func(number int) bool
 }
 
-func (f *scriptedFeeders) Ask(_ context.Context, feeder replica.Feeder) bool {
+func (f *scriptedFeeders) Ask(_ context.Context, feeder replica.ColdSender) bool {
 	f.asked = append(f.asked, feeder)
 	return f.grant(len(f.asked))
 }
@@ -109,7 +109,7 @@
 	if len(backend.sent) != 1 || len(feeders.asked) != 3 || feeders.asked[0].Replica != "cold" || feeders.asked[0].Node != "b" {
 		t.Errorf("sent %d times, asked %v", len(backend.sent), feeders.asked)
 	}
-	if forwarder.Replicas.Begin("cold", replica.Ask{}, time.Now()) != nil {
+	if forwarder.Replicas.Begin("cold", replica.RequestInfo{}, time.Now()) != nil {
 		t.Error("a place that was granted once lets another request be sent")
 	}
 }
@@ -128,7 +128,7 @@
 	backend := answerAll()
 	reserver := &scriptedReserver{answer: func(string) (string, error) { return "", errFull }}
 	forwarder := crowded(t, backend, reserver)
-	forwarder.Replicas.LimitCold(map[string]replica.ColdLimit{testPool: {Rate: 15, Start: 3 * time.Second}})
+	forwarder.Replicas.SetColdLimits(map[string]replica.ColdLimit{testPool: {Rate: 15, Start: 3 * time.Second}})
 	forwarder.Replicas.Divide("a", nowhere("b", "c"))
 	forwarder.Replicas.Put(replica.Info{ID: "cold", Pool: testPool, Address: "cold", Slots: 4, ColdLeft: 3 * time.Second})
 	feeders := &scriptedFeeders{grant: func(int) bool { return true }}
--- a/internal/forward/evacuate_test.go
+++ b/internal/forward/evacuate_test.go
@@ -18,14 +18,14 @@
 	set.Put(replica.Info{ID: "r", Pool: testPool, Zone: "a", Slots: 4})
 	backend := &scriptedBackend{answer: func(_ context.Context, _ *Attempt, number int) (*Answer, error) {
 		if number == refusalsInARow {
-			set.Evacuate(map[string]bool{"a": true})
+			set.SetEvacuated(map[string]bool{"a": true})
 		}
 		return nil, outcome.Failed(ErrRefused)
 	}}
 	began := time.Now()
 	_, _, err := do(t, &Forwarder{Replicas: set, Backend: backend, Budget: retry.NewBudget(1)}, routeOf(route.Stream, true, 2))
 	none := (*replica.NoReplicaError)(nil)
-	if !errors.As(err, &none) || !none.Lasts() || outcome.Of(err) != outcome.NotDone {
+	if !errors.As(err, &none) || !none.Persistent() || outcome.Of(err) != outcome.NotDone {
 		t.Fatalf("failed with %v", err)
 	}
 	if took := time.Since(began); took > time.Second {
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -64,7 +64,7 @@
 	sink      Sink
 	deadline  time.Time
 	result    Result
-	demand    replica.Demand
+	demand    replica.Criteria
 	// after is the last event passed on; next is when its successor is overdue.
 	after     int
 	lastEvent time.Time
@@ -89,10 +89,10 @@
 	one := &call{forwarder: f, route: target, request: request, sink: sink, after: request.After}
 	one.deadline = deadlineOf(target, request)
 	one.result.Pool = target.Pool()
-	one.demand = replica.Demand{
-		Zone: f.Zone, Region: f.Region, Ask: replica.Ask{Tokens: request.Prompt.Tokens}, Affinity: affinityOf(request.Prompt), Shared: sharedTokens(request.Prompt),
+	one.demand = replica.Criteria{
+		Zone: f.Zone, Region: f.Region, RequestInfo: replica.RequestInfo{Tokens: request.Prompt.Tokens}, Affinity: affinityOf(request.Prompt), SharedTokens: sharedTokens(request.Prompt),
 		Adapter: target.Adapter, Exclude: map[string]bool{}, Regions: target.Regions.And(request.Regions),
-		Single: !one.mayRepeat() || target.MaxAttempts < 2,
+		NoRetry: !one.mayRepeat() || target.MaxAttempts < 2,
 	}
 	if !one.deadline.IsZero() {
 		var cancel context.CancelFunc
@@ -106,8 +106,8 @@
 // Predict estimates the time until a request would get its first event. It
 // returns replica.ErrNoReplica if no replica could take it.
 func (f *Forwarder) Predict(target *route.Route, request *Request, now time.Time) (time.Duration, error) {
-	demand := &replica.Demand{
-		Zone: f.Zone, Region: f.Region, Ask: replica.Ask{Tokens: request.Prompt.Tokens}, Adapter: target.Adapter,
+	demand := &replica.Criteria{
+		Zone: f.Zone, Region: f.Region, RequestInfo: replica.RequestInfo{Tokens: request.Prompt.Tokens}, Adapter: target.Adapter,
 		Regions: target.Regions.And(request.Regions),
 	}
 	best, err := replica.Pick(f.Replicas.SnapshotFor(target.Pool(), demand, now), demand, f.Weights)
@@ -244,7 +244,7 @@
 
 func (c *call) attempt(ctx context.Context, chosen *replica.Candidate) error {
 	now := clock.Now()
-	use := c.forwarder.Replicas.BeginAt(chosen.Info, c.demand.Ask, now)
+	use := c.forwarder.Replicas.BeginAt(chosen.Info, c.demand.RequestInfo, now)
 	c.demand.Granted = false
 	if use == nil {
 		c.reservation, c.demand.Reserved = "", false
@@ -253,7 +253,7 @@
 	c.result.Attempts++
 	c.result.Replica, c.result.Region = chosen.ID, chosen.Region
 	c.result.Distance = c.demand.Distance(chosen)
-	c.predicted, c.sent, c.status = chosen.Expected(c.demand.Ask), now, 0
+	c.predicted, c.sent, c.status = chosen.ExpectedFirstEvent(c.demand.RequestInfo), now, 0
 	if c.forwarder.Notice != nil {
 		c.forwarder.Notice.Sent(c.request, c.result.Attempts, chosen, c.predicted)
 	}
@@ -344,10 +344,10 @@
 	answer.Body = &observedBody{ReadCloser: answer.Body, progress: seen}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.ColdLeft > 0 {
-		use.Chill(answer.ColdLeft, clock.Now())
+		use.ReportCold(answer.ColdLeft, clock.Now())
 	}
 	if answer.Load != nil {
-		use.Load(*answer.Load, clock.Now())
+		use.RecordLoad(*answer.Load, clock.Now())
 	}
 	if answer.Events && answer.Status == http.StatusOK {
 		return givenUp(ctx, c.passEvents(answer, use, watch))
--- a/internal/forward/homes_test.go
+++ b/internal/forward/homes_test.go
@@ -24,7 +24,7 @@
 	set.Divide("a", nowhere("a", "b"))
 	now := time.Now()
 	for _, one := range set.List(now) {
-		set.Begin(one.ID, replica.Ask{}, now)
+		set.Begin(one.ID, replica.RequestInfo{}, now)
 	}
 	return &Forwarder{Replicas: set, Backend: backend, Budget: retry.NewBudget(1)}
 }
@@ -107,7 +107,7 @@
 			began := time.Now()
 			_, err := one.forwarder.Do(t.Context(), routeOf(route.Stream, true, 2), homeRequest(one.homes), &recordedSink{})
 			var none *replica.NoReplicaError
-			if !errors.As(err, &none) || !none.Lasts() || outcome.Of(err) != outcome.NotDone {
+			if !errors.As(err, &none) || !none.Persistent() || outcome.Of(err) != outcome.NotDone {
 				t.Fatalf("ended with %v", err)
 			}
 			if took := time.Since(began); took > time.Second {
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -58,6 +58,6 @@
 	case err == nil && c.status < http.StatusInternalServerError:
 		guard.EndedWell(c.request.Work())
 	case MayHaveEnded(err, c.status):
-		guard.BrokeOff(ctx, quarantine.Replica{ID: chosen.ID, Born: chosen.Born, Address: chosen.Address}, quarantine.Run{Work: c.request.Work(), Began: began})
+		guard.BrokeOff(ctx, quarantine.Replica{ID: chosen.ID, Born: chosen.StartedUnixMs, Address: chosen.Address}, quarantine.Run{Work: c.request.Work(), Began: began})
 	}
 }
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -64,7 +64,7 @@
 // leastTime is the time that an attempt at a replica needs to be of use: until the first
 // event by what is learned, and until a refusal by what this request has seen.
 func (c *call) leastTime(chosen *replica.Candidate) time.Duration {
-	return max(leastUseful, chosen.Soonest, refusalFactor*c.slowestRefusal)
+	return max(leastUseful, chosen.MinFirstEvent, refusalFactor*c.slowestRefusal)
 }
 
 // inTime reports whether an attempt at a replica can bring anything in the time left.
@@ -86,7 +86,7 @@
 
 // busy is the error of a request that found no room, with what is known of when there is.
 func (c *call) busy(now time.Time) *BusyError {
-	return &BusyError{Room: c.forwarder.Replicas.Room(c.result.Pool, &c.demand, now).Wait}
+	return &BusyError{Room: c.forwarder.Replicas.PredictAvailability(c.result.Pool, &c.demand, now).Wait}
 }
 
 // refused takes in how long an attempt took that did not run.
--- a/internal/forward/reserve.go
+++ b/internal/forward/reserve.go
@@ -37,13 +37,13 @@
 // reserve asks other replicas for a free slot if this node has none at the chosen one.
 // It returns the replica to send the request to.
 func (c *call) reserve(ctx context.Context, chosen *replica.Candidate) *replica.Candidate {
-	if c.forwarder.Reserver == nil || c.request.Prompt.Total() == 0 || chosen.Spare() || chosen.Cold.Left > 0 {
+	if c.forwarder.Reserver == nil || c.request.Prompt.Total() == 0 || chosen.HasSpareSlot() || chosen.Cold.Left > 0 {
 		// What is sent to a cold replica is bounded already.
 		return chosen
 	}
 	demand := c.demand
 	demand.Exclude = maps.Clone(c.demand.Exclude)
-	demand.Unheard = c.forwarder.Replicas.AskUnheard(c.result.Pool, clock.Now())
+	demand.PreferStale = c.forwarder.Replicas.ProbeStale(c.result.Pool, clock.Now())
 	if demand.Affinity == 0 {
 		// Replicas that look alike are asked alike often: in one order, all nodes would ask the
 		// same one first, and the last of them never while the first do not say that they are full.
@@ -65,7 +65,7 @@
 
 // reserveAny asks up to so many replicas, one after the other, for a slot. It returns
 // the one that set a slot aside, or nil.
-func (c *call) reserveAny(ctx context.Context, demand *replica.Demand, tries int, away bool) *replica.Candidate {
+func (c *call) reserveAny(ctx context.Context, demand *replica.Criteria, tries int, away bool) *replica.Candidate {
 	for range tries {
 		asked := c.pickUnqueued(demand, away)
 		if asked == nil {
@@ -75,7 +75,7 @@
 			return asked
 		}
 		demand.Exclude[asked.Incarnation()] = true
-		demand.Unheard = false
+		demand.PreferStale = false
 	}
 	return nil
 }
@@ -84,11 +84,11 @@
 // still be in time elsewhere, after a question there and the way of the request itself.
 func (c *call) hasTimeForAway(chosen *replica.Candidate) bool {
 	left := c.route.Objective - clock.Since(c.request.Received)
-	return left > chosen.First+(reserveWays+1)*c.forwarder.Weights.Cost(place.OtherRegion)
+	return left > chosen.FirstEvent+(reserveWays+1)*c.forwarder.Weights.Cost(place.OtherRegion)
 }
 
 // pickUnqueued returns the replica to be asked for a slot, or nil.
-func (c *call) pickUnqueued(demand *replica.Demand, away bool) *replica.Candidate {
+func (c *call) pickUnqueued(demand *replica.Criteria, away bool) *replica.Candidate {
 	candidates := c.forwarder.Replicas.SnapshotFor(c.result.Pool, demand, clock.Now())
 	best, err := replica.PickUnqueued(candidates, demand, c.forwarder.Weights, away)
 	if err != nil {
@@ -120,7 +120,7 @@
 		c.reservation, c.demand.Reserved = id, true
 		return true
 	case errors.Is(err, ErrRefused):
-		c.forwarder.Replicas.Full(asked.Info, began)
+		c.forwarder.Replicas.MarkFull(asked.Info, began)
 	}
 	return false
 }
--- a/internal/forward/reserve_test.go
+++ b/internal/forward/reserve_test.go
@@ -41,7 +41,7 @@
 	now := time.Now()
 	for _, one := range forwarder.Replicas.List(now) {
 		for range one.Slots {
-			forwarder.Replicas.Begin(one.ID, replica.Ask{}, now)
+			forwarder.Replicas.Begin(one.ID, replica.RequestInfo{}, now)
 		}
 	}
 	return forwarder
@@ -84,7 +84,7 @@
 	reserver := &scriptedReserver{answer: func(id string) (string, error) { return "slot-at-" + id, nil }}
 	forwarder := crowded(t, answerAll(), reserver)
 	for _, one := range forwarder.Replicas.List(time.Now()) {
-		forwarder.Replicas.Begin(one.ID, replica.Ask{}, time.Now()).Heard(time.Now())
+		forwarder.Replicas.Begin(one.ID, replica.RequestInfo{}, time.Now()).Received(time.Now())
 	}
 	const calls = 120
 	for range calls {
@@ -177,7 +177,7 @@
 	now := time.Now()
 	for _, one := range forwarder.Replicas.List(now) {
 		for range one.Share {
-			forwarder.Replicas.Begin(one.ID, replica.Ask{}, now)
+			forwarder.Replicas.Begin(one.ID, replica.RequestInfo{}, now)
 		}
 	}
 	return forwarder
--- a/internal/forward/restart.go
+++ b/internal/forward/restart.go
@@ -63,7 +63,7 @@
 // unless its answer goes on.
 func (c *call) watchRestart(ctx context.Context, use *replica.Use, cancel context.CancelCauseFunc) *progress {
 	seen := &progress{began: clock.Now()}
-	reborn, elsewhere := use.Reborn(), c.anotherTry()
+	reborn, elsewhere := use.Restarted(), c.anotherTry()
 	go func() {
 		select {
 		case <-ctx.Done():
--- a/internal/forward/restart_test.go
+++ b/internal/forward/restart_test.go
@@ -20,7 +20,7 @@
 
 // listStart lists a replica at a start.
 func listStart(forwarder *Forwarder, id string, born int64, address string) {
-	forwarder.Replicas.Put(replica.Info{ID: id, Pool: testPool, Address: address, Slots: 4, Born: born})
+	forwarder.Replicas.Put(replica.Info{ID: id, Pool: testPool, Address: address, Slots: 4, StartedUnixMs: born})
 }
 
 // startingForwarder returns a forwarder whose replicas say when they started.
@@ -153,11 +153,11 @@
 	forwarder := startingForwarder(backend, 1)
 	now := time.Now()
 	for range 4 {
-		forwarder.Replicas.Begin("r0", replica.Ask{}, now)
+		forwarder.Replicas.Begin("r0", replica.RequestInfo{}, now)
 	}
 	listStart(forwarder, "r1", 1000, "r1")
 	for range 4 {
-		forwarder.Replicas.Begin("r1", replica.Ask{}, now)
+		forwarder.Replicas.Begin("r1", replica.RequestInfo{}, now)
 	}
 	reserver := &scriptedReserver{}
 	reserver.answer = func(id string) (string, error) {
@@ -170,7 +170,7 @@
 		t.Fatal(err)
 	}
 	for _, sent := range backend.sent {
-		if sent.Replica.Born == 1000 && strings.HasPrefix(sent.Replica.Address, "new-") || sent.Reservation != "" && sent.Replica.Born == 1000 {
+		if sent.Replica.StartedUnixMs == 1000 && strings.HasPrefix(sent.Replica.Address, "new-") || sent.Reservation != "" && sent.Replica.StartedUnixMs == 1000 {
 			t.Errorf("sent %+v with %q", sent.Replica, sent.Reservation)
 		}
 		if known, _ := forwarder.Replicas.Get(sent.Replica.ID); known.Address != sent.Replica.Address {
--- a/internal/forward/stalled_test.go
+++ b/internal/forward/stalled_test.go
@@ -33,8 +33,8 @@
 		for retry.Sleep(ctx, 100*time.Millisecond) {
 			for _, id := range ids {
 				now := clock.Now()
-				use := replicas.Begin(id, replica.Ask{Tokens: 10}, now)
-				use.Heard(now)
+				use := replicas.Begin(id, replica.RequestInfo{Tokens: 10}, now)
+				use.Received(now)
 				use.End(replica.Succeeded, now)
 			}
 		}
@@ -172,7 +172,7 @@
 			done <- err
 		}()
 		time.Sleep(10 * time.Second)
-		if open := forwarder.Replicas.Learned(clock.Now())[testPool].Open; open > 0 {
+		if open := forwarder.Replicas.PoolStats(clock.Now())[testPool].Open; open > 0 {
 			t.Errorf("8 s after its deadline %d requests still hold slots", open)
 		}
 		close(sink.until)
--- a/internal/inventory/entry.go
+++ b/internal/inventory/entry.go
@@ -74,7 +74,7 @@
 // Info returns the entry as the choice of a replica sees it.
 func (e *Entry) Info(id string) replica.Info {
 	return replica.Info{
-		ID: id, Born: e.Born, Pool: e.Pool, Address: e.Address, Zone: e.Zone, Slots: e.Slots,
+		ID: id, StartedUnixMs: e.Born, Pool: e.Pool, Address: e.Address, Zone: e.Zone, Slots: e.Slots,
 		Leaving: e.Machine == machines.Leaving || e.State != engine.StateReady,
 		Version: e.Version, Adapters: e.Adapters, ReadingRate: e.ReadingRate,
 		NoOnline: e.Role == engine.RoleBatch, NoBatch: e.Role == engine.RoleOnline,
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -106,7 +106,7 @@
 		engines["a"] = engine.Load{State: engine.StateReady, Version: "v1", StartedUnixMs: started}
 		observer.look(t.Context())
 		catchUp()
-		if info := observer.View.List()[0].Info("a"); info.Born != started {
+		if info := observer.View.List()[0].Info("a"); info.StartedUnixMs != started {
 			t.Errorf("an engine that started at %d is listed as %+v", started, info)
 		}
 	}
--- a/internal/jobs/account_test.go
+++ b/internal/jobs/account_test.go
@@ -105,7 +105,7 @@
 	}
 	eventually(t, func() bool { return runner.Account(clock.Now())[WaitRoom].Count > 0 })
 	for _, one := range runner.Waiting() {
-		var room replica.ItemRoom
+		var room replica.ItemCapacity
 		if one.For == WaitRoom && (!errors.As(one.Cause, &room) || room.Share > 1) {
 			t.Fatalf("item waits for room because of %v", one.Cause)
 		}
--- a/internal/jobs/borrow.go
+++ b/internal/jobs/borrow.go
@@ -53,8 +53,8 @@
 	}
 	demand := r.demand(send)
 	demand.Borrowed, demand.Exclude = true, map[string]bool{}
-	demand.Unheard = r.Replicas.AskUnheard(send.pool, now)
-	demand.Starved = waited >= replica.BorrowStarved
+	demand.PreferStale = r.Replicas.ProbeStale(send.pool, now)
+	demand.Starved = waited >= replica.StarvedAfter
 	// Replicas that are as good as each other are asked by each node in another order.
 	demand.Affinity = rand.Uint64()
 	r.setBorrowing(send.lane, func(state *borrowing) { state.asking = true })
@@ -105,12 +105,12 @@
 
 // borrowAny asks a few replicas, one after the other, for a slot. It reports whether the
 // item was sent.
-func (r *Runner) borrowAny(send itemSend, demand *replica.Demand) bool {
+func (r *Runner) borrowAny(send itemSend, demand *replica.Criteria) bool {
 	return r.borrowFrom(send, demand, borrowTries, false) || r.borrowFrom(send, demand, borrowAway, true)
 }
 
 // borrowFrom asks up to so many replicas, of other regions if away is set.
-func (r *Runner) borrowFrom(send itemSend, demand *replica.Demand, tries int, away bool) bool {
+func (r *Runner) borrowFrom(send itemSend, demand *replica.Criteria, tries int, away bool) bool {
 	for range tries {
 		now := clock.Now()
 		chosen, err := replica.PickIdle(r.Replicas.SnapshotFor(send.pool, demand, now), demand, r.Weights, away)
@@ -124,7 +124,7 @@
 			return r.launch(send, demand, chosen, reservation)
 		}
 		demand.Exclude[chosen.ID] = true
-		demand.Unheard = false
+		demand.PreferStale = false
 	}
 	return false
 }
@@ -140,7 +140,7 @@
 	defer cancel()
 	reservation, err := r.Reserver.Reserve(callCtx, chosen.Info, int(item.Tokens), borrowHold)
 	if errors.Is(err, forward.ErrRefused) {
-		r.Replicas.Full(chosen.Info, began)
+		r.Replicas.MarkFull(chosen.Info, began)
 	}
 	return reservation, err
 }
--- a/internal/jobs/harm.go
+++ b/internal/jobs/harm.go
@@ -70,5 +70,5 @@
 	if one.after > from || !forward.MayHaveEnded(err, 0) {
 		return
 	}
-	r.Quarantine.BrokeOff(ctx, quarantine.Replica{ID: chosen.ID, Born: chosen.Born, Address: chosen.Address}, quarantine.Run{Work: r.identity(one, item), Began: began})
+	r.Quarantine.BrokeOff(ctx, quarantine.Replica{ID: chosen.ID, Born: chosen.StartedUnixMs, Address: chosen.Address}, quarantine.Run{Work: r.identity(one, item), Began: began})
 }
--- a/internal/jobs/homesite_test.go
+++ b/internal/jobs/homesite_test.go
@@ -205,7 +205,7 @@
 		Service: node.Service, Replicas: replicas, Backend: node, Routes: node.countedRoutes, Owners: s.fleet,
 		ViewAge: func() time.Duration { return 0 },
 	})
-	replicas.Pressed = node.runner.Yield
+	replicas.OnPressure = node.runner.Yield
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
--- a/internal/jobs/item.go
+++ b/internal/jobs/item.go
@@ -154,10 +154,10 @@
 	}
 	// A verdict on the item stands; only a run that goes on can give way.
 	if answer.ColdLeft > 0 {
-		use.Chill(answer.ColdLeft, clock.Now())
+		use.ReportCold(answer.ColdLeft, clock.Now())
 	}
 	if answer.Load != nil {
-		use.Load(*answer.Load, clock.Now())
+		use.RecordLoad(*answer.Load, clock.Now())
 	}
 	return r.collect(one, answer, use, sent)
 }
@@ -177,8 +177,8 @@
 		}
 		now := clock.Now()
 		pauses.heard(now)
-		use.Heard(now)
-		use.First(now)
+		use.Received(now)
+		use.FirstEvent(now)
 		if err := r.add(one, event); err != nil {
 			return err
 		}
--- a/internal/jobs/launch.go
+++ b/internal/jobs/launch.go
@@ -70,23 +70,23 @@
 }
 
 // demand is what an item asks of a replica.
-func (r *Runner) demand(send itemSend) *replica.Demand {
-	return &replica.Demand{
-		Zone: r.Zone, Region: r.Region, Ask: replica.Ask{Tokens: int(send.item().Tokens), Batch: true},
+func (r *Runner) demand(send itemSend) *replica.Criteria {
+	return &replica.Criteria{
+		Zone: r.Zone, Region: r.Region, RequestInfo: replica.RequestInfo{Tokens: int(send.item().Tokens), Batch: true},
 		Adapter: send.target.Adapter, Reserve: send.target.Reserve, Exclude: send.task.exclude, Regions: send.homes,
 	}
 }
 
 // launch sends an item to a replica, into the slot set aside there if a reservation names
 // one. It reports whether the item was sent.
-func (r *Runner) launch(send itemSend, demand *replica.Demand, chosen *replica.Candidate, reservation string) bool {
+func (r *Runner) launch(send itemSend, demand *replica.Criteria, chosen *replica.Candidate, reservation string) bool {
 	one, now := send.task, clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.paused || one.state != taskWaiting || one.work.ctx.Err() != nil {
 		return false
 	}
-	use := r.Replicas.BeginAt(chosen.Info, demand.Ask, now)
+	use := r.Replicas.BeginAt(chosen.Info, demand.RequestInfo, now)
 	if use == nil {
 		// The replica is cold and others have used its rate up meanwhile, or it has
 		// started again since.
@@ -100,7 +100,7 @@
 	}
 	one.yielding = false
 	one.use, one.reservation, one.borrowed = use, reservation, demand.Borrowed
-	one.starved = now.Sub(one.cameOn) >= replica.BorrowStarved
+	one.starved = now.Sub(one.cameOn) >= replica.StarvedAfter
 	ctx, cancel := context.WithCancelCause(one.work.ctx)
 	one.replica, one.pool, one.cancel = chosen.ID, send.pool, cancel
 	go r.run(ctx, one, send.item(), send.target, chosen.Info, use)
--- a/internal/jobs/room_test.go
+++ b/internal/jobs/room_test.go
@@ -81,7 +81,7 @@
 	text := ""
 	for _, node := range s.nodes {
 		if waiting := node.runner.Waiting(); !node.dead.Load() && len(waiting) > 0 {
-			share := node.set.Learned(clock.Now())[testPool].Share
+			share := node.set.PoolStats(clock.Now())[testPool].Share
 			text += fmt.Sprintf("\n%s, share %d, %d items, the oldest waits for %s since %v", node.name, share, len(waiting), waiting[0].For, clock.Since(waiting[0].Since))
 		}
 	}
--- a/internal/jobs/roomsite_test.go
+++ b/internal/jobs/roomsite_test.go
@@ -116,7 +116,7 @@
 		Service: node.Service, Replicas: node.set, Backend: node, Reserver: node, Routes: batchTable, Owners: s.owners,
 		ViewAge: func() time.Duration { return 0 }, Region: regionOf(name),
 	})
-	node.set.Pressed = node.runner.Yield
+	node.set.OnPressure = node.runner.Yield
 	s.nodes = append(s.nodes, node)
 }
 
@@ -136,8 +136,8 @@
 // tell does what a gateway does with its needs.
 func (n *roomNode) tell(ctx context.Context) {
 	for retry.Sleep(ctx, 100*time.Millisecond) {
-		for _, need := range n.set.Needs(clock.Now()) {
-			why := replica.Pressure{Fleet: need.Fleet}
+		for _, need := range n.set.UpdateDemand(clock.Now()) {
+			why := replica.Pressure{Fleet: need.FleetUsage}
 			if need.Excess > 0 {
 				n.runner.YieldPool(need.Pool, need.Excess, why)
 			}
@@ -154,9 +154,9 @@
 }
 
 // hear takes in a word of another node.
-func (n *roomNode) hear(need replica.Need) {
-	n.set.Told(need.Pool, need.Level, need.Share, clock.Now())
-	n.set.ToldIdle(need.Pool, float64(need.Idle), clock.Now())
+func (n *roomNode) hear(need replica.PoolDemand) {
+	n.set.RecordDemand(need.Pool, need.Level, need.Share, clock.Now())
+	n.set.RecordIdle(need.Pool, float64(need.Idle), clock.Now())
 }
 
 // after does something later. Timers that run functions of their own end the runtime with the
@@ -319,13 +319,13 @@
 // online holds a slot of a server for a request of a node, if one is free.
 func (n *roomNode) online(server *roomServer, hold time.Duration) {
 	now := clock.Now()
-	use := n.set.Begin(server.name, replica.Ask{Tokens: 10, Objective: time.Second}, now)
+	use := n.set.Begin(server.name, replica.RequestInfo{Tokens: 10, Objective: time.Second}, now)
 	if use == nil {
 		return
 	}
 	result := replica.Refused
 	if server.take("") {
-		use.First(clock.Now())
+		use.FirstEvent(clock.Now())
 		time.Sleep(hold)
 		server.leave()
 		result = replica.Succeeded
--- a/internal/jobs/runner.go
+++ b/internal/jobs/runner.go
@@ -165,7 +165,7 @@
 func (r *Runner) offer(one *task, target *route.Route, homes place.Regions, room *itemRoom, now time.Time) {
 	where := lane{pool: target.Pool(), homes: strings.Join(homes, ","), adapter: target.Adapter, reserve: target.Reserve}
 	if _, ok := room.free[where.pool]; !ok {
-		decided := r.Replicas.RoomForItems(where.pool, now)
+		decided := r.Replicas.ItemCapacity(where.pool, now)
 		room.free[where.pool], room.none[where.pool] = decided.Free(), decided
 	}
 	send := itemSend{task: one, target: target, lane: where, homes: homes}
--- a/internal/jobs/runner_test.go
+++ b/internal/jobs/runner_test.go
@@ -132,7 +132,7 @@
 		Service: node.Service, Replicas: replicas, Backend: backend, Routes: batchTable, Owners: noOwners{},
 		ViewAge: func() time.Duration { return 0 },
 	})
-	replicas.Pressed = runner.Yield
+	replicas.OnPressure = runner.Yield
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
--- a/internal/jobs/silence.go
+++ b/internal/jobs/silence.go
@@ -98,7 +98,7 @@
 // restarted reports whether the replica of an attempt is known to have started again since.
 func restarted(use *replica.Use) bool {
 	select {
-	case <-use.Reborn():
+	case <-use.Restarted():
 		return true
 	default:
 		return false
--- a/internal/jobs/silent_test.go
+++ b/internal/jobs/silent_test.go
@@ -60,7 +60,7 @@
 // startReplica lists the replica as started at a time.
 func (s *silentSite) startReplica(born int64) {
 	known, _ := s.runner.Replicas.Get("r0")
-	known.Born = born
+	known.StartedUnixMs = born
 	s.runner.Replicas.Put(known)
 }
 
@@ -91,9 +91,9 @@
 		defer close(done)
 		for retry.Sleep(ctx, 100*time.Millisecond) {
 			now := clock.Now()
-			if use := replicas.Begin(id, replica.Ask{Tokens: 100}, now); use != nil {
-				use.Heard(now)
-				use.First(now)
+			if use := replicas.Begin(id, replica.RequestInfo{Tokens: 100}, now); use != nil {
+				use.Received(now)
+				use.FirstEvent(now)
 				use.End(replica.Succeeded, now)
 			}
 		}
@@ -264,7 +264,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		site := newSilentSite(t, slowBy(10*time.Second))
 		ejected := 0
-		site.runner.Replicas.Ejected = func(replica.Info, replica.Result) { ejected++ }
+		site.runner.Replicas.OnEjected = func(replica.Info, replica.Result) { ejected++ }
 		site.submitLasting(t, "j", 3, false)
 		site.awaitDone(t, "j", 3*time.Minute)
 		if ejected > 0 {
--- a/internal/jobs/yield.go
+++ b/internal/jobs/yield.go
@@ -28,7 +28,7 @@
 // node's items there are broken off, those first that are due last. The slots of those
 // that run on where operators empty the zone are of no use to others.
 func (r *Runner) YieldPool(pool string, items int, why replica.Pressure) {
-	r.yield(items, why, func(one *task) bool { return one.pool == pool && !one.borrowed && !r.Replicas.Emptied(one.replica) })
+	r.yield(items, why, func(one *task) bool { return one.pool == pool && !one.borrowed && !r.Replicas.IsEvacuated(one.replica) })
 }
 
 // YieldBorrowed has items leave slots of a pool that they borrowed from other nodes.
@@ -57,7 +57,7 @@
 	for _, one := range running[:min(items, len(running))] {
 		r.Service.Events.GaveWay(one.work.job, one.work.job.Items[one.index].ID, one.replica, one.after, why)
 		one.yielding = true
-		one.use.GiveWay()
+		one.use.MarkPreempted()
 		one.cancel(errYielded)
 	}
 }
--- a/internal/jobs/yield_test.go
+++ b/internal/jobs/yield_test.go
@@ -23,13 +23,13 @@
 	one := runningTask(t, node, runner)
 	ctx, cancel := context.WithCancelCause(t.Context())
 	one.replica, one.pool, one.cancel = "r", testPool, cancel
-	one.use = set.Begin("r", replica.Ask{Batch: true}, time.Now())
-	set.Evacuate(map[string]bool{"a": true})
+	one.use = set.Begin("r", replica.RequestInfo{Batch: true}, time.Now())
+	set.SetEvacuated(map[string]bool{"a": true})
 	runner.YieldPool(testPool, 1, replica.Pressure{})
 	if ctx.Err() != nil {
 		t.Fatal("an item gave up a slot that nobody may use")
 	}
-	set.Evacuate(nil)
+	set.SetEvacuated(nil)
 	runner.YieldPool(testPool, 1, replica.Pressure{})
 	if ctx.Err() == nil {
 		t.Fatal("an item did not give way")
@@ -50,7 +50,7 @@
 				site.nodes[0].runner.Yield("n-s0", 1, replica.Pressure{Queued: 1})
 			}
 		})
-		site.awaitDone("j", replica.BorrowStarved+5*time.Second)
+		site.awaitDone("j", replica.StarvedAfter+5*time.Second)
 		if len(site.overlap) > 0 {
 			t.Fatal("the item ran twice at a time")
 		}
--- a/internal/node/cold.go
+++ b/internal/node/cold.go
@@ -64,6 +64,6 @@
 		return float64(replicas.CountCold(clock.Now()))
 	})
 	m.counter("wheelhoist_gateway_cold_held_total", "Sends held back, and waits, because replicas were cold.", func() float64 {
-		return float64(replicas.ColdHeld())
+		return float64(replicas.ColdHeldBack())
 	})
 }
--- a/internal/node/coldlist.go
+++ b/internal/node/coldlist.go
@@ -42,7 +42,7 @@
 
 // After implements table.Feed.
 func (l *datedList) After(ctx context.Context, revision uint64, wait time.Duration) (table.Changes, error) {
-	if l.replicas.BoundsCold() {
+	if l.replicas.HasColdLimits() {
 		wait = min(wait, listWait)
 	}
 	callCtx, cancel := context.WithTimeout(ctx, wait+listSlack)
@@ -60,6 +60,6 @@
 func (l *datedList) applied(apply func(table.Changes, bool)) func(table.Changes, bool) {
 	return func(changes table.Changes, whole bool) {
 		apply(changes, whole)
-		l.replicas.ListedAsOf(l.asked, clock.Now())
+		l.replicas.SetListTime(l.asked, clock.Now())
 	}
 }
--- a/internal/node/coldlist_test.go
+++ b/internal/node/coldlist_test.go
@@ -95,7 +95,7 @@
 func (f *coldListFleet) node(id string, members []place.Node) *coldListNode {
 	one := &coldListNode{Gateway: &Gateway{core: testCore()}, feed: &cutFeed{Feed: f.list.Feed("servers")}}
 	one.replicas.ColdTolerance = coldListTolerance
-	one.replicas.LimitCold(map[string]replica.ColdLimit{"llm": {Rate: coldListRate, Start: coldListStart}})
+	one.replicas.SetColdLimits(map[string]replica.ColdLimit{"llm": {Rate: coldListRate, Start: coldListStart}})
 	one.replicas.Divide(id, members)
 	tabletest.Follow(f.t, one.watchReplicas(one.feed, one.applyReplicas))
 	return one
@@ -126,12 +126,12 @@
 
 func (f *coldListFleet) send(node *coldListNode) {
 	now := time.Now()
-	demand := &replica.Demand{}
+	demand := &replica.Criteria{}
 	chosen, err := replica.Pick(node.replicas.SnapshotFor("llm", demand, now), demand, replica.Weights{})
 	if err != nil {
 		return
 	}
-	if use := node.replicas.Begin(chosen.ID, demand.Ask, now); use != nil {
+	if use := node.replicas.Begin(chosen.ID, demand.RequestInfo, now); use != nil {
 		use.End(replica.Succeeded, now)
 		f.sent = append(f.sent, now)
 	}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -112,10 +112,10 @@
 		Burst: sampleBurst, Period: time.Second, NextSampler: &zerolog.BasicSampler{N: sampleEvery},
 	})
 	c.unreadable.Tell = c.logUnreadable
-	c.replicas.Ejected = c.logEjected
+	c.replicas.OnEjected = c.logEjected
 	c.replicas.Zone = outside.zone
-	c.replicas.EjectedByMany = c.logEjectedByMany
-	c.replicas.Restarted = c.logRestarted
+	c.replicas.OnSharedEjection = c.logEjectedByMany
+	c.replicas.OnRestart = c.logRestarted
 	c.forwarder = &forward.Forwarder{
 		Replicas: c.replicas, Backend: outside.backend, Budget: retry.NewBudget(retryShare),
 		Weights: outside.weights, Zone: outside.zone, Region: outside.region,
@@ -142,7 +142,7 @@
 		Weights: outside.weights, Zone: outside.zone, Region: outside.region, ViewAge: c.viewAge, CommitInterval: outside.commitInterval,
 		Quarantine: &c.harm.guard, EndQuarantined: outside.endQuarantined,
 	})
-	c.replicas.Pressed = c.runner.Yield
+	c.replicas.OnPressure = c.runner.Yield
 	return c
 }
 
@@ -207,7 +207,7 @@
 	watcher := c.watch("replica list", list, list.applied(apply))
 	regained := watcher.Regained
 	watcher.Regained = func(outage time.Duration) {
-		c.replicas.Outage(outage, clock.Now())
+		c.replicas.OutageEnded(outage, clock.Now())
 		regained(outage)
 	}
 	return watcher
@@ -276,7 +276,7 @@
 func (c *core) logRestarted(restart replica.Restart) {
 	c.metrics.restarts.Inc()
 	c.sampled.Warn().Str("replica", restart.Replica.ID).Str("address", restart.Replica.Address).Str("zone", restart.Replica.Zone).
-		Int64("born", restart.Replica.Born).Int64("born_before", restart.Before).
+		Int64("born", restart.Replica.StartedUnixMs).Int64("born_before", restart.PreviousStartedUnixMs).
 		Int("open", restart.Open).Int("items", restart.Batch).Int("moved", restart.Moved).Msg("replica started again")
 }
 
@@ -312,7 +312,7 @@
 func (c *core) replaceRoutes(config *route.Config, version uint64) {
 	next := route.NewTable(config)
 	if c.routes.Replace(next) {
-		c.replicas.LimitCold(coldLimits(config))
+		c.replicas.SetColdLimits(coldLimits(config))
 		c.log.Info().Uint64("version", config.Version).Uint64("row_version", version).
 			Int("routes", next.Routes()).Msg("configuration in force")
 		c.logPlaceFindings(config)
--- a/internal/node/evacuation.go
+++ b/internal/node/evacuation.go
@@ -81,7 +81,7 @@
 	for zone := range versions {
 		zones[zone] = true
 	}
-	c.replicas.Evacuate(zones)
+	c.replicas.SetEvacuated(zones)
 	for zone, known := range begun {
 		c.logEvacuated(zone, known)
 	}
--- a/internal/node/evacuationrows_test.go
+++ b/internal/node/evacuationrows_test.go
@@ -63,7 +63,7 @@
 	}
 	// The zone had no replica when it was evacuated.
 	gateway.listReplica(replica.Info{ID: "r", Pool: "p", Zone: "odd", Slots: 1}, 8, false)
-	demand := &replica.Demand{}
+	demand := &replica.Criteria{}
 	if chosen, err := replica.Pick(gateway.replicas.SnapshotFor("p", demand, time.Now()), demand, replica.Weights{}); err == nil {
 		t.Errorf("chose %s", chosen.ID)
 	}
--- a/internal/node/gatewaybootstrap.go
+++ b/internal/node/gatewaybootstrap.go
@@ -192,7 +192,7 @@
 	replicas := g.replicaWatch.Seed(told.Replicas.changes(), told.Replicas.age(), g.applyReplicas)
 	if now := clock.Now(); replicas {
 		// It has been under way, and nothing follows it before the store answers.
-		g.replicas.ListedAsOf(now.Add(-told.Replicas.age()-bootstrapTimeout), now)
+		g.replicas.SetListTime(now.Add(-told.Replicas.age()-bootstrapTimeout), now)
 	}
 	g.replicas.SetJoined(g.roster.Joined())
 	g.replicas.Divide(g.settings.Node.ID, g.roster.Places())
--- a/internal/node/gatewaycold.go
+++ b/internal/node/gatewaycold.go
@@ -55,7 +55,7 @@
 
 // Ask implements forward.ColdFeeders. What is lost is not granted: the asker's time is
 // over before the place would be used.
-func (d *coldDesk) Ask(ctx context.Context, feeder replica.Feeder) bool {
+func (d *coldDesk) Ask(ctx context.Context, feeder replica.ColdSender) bool {
 	to, err := net.ResolveUDPAddr("udp4", d.roster.Address(feeder.Node))
 	if err != nil {
 		// The node has not told its address.
@@ -63,7 +63,7 @@
 	}
 	number, answered := d.register()
 	defer d.forget(number)
-	asked := coldAsk{Number: number, Replica: feeder.Replica, Presumed: feeder.Presumed, Born: feeder.Born}
+	asked := coldAsk{Number: number, Replica: feeder.Replica, Presumed: feeder.Presumed, Born: feeder.StartedUnixMs}
 	if err := d.send(to, peer.KindColdAsk, asked); err != nil {
 		d.failed(err)
 		return false
@@ -106,7 +106,7 @@
 			grant = d.replicas.GrantPresumed
 		}
 		// A place at another start of the replica would not count against its rate.
-		granted := d.replicas.Started(asked.Replica, asked.Born) && grant(asked.Replica, now())
+		granted := d.replicas.IsCurrentStart(asked.Replica, asked.Born) && grant(asked.Replica, now())
 		answer := coldAnswer{Number: asked.Number, Granted: granted}
 		if err := d.send(source, peer.KindColdAnswer, answer); err != nil {
 			d.failed(err)
--- a/internal/node/gatewaydemand.go
+++ b/internal/node/gatewaydemand.go
@@ -44,13 +44,13 @@
 func (g *Gateway) runDemand(ctx context.Context) {
 	for retry.Sleep(ctx, demandEvery) {
 		told := map[string][]demandTold{}
-		for _, need := range g.replicas.Needs(clock.Now()) {
+		for _, need := range g.replicas.UpdateDemand(clock.Now()) {
 			addNeed(told, g.near.region(), need)
 			if need.Excess > 0 {
-				g.runner.YieldPool(need.Pool, need.Excess, replica.Pressure{Fleet: need.Fleet})
+				g.runner.YieldPool(need.Pool, need.Excess, replica.Pressure{Fleet: need.FleetUsage})
 			}
 			if need.BorrowedExcess > 0 {
-				g.runner.YieldBorrowed(need.Pool, need.BorrowedExcess, replica.Pressure{Fleet: need.Fleet})
+				g.runner.YieldBorrowed(need.Pool, need.BorrowedExcess, replica.Pressure{Fleet: need.FleetUsage})
 			}
 		}
 		for region, words := range told {
@@ -71,7 +71,7 @@
 
 // addNeed adds a pool to what the node's own region is told, and to what those are told
 // where its requests are guests.
-func addNeed(told map[string][]demandTold, own string, need replica.Need) {
+func addNeed(told map[string][]demandTold, own string, need replica.PoolDemand) {
 	add := func(region string, one demandTold) {
 		if len(told[region]) < maxDemandPools {
 			told[region] = append(told[region], one)
@@ -92,7 +92,7 @@
 	}
 	now := clock.Now()
 	for _, one := range told[:min(len(told), maxDemandPools)] {
-		g.replicas.Told(one.Pool, float64(one.Level), one.Share, now)
-		g.replicas.ToldIdle(one.Pool, float64(one.Idle), now)
+		g.replicas.RecordDemand(one.Pool, float64(one.Level), one.Share, now)
+		g.replicas.RecordIdle(one.Pool, float64(one.Idle), now)
 	}
 }
--- a/internal/node/gatewayevidence.go
+++ b/internal/node/gatewayevidence.go
@@ -46,7 +46,7 @@
 		for i, report := range reports {
 			told[i] = failureTold{
 				Replica: report.Replica, Failures: float32(report.Failures), Successes: float32(report.Successes),
-				AgeMs: uint16(report.Age.Milliseconds()), Born: report.Born,
+				AgeMs: uint16(report.Age.Milliseconds()), Born: report.StartedUnixMs,
 			}
 		}
 		g.tellSome(g.near.others(), evidenceFanout, peer.KindEvidence, told)
@@ -64,11 +64,11 @@
 	for i, one := range told {
 		reports[i] = replica.FailureReport{
 			Replica: one.Replica, Failures: float64(one.Failures), Successes: float64(one.Successes),
-			Age: time.Duration(one.AgeMs) * time.Millisecond, Born: one.Born,
+			Age: time.Duration(one.AgeMs) * time.Millisecond, StartedUnixMs: one.Born,
 		}
 	}
 	node := lease.Node(from)
-	g.replicas.TakeFailureReports(replica.Reporter{Node: node, Zone: g.roster.Member(node).Zone}, reports, clock.Now())
+	g.replicas.AddFailureReports(replica.Reporter{Node: node, Zone: g.roster.Member(node).Zone}, reports, clock.Now())
 }
 
 // logEjectedByMany logs that a replica is left out on the evidence of several nodes.
--- a/internal/node/gatewaystarts_test.go
+++ b/internal/node/gatewaystarts_test.go
@@ -42,13 +42,13 @@
 	for _, id := range []string{"r0", "r1", "r2", "r3"} {
 		c.replicas.Put(replica.Info{ID: id, Pool: "llm", Address: id, Slots: 4})
 	}
-	info = replica.Info{ID: "r0", Pool: "llm", Address: "r0", Slots: 4, Born: born}
+	info = replica.Info{ID: "r0", Pool: "llm", Address: "r0", Slots: 4, StartedUnixMs: born}
 	c.replicas.Put(info)
 	return c, info
 }
 
 func leftOut(c *core, id string) bool {
-	listed, _ := c.replicas.Listed(id, time.Now())
+	listed, _ := c.replicas.CandidateByID(id, time.Now())
 	return listed.Ejected
 }
 
@@ -56,7 +56,7 @@
 func TestEvidence_WordsAboutOtherStarts(t *testing.T) {
 	c, info := startsCore(3000)
 	g := &Gateway{core: c, roster: lease.NewRoster(nil, c.session, "m", time.Now, fastTiming())}
-	info.Born = 1000
+	info.StartedUnixMs = 1000
 	c.replicas.Put(info)
 	time.Sleep(5 * time.Millisecond)
 	tell := func(body any) {
@@ -147,7 +147,7 @@
 // TestColdDesk_GrantsNoPlaceAtAnotherStart: one node knows of a start that the other does not.
 func TestColdDesk_GrantsNoPlaceAtAnotherStart(t *testing.T) {
 	c, info := startsCore(1000)
-	c.replicas.LimitCold(map[string]replica.ColdLimit{"llm": {Rate: 15, Start: 3 * time.Second}})
+	c.replicas.SetColdLimits(map[string]replica.ColdLimit{"llm": {Rate: 15, Start: 3 * time.Second}})
 	c.replicas.ColdTolerance = replica.ColdTolerance{Over: 1.5, Slack: 5}
 	c.replicas.Divide("n", []place.Node{{ID: "n"}})
 	info.ColdLeft = 3 * time.Second
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -201,7 +201,7 @@
 // excluded counts a request that ended because no replica could take it.
 func (m *coreMetrics) excluded(err error) {
 	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) {
-		m.refused.WithLabelValues(none.Main().String()).Inc()
+		m.refused.WithLabelValues(none.MainReason().String()).Inc()
 	}
 }
 
--- a/internal/node/neighbours_test.go
+++ b/internal/node/neighbours_test.go
@@ -33,7 +33,7 @@
 // of the requests that are guests there.
 func TestGateway_NeedsAreToldWhereTheyAreFelt(t *testing.T) {
 	told := map[string][]demandTold{}
-	addNeed(told, "north", replica.Need{Pool: "p", Level: 5, Share: 8, Away: map[string]int{"south": 2}})
+	addNeed(told, "north", replica.PoolDemand{Pool: "p", Level: 5, Share: 8, Away: map[string]int{"south": 2}})
 	if own := told["north"]; len(own) != 1 || own[0].Level != 5 || own[0].Share != 8 {
 		t.Errorf("the own region is told %v", own)
 	}
--- a/internal/node/poolmetrics.go
+++ b/internal/node/poolmetrics.go
@@ -18,25 +18,25 @@
 // poolFigure is one figure of a pool.
 type poolFigure struct {
 	description *prometheus.Desc
-	value       func(replica.Learned) float64
+	value       func(replica.PoolStats) float64
 }
 
-func describePool(name, help string, value func(replica.Learned) float64) poolFigure {
+func describePool(name, help string, value func(replica.PoolStats) float64) poolFigure {
 	return poolFigure{prometheus.NewDesc("wheelhoist_pool_"+name, help, []string{"pool"}, nil), value}
 }
 
 var poolFigures = []poolFigure{
-	describePool("slots", "Slots of this node by the division among nodes.", func(l replica.Learned) float64 { return float64(l.Share) }),
-	describePool("online_open", "Online requests of this node under way.", func(l replica.Learned) float64 { return float64(l.Open) }),
-	describePool("online_level", "Slots that online requests of this node are expected to need.", func(l replica.Learned) float64 { return l.Level }),
-	describePool("fleet_usage", "Part of all slots that online requests of all nodes need, as nodes told.", func(l replica.Learned) float64 { return l.Fleet }),
-	describePool("items_running", "Items of this node under way in its own slots.", func(l replica.Learned) float64 { return float64(l.Items) }),
-	describePool("items_borrowed", "Items of this node under way in slots of other nodes.", func(l replica.Learned) float64 { return float64(l.Borrowed) }),
-	describePool("slot_hold_seconds", "How long a slot is held at a time, learned.", func(l replica.Learned) float64 { return l.Hold.Seconds() }),
-	describePool("online_stay_seconds", "How long an online request holds a slot, learned.", func(l replica.Learned) float64 { return l.Stay.Seconds() }),
-	describePool("first_event_seconds", "Time to the first event where no slot is waited for, learned.", func(l replica.Learned) float64 { return l.First.Seconds() }),
-	describePool("patience_share", "Part of the time left to its objective that a request waits before an item gives way.", func(l replica.Learned) float64 { return l.PatienceShare }),
-	describePool("reading_tokens_per_second", "How fast prompts are read, learned.", func(l replica.Learned) float64 { return l.ReadingRate }),
+	describePool("slots", "Slots of this node by the division among nodes.", func(l replica.PoolStats) float64 { return float64(l.Share) }),
+	describePool("online_open", "Online requests of this node under way.", func(l replica.PoolStats) float64 { return float64(l.Open) }),
+	describePool("online_level", "Slots that online requests of this node are expected to need.", func(l replica.PoolStats) float64 { return l.Level }),
+	describePool("fleet_usage", "Part of all slots that online requests of all nodes need, as nodes told.", func(l replica.PoolStats) float64 { return l.FleetUsage }),
+	describePool("items_running", "Items of this node under way in its own slots.", func(l replica.PoolStats) float64 { return float64(l.Items) }),
+	describePool("items_borrowed", "Items of this node under way in slots of other nodes.", func(l replica.PoolStats) float64 { return float64(l.Borrowed) }),
+	describePool("slot_hold_seconds", "How long a slot is held at a time, learned.", func(l replica.PoolStats) float64 { return l.SlotHold.Seconds() }),
+	describePool("online_stay_seconds", "How long an online request holds a slot, learned.", func(l replica.PoolStats) float64 { return l.OnlineHold.Seconds() }),
+	describePool("first_event_seconds", "Time to the first event where no slot is waited for, learned.", func(l replica.PoolStats) float64 { return l.FirstEvent.Seconds() }),
+	describePool("patience_share", "Part of the time left to its objective that a request waits before an item gives way.", func(l replica.PoolStats) float64 { return l.PatienceShare }),
+	describePool("reading_tokens_per_second", "How fast prompts are read, learned.", func(l replica.PoolStats) float64 { return l.ReadingRate }),
 }
 
 // Describe implements prometheus.Collector.
@@ -48,7 +48,7 @@
 
 // Collect implements prometheus.Collector.
 func (c *poolCollector) Collect(metrics chan<- prometheus.Metric) {
-	for pool, learned := range c.replicas.Learned(c.now()) {
+	for pool, learned := range c.replicas.PoolStats(c.now()) {
 		for _, figure := range poolFigures {
 			metrics <- prometheus.MustNewConstMetric(figure.description, prometheus.GaugeValue, figure.value(learned), pool)
 		}
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -55,8 +55,8 @@
 
 // Standing implements quarantine.Replicas.
 func (s standings) Standing(asked quarantine.Replica) quarantine.Standing {
-	known, before, listed := s.replicas.Starts(asked.ID)
-	start := replica.Info{ID: asked.ID, Born: asked.Born, Address: asked.Address}
+	known, before, listed := s.replicas.CurrentAndPrevious(asked.ID)
+	start := replica.Info{ID: asked.ID, StartedUnixMs: asked.Born, Address: asked.Address}
 	switch {
 	case !listed:
 		return quarantine.Gone
--- a/internal/node/quarantinestart_test.go
+++ b/internal/node/quarantinestart_test.go
@@ -13,7 +13,7 @@
 func TestStandings_TellStartsApart(t *testing.T) {
 	set := replica.NewSet()
 	asked := standings{&core{replicas: set}}
-	info := replica.Info{ID: "r", Born: 3000, Address: "a", Pool: "llm", Slots: 1}
+	info := replica.Info{ID: "r", StartedUnixMs: 3000, Address: "a", Pool: "llm", Slots: 1}
 	start := func(born int64) quarantine.Replica { return quarantine.Replica{ID: "r", Born: born, Address: "a"} }
 	expect := func(born int64, want quarantine.Standing) {
 		t.Helper()
@@ -26,7 +26,7 @@
 	expect(3000, quarantine.Serving)
 	expect(0, quarantine.Serving)
 	// Its clock steps back, and it starts again without a word.
-	info.Born = 1000
+	info.StartedUnixMs = 1000
 	set.Put(info)
 	expect(3000, quarantine.Restarted)
 	expect(1000, quarantine.Serving)
@@ -34,7 +34,7 @@
 	info.Leaving = true
 	set.Put(info)
 	expect(1000, quarantine.Leaving)
-	info.Leaving, info.Born = false, 2000
+	info.Leaving, info.StartedUnixMs = false, 2000
 	set.Put(info)
 	expect(1000, quarantine.Leaving)
 	expect(3000, quarantine.Restarted)
--- a/internal/node/requestlog.go
+++ b/internal/node/requestlog.go
@@ -30,7 +30,7 @@
 	}
 	entry.Str("request", request.ID).Int("attempt", attempt).Str("replica", chosen.ID).Str("zone", chosen.Zone).
 		Str("region", chosen.Region).Int("open", chosen.Open).Int("share", chosen.Share).Int("items", chosen.Batch).Float64("others", chosen.Others).
-		Float64("waiting", chosen.Waiting).Dur("load_age_ms", chosen.Age).Dur("slot_ms", chosen.SlotTime).
+		Float64("waiting", chosen.Waiting).Dur("load_age_ms", chosen.LoadAge).Dur("slot_ms", chosen.SlotTime).
 		Int("pending_tokens", chosen.PendingTokens).Dur("predicted_ms", predicted).
 		Msg("attempt sent")
 }
--- a/internal/node/unreadable_test.go
+++ b/internal/node/unreadable_test.go
@@ -68,7 +68,7 @@
 		gateway, log := evacuationCore(nil)
 		gateway.replicas.Divide("n", []place.Node{{ID: "n"}, {ID: "m"}})
 		gateway.applyReplicas(table.Changes{Changes: []table.Change{serverRow("a", 1, serverBody("llm")), serverRow("b", 2, serverBody("llm"))}}, true)
-		use := gateway.replicas.Begin("a", replica.Ask{}, time.Now())
+		use := gateway.replicas.Begin("a", replica.RequestInfo{}, time.Now())
 		log.Reset()
 		for range 3 {
 			gateway.applyReplicas(table.Changes{Changes: []table.Change{serverRow("a", 3, body)}}, false)
--- a/internal/replica/borrow.go
+++ b/internal/replica/borrow.go
@@ -16,27 +16,27 @@
 	// for the length of a pulse of requests, some 2.4 s on the users' deployments, get it
 	// back by themselves; the users ask for items to be had by a replica within 5 s.
 	BorrowAfter = 3 * time.Second
-	// borrowBeside is the same at a node that runs items of the pool meanwhile. It is for
+	// borrowWithOwnItems is the same at a node that runs items of the pool meanwhile. It is for
 	// nodes that hear of no idle room: in another region, or told by words that are lost.
-	borrowBeside = 15 * time.Second
-	// BorrowStarved is how long an item finds no room before it borrows though online requests
+	borrowWithOwnItems = 15 * time.Second
+	// StarvedAfter is how long an item finds no room before it borrows though online requests
 	// are said to need all slots, and keeps the slot then: what they need is told as the
 	// peaks of many nodes, which is more than they hold at any time, and some slots may stand
 	// empty for good. The replica still decides, and a node has one such item at a time.
-	BorrowStarved = 30 * time.Second
-	// borrowFrom is the part of a pool's slots that online requests need from which on
+	StarvedAfter = 30 * time.Second
+	// borrowReducedFrom is the part of a pool's slots that online requests need from which on
 	// fewer and fewer of the nodes that run no item borrow. Below it the replicas are half
 	// empty and all may.
-	borrowFrom = 0.5
-	// borrowUsage is the most that online requests count as needing: a replica has the last
+	borrowReducedFrom = 0.5
+	// maxBorrowUsage is the most that online requests count as needing: a replica has the last
 	// word on whether a slot is free, so each node asks now and then.
-	borrowUsage = 0.9
-	// borrowTurn is how long a node's limit stays the same. Then it is another, so that the
+	maxBorrowUsage = 0.9
+	// borrowLimitPeriod is how long a node's limit stays the same. Then it is another, so that the
 	// same nodes do not go without for good where online requests need most slots.
-	borrowTurn = time.Second
-	// goldenRatio less one: its multiples, less their whole part, are spread evenly however
+	borrowLimitPeriod = time.Second
+	// goldenRatioFraction less one: its multiples, less their whole part, are spread evenly however
 	// many there are, so a node's limit is above borrowUsage once in 13 turns at the least.
-	goldenRatio = 0.6180339887498949
+	goldenRatioFraction = 0.6180339887498949
 )
 
 // MayBorrow reports whether an item that has found no room among this node's own slots for
@@ -50,82 +50,82 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := s.pool(pool)
-	if known := s.fleet[pool]; known != nil && known.idleNow(now) > 0 {
+	if view := s.fleet[pool]; view != nil && view.idleSlots(now) > 0 {
 		return true
 	}
 	share, items := s.sumShares(list, now)
-	usage := s.usage(pool, share, now)
+	usage := s.borrowingUsage(pool, share, now)
 	switch {
-	case borrowedOf(list) > 0:
+	case countBorrowed(list) > 0:
 		return false
-	case waited >= BorrowStarved:
+	case waited >= StarvedAfter:
 		return true
-	case s.wanted(pool, now):
+	case s.fullyUsed(pool, now):
 		return false
 	case items > 0:
-		return waited >= borrowBeside && usage < borrowFrom
+		return waited >= borrowWithOwnItems && usage < borrowReducedFrom
 	default:
 		return usage < s.borrowLimit(pool, now)
 	}
 }
 
-// usage is the part of the slots that online requests need, as far as borrowing goes: as
+// borrowingUsage is the part of the slots that online requests need, as far as borrowing goes: as
 // other nodes told; where none did, of this node's own, which says little of the others'.
 // The caller holds mu.
-func (s *Set) usage(pool string, share int, now time.Time) float64 {
+func (s *Set) borrowingUsage(pool string, share int, now time.Time) float64 {
 	usage := s.fleetUsage(pool, now)
-	if share > 0 && !s.heardOf(pool, now) {
-		usage = s.needed(pool, share, now) / float64(share)
+	if share > 0 && !s.hasReports(pool, now) {
+		usage = s.neededSlots(pool, share, now) / float64(share)
 	}
-	return min(usage, borrowUsage)
+	return min(usage, maxBorrowUsage)
 }
 
-// wanted reports whether online requests need all slots of a pool by what other nodes told,
+// fullyUsed reports whether online requests need all slots of a pool by what other nodes told,
 // so that borrowed ones are to be left. The caller holds mu.
-func (s *Set) wanted(pool string, now time.Time) bool {
-	return s.heardOf(pool, now) && s.fleetUsage(pool, now) >= fullPool
+func (s *Set) fullyUsed(pool string, now time.Time) bool {
+	return s.hasReports(pool, now) && s.fleetUsage(pool, now) >= fullUsage
 }
 
-// heardOf reports whether other nodes told of a pool a moment ago. The caller holds mu.
-func (s *Set) heardOf(pool string, now time.Time) bool {
-	known := s.fleet[pool]
-	return known != nil && now.Sub(known.heard) <= fleetStale
+// hasReports reports whether other nodes told of a pool a moment ago. The caller holds mu.
+func (s *Set) hasReports(pool string, now time.Time) bool {
+	view := s.fleet[pool]
+	return view != nil && now.Sub(view.reportedAt) <= fleetMaxAge
 }
 
 // borrowLimit is the part of the slots that online requests may need at most for this node
 // to borrow, between borrowFrom and fullPool, evenly spread over nodes and turns. The caller
 // holds mu.
 func (s *Set) borrowLimit(pool string, now time.Time) float64 {
-	turns := float64(now.UnixNano() / int64(borrowTurn) % (1 << 20))
-	_, at := math.Modf(s.rounding(pool) + turns*goldenRatio)
-	return borrowFrom + (fullPool-borrowFrom)*at
+	periods := float64(now.UnixNano() / int64(borrowLimitPeriod) % (1 << 20))
+	_, fraction := math.Modf(s.rounding(pool) + periods*goldenRatioFraction)
+	return borrowReducedFrom + (fullUsage-borrowReducedFrom)*fraction
 }
 
-// lend counts an item that begins or leaves (-1) a slot of others.
-func (e *entry) lend(ask Ask, count int) {
-	if ask.Batch && ask.Borrowed {
+// addBorrowed counts an item that begins or leaves (-1) a slot of others.
+func (e *entry) addBorrowed(req RequestInfo, count int) {
+	if req.Batch && req.Borrowed {
 		e.borrowed += count
-		if ask.Starved {
+		if req.Starved {
 			e.starved += count
 		}
 	}
 }
 
-// starvedOf counts those of these items that keep their slots. The caller holds the set's
+// countStarved counts those of these items that keep their slots. The caller holds the set's
 // lock.
-func starvedOf(list []*entry) int {
+func countStarved(list []*entry) int {
 	starved := 0
-	for _, known := range list {
-		starved += known.starved
+	for _, e := range list {
+		starved += e.starved
 	}
 	return starved
 }
 
-// borrowedOf counts this node's items in slots of others. The caller holds the set's lock.
-func borrowedOf(list []*entry) int {
+// countBorrowed counts this node's items in slots of others. The caller holds the set's lock.
+func countBorrowed(list []*entry) int {
 	borrowed := 0
-	for _, known := range list {
-		borrowed += known.borrowed
+	for _, e := range list {
+		borrowed += e.borrowed
 	}
 	return borrowed
 }
@@ -133,27 +133,27 @@
 // PickIdle returns the replica to be asked for a slot for an item: the least busy one, of
 // other regions if away is set. What is believed of the requests of others leaves none out: a
 // replica with few slots that refused once would be passed over for seconds.
-func PickIdle(candidates []Candidate, demand *Demand, weights Weights, away bool) (*Candidate, error) {
+func PickIdle(candidates []Candidate, demand *Criteria, weights Weights, otherRegions bool) (*Candidate, error) {
 	if demand.Reserve > 0 {
 		candidates = unreserved(candidates, demand.Reserve)
 	}
-	return PickUnqueued(candidates, demand, weights, away)
+	return PickUnqueued(candidates, demand, weights, otherRegions)
 }
 
-// ToldIdle takes in how many slots a node has for items that it does not use, less those that
+// RecordIdle takes in how many slots a node has for items that it does not use, less those that
 // its items have borrowed.
-func (s *Set) ToldIdle(pool string, idle float64, now time.Time) {
+func (s *Set) RecordIdle(pool string, idle float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if known := s.fleet[pool]; known != nil && !math.IsNaN(idle) && !math.IsInf(idle, 0) {
-		known.idle += idle
+	if view := s.fleet[pool]; view != nil && !math.IsNaN(idle) && !math.IsInf(idle, 0) {
+		view.idle += idle
 	}
 }
 
-// idleNow is the number of idle slots, less those borrowed, among the nodes that told of
+// idleSlots is the number of idle slots, less those borrowed, among the nodes that told of
 // late; 0 if nothing is known.
-func (f *fleetView) idleNow(now time.Time) float64 {
-	if now.Sub(f.at) > fleetStale {
+func (f *fleetView) idleSlots(now time.Time) float64 {
+	if now.Sub(f.at) > fleetMaxAge {
 		return 0
 	}
 	return f.idle
--- a/internal/replica/borrow_test.go
+++ b/internal/replica/borrow_test.go
@@ -13,7 +13,7 @@
 		set := NewSet()
 		set.Put(Info{ID: "r", Pool: testPool, Slots: 4})
 		set.Divide(fmt.Sprintf("node-%02d", i), testNodes(20))
-		if set.Learned(time.Unix(1000, 0))[testPool].Share == 0 {
+		if set.PoolStats(time.Unix(1000, 0))[testPool].Share == 0 {
 			return set
 		}
 	}
@@ -21,7 +21,7 @@
 	return nil
 }
 
-var borrowed = Ask{Batch: true, Borrowed: true, Reserved: true}
+var borrowed = RequestInfo{Batch: true, Borrowed: true, Reserved: true}
 
 func TestBorrow_NotBeforeTheNodeHadItsChance(t *testing.T) {
 	set, now := newSlotless(t), time.Unix(1000, 0)
@@ -42,7 +42,7 @@
 		t.Fatal("a slot that was given back counts as borrowed")
 	}
 	use = set.Begin("r", borrowed, now)
-	use.GiveWay()
+	use.MarkPreempted()
 	use.End(Abandoned, now)
 	if !set.MayBorrow(testPool, time.Hour, now) {
 		t.Fatal("a slot that was left counts as borrowed")
@@ -52,20 +52,20 @@
 func TestBorrow_MoreWhereNodesTellOfIdleRoom(t *testing.T) {
 	set, now := newSlotless(t), time.Unix(1000, 0)
 	set.Begin("r", borrowed, now)
-	set.Told(testPool, 0, 2, now)
-	set.ToldIdle(testPool, 2, now)
+	set.RecordDemand(testPool, 0, 2, now)
+	set.RecordIdle(testPool, 2, now)
 	if !set.MayBorrow(testPool, BorrowAfter, now) {
 		t.Fatal("idle room is not used")
 	}
-	if needs := set.Needs(now); needs[0].Idle != -1 {
+	if needs := set.UpdateDemand(now); needs[0].Idle != -1 {
 		t.Fatalf("tells of %d idle slots, one is borrowed", needs[0].Idle)
 	}
-	set.ToldIdle(testPool, -1, now)
+	set.RecordIdle(testPool, -1, now)
 	if set.MayBorrow(testPool, BorrowAfter, now) {
 		t.Fatal("more is borrowed than is idle")
 	}
-	set.ToldIdle(testPool, 5, now)
-	if set.MayBorrow(testPool, BorrowAfter, now.Add(2*fleetStale)) {
+	set.RecordIdle(testPool, 5, now)
+	if set.MayBorrow(testPool, BorrowAfter, now.Add(2*fleetMaxAge)) {
 		t.Fatal("borrows by words that are old")
 	}
 }
@@ -73,28 +73,28 @@
 // A node tells of the slots that its items leave idle, and counts those itself.
 func TestBorrow_NodesTellOfTheirIdleRoom(t *testing.T) {
 	set, now := newHalf(), time.Unix(1000, 0)
-	set.Begin("r", Ask{Batch: true}, now)
-	if idle := set.Needs(now)[0].Idle; idle != 3 {
+	set.Begin("r", RequestInfo{Batch: true}, now)
+	if idle := set.UpdateDemand(now)[0].Idle; idle != 3 {
 		t.Fatalf("tells of %d idle slots of 4, one of them with an item", idle)
 	}
-	if known := set.fleet[testPool]; known == nil || known.idleNow(now) != 3 {
+	if known := set.fleet[testPool]; known == nil || known.idleSlots(now) != 3 {
 		t.Fatalf("knows of %+v", known)
 	}
 }
 
 func TestBorrow_BorrowedSlotsAreNotOwnOnes(t *testing.T) {
 	set, now := newHalf(), time.Unix(1000, 0)
-	before := set.ItemRoom(testPool, now)
+	before := set.FreeItemSlots(testPool, now)
 	use := set.Begin("r", borrowed, now)
-	if room := set.ItemRoom(testPool, now); room != before {
+	if room := set.FreeItemSlots(testPool, now); room != before {
 		t.Fatalf("room for %d items, %d before one was borrowed", room, before)
 	}
-	use.GiveWay()
-	if room := set.ItemRoom(testPool, now); room != before {
+	use.MarkPreempted()
+	if room := set.FreeItemSlots(testPool, now); room != before {
 		t.Fatalf("room for %d items while the borrowed slot is left, %d before", room, before)
 	}
 	use.End(Abandoned, now)
-	if room := set.ItemRoom(testPool, now); room != before {
+	if room := set.FreeItemSlots(testPool, now); room != before {
 		t.Fatalf("room for %d items after a loan, %d before", room, before)
 	}
 }
@@ -104,13 +104,13 @@
 func TestBorrow_BesideOwnItems(t *testing.T) {
 	set, now := newHalf(), time.Unix(1000, 0)
 	for range 4 {
-		set.Begin("r", Ask{Batch: true}, now)
+		set.Begin("r", RequestInfo{Batch: true}, now)
 	}
-	if set.MayBorrow(testPool, borrowBeside-1, now) || !set.MayBorrow(testPool, borrowBeside, now) {
-		t.Fatalf("an item beside others is to borrow after %v and not before", borrowBeside)
+	if set.MayBorrow(testPool, borrowWithOwnItems-1, now) || !set.MayBorrow(testPool, borrowWithOwnItems, now) {
+		t.Fatalf("an item beside others is to borrow after %v and not before", borrowWithOwnItems)
 	}
-	set.Told(testPool, 2, 4, now)
-	if set.MayBorrow(testPool, borrowBeside, now) {
+	set.RecordDemand(testPool, 2, 4, now)
+	if set.MayBorrow(testPool, borrowWithOwnItems, now) {
 		t.Fatal("borrows beside own items where half of the slots are needed")
 	}
 }
@@ -121,11 +121,11 @@
 		set, now := newSlotless(t), time.Unix(1000, 0)
 		turns, last, longest := 0, -1, 0
 		for turn := range 200 {
-			set.Told(testPool, 100*needed, 100, now)
+			set.RecordDemand(testPool, 100*needed, 100, now)
 			if set.MayBorrow(testPool, BorrowAfter, now) {
 				turns, longest, last = turns+1, max(longest, turn-last), turn
 			}
-			now = now.Add(borrowTurn)
+			now = now.Add(borrowLimitPeriod)
 		}
 		if longest > 13 || turns == 0 {
 			t.Errorf("at %v it is the node's turn %d times in 200, with up to %d between", needed, turns, longest)
@@ -140,14 +140,14 @@
 	set, now := newSlotless(t), time.Unix(1000, 0)
 	set.Begin("r", borrowed, now)
 	for range 100 {
-		set.Told(testPool, 8, 4, now)
-		if set.MayBorrow(testPool, BorrowStarved-1, now) {
+		set.RecordDemand(testPool, 8, 4, now)
+		if set.MayBorrow(testPool, StarvedAfter-1, now) {
 			t.Fatal("borrows where all slots are needed")
 		}
-		if excess := set.Needs(now)[0].BorrowedExcess; excess != 1 {
+		if excess := set.UpdateDemand(now)[0].BorrowedExcess; excess != 1 {
 			t.Fatalf("%d items are to leave, want the one that borrowed", excess)
 		}
-		now = now.Add(borrowTurn)
+		now = now.Add(borrowLimitPeriod)
 	}
 }
 
@@ -156,20 +156,20 @@
 func TestBorrow_OwnCallersAreNotTheFleet(t *testing.T) {
 	set, now := newHalf(), time.Unix(1000, 0)
 	for range 6 {
-		set.Begin("r", Ask{}, now)
+		set.Begin("r", RequestInfo{}, now)
 	}
 	may := 0
 	for range 50 {
-		set.Needs(now)
+		set.UpdateDemand(now)
 		if set.MayBorrow(testPool, BorrowAfter, now) {
 			may++
 		}
-		now = now.Add(borrowTurn)
+		now = now.Add(borrowLimitPeriod)
 	}
 	if may < 3 {
 		t.Fatalf("may borrow in %d of 50 turns", may)
 	}
-	if excess := set.Needs(now)[0].BorrowedExcess; excess != 0 {
+	if excess := set.UpdateDemand(now)[0].BorrowedExcess; excess != 0 {
 		t.Fatalf("%d borrowed items leave though nobody told of a need", excess)
 	}
 }
@@ -178,23 +178,23 @@
 // borrows, one at a time, and keeps the slot.
 func TestBorrow_StarvedItemsKeepTheirSlots(t *testing.T) {
 	set, now := newSlotless(t), time.Unix(1000, 0)
-	set.Told(testPool, 8, 4, now)
-	if set.MayBorrow(testPool, BorrowStarved-1, now) || !set.MayBorrow(testPool, BorrowStarved, now) {
-		t.Fatalf("an item is to borrow after %v and not before", BorrowStarved)
+	set.RecordDemand(testPool, 8, 4, now)
+	if set.MayBorrow(testPool, StarvedAfter-1, now) || !set.MayBorrow(testPool, StarvedAfter, now) {
+		t.Fatalf("an item is to borrow after %v and not before", StarvedAfter)
 	}
 	starved := borrowed
 	starved.Starved = true
 	use := set.Begin("r", starved, now)
-	if set.MayBorrow(testPool, BorrowStarved, now) {
+	if set.MayBorrow(testPool, StarvedAfter, now) {
 		t.Fatal("a second slot is borrowed")
 	}
-	set.Told(testPool, 8, 4, now)
-	if excess := set.Needs(now)[0].BorrowedExcess; excess != 0 {
+	set.RecordDemand(testPool, 8, 4, now)
+	if excess := set.UpdateDemand(now)[0].BorrowedExcess; excess != 0 {
 		t.Fatalf("%d items are to leave, want none: it was starved", excess)
 	}
 	use.End(Succeeded, now)
 	set.Begin("r", borrowed, now)
-	if excess := set.Needs(now)[0].BorrowedExcess; excess != 1 {
+	if excess := set.UpdateDemand(now)[0].BorrowedExcess; excess != 1 {
 		t.Fatalf("%d items are to leave after the starved one ended, want the other", excess)
 	}
 }
--- a/internal/replica/cold.go
+++ b/internal/replica/cold.go
@@ -13,14 +13,14 @@
 // rate by spacing its sends, and all others send it nothing. See coldrate.go.
 
 const (
-	// heardLately is how long ago something must have come from any replica for one
+	// recentContact is how long ago something must have come from any replica for one
 	// that cannot be reached to be taken as gone: otherwise it is this node that is cut
 	// off. Replicas of a busy pool are heard from many times a second.
-	heardLately = time.Second
-	// startListedWithin is how long after the first answer of a replica that has started the
+	recentContact = time.Second
+	// startListedDelay is how long after the first answer of a replica that has started the
 	// list says so at the latest, in calm: it writes its entry with its first heartbeat, each
 	// 1.2 s on the users' platform, and the feed takes some ms.
-	startListedWithin = 1500 * time.Millisecond
+	startListedDelay = 1500 * time.Millisecond
 	// maxColdChanges bounds the changes that wait to be logged.
 	maxColdChanges = 256
 )
@@ -38,15 +38,15 @@
 type ColdReason uint8
 
 const (
-	// ColdTold replicas say so themselves.
-	ColdTold ColdReason = iota
+	// ColdReported replicas say so themselves.
+	ColdReported ColdReason = iota
 	// ColdReturned replicas stand in a zone that operators emptied a moment ago.
 	ColdReturned
 	// ColdUnreachable replicas took no connection a moment ago.
 	ColdUnreachable
-	// ColdUnlisted replicas answer again after that: the list tells soon whether they are
+	// ColdUnconfirmed replicas answer again after that: the list tells soon whether they are
 	// the ones from before.
-	ColdUnlisted
+	ColdUnconfirmed
 )
 
 // String returns the name used in logs.
@@ -56,31 +56,31 @@
 		return "its zone was evacuated"
 	case ColdUnreachable:
 		return "it was unreachable"
-	case ColdUnlisted:
+	case ColdUnconfirmed:
 		return "it may have started again"
 	default:
 		return "it said so"
 	}
 }
 
-// coldness is what is known of a replica's warming up. The zero value is warm. The set's
+// coldState is what is known of a replica's warming up. The zero value is warm. The set's
 // lock guards it.
-type coldness struct {
+type coldState struct {
 	since, until time.Time
 	reason       ColdReason
-	// next is when this node may send it the next request.
-	next time.Time
-	// feeders are the nodes that may, by their places among the set's, feeds is whether
+	// nextSend is when this node may send it the nextSend request.
+	nextSend time.Time
+	// senders are the nodes that may, by their places among the set's, feeds is whether
 	// this node is one of them; both were worked out for that division.
-	feeders  []int
-	feeds    bool
+	senders  []int
+	isSender bool
 	division uint64
 	// logged is what ColdChanges last told.
 	logged bool
 }
 
-// LimitCold sets what cold replicas bear, by pool. Pools without a limit are not bounded.
-func (s *Set) LimitCold(limits map[string]ColdLimit) {
+// SetColdLimits sets what cold replicas bear, by pool. Pools without a limit are not bounded.
+func (s *Set) SetColdLimits(limits map[string]ColdLimit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if maps.Equal(s.coldLimits, limits) {
@@ -89,84 +89,84 @@
 	s.coldLimits = limits
 	// How many nodes feed a cold replica depends on its limit.
 	s.division++
-	s.wake()
+	s.notifyChanged()
 }
 
 // coldLimit returns the limit of an entry that is taken as cold now. The caller holds mu.
 func (s *Set) coldLimit(e *entry, now time.Time) (limit ColdLimit, cold bool) {
-	if len(s.coldLimits) == 0 || !now.Before(e.cold.until) && !s.listOld(now) {
+	if len(s.coldLimits) == 0 || !now.Before(e.cold.until) && !s.listStale(now) {
 		return ColdLimit{}, false
 	}
 	limit, cold = s.coldLimits[e.info.Pool]
 	return limit, cold && limit.Rate > 0
 }
 
-// knownCold reports whether something tells that an entry is cold now, other than the age
+// confirmedCold reports whether something tells that an entry is cold now, other than the age
 // of the list. The caller holds mu.
-func (s *Set) knownCold(e *entry, now time.Time) bool {
+func (s *Set) confirmedCold(e *entry, now time.Time) bool {
 	_, cold := s.coldLimit(e, now)
 	return cold && now.Before(e.cold.until)
 }
 
-// chill takes an entry as cold until a moment, or for longer if it is known to be. The
+// markCold takes an entry as cold until a moment, or for longer if it is known to be. The
 // caller holds mu.
-func (s *Set) chill(e *entry, until time.Time, reason ColdReason, now time.Time) {
+func (s *Set) markCold(e *entry, until time.Time, reason ColdReason, now time.Time) {
 	if !until.After(e.cold.until) {
 		return
 	}
 	if !now.Before(e.cold.until) {
 		e.cold.since, e.cold.reason = now, reason
-		s.chooseFeeders(e)
+		s.chooseSenders(e)
 	}
-	if e.cold.reason == ColdUnreachable || e.cold.reason == ColdUnlisted {
+	if e.cold.reason == ColdUnreachable || e.cold.reason == ColdUnconfirmed {
 		e.cold.reason = reason
 	}
 	e.cold.until = until
 }
 
-// presumeCold takes an entry as cold though it did not say so: its row, written about
+// markPresumedCold takes an entry as cold though it did not say so: its row, written about
 // each heartbeat, may be older than what happened. The caller holds mu.
-func (s *Set) presumeCold(e *entry, from time.Time, reason ColdReason, now time.Time) {
+func (s *Set) markPresumedCold(e *entry, from time.Time, reason ColdReason, now time.Time) {
 	if limit, ok := s.coldLimits[e.info.Pool]; ok && limit.Rate > 0 {
-		s.chill(e, from.Add(limit.Start), reason, now)
+		s.markCold(e, from.Add(limit.Start), reason, now)
 	}
 }
 
-// Chill takes in that a replica says that it is cold for so long yet.
-func (u *Use) Chill(left time.Duration, now time.Time) {
+// ReportCold takes in that a replica says that it is cold for so long yet.
+func (u *Use) ReportCold(left time.Duration, now time.Time) {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
-	u.set.chill(u.entry, now.Add(left), ColdTold, now)
+	u.set.markCold(u.entry, now.Add(left), ColdReported, now)
 }
 
-// unreached takes in that a replica took no connection: as long as it is left out for
+// noteUnreachable takes in that a replica took no connection: as long as it is left out for
 // that, only the nodes that feed it try, also as a last resort. If nothing comes from any
 // replica it is this node that is cut off. The caller holds mu.
-func (s *Set) unreached(e *entry, now time.Time) {
-	if limit := s.coldLimits[e.info.Pool]; limit.Rate > 0 && now.Sub(s.heard) < heardLately {
-		s.chill(e, e.health.until, ColdUnreachable, now)
+func (s *Set) noteUnreachable(e *entry, now time.Time) {
+	if limit := s.coldLimits[e.info.Pool]; limit.Rate > 0 && now.Sub(s.lastReceived) < recentContact {
+		s.markCold(e, e.health.ejectedUntil, ColdUnreachable, now)
 	}
 }
 
-// reached takes in that a replica answered after it was unreachable. One that does not say
+// noteReachable takes in that a replica answered after it was unreachable. One that does not say
 // when it was born would have another id if it had started: it is as warm as before. Others
 // may have started again under theirs, which the list tells soon. The caller holds mu.
-func (s *Set) reached(e *entry, now time.Time) {
+func (s *Set) noteReachable(e *entry, now time.Time) {
 	if e.cold.reason != ColdUnreachable || !now.Before(e.cold.until) {
 		return
 	}
 	e.cold.until = now
-	if e.info.Born != 0 {
-		e.cold.reason, e.cold.until = ColdUnlisted, now.Add(startListedWithin)
+	if e.info.StartedUnixMs != 0 {
+		e.cold.reason, e.cold.until = ColdUnconfirmed, now.Add(startListedDelay)
 	}
 }
 
-// returned takes in that zones are not emptied any more: their replicas have nothing to
+// markReturned takes in that zones are not emptied any more: their replicas have nothing to
 // do, so all nodes would fill them at once. The caller holds mu.
-func (s *Set) returned(zones map[string]bool, now time.Time) {
-	for _, known := range s.entries {
-		if s.evacuated[known.info.Zone] && !zones[known.info.Zone] {
-			s.presumeCold(known, now, ColdReturned, now)
+func (s *Set) markReturned(zones map[string]bool, now time.Time) {
+	for _, e := range s.entries {
+		if s.evacuated[e.info.Zone] && !zones[e.info.Zone] {
+			s.markPresumedCold(e, now, ColdReturned, now)
 		}
 	}
 }
@@ -187,8 +187,8 @@
 	Presumed bool
 }
 
-// Holds reports whether a request must not be sent there now.
-func (v ColdView) Holds(batch bool) bool {
+// Blocks reports whether a request must not be sent there now.
+func (v ColdView) Blocks(batch bool) bool {
 	return v.Left > 0 && (v.Wait > 0 || batch && !v.Idle)
 }
 
@@ -199,28 +199,28 @@
 		return ColdView{}
 	}
 	view := ColdView{Left: e.cold.until.Sub(now)}
-	if s.presumesCold(e, now) {
-		view = ColdView{Left: listCurrent, Presumed: true}
+	if s.presumedCold(e, now) {
+		view = ColdView{Left: maxListAge, Presumed: true}
 	}
 	_, rate := s.ColdTolerance.parts(limit.Rate)
-	if rate <= 0 || !s.feeds(e, now) {
+	if rate <= 0 || !s.isColdSender(e, now) {
 		view.Wait = view.Left
 		return view
 	}
 	view.Rate = rate
-	view.Wait = min(max(0, e.cold.next.Sub(now)), view.Left)
-	view.Idle = !now.Before(e.cold.next.Add(interval(rate)))
+	view.Wait = min(max(0, e.cold.nextSend.Sub(now)), view.Left)
+	view.Idle = !now.Before(e.cold.nextSend.Add(interval(rate)))
 	return view
 }
 
-// allHeld reports whether all of some entries are cold and must not get a request now.
+// allBlocked reports whether all of some entries are cold and must not get a request now.
 // The caller holds mu.
-func (s *Set) allHeld(list []*entry, batch bool, now time.Time) bool {
+func (s *Set) allBlocked(list []*entry, batch bool, now time.Time) bool {
 	if len(s.coldLimits) == 0 {
 		return false
 	}
-	for _, known := range list {
-		if !s.coldView(known, now).Holds(batch) {
+	for _, e := range list {
+		if !s.coldView(e, now).Blocks(batch) {
 			return false
 		}
 	}
@@ -229,17 +229,17 @@
 
 // admitCold takes a request's place in this node's part of the rate, unless there is none
 // now. It reports whether the request may be sent. The caller holds mu.
-func (s *Set) admitCold(e *entry, ask Ask, now time.Time) bool {
-	if ask.Granted {
+func (s *Set) admitCold(e *entry, req RequestInfo, now time.Time) bool {
+	if req.Granted {
 		return true
 	}
 	view := s.coldView(e, now)
-	if view.Holds(ask.Batch) {
-		s.coldHeld++
+	if view.Blocks(req.Batch) {
+		s.coldHeldBack++
 		return false
 	}
 	if view.Left > 0 {
-		e.cold.next = now.Add(interval(view.Rate))
+		e.cold.nextSend = now.Add(interval(view.Rate))
 	}
 	return true
 }
@@ -249,18 +249,18 @@
 	return time.Duration(math.Ceil(float64(time.Second) / rate))
 }
 
-// ColdHeld counts the sends that were held back because a replica was cold.
-func (s *Set) ColdHeld() uint64 {
+// ColdHeldBack counts the sends that were held back because a replica was cold.
+func (s *Set) ColdHeldBack() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.coldHeld
+	return s.coldHeldBack
 }
 
-// HeldBack notes a request that waits because all replicas that it could go to are cold.
-func (s *Set) HeldBack() {
+// NoteHeldBack notes a request that waits because all replicas that it could go to are cold.
+func (s *Set) NoteHeldBack() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.coldHeld++
+	s.coldHeldBack++
 }
 
 // ColdChange is a replica that is taken as cold, or as warm again.
@@ -281,15 +281,15 @@
 		return nil
 	}
 	var changes []ColdChange
-	for _, known := range s.entries {
-		cold := s.knownCold(known, now)
-		if cold == known.cold.logged || len(changes) == maxColdChanges {
+	for _, e := range s.entries {
+		cold := s.confirmedCold(e, now)
+		if cold == e.cold.logged || len(changes) == maxColdChanges {
 			continue
 		}
-		known.cold.logged = cold
+		e.cold.logged = cold
 		changes = append(changes, ColdChange{
-			Info: known.info, Cold: cold, Reason: known.cold.reason,
-			For: now.Sub(known.cold.since), Left: max(0, known.cold.until.Sub(now)),
+			Info: e.info, Cold: cold, Reason: e.cold.reason,
+			For: now.Sub(e.cold.since), Left: max(0, e.cold.until.Sub(now)),
 		})
 	}
 	return changes
@@ -300,8 +300,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	count := 0
-	for _, known := range s.entries {
-		if s.knownCold(known, now) {
+	for _, e := range s.entries {
+		if s.confirmedCold(e, now) {
 			count++
 		}
 	}
--- a/internal/replica/cold_model_test.go
+++ b/internal/replica/cold_model_test.go
@@ -64,7 +64,7 @@
 func (f *coldFleet) start(node int) {
 	set := NewSet()
 	set.ColdTolerance = ColdTolerance{Over: 1.5, Slack: 5}
-	set.LimitCold(map[string]ColdLimit{testPool: f.limit})
+	set.SetColdLimits(map[string]ColdLimit{testPool: f.limit})
 	for _, row := range f.rows {
 		row.ColdLeft = max(0, f.trueEnd[row.ID].Sub(f.now))
 		set.put(row, f.now)
@@ -102,7 +102,7 @@
 // evacuate empties the zone of the replicas, which are cold when it ends.
 func (f *coldFleet) evacuate() {
 	for node := range f.sets {
-		f.sets[node].evacuate(map[string]bool{coldModelZone: true}, f.now)
+		f.sets[node].setEvacuated(map[string]bool{coldModelZone: true}, f.now)
 	}
 	f.run(1500 * time.Millisecond)
 	for _, row := range f.rows {
@@ -110,7 +110,7 @@
 	}
 	for node := range f.sets {
 		if after, ok := f.late(800 * time.Millisecond); ok {
-			f.tell(node, after, func(set *Set) { set.evacuate(nil, f.now) })
+			f.tell(node, after, func(set *Set) { set.setEvacuated(nil, f.now) })
 		}
 		for _, row := range f.rows {
 			row.ColdLeft = f.limit.Start - time.Second
@@ -175,14 +175,14 @@
 }
 
 func (f *coldFleet) press(node int, set *Set) {
-	demand := &Demand{Ask: Ask{Tokens: 100}}
+	demand := &Criteria{RequestInfo: RequestInfo{Tokens: 100}}
 	for range 2 {
 		chosen, err := Pick(set.SnapshotFor(testPool, demand, f.now), demand, Weights{})
 		if err != nil {
 			f.ask(node, set)
 			return
 		}
-		use := set.Begin(chosen.ID, demand.Ask, f.now)
+		use := set.Begin(chosen.ID, demand.RequestInfo, f.now)
 		if use == nil {
 			f.t.Fatalf("a replica that may get nothing was chosen: %+v", chosen.Cold)
 		}
@@ -200,7 +200,7 @@
 // ask has a node ask one that feeds a replica for a place there. Both ways take time,
 // together no more than the asker waits.
 func (f *coldFleet) ask(node int, set *Set) {
-	feeders := set.Feeders(testPool, &Demand{}, f.now)
+	feeders := set.ColdSenders(testPool, &Criteria{}, f.now)
 	if len(feeders) == 0 {
 		return
 	}
@@ -213,7 +213,7 @@
 			return
 		}
 		f.tell(node, back, func(asker *Set) {
-			if use := asker.Begin(asked.Replica, Ask{Granted: true}, f.now); use != nil {
+			if use := asker.Begin(asked.Replica, RequestInfo{Granted: true}, f.now); use != nil {
 				f.record(use, asked.Replica)
 			}
 		})
--- a/internal/replica/cold_test.go
+++ b/internal/replica/cold_test.go
@@ -15,7 +15,7 @@
 func admitted(set *Set, id string, requests int, now time.Time) int {
 	count := 0
 	for range requests {
-		if set.Begin(id, Ask{}, now) != nil {
+		if set.Begin(id, RequestInfo{}, now) != nil {
 			count++
 		}
 	}
@@ -27,7 +27,7 @@
 func coldSet(self string, nodes []string, warm bool, now time.Time) *Set {
 	set := NewSet()
 	set.ColdTolerance = ColdTolerance{Over: 1.5, Slack: 5}
-	set.LimitCold(map[string]ColdLimit{testPool: {Rate: 15, Start: 3 * time.Second}})
+	set.SetColdLimits(map[string]ColdLimit{testPool: {Rate: 15, Start: 3 * time.Second}})
 	set.Divide(self, nowhere(nodes...))
 	set.put(Info{ID: "cold", Pool: testPool, Slots: 8, ColdLeft: 3 * time.Second}, now)
 	if warm {
@@ -46,7 +46,7 @@
 	for _, node := range nodes {
 		set := coldSet(node, nodes, false, now)
 		for at := now; at.Before(now.Add(time.Second)); at = at.Add(10 * time.Millisecond) {
-			if use := set.Begin("cold", Ask{}, at); use != nil {
+			if use := set.Begin("cold", RequestInfo{}, at); use != nil {
 				sent++
 			}
 		}
@@ -59,13 +59,13 @@
 func TestPick_LastResortSparesColdReplicas(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := coldSet("a", []string{"a"}, false, now)
-	if set.Begin("cold", Ask{}, now) == nil {
+	if set.Begin("cold", RequestInfo{}, now) == nil {
 		t.Fatal("the first request was held back")
 	}
-	demand := &Demand{}
+	demand := &Criteria{}
 	_, err := Pick(set.SnapshotFor(testPool, demand, now), demand, Weights{})
 	none := (*NoReplicaError)(nil)
-	if !errors.As(err, &none) || !none.Cold() || none.ColdWait <= 0 || none.ColdWait > 300*time.Millisecond {
+	if !errors.As(err, &none) || !none.WaitsForCold() || none.ColdWait <= 0 || none.ColdWait > 300*time.Millisecond {
 		t.Fatalf("chose, or waits wrongly: %v, %+v", err, none)
 	}
 	if _, err := Pick(set.SnapshotFor(testPool, demand, now.Add(none.ColdWait)), demand, Weights{}); err != nil {
@@ -76,27 +76,27 @@
 func TestPick_TakesWarmReplicasWhileColdOnesHaveTheirRate(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := coldSet("a", []string{"a"}, true, now)
-	set.Begin("cold", Ask{}, now)
+	set.Begin("cold", RequestInfo{}, now)
 	for range 10 {
-		demand := &Demand{}
+		demand := &Criteria{}
 		chosen, err := Pick(set.SnapshotFor(testPool, demand, now), demand, Weights{})
 		if err != nil || chosen.ID != "warm" {
 			t.Fatalf("chose %v, %v", chosen, err)
 		}
-		set.Begin(chosen.ID, Ask{}, now)
+		set.Begin(chosen.ID, RequestInfo{}, now)
 	}
 }
 
 func TestCold_ItemsTakeWhatOnlineRequestsLeave(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := coldSet("a", []string{"a"}, false, now)
-	set.Begin("cold", Ask{}, now)
+	set.Begin("cold", RequestInfo{}, now)
 	for at := now; at.Before(now.Add(300 * time.Millisecond)); at = at.Add(time.Millisecond) {
-		if set.Begin("cold", Ask{Batch: true}, at) != nil {
+		if set.Begin("cold", RequestInfo{Batch: true}, at) != nil {
 			t.Fatalf("an item was sent %v after a request", at.Sub(now))
 		}
 	}
-	if set.Begin("cold", Ask{Batch: true}, now.Add(time.Second)) == nil {
+	if set.Begin("cold", RequestInfo{Batch: true}, now.Add(time.Second)) == nil {
 		t.Error("an item was held back though no request wanted the rate")
 	}
 }
@@ -104,9 +104,9 @@
 func TestCold_PresumedAfterAnEvacuation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := coldSet("a", []string{"a"}, true, now)
-	set.evacuate(map[string]bool{"": true}, now)
+	set.setEvacuated(map[string]bool{"": true}, now)
 	now = now.Add(10 * time.Second)
-	set.evacuate(nil, now)
+	set.setEvacuated(nil, now)
 	if admitted(set, "warm", 5, now) != 1 {
 		t.Error("a replica of a zone that was emptied is filled at once")
 	}
@@ -123,11 +123,11 @@
 		set.put(Info{ID: fmt.Sprint("r", number), Pool: testPool, Slots: 8}, now)
 	}
 	now = now.Add(10 * time.Second)
-	set.Begin("cold", Ask{}, now).Heard(now)
+	set.Begin("cold", RequestInfo{}, now).Received(now)
 	tried, later := 0, now.Add(ejectionFirst/2)
 	for number := range 20 {
 		id := fmt.Sprint("r", number)
-		set.Begin(id, Ask{}, now).End(Unreachable, now)
+		set.Begin(id, RequestInfo{}, now).End(Unreachable, now)
 		tried += admitted(set, id, 5, later)
 	}
 	if tried == 0 || tried == 20 {
@@ -142,18 +142,18 @@
 	now := time.Unix(1000, 0)
 	set := coldSet("a", []string{"a"}, true, now)
 	now = now.Add(10 * time.Second)
-	set.Begin("cold", Ask{}, now).Heard(now)
-	set.Begin("warm", Ask{}, now).End(Unreachable, now)
-	set.Begin("warm", Ask{}, now).End(Succeeded, now)
+	set.Begin("cold", RequestInfo{}, now).Received(now)
+	set.Begin("warm", RequestInfo{}, now).End(Unreachable, now)
+	set.Begin("warm", RequestInfo{}, now).End(Succeeded, now)
 	if admitted(set, "warm", 5, now) != 5 {
 		t.Error("a replica that answers is bounded")
 	}
 	now = now.Add(2 * time.Second)
-	set.Begin("cold", Ask{}, now).Heard(now)
-	set.Begin("warm", Ask{}, now).End(Unreachable, now)
+	set.Begin("cold", RequestInfo{}, now).Received(now)
+	set.Begin("warm", RequestInfo{}, now).End(Unreachable, now)
 	now = now.Add(ejectionFirst / 2)
 	set.put(Info{ID: "warm", Pool: testPool, Slots: 8, ColdLeft: 3 * time.Second}, now)
-	set.Begin("warm", Ask{}, now).End(Succeeded, now)
+	set.Begin("warm", RequestInfo{}, now).End(Succeeded, now)
 	if admitted(set, "warm", 5, now) != 0 {
 		t.Error("a replica that says it is cold is not bounded any more once it answers")
 	}
@@ -163,7 +163,7 @@
 	now := time.Unix(1000, 0)
 	set := coldSet("a", []string{"a"}, true, now)
 	now = now.Add(10 * time.Second)
-	set.Begin("warm", Ask{}, now).End(Unreachable, now)
+	set.Begin("warm", RequestInfo{}, now).End(Unreachable, now)
 	if admitted(set, "warm", 5, now) != 5 {
 		t.Error("a replica is presumed to be cold by a node that hears from none")
 	}
@@ -174,12 +174,12 @@
 	nodes := []string{"a", "b", "c", "d", "e"}
 	for _, node := range nodes {
 		set := coldSet(node, nodes, false, now)
-		fed := set.Begin("cold", Ask{}, now) != nil
+		fed := set.Begin("cold", RequestInfo{}, now) != nil
 		set.Divide(node, nowhere(node))
-		if sends := set.Begin("cold", Ask{}, now.Add(time.Millisecond)) != nil; sends && !fed {
+		if sends := set.Begin("cold", RequestInfo{}, now.Add(time.Millisecond)) != nil; sends && !fed {
 			t.Errorf("%s feeds the replica at once after a change of the members", node)
 		}
-		if set.Begin("cold", Ask{}, now.Add(1100*time.Millisecond)) == nil {
+		if set.Begin("cold", RequestInfo{}, now.Add(1100*time.Millisecond)) == nil {
 			t.Errorf("%s does not feed the replica a second after it became the only node", node)
 		}
 	}
@@ -188,9 +188,9 @@
 func TestCold_WithoutALimitNothingChanges(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := coldSet("a", []string{"a", "b"}, false, now)
-	set.LimitCold(nil)
+	set.SetColdLimits(nil)
 	for range 50 {
-		if set.Begin("cold", Ask{}, now) == nil {
+		if set.Begin("cold", RequestInfo{}, now) == nil {
 			t.Fatal("a request was held back")
 		}
 	}
@@ -246,7 +246,7 @@
 			set.put(Info{ID: id, Pool: testPool, Zone: "b", Slots: 8, ColdLeft: time.Second}, now)
 			feeds[zones[node]] += admitted(set, id, 2, now)
 		}
-		if feeds["b"] == 0 || feeds["a"]+feeds["b"] != coldFeeders {
+		if feeds["b"] == 0 || feeds["a"]+feeds["b"] != maxColdSenders {
 			t.Errorf("%s is fed by zone: %v", id, feeds)
 		}
 	}
--- a/internal/replica/coldgrant.go
+++ b/internal/replica/coldgrant.go
@@ -9,48 +9,48 @@
 // to send their requests to. They ask a node that feeds one for a place; what it grants
 // comes out of its own part of the rate, so the bound holds as before.
 
-// Feeder is a node that feeds a cold replica.
-type Feeder struct {
+// ColdSender is a node that feeds a cold replica.
+type ColdSender struct {
 	Replica, Node string
-	// Born is that of the replica's start, Zone where it stands.
-	Born int64
-	Zone string
+	// StartedUnixMs is that of the replica's start, Zone where it stands.
+	StartedUnixMs int64
+	Zone          string
 	// Presumed is set if nothing told this node that the replica is cold but the age of its
 	// list.
 	Presumed bool
 }
 
-// Feeders returns the nodes that feed the cold replicas which a request could go to, as
+// ColdSenders returns the nodes that feed the cold replicas which a request could go to, as
 // far as this node knows the members.
-func (s *Set) Feeders(pool string, demand *Demand, now time.Time) []Feeder {
+func (s *Set) ColdSenders(pool string, criteria *Criteria, now time.Time) []ColdSender {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var feeders []Feeder
-	for _, known := range s.allowed(s.pool(pool), demand) {
-		candidate := s.candidate(known, now)
-		if known.info.Leaving || candidate.Ejected || candidate.excluded(demand) != Cold {
+	var senders []ColdSender
+	for _, e := range s.allowed(s.pool(pool), criteria) {
+		candidate := s.candidate(e, now)
+		if e.info.Leaving || candidate.Ejected || candidate.hardExclusion(criteria) != Cold {
 			continue
 		}
 		// That brings its feeders up to date.
-		s.feeds(known, now)
-		for _, place := range known.cold.feeders {
-			node := s.nodes[place].ID
+		s.isColdSender(e, now)
+		for _, i := range e.cold.senders {
+			node := s.nodes[i].ID
 			if node == s.self && candidate.Cold.Presumed {
-				node = s.another()
+				node = s.randomOtherNode()
 			}
 			if node != s.self {
-				feeders = append(feeders, Feeder{
-					Replica: known.info.ID, Node: node, Born: known.info.Born, Zone: known.info.Zone, Presumed: candidate.Cold.Presumed,
+				senders = append(senders, ColdSender{
+					Replica: e.info.ID, Node: node, StartedUnixMs: e.info.StartedUnixMs, Zone: e.info.Zone, Presumed: candidate.Cold.Presumed,
 				})
 			}
 		}
 	}
-	return feeders
+	return senders
 }
 
-// another returns a random other node, or this one if there is none: where this node feeds
+// randomOtherNode returns a random other node, or this one if there is none: where this node feeds
 // a replica that it only presumes to be cold, any other may know better. The caller holds mu.
-func (s *Set) another() string {
+func (s *Set) randomOtherNode() string {
 	others := len(s.nodes) - 1
 	if others < 1 {
 		return s.self
@@ -66,28 +66,28 @@
 func (s *Set) GrantCold(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known, ok := s.entries[id]
-	if !ok || s.evacuated[known.info.Zone] {
+	e, ok := s.entries[id]
+	if !ok || s.evacuated[e.info.Zone] {
 		return false
 	}
-	view := s.coldView(known, now)
-	if view.Left == 0 || view.Holds(false) {
+	view := s.coldView(e, now)
+	if view.Left == 0 || view.Blocks(false) {
 		// What the other node takes for cold and this one for warm has changed meanwhile;
 		// one of them is yet to hear of it.
 		return false
 	}
-	known.cold.next = now.Add(interval(view.Rate))
+	e.cold.nextSend = now.Add(interval(view.Rate))
 	return true
 }
 
-// Listed returns a replica as a choice sees it.
-func (s *Set) Listed(id string, now time.Time) (*Candidate, bool) {
+// CandidateByID returns a replica as a choice sees it.
+func (s *Set) CandidateByID(id string, now time.Time) (*Candidate, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known, ok := s.entries[id]
+	e, ok := s.entries[id]
 	if !ok {
 		return nil, false
 	}
-	candidate := s.candidate(known, now)
+	candidate := s.candidate(e, now)
 	return &candidate, true
 }
--- a/internal/replica/coldgrant_test.go
+++ b/internal/replica/coldgrant_test.go
@@ -17,7 +17,7 @@
 	if set.GrantCold("warm", now) || set.GrantCold("other", now) {
 		t.Error("a place at a replica that is not cold, or not there, was given")
 	}
-	set.evacuate(map[string]bool{"": true}, now)
+	set.setEvacuated(map[string]bool{"": true}, now)
 	if set.GrantCold("cold", now.Add(time.Second)) {
 		t.Error("a place at an evacuated replica was given")
 	}
@@ -31,8 +31,8 @@
 		feeds[node] = admitted(coldSet(node, nodes, false, now), "cold", 1, now) == 1
 	}
 	set := coldSet("other", nodes, false, now)
-	named := set.Feeders(testPool, &Demand{}, now)
-	if len(named) != coldFeeders {
+	named := set.ColdSenders(testPool, &Criteria{}, now)
+	if len(named) != maxColdSenders {
 		t.Fatalf("named %v", named)
 	}
 	for _, one := range named {
--- a/internal/replica/coldlist_model_test.go
+++ b/internal/replica/coldlist_model_test.go
@@ -29,7 +29,7 @@
 	for end := f.now.Add(length); f.now.Before(end); {
 		for node, set := range f.sets {
 			if !f.cut[node] {
-				set.ListedAsOf(f.now, f.now)
+				set.SetListTime(f.now, f.now)
 			}
 		}
 		f.run(coldModelStep)
@@ -55,7 +55,7 @@
 		after := time.Duration(rapid.Int64Range(0, int64(listLate)).Draw(f.t, "late"))
 		f.tell(node, after, func(set *Set) { f.hearCold(set, warm) })
 	}
-	f.pass(listCurrent)
+	f.pass(maxListAge)
 	for _, row := range f.rows {
 		f.trueEnd[row.ID] = warm
 	}
--- a/internal/replica/coldlist_test.go
+++ b/internal/replica/coldlist_test.go
@@ -18,23 +18,23 @@
 	if got := admitted(set, "warm", 5, later); got != 5 {
 		t.Fatalf("admitted %d of 5 though nobody tells of the list's age", got)
 	}
-	set.ListedAsOf(later, later)
-	if got := admitted(set, "warm", 5, later.Add(listCurrent)); got != 5 {
+	set.SetListTime(later, later)
+	if got := admitted(set, "warm", 5, later.Add(maxListAge)); got != 5 {
 		t.Errorf("admitted %d of 5 by a current list", got)
 	}
-	old := later.Add(listCurrent + time.Millisecond)
+	old := later.Add(maxListAge + time.Millisecond)
 	if got := admitted(set, "warm", 5, old); got != 1 {
 		t.Errorf("admitted %d of 5 by an old list, want the one of its part", got)
 	}
 	if set.CountCold(old) != 0 || len(set.ColdChanges(old)) != 0 || !set.PresumesCold(old) {
 		t.Error("what is presumed counts as known")
 	}
-	set.ListedAsOf(now, old)
+	set.SetListTime(now, old)
 	if got := admitted(set, "warm", 5, old); got != 0 {
 		t.Errorf("admitted %d by an answer that is older still", got)
 	}
 	changed := set.Changed()
-	set.ListedAsOf(old, old)
+	set.SetListTime(old, old)
 	select {
 	case <-changed:
 	default:
@@ -49,7 +49,7 @@
 	now := time.Unix(1000, 0)
 	set := coldSet("a", []string{"a"}, false, now)
 	set.put(Info{ID: "other", Pool: "other", Slots: 8}, now)
-	set.ListedAsOf(now, now)
+	set.SetListTime(now, now)
 	if got := admitted(set, "other", 5, now.Add(time.Minute)); got != 5 {
 		t.Errorf("admitted %d of 5", got)
 	}
@@ -71,7 +71,7 @@
 	now := time.Unix(1000, 0)
 	old := now.Add(time.Minute)
 	set := coldSet("a", []string{"a"}, true, now)
-	set.ListedAsOf(now, now)
+	set.SetListTime(now, now)
 	for _, one := range []struct {
 		why, id string
 		at      time.Time
@@ -86,7 +86,7 @@
 			t.Errorf("%s: %d places, want %d", one.why, got, one.want)
 		}
 	}
-	set.evacuate(map[string]bool{"": true}, now)
+	set.setEvacuated(map[string]bool{"": true}, now)
 	if granted(set, "warm", now) != 0 {
 		t.Error("a place at an evacuated replica was given")
 	}
@@ -124,12 +124,12 @@
 	for _, member := range members {
 		set := NewSet()
 		set.ColdTolerance = ColdTolerance{Over: 1.5, Slack: 5}
-		set.LimitCold(map[string]ColdLimit{testPool: {Rate: 15, Start: 3 * time.Second}})
+		set.SetColdLimits(map[string]ColdLimit{testPool: {Rate: 15, Start: 3 * time.Second}})
 		set.Divide(member.ID, members)
 		for i := range replicas {
 			set.put(Info{ID: fmt.Sprint("r", i), Pool: testPool, Zone: zoneOf(i), Slots: 8}, now)
 		}
-		set.ListedAsOf(now, now)
+		set.SetListTime(now, now)
 		f.sets[member.ID], f.names = set, append(f.names, member.ID)
 	}
 	return f
@@ -156,17 +156,17 @@
 // try looks for a place in the node's own part, then in that of a node that it asks.
 func (f *outageFleet) try(node string, now time.Time) (wait time.Duration, placed bool) {
 	set := f.sets[node]
-	demand := &Demand{Ask: Ask{Tokens: 100}}
+	demand := &Criteria{RequestInfo: RequestInfo{Tokens: 100}}
 	chosen, err := Pick(set.SnapshotFor(testPool, demand, now), demand, Weights{})
 	if err == nil {
-		set.Begin(chosen.ID, demand.Ask, now).End(Succeeded, now)
+		set.Begin(chosen.ID, demand.RequestInfo, now).End(Succeeded, now)
 		return 0, true
 	}
 	none := (*NoReplicaError)(nil)
 	if errors.As(err, &none) && none.ColdWait <= outageLook {
 		return none.ColdWait, false
 	}
-	feeders := set.Feeders(testPool, demand, now)
+	feeders := set.ColdSenders(testPool, demand, now)
 	if len(feeders) == 0 {
 		return outageLook, false
 	}
--- a/internal/replica/coldrate.go
+++ b/internal/replica/coldrate.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// coldFeeders is the most nodes that feed a cold replica: with one, a cold replica
+	// maxColdSenders is the most nodes that feed a cold replica: with one, a cold replica
 	// would stand idle for as long as that node is gone unnoticed; with many, the first
 	// request of each would leave little of the rate.
-	coldFeeders = 3
-	// coldViews is the number of choices of nodes that may be in force at once, in views
+	maxColdSenders = 3
+	// membershipViews is the number of choices of nodes that may be in force at once, in views
 	// of the members that share none of the chosen ones: that of before a change, also
 	// at nodes which are cut off, and that of after it.
-	coldViews = 2
-	// leastPart is the least that is worth a node of its own, in requests a second.
-	leastPart = 4
-	// feedHold is how long a node that has become a feeder by a change of the members
+	membershipViews = 2
+	// minSenderRate is the least that is worth a node of its own, in requests a second.
+	minSenderRate = 4
+	// newSenderDelay is how long a node that has become a feeder by a change of the members
 	// waits: the second that is judged, in which the feeder before it may have sent.
-	feedHold = time.Second
+	newSenderDelay = time.Second
 )
 
 // ColdTolerance is how far beyond its rate a cold replica may get requests in any one
@@ -39,8 +39,8 @@
 // second a node sends at most its rate and one request more.
 func (t ColdTolerance) parts(rate float64) (nodes int, part float64) {
 	bound := t.bound(rate)
-	each := bound / coldViews
-	nodes = min(max(int(each/leastPart), 1), coldFeeders)
+	each := bound / membershipViews
+	nodes = min(max(int(each/minSenderRate), 1), maxColdSenders)
 	part = min(each/float64(nodes)-1, rate/float64(nodes))
 	if part > 0 {
 		return nodes, part
@@ -50,62 +50,62 @@
 	}
 	// The bound is too small for two views: one request in somewhat over a second, which
 	// holds while nodes agree.
-	return 1, min(slowestPart, rate)
+	return 1, min(slowSenderRate, rate)
 }
 
-// slowestPart spaces requests by somewhat more than the second that is judged.
-const slowestPart = 0.9
+// slowSenderRate spaces requests by somewhat more than the second that is judged.
+const slowSenderRate = 0.9
 
-// feeds reports whether this node is one of those that feed an entry, which is cold. One
+// isColdSender reports whether this node is one of those that feed an entry, which is cold. One
 // that becomes so by a change of the members waits first. The caller holds mu.
-func (s *Set) feeds(e *entry, now time.Time) bool {
+func (s *Set) isColdSender(e *entry, now time.Time) bool {
 	if e.cold.division == s.division {
-		return e.cold.feeds
+		return e.cold.isSender
 	}
 	// A node that did not know the members takes nobody's place in its own view.
-	others := !e.cold.feeds && len(e.cold.feeders) > 0
-	s.chooseFeeders(e)
-	if held := now.Add(feedHold); others && e.cold.feeds && held.After(e.cold.next) {
-		e.cold.next = held
+	replaces := !e.cold.isSender && len(e.cold.senders) > 0
+	s.chooseSenders(e)
+	if held := now.Add(newSenderDelay); replaces && e.cold.isSender && held.After(e.cold.nextSend) {
+		e.cold.nextSend = held
 	}
-	return e.cold.feeds
+	return e.cold.isSender
 }
 
-// chooseFeeders works out which nodes feed an entry: one of its zone, which reaches it when
+// chooseSenders works out which nodes feed an entry: one of its zone, which reaches it when
 // the zone is cut off, then those with the largest weights, which are there when its zone
 // was lost and comes back. A node that is not
 // among the nodes does not know them all, and feeds nothing. The caller holds mu.
-func (s *Set) chooseFeeders(e *entry) {
-	places, _ := s.ColdTolerance.parts(s.coldLimits[e.info.Pool].Rate)
-	nodes, self := s.feedNodes()
+func (s *Set) chooseSenders(e *entry) {
+	count, _ := s.ColdTolerance.parts(s.coldLimits[e.info.Pool].Rate)
+	nodes, self := s.senderNodes()
 	var chosen []int
-	if near := best(nodes, e, func(i int) bool { return nodes[i].zone == e.info.Zone }); near >= 0 && places > 0 {
-		chosen = append(chosen, near)
+	if sameZone := highestWeight(nodes, e, func(i int) bool { return nodes[i].zone == e.info.Zone }); sameZone >= 0 && count > 0 {
+		chosen = append(chosen, sameZone)
 	}
-	for len(chosen) < places {
-		next := best(nodes, e, func(i int) bool { return !slices.Contains(chosen, i) })
+	for len(chosen) < count {
+		next := highestWeight(nodes, e, func(i int) bool { return !slices.Contains(chosen, i) })
 		if next < 0 {
 			break
 		}
 		chosen = append(chosen, next)
 	}
-	e.cold.feeders, e.cold.feeds, e.cold.division = chosen, slices.Contains(chosen, self), s.division
+	e.cold.senders, e.cold.isSender, e.cold.division = chosen, slices.Contains(chosen, self), s.division
 }
 
-// feedNode is a node that may feed replicas.
-type feedNode struct {
+// senderNode is a node that may feed replicas.
+type senderNode struct {
 	key  uint64
 	zone string
-	// absent is set if it is among the nodes only because it is this one.
-	absent bool
+	// notMember is set if it is among the nodes only because it is this one.
+	notMember bool
 }
 
-// best returns the place of the node with the largest weight for an entry, of those that
+// highestWeight returns the place of the node with the largest weight for an entry, of those that
 // are eligible; -1 if there is none.
-func best(nodes []feedNode, e *entry, eligible func(i int) bool) int {
+func highestWeight(nodes []senderNode, e *entry, eligible func(i int) bool) int {
 	found, most := -1, uint64(0)
 	for i := range nodes {
-		if nodes[i].absent {
+		if nodes[i].notMember {
 			continue
 		}
 		if weight := mix(nodes[i].key ^ e.key); eligible(i) && (found < 0 || weight > most) {
@@ -126,27 +126,27 @@
 	}
 	s.notJoined = !joined
 	s.division++
-	s.wake()
+	s.notifyChanged()
 }
 
-// feedNodes returns the nodes that may feed replicas, and this node's place among them; -1
+// senderNodes returns the nodes that may feed replicas, and this node's place among them; -1
 // if it is not there. They are worked out once for each division. The caller holds mu.
-func (s *Set) feedNodes() (nodes []feedNode, self int) {
+func (s *Set) senderNodes() (nodes []senderNode, self int) {
 	if s.division == 0 {
 		return nil, -1
 	}
-	if s.feedDivision == s.division {
-		return s.feedList, s.feedSelf
+	if s.senderDivision == s.division {
+		return s.senderList, s.senderSelf
 	}
-	s.feedList, s.feedSelf, s.feedDivision = s.feedList[:0], -1, s.division
+	s.senderList, s.senderSelf, s.senderDivision = s.senderList[:0], -1, s.division
 	for i, node := range s.nodes {
 		if node.ID == s.self {
-			s.feedSelf = i
+			s.senderSelf = i
 		}
 		absent := s.notJoined && node.ID == s.self
-		s.feedList = append(s.feedList, feedNode{key: Key(node.ID), zone: node.Zone, absent: absent})
+		s.senderList = append(s.senderList, senderNode{key: Key(node.ID), zone: node.Zone, notMember: absent})
 	}
-	return s.feedList, s.feedSelf
+	return s.senderList, s.senderSelf
 }
 
 // shareOf is the number of an entry's slots that are this node's: while it is cold, the
@@ -157,7 +157,7 @@
 		return e.share
 	}
 	nodes, rate := s.ColdTolerance.parts(limit.Rate)
-	if rate <= 0 || !s.feeds(e, now) {
+	if rate <= 0 || !s.isColdSender(e, now) {
 		return 0
 	}
 	return (e.info.Slots + nodes - 1) / nodes
--- a/internal/replica/doubt_test.go
+++ b/internal/replica/delisted_test.go
@@ -35,12 +35,12 @@
 	for number := range 4 {
 		self := fmt.Sprintf("node-%02d", number)
 		cut := newDivided(self, append(gone, listed...)...)
-		cut.Outage(10*time.Second, now)
+		cut.OutageEnded(10*time.Second, now)
 		for _, id := range gone {
 			cut.Remove(id, now)
 		}
-		later := now.Add(doubtTime + time.Millisecond)
-		cut.Needs(later)
+		later := now.Add(delistedGrace + time.Millisecond)
+		cut.UpdateDemand(later)
 		want, got := listedShares(newDivided(self, listed...), later), listedShares(cut, later)
 		if fmt.Sprint(want) != fmt.Sprint(got) {
 			t.Errorf("%s, which was cut off, has %v, others take it to have %v", self, got, want)
@@ -48,7 +48,7 @@
 		if count, _ := cut.Count(later); count != len(listed) {
 			t.Errorf("%d replicas are listed, want %d", count, len(listed))
 		}
-		if room := cut.RoomForItems(testPool, later); room.Share != newDivided(self, listed...).RoomForItems(testPool, later).Share {
+		if room := cut.ItemCapacity(testPool, later); room.Share != newDivided(self, listed...).ItemCapacity(testPool, later).Share {
 			t.Errorf("%s has room in slots that are gone: %+v", self, room)
 		}
 	}
@@ -59,16 +59,16 @@
 	now := time.Unix(1000, 0)
 	set := newDivided("node-00", "r-0", "r-1")
 	before := listedShares(set, now)
-	set.Outage(10*time.Second, now)
+	set.OutageEnded(10*time.Second, now)
 	set.Remove("r-0", now)
-	later := now.Add(doubtTime)
-	set.Needs(later)
+	later := now.Add(delistedGrace)
+	set.UpdateDemand(later)
 	if after := listedShares(set, later); fmt.Sprint(before) != fmt.Sprint(after) {
 		t.Errorf("shares %v become %v", before, after)
 	}
 	set.Put(Info{ID: "r-0", Pool: testPool, Slots: 2})
 	later = later.Add(time.Hour)
-	set.Needs(later)
+	set.UpdateDemand(later)
 	if after := listedShares(set, later); fmt.Sprint(before) != fmt.Sprint(after) {
 		t.Errorf("one is listed again, and shares %v become %v", before, after)
 	}
--- a/internal/replica/distance_test.go
+++ b/internal/replica/distance_test.go
@@ -22,7 +22,7 @@
 
 func pickNorth(t *testing.T, set *Set, affinity uint64) *Candidate {
 	t.Helper()
-	demand := &Demand{Zone: "n", Region: "north", Affinity: affinity, Shared: 200, Ask: Ask{Tokens: 450}}
+	demand := &Criteria{Zone: "n", Region: "north", Affinity: affinity, SharedTokens: 200, RequestInfo: RequestInfo{Tokens: 450}}
 	best, err := Pick(set.SnapshotFor(testPool, demand, time.Now()), demand, apart)
 	if err != nil {
 		t.Fatal(err)
@@ -33,13 +33,13 @@
 func TestPick_StaysInItsRegionWhileThatIsSooner(t *testing.T) {
 	set, now := northAndSouth(1, 1), time.Now()
 	for range 3 {
-		set.Begin("north-0", Ask{}, now)
+		set.Begin("north-0", RequestInfo{}, now)
 	}
 	if best := pickNorth(t, set, 0); best.Region != "north" {
 		t.Fatalf("chose %s though a slot of the own region is free", best.ID)
 	}
 	for range 9 {
-		set.Begin("north-0", Ask{}, now)
+		set.Begin("north-0", RequestInfo{}, now)
 	}
 	if best := pickNorth(t, set, 0); best.Region != "south" {
 		t.Fatalf("chose %s though requests wait there for longer than the way to the other region takes", best.ID)
@@ -51,7 +51,7 @@
 func TestPick_APrefixHasAHomeInEachRegion(t *testing.T) {
 	set, now := northAndSouth(6, 60), time.Now()
 	for affinity := range uint64(20) {
-		home := homeAmong(nearby(set.pool(testPool), "north"), affinity+1, now)
+		home := affinityEntry(nearby(set.pool(testPool), "north"), affinity+1, now)
 		for range 5 {
 			if best := pickNorth(t, set, affinity+1); best.ID != home.info.ID {
 				t.Fatalf("prefix %d: chose %s, its home in the north is %s", affinity, best.ID, home.info.ID)
@@ -64,7 +64,7 @@
 // cost of regions.
 func TestPick_ACostOfZonesAloneHoldsForRegions(t *testing.T) {
 	set := northAndSouth(1, 1)
-	demand := &Demand{Zone: "n", Region: "north"}
+	demand := &Criteria{Zone: "n", Region: "north"}
 	best, err := Pick(set.SnapshotFor(testPool, demand, time.Now()), demand, Weights{CrossZone: time.Millisecond})
 	if err != nil || best.Region != "north" {
 		t.Fatalf("chose %v, %v", best, err)
@@ -81,13 +81,13 @@
 	}
 	south := 0
 	for range 50 {
-		for _, candidate := range set.SnapshotFor(testPool, &Demand{Zone: "n", Region: "north"}, now) {
+		for _, candidate := range set.SnapshotFor(testPool, &Criteria{Zone: "n", Region: "north"}, now) {
 			if candidate.Region == "south" {
 				south++
 			}
 		}
 	}
-	if south == 0 || south > 50*sampleAway {
-		t.Fatalf("%d replicas of the other region in 50 samples, want some, up to %d", south, 50*sampleAway)
+	if south == 0 || south > 50*sampleOtherRegion {
+		t.Fatalf("%d replicas of the other region in 50 samples, want some, up to %d", south, 50*sampleOtherRegion)
 	}
 }
--- a/internal/replica/divide_test.go
+++ b/internal/replica/divide_test.go
@@ -26,10 +26,10 @@
 	return nodes
 }
 
-func testReplicas(count, slots int) []Slots {
-	var replicas []Slots
+func testReplicas(count, slots int) []ReplicaSlots {
+	var replicas []ReplicaSlots
 	for i := range count {
-		replicas = append(replicas, Slots{Key: Key(fmt.Sprintf("replica-%d", i)), Count: slots})
+		replicas = append(replicas, ReplicaSlots{Key: Key(fmt.Sprintf("replica-%d", i)), Count: slots})
 	}
 	return replicas
 }
--- a/internal/replica/evacuate.go
+++ b/internal/replica/evacuate.go
@@ -7,19 +7,19 @@
 	"github.com/wheelhoist/wheelhoist/internal/clock"
 )
 
-// Evacuate takes in which zones operators empty: their replicas take nothing new until
+// SetEvacuated takes in which zones operators empty: their replicas take nothing new until
 // the zone is not among them any more. What runs there runs on.
-func (s *Set) Evacuate(zones map[string]bool) { s.evacuate(zones, clock.Now()) }
+func (s *Set) SetEvacuated(zones map[string]bool) { s.setEvacuated(zones, clock.Now()) }
 
-func (s *Set) evacuate(zones map[string]bool, now time.Time) {
+func (s *Set) setEvacuated(zones map[string]bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if maps.Equal(s.evacuated, zones) {
 		return
 	}
-	s.returned(zones, now)
+	s.markReturned(zones, now)
 	s.evacuated = maps.Clone(zones)
-	s.index()
+	s.invalidateIndex()
 }
 
 // Evacuated returns the zones that operators empty.
@@ -29,10 +29,10 @@
 	return maps.Clone(s.evacuated)
 }
 
-// Emptied reports whether operators empty the zone of a listed replica.
-func (s *Set) Emptied(id string) bool {
+// IsEvacuated reports whether operators empty the zone of a listed replica.
+func (s *Set) IsEvacuated(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known, ok := s.entries[id]
-	return ok && s.evacuated[known.info.Zone]
+	e, ok := s.entries[id]
+	return ok && s.evacuated[e.info.Zone]
 }
--- a/internal/replica/evacuate_test.go
+++ b/internal/replica/evacuate_test.go
@@ -8,19 +8,19 @@
 func TestItemRoom_ShrinksWithTheZone(t *testing.T) {
 	set, now := placed(), time.Now()
 	set.Divide("a", nowhere("a"))
-	before := set.ItemRoom(testPool, now)
-	set.Evacuate(map[string]bool{"n1": true})
-	if after := set.ItemRoom(testPool, now); before < 8 || after > before-4 {
+	before := set.FreeItemSlots(testPool, now)
+	set.SetEvacuated(map[string]bool{"n1": true})
+	if after := set.FreeItemSlots(testPool, now); before < 8 || after > before-4 {
 		t.Errorf("room of %d slots fell to %d as 4 of 8 went", before, after)
 	}
-	if share := set.Learned(now)[testPool].Share; share != 4 {
+	if share := set.PoolStats(now)[testPool].Share; share != 4 {
 		t.Errorf("%d slots are told to others", share)
 	}
-	set.Evacuate(map[string]bool{"n1": true, "s1": true})
-	if room := set.ItemRoom(testPool, now); room > 0 {
+	set.SetEvacuated(map[string]bool{"n1": true, "s1": true})
+	if room := set.FreeItemSlots(testPool, now); room > 0 {
 		t.Errorf("room for %d items with all zones evacuated", room)
 	}
-	if needs := set.Needs(now); len(needs) != 1 || needs[0].Share != 0 || needs[0].Excess > 0 {
+	if needs := set.UpdateDemand(now); len(needs) != 1 || needs[0].Share != 0 || needs[0].Excess > 0 {
 		t.Errorf("needs %+v with all zones evacuated", needs)
 	}
 }
@@ -29,25 +29,25 @@
 	set, now := placed(), time.Now()
 	set.Divide("a", nowhere("a"))
 	for range 4 {
-		set.Begin("north", Ask{Batch: true, Tokens: 10}, now)
+		set.Begin("north", RequestInfo{Batch: true, Tokens: 10}, now)
 	}
-	set.Evacuate(map[string]bool{"n1": true})
-	if room := set.ItemRoom(testPool, now); room < 4 {
+	set.SetEvacuated(map[string]bool{"n1": true})
+	if room := set.FreeItemSlots(testPool, now); room < 4 {
 		t.Errorf("room for %d items beside 4 that run on in the evacuated zone", room)
 	}
-	if needs := set.Needs(now); needs[0].Excess > 0 {
+	if needs := set.UpdateDemand(now); needs[0].Excess > 0 {
 		t.Errorf("%d items are to leave slots that nobody may use", needs[0].Excess)
 	}
-	if !set.Emptied("north") || set.Emptied("south") || set.Emptied("unknown") {
+	if !set.IsEvacuated("north") || set.IsEvacuated("south") || set.IsEvacuated("unknown") {
 		t.Error("wrong replicas are emptied")
 	}
 }
 
 func TestPickUnqueued_LeavesEvacuatedZonesOut(t *testing.T) {
 	set, now := placed(), time.Now()
-	set.Evacuate(map[string]bool{"n1": true})
+	set.SetEvacuated(map[string]bool{"n1": true})
 	for range 20 {
-		demand := &Demand{}
+		demand := &Criteria{}
 		if asked, err := PickUnqueued(set.SnapshotFor(testPool, demand, now), demand, Weights{}, false); err != nil || asked.ID != "south" {
 			t.Fatalf("asked %v, %v for a slot", asked, err)
 		}
@@ -56,9 +56,9 @@
 
 func TestPick_OnAnAnswerThatGoesOnElsewhere(t *testing.T) {
 	set := placed()
-	set.Evacuate(map[string]bool{"n1": true})
-	for _, demand := range []*Demand{
-		{Affinity: 7, Shared: 3}, {Version: "v1"}, {Ask: Ask{Batch: true}, Reserve: 0.35},
+	set.SetEvacuated(map[string]bool{"n1": true})
+	for _, demand := range []*Criteria{
+		{Affinity: 7, SharedTokens: 3}, {Version: "v1"}, {RequestInfo: RequestInfo{Batch: true}, Reserve: 0.35},
 		{Exclude: map[string]bool{"south": true}},
 	} {
 		if chosen, err := pickFor(set, demand); err == nil && chosen.ID != "south" {
@@ -69,11 +69,11 @@
 
 func TestNoReplicaError_Main(t *testing.T) {
 	failed := &NoReplicaError{}
-	if failed.Main() != Usable {
-		t.Errorf("nothing excluded, yet %s", failed.Main())
+	if failed.MainReason() != Usable {
+		t.Errorf("nothing excluded, yet %s", failed.MainReason())
 	}
 	failed.Counts[Tried], failed.Counts[Evacuated] = 1, 3
-	if failed.Main() != Evacuated {
-		t.Errorf("%s excluded most", failed.Main())
+	if failed.MainReason() != Evacuated {
+		t.Errorf("%s excluded most", failed.MainReason())
 	}
 }
--- a/internal/replica/evidence.go
+++ b/internal/replica/evidence.go
@@ -14,33 +14,33 @@
 // left out; and one for which many replicas fail tells nothing.
 
 const (
-	// reporters is the number of nodes that a replica has to fail for, and reportedFailures
+	// minReporters is the number of nodes that a replica has to fail for, and reportedFailures
 	// how many of their answers, faded, have to be failures.
-	reporters        = 2
-	reportedFailures = 2.0
-	// reportedShare is the share of failures among the answers that nodes tell of. Replicas
+	minReporters        = 2
+	minReportedFailures = 2.0
+	// minFailureShare is the share of failures among the answers that nodes tell of. Replicas
 	// that spoil one answer in fifty stay far below it.
-	reportedShare = 0.5
+	minFailureShare = 0.5
 	// sharedEjectionFirst is how long a replica is left out first; it doubles each time that
 	// it fails again soon, up to sharedEjectionMax.
 	sharedEjectionFirst = 2 * time.Second
 	sharedEjectionMax   = 8 * time.Second
 	// probation is how long only probers nodes send to a replica after that: a few of
 	// their requests, and the way of a word to all.
-	probation = 1500 * time.Millisecond
-	probers   = 2
-	// ejectAgainWithin is the time after an ejection within which one failure brings the next.
-	ejectAgainWithin = 3 * time.Second
+	probation   = 1500 * time.Millisecond
+	proberCount = 2
+	// reejectWindow is the time after an ejection within which one failure brings the next.
+	reejectWindow = 3 * time.Second
 	// ejectionMemory is the time after an ejection from which on the next one is a first one.
 	ejectionMemory = 30 * time.Second
-	// failingShare is the share of the replicas used of late beyond which a node that
+	// maxFailingShare is the share of the replicas used of late beyond which a node that
 	// reports them is more likely wrong itself, if they are more than failingLeast.
-	failingShare = 1.0 / 3
-	failingLeast = 2
+	maxFailingShare    = 1.0 / 3
+	minFailingReplicas = 2
 	// sharedEjectionShare bounds the part of a pool that is left out on the word of others.
 	sharedEjectionShare = 0.5
-	// successesLeast is the least count of whole answers that is worth telling.
-	successesLeast = 0.3
+	// minReportedSuccesses is the least count of whole answers that is worth telling.
+	minReportedSuccesses = 0.3
 	// maxFailureReports bounds the replicas of one message, each of some 25 bytes.
 	maxFailureReports = 32
 	// maxCount bounds a count that another process may tell.
@@ -55,8 +55,8 @@
 type FailureReport struct {
 	// Replica is the replica's Key, Born that of its start which the report is about; 0 if
 	// the node does not say.
-	Replica uint64
-	Born    int64
+	Replica       uint64
+	StartedUnixMs int64
 	// Failures and Successes count the node's answers from it, fading.
 	Failures, Successes float64
 	// Age is the time since the last failure, if there are any.
@@ -92,8 +92,8 @@
 	prober       bool
 }
 
-// holds reports whether the replica is left out now.
-func (x *sharedEjection) holds(now time.Time) bool {
+// active reports whether the replica is left out now.
+func (x *sharedEjection) active(now time.Time) bool {
 	until := x.until
 	if !x.prober {
 		until = until.Add(probation)
@@ -101,13 +101,13 @@
 	return now.Before(until)
 }
 
-// probed reports whether one failure now brings the next ejection.
-func (x *sharedEjection) probed(now time.Time) bool {
-	return x.count > 0 && now.Before(x.until.Add(probation+ejectAgainWithin))
+// onProbation reports whether one failure now brings the next ejection.
+func (x *sharedEjection) onProbation(now time.Time) bool {
+	return x.count > 0 && now.Before(x.until.Add(probation+reejectWindow))
 }
 
 // ejected reports whether the replica is left out now, on own evidence or that of others.
-func (e *entry) ejected(now time.Time) bool { return e.health.ejected(now) || e.shared.holds(now) }
+func (e *entry) ejected(now time.Time) bool { return e.health.ejected(now) || e.shared.active(now) }
 
 // FailureReports returns what this node has to tell of replicas that failed for it of late,
 // and of those that others report and that answered it well. It tells of no failures if the
@@ -117,22 +117,22 @@
 	defer s.mu.Unlock()
 	var reports, successes []FailureReport
 	used := 0
-	for _, known := range s.entries {
-		if !known.own.used(now) {
+	for _, e := range s.entries {
+		if !e.ownTally.recent(now) {
 			continue
 		}
 		used++
-		known.own.advance(now)
-		told := FailureReport{Replica: known.key, Born: known.info.Born, Successes: known.own.Successes}
+		e.ownTally.advance(now)
+		report := FailureReport{Replica: e.key, StartedUnixMs: e.info.StartedUnixMs, Successes: e.ownTally.Successes}
 		switch {
-		case known.own.failedSince(time.Time{}, now):
-			told.Failures, told.Age = known.own.Failures, now.Sub(known.own.LastFailure)
-			reports = append(reports, told)
-		case len(known.told) > 0 && told.Successes > successesLeast:
-			successes = append(successes, told)
+		case e.ownTally.failedSince(time.Time{}, now):
+			report.Failures, report.Age = e.ownTally.Failures, now.Sub(e.ownTally.LastFailure)
+			reports = append(reports, report)
+		case len(e.reports) > 0 && report.Successes > minReportedSuccesses:
+			successes = append(successes, report)
 		}
 	}
-	if len(reports) > failingLeast && float64(len(reports)) > failingShare*float64(used) {
+	if len(reports) > minFailingReplicas && float64(len(reports)) > maxFailingShare*float64(used) {
 		reports = nil
 	}
 	slices.SortFunc(reports, func(a, b FailureReport) int { return cmp.Compare(b.Failures, a.Failures) })
@@ -140,37 +140,37 @@
 	return reports[:min(len(reports), maxFailureReports)]
 }
 
-// TakeFailureReports takes in what a node tells.
-func (s *Set) TakeFailureReports(reporter Reporter, reports []FailureReport, now time.Time) {
-	for _, ejection := range s.takeFailureReports(reporter, reports, now) {
-		s.ejectedByMany(&ejection)
+// AddFailureReports takes in what a node tells.
+func (s *Set) AddFailureReports(reporter Reporter, reports []FailureReport, now time.Time) {
+	for _, ejection := range s.addFailureReports(reporter, reports, now) {
+		s.notifySharedEjection(&ejection)
 	}
 }
 
-// ejectedByMany tells that a replica is left out, outside the lock; nil is none.
-func (s *Set) ejectedByMany(ejection *SharedEjection) {
-	if ejection != nil && s.EjectedByMany != nil {
-		s.EjectedByMany(*ejection)
+// notifySharedEjection tells that a replica is left out, outside the lock; nil is none.
+func (s *Set) notifySharedEjection(ejection *SharedEjection) {
+	if ejection != nil && s.OnSharedEjection != nil {
+		s.OnSharedEjection(*ejection)
 	}
 }
 
-func (s *Set) takeFailureReports(reporter Reporter, reports []FailureReport, now time.Time) []SharedEjection {
+func (s *Set) addFailureReports(reporter Reporter, reports []FailureReport, now time.Time) []SharedEjection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stale {
+	if s.indexStale {
 		s.rebuild()
 	}
 	var ejections []SharedEjection
 	for _, report := range reports[:min(len(reports), maxFailureReports)] {
-		known := s.byKey[report.Replica]
-		if known == nil || !report.sound() || !report.about(known, now) {
+		e := s.byKey[report.Replica]
+		if e == nil || !report.valid() || !report.matches(e, now) {
 			continue
 		}
-		if known.told == nil {
-			known.told = map[string]reportedTally{}
+		if e.reports == nil {
+			e.reports = map[string]reportedTally{}
 		}
-		known.told[reporter.Node] = reportedTally{zone: reporter.Zone, Tally: report.tally(now)}
-		if ejection := s.evaluate(known, now); ejection != nil {
+		e.reports[reporter.Node] = reportedTally{zone: reporter.Zone, Tally: report.tally(now)}
+		if ejection := s.evaluate(e, now); ejection != nil {
 			ejections = append(ejections, *ejection)
 		}
 	}
@@ -179,140 +179,140 @@
 
 // tally returns the counts that were told.
 func (r *FailureReport) tally(now time.Time) Tally {
-	told := Tally{Failures: r.Failures, Successes: r.Successes, at: now}
+	tally := Tally{Failures: r.Failures, Successes: r.Successes, at: now}
 	if r.Failures > 0 {
-		told.LastFailure = now.Add(-r.Age)
+		tally.LastFailure = now.Add(-r.Age)
 	}
-	return told
+	return tally
 }
 
-// sound reports whether what another process tells can be.
-func (r *FailureReport) sound() bool {
+// valid reports whether what another process tells can be.
+func (r *FailureReport) valid() bool {
 	return r.Failures >= 0 && r.Failures < maxCount && r.Successes >= 0 && r.Successes < maxCount && r.Age >= 0
 }
 
-// about reports whether a report is about the start of a replica that an entry is for. One
+// matches reports whether a report is matches the start of a replica that an entry is for. One
 // that does not say is taken as such unless its newest failure was seen before the start was
 // noticed.
-func (r *FailureReport) about(known *entry, now time.Time) bool {
-	if r.Born != 0 && known.info.Born != 0 {
-		return r.Born == known.info.Born
+func (r *FailureReport) matches(e *entry, now time.Time) bool {
+	if r.StartedUnixMs != 0 && e.info.StartedUnixMs != 0 {
+		return r.StartedUnixMs == e.info.StartedUnixMs
 	}
-	return !now.Add(-r.Age).Before(known.restartedAt)
+	return !now.Add(-r.Age).Before(e.restartedAt)
 }
 
-// sum adds up what several nodes have seen of a replica.
-type sum struct {
+// evidenceSum adds up what several nodes have seen of a replica.
+type evidenceSum struct {
 	Failures, Successes float64
 	// reporters counts the nodes for which it failed.
 	reporters int
 }
 
-func (s *sum) add(seen Tally, failed bool) {
+func (s *evidenceSum) add(seen Tally, failing bool) {
 	s.Successes += seen.Successes
-	if failed {
+	if failing {
 		s.Failures += seen.Failures
 		s.reporters++
 	}
 }
 
 // mostlyFails reports whether at least half of the answers were failures.
-func (s *sum) mostlyFails() bool {
-	return s.reporters > 0 && s.Failures >= reportedShare*(s.Failures+s.Successes)
+func (s *evidenceSum) mostlyFails() bool {
+	return s.reporters > 0 && s.Failures >= minFailureShare*(s.Failures+s.Successes)
 }
 
 // failsForSeveral reports whether the replica failed for several nodes, and mostly.
-func (s *sum) failsForSeveral() bool {
-	return s.reporters >= reporters && s.Failures >= reportedFailures && s.mostlyFails()
+func (s *evidenceSum) failsForSeveral() bool {
+	return s.reporters >= minReporters && s.Failures >= minReportedFailures && s.mostlyFails()
 }
 
 // evidence is what nodes have seen of a replica: all of them, and those of this node's
 // zone, for a replica may fail for the callers of one zone alone.
 type evidence struct {
-	all, near sum
+	all, sameZone evidenceSum
 	// zones are those of the nodes for which it failed.
 	zones map[string]bool
 }
 
-func (e *evidence) add(seen Tally, failed bool, zone, own string) {
-	e.all.add(seen, failed)
-	if zone == own {
-		e.near.add(seen, failed)
+func (e *evidence) add(seen Tally, failing bool, zone, ownZone string) {
+	e.all.add(seen, failing)
+	if zone == ownZone {
+		e.sameZone.add(seen, failing)
 	}
-	if failed {
+	if failing {
 		e.zones[zone] = true
 	}
 }
 
 // evidenceAbout sums up the evidence of this node and of others that is newer than the last
 // ejection. The caller holds mu.
-func (s *Set) evidenceAbout(known *entry, now time.Time) evidence {
+func (s *Set) evidenceAbout(e *entry, now time.Time) evidence {
 	seen := evidence{zones: map[string]bool{}}
-	known.own.advance(now)
-	seen.add(known.own, known.own.failedSince(known.shared.since, now), s.Zone, s.Zone)
-	for node, told := range known.told {
-		failed := told.failedSince(known.shared.since, now)
-		told.advance(now)
-		if !failed && told.Successes <= successesLeast {
-			delete(known.told, node)
+	e.ownTally.advance(now)
+	seen.add(e.ownTally, e.ownTally.failedSince(e.shared.since, now), s.Zone, s.Zone)
+	for node, tally := range e.reports {
+		failing := tally.failedSince(e.shared.since, now)
+		tally.advance(now)
+		if !failing && tally.Successes <= minReportedSuccesses {
+			delete(e.reports, node)
 			continue
 		}
-		known.told[node] = told
-		seen.add(told.Tally, failed, told.zone, s.Zone)
+		e.reports[node] = tally
+		seen.add(tally.Tally, failing, tally.zone, s.Zone)
 	}
 	return seen
 }
 
 // evaluate leaves a replica out if it fails for several nodes: of this node's zone, or of
 // several zones. The caller holds mu.
-func (s *Set) evaluate(known *entry, now time.Time) *SharedEjection {
-	if now.Before(known.shared.until) {
+func (s *Set) evaluate(e *entry, now time.Time) *SharedEjection {
+	if now.Before(e.shared.until) {
 		return nil
 	}
-	seen := s.evidenceAbout(known, now)
-	if !seen.warrantsEjection(known.shared.probed(now)) || !s.mayEject(known.info.Pool, now) {
+	seen := s.evidenceAbout(e, now)
+	if !seen.warrantsEjection(e.shared.onProbation(now)) || !s.mayEject(e.info.Pool, now) {
 		return nil
 	}
-	if now.Sub(known.shared.until) > ejectionMemory {
-		known.shared.count = 0
+	if now.Sub(e.shared.until) > ejectionMemory {
+		e.shared.count = 0
 	}
-	length := min(sharedEjectionFirst<<min(known.shared.count, 8), sharedEjectionMax)
-	known.shared = sharedEjection{since: now, until: now.Add(length), count: known.shared.count + 1}
-	known.shared.prober = s.probes(known)
+	length := min(sharedEjectionFirst<<min(e.shared.count, 8), sharedEjectionMax)
+	e.shared = sharedEjection{since: now, until: now.Add(length), count: e.shared.count + 1}
+	e.shared.prober = s.isProber(e)
 	return &SharedEjection{
-		Replica: known.info, Nodes: seen.all.reporters, Failures: seen.all.Failures, Successes: seen.all.Successes,
-		For: length, Prober: known.shared.prober,
+		Replica: e.info, Nodes: seen.all.reporters, Failures: seen.all.Failures, Successes: seen.all.Successes,
+		For: length, Prober: e.shared.prober,
 	}
 }
 
 // warrantsEjection reports whether the evidence is enough to leave the replica out: one
 // failure is, while it is being tried after an ejection.
 func (e *evidence) warrantsEjection(probed bool) bool {
-	if probed && (e.near.mostlyFails() || e.all.mostlyFails()) {
+	if probed && (e.sameZone.mostlyFails() || e.all.mostlyFails()) {
 		return true
 	}
-	return e.near.failsForSeveral() || len(e.zones) > 1 && e.all.failsForSeveral()
+	return e.sameZone.failsForSeveral() || len(e.zones) > 1 && e.all.failsForSeveral()
 }
 
 // mayEject reports whether a pool bears to lose one more replica. The caller holds mu.
 func (s *Set) mayEject(pool string, now time.Time) bool {
 	list := s.pool(pool)
 	excluded := 1
-	for _, known := range list {
-		if known.shared.holds(now) {
+	for _, e := range list {
+		if e.shared.active(now) {
 			excluded++
 		}
 	}
 	return float64(excluded) <= sharedEjectionShare*float64(len(list))
 }
 
-// probes reports whether this node is one of those that try a replica first after its
+// isProber reports whether this node is one of those that try a replica first after its
 // ejection. They are others each time, so that one that is wrong cannot keep it out.
-func (s *Set) probes(known *entry) bool {
-	if len(s.nodes) <= probers {
+func (s *Set) isProber(e *entry) bool {
+	if len(s.nodes) <= proberCount {
 		return true
 	}
-	turn := mix(known.key + uint64(known.shared.count))
+	turn := mix(e.key + uint64(e.shared.count))
 	own := mix(Key(s.self) ^ turn)
 	before := 0
 	for _, node := range s.nodes {
@@ -320,16 +320,16 @@
 			before++
 		}
 	}
-	return before < probers
+	return before < proberCount
 }
 
 // failureShare is the share of failures among the answers that nodes have told of, this one
 // included, since the last ejection. The caller holds mu.
-func (s *Set) failureShare(known *entry, now time.Time) float64 {
-	if len(known.told) == 0 && !known.own.failedSince(known.shared.since, now) {
+func (s *Set) failureShare(e *entry, now time.Time) float64 {
+	if len(e.reports) == 0 && !e.ownTally.failedSince(e.shared.since, now) {
 		return 0
 	}
-	seen := s.evidenceAbout(known, now)
+	seen := s.evidenceAbout(e, now)
 	// One whole answer is presumed, so that a single failure does not weigh as all.
 	return seen.all.Failures / (seen.all.Failures + seen.all.Successes + 1)
 }
--- a/internal/replica/evidence_test.go
+++ b/internal/replica/evidence_test.go
@@ -45,16 +45,16 @@
 	now := time.Now()
 	set := evidenceSet(4)
 	var ejections []SharedEjection
-	set.EjectedByMany = func(ejection SharedEjection) { ejections = append(ejections, ejection) }
-	set.TakeFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 5, 0), now)
+	set.OnSharedEjection = func(ejection SharedEjection) { ejections = append(ejections, ejection) }
+	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 5, 0), now)
 	if out(set, "r00", now) {
 		t.Fatal("one node's word leaves a replica out")
 	}
-	set.TakeFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 6, 0), now)
+	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 6, 0), now)
 	if out(set, "r00", now) {
 		t.Fatal("a node that tells twice counts twice")
 	}
-	set.TakeFailureReports(Reporter{Node: "n2", Zone: "b"}, failureOf("r00", 1, 0), now)
+	set.AddFailureReports(Reporter{Node: "n2", Zone: "b"}, failureOf("r00", 1, 0), now)
 	if !out(set, "r00", now) || out(set, "r01", now) {
 		t.Fatal("two nodes' word does not leave just that replica out")
 	}
@@ -68,8 +68,8 @@
 func TestEvidence_OwnFailureCountsBesideAnotherNodes(t *testing.T) {
 	now := time.Now()
 	set := evidenceSet(4)
-	set.TakeFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 2, 0), now)
-	set.Begin("r00", Ask{}, now).End(Failed, now)
+	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 2, 0), now)
+	set.Begin("r00", RequestInfo{}, now).End(Failed, now)
 	if !out(set, "r00", now) {
 		t.Error("a replica that failed for this node and for another is used")
 	}
@@ -79,7 +79,7 @@
 	now := time.Now()
 	set := evidenceSet(4)
 	for i := 1; i < 6; i++ {
-		set.TakeFailureReports(Reporter{Node: fmt.Sprintf("n%d", i), Zone: "a"}, failureOf("r00", 1, 9), now)
+		set.AddFailureReports(Reporter{Node: fmt.Sprintf("n%d", i), Zone: "a"}, failureOf("r00", 1, 9), now)
 	}
 	if out(set, "r00", now) {
 		t.Error("a replica that spoils one answer of ten is left out by all")
@@ -92,23 +92,23 @@
 	now := time.Now()
 	set, other := evidenceSet(4), evidenceSet(4)
 	for range 3 {
-		other.Begin("r00", Ask{}, now).End(Succeeded, now)
+		other.Begin("r00", RequestInfo{}, now).End(Succeeded, now)
 	}
 	if told := other.FailureReports(now); len(told) != 0 {
 		t.Fatalf("a node tells of a replica that nobody reports: %v", told)
 	}
-	other.TakeFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 1, 0), now)
+	other.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 1, 0), now)
 	told := other.FailureReports(now)
 	if len(told) != 1 || told[0].Failures != 0 || told[0].Successes != 3 {
 		t.Fatalf("a node that was served well tells %v", told)
 	}
-	set.TakeFailureReports(Reporter{Node: "n3", Zone: "a"}, told, now)
-	set.TakeFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 1, 0), now)
-	set.TakeFailureReports(Reporter{Node: "n2", Zone: "b"}, failureOf("r00", 1, 0), now)
+	set.AddFailureReports(Reporter{Node: "n3", Zone: "a"}, told, now)
+	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 1, 0), now)
+	set.AddFailureReports(Reporter{Node: "n2", Zone: "b"}, failureOf("r00", 1, 0), now)
 	if out(set, "r00", now) {
 		t.Error("two failures of five answers leave a replica out")
 	}
-	set.TakeFailureReports(Reporter{Node: "n2", Zone: "b"}, failureOf("r00", 3, 0), now)
+	set.AddFailureReports(Reporter{Node: "n2", Zone: "b"}, failureOf("r00", 3, 0), now)
 	if !out(set, "r00", now) {
 		t.Error("four failures of seven answers do not leave a replica out")
 	}
@@ -125,8 +125,8 @@
 		set := evidenceSet(4)
 		set.Zone = one.zone
 		for i := 1; i < 4; i++ {
-			set.TakeFailureReports(Reporter{Node: fmt.Sprintf("n%d", i), Zone: "a"}, failureOf("r00", 3, 0), now)
-			set.TakeFailureReports(Reporter{Node: fmt.Sprintf("m%d", i), Zone: "b"}, failureOf("r00", 0, 9), now)
+			set.AddFailureReports(Reporter{Node: fmt.Sprintf("n%d", i), Zone: "a"}, failureOf("r00", 3, 0), now)
+			set.AddFailureReports(Reporter{Node: fmt.Sprintf("m%d", i), Zone: "b"}, failureOf("r00", 0, 9), now)
 		}
 		if got := out(set, "r00", now); got != one.want {
 			t.Errorf("zone %s: left out %v, want %v", one.zone, got, one.want)
@@ -137,8 +137,8 @@
 func TestEvidence_ANodeForWhichManyFailTellsNothing(t *testing.T) {
 	now := time.Now()
 	set := evidenceSet(9)
-	fail := func(id string) { set.Begin(id, Ask{}, now).End(Failed, now) }
-	succeed := func(id string) { set.Begin(id, Ask{}, now).End(Succeeded, now) }
+	fail := func(id string) { set.Begin(id, RequestInfo{}, now).End(Failed, now) }
+	succeed := func(id string) { set.Begin(id, RequestInfo{}, now).End(Succeeded, now) }
 	for i := range 9 {
 		succeed(fmt.Sprintf("r%02d", i))
 	}
@@ -163,7 +163,7 @@
 	now := time.Now()
 	set := evidenceSet(12)
 	for i := range 12 {
-		set.Begin(fmt.Sprintf("r%02d", i), Ask{}, now).End(Succeeded, now)
+		set.Begin(fmt.Sprintf("r%02d", i), RequestInfo{}, now).End(Succeeded, now)
 	}
 	// Reports are asked for all the while, which fades the counts.
 	for range 20 {
@@ -171,7 +171,7 @@
 		set.FailureReports(now)
 	}
 	for i := range 3 {
-		set.Begin(fmt.Sprintf("r%02d", i), Ask{}, now).End(Failed, now)
+		set.Begin(fmt.Sprintf("r%02d", i), RequestInfo{}, now).End(Failed, now)
 	}
 	if reports := set.FailureReports(now); reports != nil {
 		t.Errorf("a node for which all that it uses fails tells of %d", len(reports))
@@ -187,8 +187,8 @@
 	for _, node := range nodes {
 		set := evidenceSet(4)
 		set.Divide(node.ID, nodes)
-		set.TakeFailureReports(Reporter{Node: "x1", Zone: "a"}, failureOf("r00", 3, 0), now)
-		set.TakeFailureReports(Reporter{Node: "x2", Zone: "b"}, failureOf("r00", 3, 0), now)
+		set.AddFailureReports(Reporter{Node: "x1", Zone: "a"}, failureOf("r00", 3, 0), now)
+		set.AddFailureReports(Reporter{Node: "x2", Zone: "b"}, failureOf("r00", 3, 0), now)
 		sets = append(sets, set)
 	}
 	excluded := func(at time.Time) int {
@@ -204,14 +204,14 @@
 		t.Fatalf("%d of 10 nodes leave it out", got)
 	}
 	after := now.Add(sharedEjectionFirst + time.Millisecond)
-	if got := excluded(after); got != 10-probers {
-		t.Fatalf("%d of 10 nodes leave it out after the exclusion, want all but %d", got, probers)
+	if got := excluded(after); got != 10-proberCount {
+		t.Fatalf("%d of 10 nodes leave it out after the exclusion, want all but %d", got, proberCount)
 	}
 	if got := excluded(after.Add(probation)); got != 0 {
 		t.Fatalf("%d of 10 nodes leave it out when nobody told of a failure", got)
 	}
 	for _, set := range sets {
-		set.TakeFailureReports(Reporter{Node: "x3", Zone: "a"}, failureOf("r00", 1, 0), after)
+		set.AddFailureReports(Reporter{Node: "x3", Zone: "a"}, failureOf("r00", 1, 0), after)
 	}
 	if got := excluded(after.Add(sharedEjectionFirst + probation)); got != 10 {
 		t.Errorf("%d of 10 nodes leave it out for longer after one failure in its probation", got)
@@ -223,8 +223,8 @@
 	set := evidenceSet(4)
 	for i := range 4 {
 		id := fmt.Sprintf("r%02d", i)
-		set.TakeFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf(id, 3, 0), now)
-		set.TakeFailureReports(Reporter{Node: "n2", Zone: "b"}, failureOf(id, 3, 0), now)
+		set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf(id, 3, 0), now)
+		set.AddFailureReports(Reporter{Node: "n2", Zone: "b"}, failureOf(id, 3, 0), now)
 	}
 	left := 0
 	for _, one := range set.List(now) {
@@ -242,8 +242,8 @@
 	set := evidenceSet(4)
 	for i := 1; i < 5; i++ {
 		node := Reporter{Node: fmt.Sprintf("n%d", i), Zone: fmt.Sprintf("z%d", i)}
-		set.TakeFailureReports(node, []FailureReport{{Replica: Key("r00"), Failures: -1}, {Replica: 7, Failures: 9}, {Replica: Key("r00"), Failures: 9, Age: -1}}, now)
-		set.TakeFailureReports(node, []FailureReport{{Replica: Key("r00"), Failures: 9, Age: evidenceMemory + time.Second}}, now)
+		set.AddFailureReports(node, []FailureReport{{Replica: Key("r00"), Failures: -1}, {Replica: 7, Failures: 9}, {Replica: Key("r00"), Failures: 9, Age: -1}}, now)
+		set.AddFailureReports(node, []FailureReport{{Replica: Key("r00"), Failures: 9, Age: evidenceMemory + time.Second}}, now)
 	}
 	if out(set, "r00", now) {
 		t.Error("words that cannot be, or are old, leave a replica out")
@@ -256,16 +256,16 @@
 	now := time.Now()
 	set := evidenceSet(2)
 	set.Divide("n0", evidenceNodes()[:1])
-	set.TakeFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 3, 0), now)
+	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 3, 0), now)
 	seen := map[string]bool{}
 	for affinity := range uint64(40) {
-		demand := &Demand{Affinity: affinity + 1}
+		demand := &Criteria{Affinity: affinity + 1}
 		chosen, err := Pick(set.SnapshotFor(testPool, demand, now), demand, Weights{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		seen[chosen.ID] = true
-		demand.Single = true
+		demand.NoRetry = true
 		if chosen, err = Pick(set.SnapshotFor(testPool, demand, now), demand, Weights{}); err != nil || chosen.ID != "r01" {
 			t.Fatalf("a request that cannot be sent again goes to %v, %v", chosen, err)
 		}
--- a/internal/replica/exclusion.go
+++ b/internal/replica/exclusion.go
@@ -40,9 +40,9 @@
 	return names[e]
 }
 
-// lasts reports whether the exclusion goes only by a change of what operators declare:
+// persistent reports whether the exclusion goes only by a change of what operators declare:
 // it is of no use to wait for it within a request.
-func (e Exclusion) lasts() bool { return e == Evacuated || e == Elsewhere }
+func (e Exclusion) persistent() bool { return e == Evacuated || e == Elsewhere }
 
 // NoReplicaError reports that no replica can take the request now, and why. It is
 // ErrNoReplica.
@@ -51,8 +51,8 @@
 	Counts [exclusions]int
 	// ColdWait is the least time until a cold replica may get the request.
 	ColdWait time.Duration
-	// Bound says that the request may be served in some regions only.
-	Bound bool
+	// RegionRestricted says that the request may be served in some regions only.
+	RegionRestricted bool
 }
 
 // Error implements error.
@@ -69,7 +69,7 @@
 	switch {
 	case len(reasons) > 0:
 		return strings.Join(reasons, ", ")
-	case e.Bound:
+	case e.RegionRestricted:
 		return "none is listed where the request may be served"
 	default:
 		return "none is listed"
@@ -79,22 +79,22 @@
 // Unwrap makes it ErrNoReplica.
 func (e *NoReplicaError) Unwrap() error { return ErrNoReplica }
 
-// Lasts reports whether waiting is of no use: there are replicas, and all of them are
+// Persistent reports whether waiting is of no use: there are replicas, and all of them are
 // excluded by what operators declare, or none stands where the request may be served.
-func (e *NoReplicaError) Lasts() bool {
+func (e *NoReplicaError) Persistent() bool {
 	lasting := 0
 	for reason, count := range e.Counts {
-		if count > 0 && !Exclusion(reason).lasts() {
+		if count > 0 && !Exclusion(reason).persistent() {
 			return false
 		}
 		lasting += count
 	}
-	return lasting > 0 || e.Bound
+	return lasting > 0 || e.RegionRestricted
 }
 
-// Cold reports whether the request waits for cold replicas alone: without the rate that
+// WaitsForCold reports whether the request waits for cold replicas alone: without the rate that
 // they bear, one of them would take it.
-func (e *NoReplicaError) Cold() bool {
+func (e *NoReplicaError) WaitsForCold() bool {
 	others := e.Counts[Tried] + e.Counts[Ejected] + e.Counts[Occupied]
 	return e.Counts[Cold] > 0 && others == 0
 }
@@ -107,12 +107,12 @@
 	e.Counts[why]++
 }
 
-// excludedByPlace reports what keeps a request from a replica for where it stands.
-func (c *Candidate) excludedByPlace(demand *Demand) Exclusion {
+// placeExclusion reports what keeps a request from a replica for where it stands.
+func (c *Candidate) placeExclusion(criteria *Criteria) Exclusion {
 	switch {
 	case c.Evacuated:
 		return Evacuated
-	case !demand.Regions.Allows(c.Region):
+	case !criteria.Regions.Allows(c.Region):
 		return Elsewhere
 	default:
 		return Usable
@@ -121,22 +121,22 @@
 
 // tried reports whether the replica has failed or refused the request. One that has started
 // again since has not.
-func (c *Candidate) tried(demand *Demand) bool {
-	return len(demand.Exclude) > 0 && (demand.Exclude[c.Incarnation()] || demand.Exclude[c.ID])
+func (c *Candidate) tried(criteria *Criteria) bool {
+	return len(criteria.Exclude) > 0 && (criteria.Exclude[c.Incarnation()] || criteria.Exclude[c.ID])
 }
 
-// excluded reports what keeps a request from a replica for good: trying it as a last
+// hardExclusion reports what keeps a request from a replica for good: trying it as a last
 // resort does not help.
-func (c *Candidate) excluded(demand *Demand) Exclusion {
-	if why := c.excludedByPlace(demand); why != Usable {
+func (c *Candidate) hardExclusion(criteria *Criteria) Exclusion {
+	if why := c.placeExclusion(criteria); why != Usable {
 		return why
 	}
 	switch {
-	case !serves(c, demand):
+	case !serves(c, criteria):
 		return Unsuitable
-	case c.tried(demand):
+	case c.tried(criteria):
 		return Tried
-	case c.Cold.Holds(demand.Batch):
+	case c.Cold.Blocks(criteria.Batch):
 		return Cold
 	default:
 		return Usable
--- a/internal/replica/exclusion_test.go
+++ b/internal/replica/exclusion_test.go
@@ -16,25 +16,25 @@
 	return set
 }
 
-func pickFor(set *Set, demand *Demand) (*Candidate, error) {
+func pickFor(set *Set, demand *Criteria) (*Candidate, error) {
 	return Pick(set.SnapshotFor(testPool, demand, time.Now()), demand, Weights{})
 }
 
 func TestPick_LeavesEvacuatedZonesOut(t *testing.T) {
 	set := placed()
-	set.Evacuate(map[string]bool{"n1": true})
+	set.SetEvacuated(map[string]bool{"n1": true})
 	for range 20 {
-		if chosen, err := pickFor(set, &Demand{}); err != nil || chosen.ID != "south" {
+		if chosen, err := pickFor(set, &Criteria{}); err != nil || chosen.ID != "south" {
 			t.Fatalf("chose %v, %v", chosen, err)
 		}
 	}
-	set.Evacuate(map[string]bool{"n1": true, "s1": true})
-	_, err := pickFor(set, &Demand{})
-	if none := (*NoReplicaError)(nil); !errors.As(err, &none) || !none.Lasts() || none.Counts[Evacuated] != 2 {
+	set.SetEvacuated(map[string]bool{"n1": true, "s1": true})
+	_, err := pickFor(set, &Criteria{})
+	if none := (*NoReplicaError)(nil); !errors.As(err, &none) || !none.Persistent() || none.Counts[Evacuated] != 2 {
 		t.Errorf("all zones evacuated: %v", err)
 	}
-	set.Evacuate(nil)
-	if _, err := pickFor(set, &Demand{}); err != nil {
+	set.SetEvacuated(nil)
+	if _, err := pickFor(set, &Criteria{}); err != nil {
 		t.Errorf("after the evacuations: %v", err)
 	}
 }
@@ -42,24 +42,24 @@
 func TestPick_KeepsToTheRegionsOfARequest(t *testing.T) {
 	set := placed()
 	for range 20 {
-		if chosen, err := pickFor(set, &Demand{Regions: place.Regions{"s"}}); err != nil || chosen.ID != "south" {
+		if chosen, err := pickFor(set, &Criteria{Regions: place.Regions{"s"}}); err != nil || chosen.ID != "south" {
 			t.Fatalf("chose %v, %v", chosen, err)
 		}
 	}
-	_, err := pickFor(set, &Demand{Regions: place.Regions{}})
-	if none := (*NoReplicaError)(nil); !errors.As(err, &none) || !none.Lasts() || none.Counts[Elsewhere] != 2 {
+	_, err := pickFor(set, &Criteria{Regions: place.Regions{}})
+	if none := (*NoReplicaError)(nil); !errors.As(err, &none) || !none.Persistent() || none.Counts[Elsewhere] != 2 {
 		t.Errorf("no region allowed: %v", err)
 	}
 }
 
 func TestPick_NoReplicaThatMayComeBackDoesNotLast(t *testing.T) {
 	set := placed()
-	_, err := pickFor(set, &Demand{Regions: place.Regions{"s"}, Exclude: map[string]bool{"south": true}})
-	if none := (*NoReplicaError)(nil); !errors.As(err, &none) || none.Lasts() {
+	_, err := pickFor(set, &Criteria{Regions: place.Regions{"s"}, Exclude: map[string]bool{"south": true}})
+	if none := (*NoReplicaError)(nil); !errors.As(err, &none) || none.Persistent() {
 		t.Errorf("a replica that refused once lasts: %v", err)
 	}
-	_, err = Pick(nil, &Demand{}, Weights{})
-	if none := (*NoReplicaError)(nil); !errors.As(err, &none) || none.Lasts() || !errors.Is(err, ErrNoReplica) {
+	_, err = Pick(nil, &Criteria{}, Weights{})
+	if none := (*NoReplicaError)(nil); !errors.As(err, &none) || none.Persistent() || !errors.Is(err, ErrNoReplica) {
 		t.Errorf("an empty list lasts: %v", err)
 	}
 }
@@ -67,7 +67,7 @@
 func TestDivide_EvacuatedSlotsAreNobodys(t *testing.T) {
 	set := placed()
 	set.Divide("a", nowhere("a"))
-	set.Evacuate(map[string]bool{"n1": true})
+	set.SetEvacuated(map[string]bool{"n1": true})
 	for _, one := range set.List(time.Now()) {
 		if want := map[string]int{"north": 0, "south": 4}[one.ID]; one.Share != want {
 			t.Errorf("%s: share %d, want %d", one.ID, one.Share, want)
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -21,24 +21,24 @@
 func TestSet_ItemsLeaveSlotsThatOtherNodesNeed(t *testing.T) {
 	set, now := newHalf(), time.Unix(1000, 0)
 	for range 4 {
-		set.Begin("r", Ask{Batch: true}, now)
+		set.Begin("r", RequestInfo{Batch: true}, now)
 	}
-	excess := func() int { return set.Needs(now)[0].Excess }
+	excess := func() int { return set.UpdateDemand(now)[0].Excess }
 	if excess := excess(); excess > 0 {
 		t.Fatalf("%d items in excess though nobody needs their slots", excess)
 	}
 	for range 3 {
 		excess()
-		set.Told(testPool, 16, 4, now)
+		set.RecordDemand(testPool, 16, 4, now)
 		now = now.Add(100 * time.Millisecond)
 	}
 	if excess := excess(); excess != 4 {
 		t.Fatalf("%d items in excess, want all 4: the fleet needs every slot", excess)
 	}
-	if room := set.ItemRoom(testPool, now); room > 0 {
+	if room := set.FreeItemSlots(testPool, now); room > 0 {
 		t.Fatalf("room for %d items", room)
 	}
-	now = now.Add(2 * fleetStale)
+	now = now.Add(2 * fleetMaxAge)
 	if excess := excess(); excess > 0 {
 		t.Fatalf("%d items in excess by words that are old", excess)
 	}
@@ -46,9 +46,9 @@
 
 func TestSet_WhatIsToldIsNotTakenBlindly(t *testing.T) {
 	set, now := newHalf(), time.Unix(1000, 0)
-	set.Told("unknown", 8, 4, now)
-	set.Told(testPool, -1, 4, now)
-	set.Told(testPool, 8, 0, now)
+	set.RecordDemand("unknown", 8, 4, now)
+	set.RecordDemand(testPool, -1, 4, now)
+	set.RecordDemand(testPool, 8, 0, now)
 	if len(set.fleet) != 0 {
 		t.Fatalf("taken in: %v", set.fleet)
 	}
@@ -59,15 +59,15 @@
 func TestSet_ItemsLeaveSlotsThatGuestsNeed(t *testing.T) {
 	set, now := newHalf(), time.Unix(1000, 0)
 	for range 4 {
-		set.Begin("r", Ask{Batch: true}, now)
+		set.Begin("r", RequestInfo{Batch: true}, now)
 	}
 	for range 3 {
-		set.Needs(now)
-		set.Told(testPool, 0, 4, now)
-		set.Told(testPool, 8, 0, now)
+		set.UpdateDemand(now)
+		set.RecordDemand(testPool, 0, 4, now)
+		set.RecordDemand(testPool, 8, 0, now)
 		now = now.Add(100 * time.Millisecond)
 	}
-	if excess := set.Needs(now)[0].Excess; excess < 3 {
+	if excess := set.UpdateDemand(now)[0].Excess; excess < 3 {
 		t.Fatalf("%d of 4 items in excess though guests need all 8 slots", excess)
 	}
 }
@@ -78,10 +78,10 @@
 	set.Put(Info{ID: "away", Pool: testPool, Zone: "s", Region: "south", Slots: 8})
 	set.Divide("a", []place.Node{{ID: "a", Place: place.Place{Zone: "n", Region: "north"}}})
 	for _, id := range []string{"home", "away", "away"} {
-		set.Begin(id, Ask{}, now)
+		set.Begin(id, RequestInfo{}, now)
 	}
-	set.Begin("away", Ask{Batch: true}, now)
-	if away := set.Needs(now)[0].Away; len(away) != 1 || away["south"] != 2 {
+	set.Begin("away", RequestInfo{Batch: true}, now)
+	if away := set.UpdateDemand(now)[0].Away; len(away) != 1 || away["south"] != 2 {
 		t.Fatalf("away are %v, want 2 in the south", away)
 	}
 }
--- a/internal/replica/health.go
+++ b/internal/replica/health.go
@@ -12,8 +12,8 @@
 	failureWeight = 0.15
 	// failureShareToEject ejects replicas that fail now and then, all the time.
 	failureShareToEject = 0.3
-	// failureMinAnswers is the number of answers before the share is judged.
-	failureMinAnswers = 8
+	// minAnswers is the number of answers before the share is judged.
+	minAnswers = 8
 )
 
 // Result tells how a request ended at a replica, as far as it concerns the
@@ -35,11 +35,11 @@
 
 // health is a node's own evidence about a replica. The set's lock guards it.
 type health struct {
-	failures  int
-	answers   int
-	share     float64
-	ejections int
-	until     time.Time
+	consecutiveFailures int
+	answers             int
+	failureShare        float64
+	ejections           int
+	ejectedUntil        time.Time
 }
 
 // observe takes in how a request ended. It reports whether that ejected the replica.
@@ -47,39 +47,39 @@
 	switch result {
 	case Succeeded:
 		h.answers++
-		h.failures = 0
-		h.share -= failureWeight * h.share
-		if h.share < failureShareToEject/2 {
+		h.consecutiveFailures = 0
+		h.failureShare -= failureWeight * h.failureShare
+		if h.failureShare < failureShareToEject/2 {
 			h.ejections = 0
 		}
 		return false
 	case Failed, Unreachable:
 		h.answers++
-		h.failures++
-		h.share += failureWeight * (1 - h.share)
+		h.consecutiveFailures++
+		h.failureShare += failureWeight * (1 - h.failureShare)
 	default:
 		return false
 	}
-	flaky := h.answers >= failureMinAnswers && h.share >= failureShareToEject
-	if result == Unreachable || h.failures >= failuresToEject || flaky {
+	flaky := h.answers >= minAnswers && h.failureShare >= failureShareToEject
+	if result == Unreachable || h.consecutiveFailures >= failuresToEject || flaky {
 		return h.eject(now)
 	}
 	return false
 }
 
 func (h *health) eject(now time.Time) bool {
-	if now.Before(h.until) {
+	if now.Before(h.ejectedUntil) {
 		return false
 	}
 	length := min(ejectionFirst<<min(h.ejections, 8), ejectionMax)
 	h.ejections++
-	h.until = now.Add(length)
+	h.ejectedUntil = now.Add(length)
 	return true
 }
 
 // ejected reports whether the replica is left out now. When the time is over
 // the next request is the probe: one more failure ejects for longer.
-func (h *health) ejected(now time.Time) bool { return now.Before(h.until) }
+func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
 // String returns the name used in logs.
 func (r Result) String() string {
--- a/internal/replica/lend.go
+++ b/internal/replica/lend.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// leastOfZone is the part, in percent, of the mean number of slots of a region's
+	// minZonePercent is the part, in percent, of the mean number of slots of a region's
 	// nodes that those of each of its zones have at least: another zone costs 1 ms.
-	leastOfZone = 100
-	// leastOfRegion is the same for the regions of a fleet. Another region costs some
+	minZonePercent = 100
+	// minRegionPercent is the same for the regions of a fleet. Another region costs some
 	// 40 ms for each request, so its slots are given only to nodes that would otherwise
 	// have too few for their part of the items, which all nodes get alike; requests
 	// reach the rest by reservation.
-	leastOfRegion = 50
-	percent       = 100
+	minRegionPercent = 50
+	percent          = 100
 )
 
 // grouping names the group that a place belongs to.
@@ -33,40 +33,40 @@
 }
 
 // groups sums up replicas by group.
-func groups(replicas []Slots, by grouping) map[place.Place]*group {
+func groups(replicas []ReplicaSlots, by grouping) map[place.Place]*group {
 	all := map[place.Place]*group{}
 	for i, one := range replicas {
-		known := groupAt(all, by(one.Place))
-		known.slots += one.Count
-		known.replicas = append(known.replicas, i)
+		g := groupAt(all, by(one.Place))
+		g.slots += one.Count
+		g.replicas = append(g.replicas, i)
 	}
 	return all
 }
 
 func groupAt(all map[place.Place]*group, at place.Place) *group {
-	known := all[at]
-	if known == nil {
-		known = &group{}
-		all[at] = known
+	g := all[at]
+	if g == nil {
+		g = &group{}
+		all[at] = g
 	}
-	return known
+	return g
 }
 
-// lend returns how many slots of each replica go to nodes of other groups than its own.
-// A group without nodes lends all. Groups whose nodes have more than the mean lend what
+// lendSlots returns how many slots of each replica go to nodes of other groups than its own.
+// A group without nodes lends all. Groups whose nodes have more than the mean lendSlots what
 // others lack to the least part of it, in percent, in proportion to what they have beyond the mean.
 // It counts in integers, for all nodes must come to the same.
-func lend(nodes []place.Node, replicas []Slots, by grouping, least int) []int {
+func lendSlots(nodes []place.Node, replicas []ReplicaSlots, by grouping, minPercent int) []int {
 	lent := make([]int, len(replicas))
 	all := groups(replicas, by)
 	for _, node := range nodes {
 		groupAt(all, by(node.Place)).nodes++
 	}
 	fleet := sumOf(all)
-	missing, beyond := 0, 0
+	missing, surplus := 0, 0
 	for _, one := range all {
-		missing += max(0, fleet.part(one, least)-one.slots)
-		beyond += fleet.beyond(one)
+		missing += max(0, fleet.meanShare(one, minPercent)-one.slots)
+		surplus += fleet.surplus(one)
 		if one.nodes == 0 {
 			missing -= one.slots
 		}
@@ -76,10 +76,10 @@
 		switch {
 		case one.nodes == 0:
 			count = one.slots
-		case missing > 0 && beyond > 0:
-			count = min(missing*fleet.beyond(one)/beyond, fleet.beyond(one))
+		case missing > 0 && surplus > 0:
+			count = min(missing*fleet.surplus(one)/surplus, fleet.surplus(one))
 		}
-		one.take(count, replicas, lent)
+		one.distribute(count, replicas, lent)
 	}
 	return lent
 }
@@ -93,26 +93,26 @@
 	return sum
 }
 
-// part is a part, in percent, of the slots that a group's nodes have at the mean.
-func (g group) part(one *group, least int) int {
+// meanShare is a meanShare, in percent, of the slots that a group's nodes have at the mean.
+func (g group) meanShare(one *group, percentage int) int {
 	if g.nodes == 0 {
 		return 0
 	}
-	return g.slots * one.nodes * least / (g.nodes * percent)
+	return g.slots * one.nodes * percentage / (g.nodes * percent)
 }
 
-// beyond is what a group with nodes has beyond the mean.
-func (g group) beyond(one *group) int {
+// surplus is what a group with nodes has surplus the mean.
+func (g group) surplus(one *group) int {
 	if one.nodes == 0 {
 		return 0
 	}
-	return max(0, one.slots-g.part(one, percent))
+	return max(0, one.slots-g.meanShare(one, percent))
 }
 
-// take takes slots from the group's replicas in proportion to what they have. What is
+// distribute takes slots from the group's replicas in proportion to what they have. What is
 // left by rounding is taken in the order of hashes, so that a change of the count by
 // one changes one replica.
-func (g *group) take(count int, replicas []Slots, taken []int) {
+func (g *group) distribute(count int, replicas []ReplicaSlots, taken []int) {
 	if count == 0 || g.slots == 0 {
 		return
 	}
@@ -131,8 +131,8 @@
 	}
 }
 
-// less returns replicas without some of their slots.
-func less(replicas []Slots, counts []int) []Slots {
+// subtract returns replicas without some of their slots.
+func subtract(replicas []ReplicaSlots, counts []int) []ReplicaSlots {
 	left := slices.Clone(replicas)
 	for i := range left {
 		left[i].Count -= counts[i]
@@ -141,7 +141,7 @@
 }
 
 // withCounts returns replicas with other numbers of slots.
-func withCounts(replicas []Slots, counts []int) []Slots {
+func withCounts(replicas []ReplicaSlots, counts []int) []ReplicaSlots {
 	others := slices.Clone(replicas)
 	for i := range others {
 		others[i].Count = counts[i]
--- a/internal/replica/lend_test.go
+++ b/internal/replica/lend_test.go
@@ -20,10 +20,10 @@
 }
 
 // placedReplicas returns replicas of a region, in two zones by turns.
-func placedReplicas(region string, count, slots int) []Slots {
-	var replicas []Slots
+func placedReplicas(region string, count, slots int) []ReplicaSlots {
+	var replicas []ReplicaSlots
 	for i := range count {
-		replicas = append(replicas, Slots{Key: Key(fmt.Sprintf("r-%s-%d", region, i)), Count: slots, Place: twoZones(region, i)})
+		replicas = append(replicas, ReplicaSlots{Key: Key(fmt.Sprintf("r-%s-%d", region, i)), Count: slots, Place: twoZones(region, i)})
 	}
 	return replicas
 }
@@ -33,7 +33,7 @@
 }
 
 // sharesOf returns the shares of all nodes.
-func sharesOf(nodes []place.Node, replicas []Slots) map[string][]int {
+func sharesOf(nodes []place.Node, replicas []ReplicaSlots) map[string][]int {
 	all := map[string][]int{}
 	for _, node := range nodes {
 		all[node.ID] = Shares(node.ID, nodes, replicas)
@@ -50,7 +50,7 @@
 }
 
 // away counts a node's slots in other regions.
-func away(node place.Node, replicas []Slots, shares []int) int {
+func away(node place.Node, replicas []ReplicaSlots, shares []int) int {
 	sum := 0
 	for i, one := range replicas {
 		if one.Place.Region != node.Region {
@@ -66,7 +66,7 @@
 func TestShares_EachSlotIsOneNodesWhereverItIs(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var nodes []place.Node
-		var replicas []Slots
+		var replicas []ReplicaSlots
 		for _, region := range []string{"", "north", "south", "west"} {
 			nodes = append(nodes, placedNodes(region, rapid.IntRange(0, 12).Draw(rt, "nodes of "+region))...)
 			replicas = append(replicas, placedReplicas(region, rapid.IntRange(0, 12).Draw(rt, "replicas of "+region), rapid.IntRange(1, 12).Draw(rt, "slots"))...)
@@ -78,7 +78,7 @@
 		for _, one := range replicas {
 			slots += one.Count
 		}
-		least := slots * leastOfRegion / (percent * len(nodes))
+		least := slots * minRegionPercent / (percent * len(nodes))
 		for id, shares := range sharesOf(nodes, replicas) {
 			for i, share := range shares {
 				dealt[i] += share
@@ -149,10 +149,10 @@
 // of node and replica that are new, for each of them costs a connection.
 func TestShares_AChangeMovesFewSlots(t *testing.T) {
 	nodes, replicas := threeRegions(87, 60)
-	poor := slices.DeleteFunc(slices.Clone(replicas), func(one Slots) bool { return one.Place.Region == "south" })
+	poor := slices.DeleteFunc(slices.Clone(replicas), func(one ReplicaSlots) bool { return one.Place.Region == "south" })
 	for _, one := range []struct {
 		name          string
-		before, after []Slots
+		before, after []ReplicaSlots
 		gone, most    int
 	}{
 		{name: "a node goes", before: replicas, after: replicas, gone: 40, most: 40},
@@ -180,7 +180,7 @@
 }
 
 // threeRegions returns nodes and replicas of three regions with two zones each.
-func threeRegions(nodes, replicas int) (all []place.Node, slots []Slots) {
+func threeRegions(nodes, replicas int) (all []place.Node, slots []ReplicaSlots) {
 	for _, region := range []string{"east", "north", "south"} {
 		all = append(all, placedNodes(region, nodes/3)...)
 		slots = append(slots, placedReplicas(region, replicas/3, 8)...)
--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -15,16 +15,16 @@
 	ErrNoReplica = errors.New("no replica can take the request now")
 )
 
-// Demand is what a request asks of a replica.
-type Demand struct {
+// Criteria is what a request asks of a replica.
+type Criteria struct {
 	// Zone and Region are where this node is.
 	Zone   string
 	Region string
-	Ask
+	RequestInfo
 	// Affinity spreads prompts that share a prefix; 0 if there is none.
 	Affinity uint64
-	// Shared is the length of that prefix.
-	Shared int
+	// SharedTokens is the length of that prefix.
+	SharedTokens int
 	// home is the replica that is believed to keep the prefix; Pick sets it.
 	home uint64
 	// Reserve is the share of the slots, those of the fastest replicas, that items
@@ -38,10 +38,10 @@
 	// Exclude are the replicas that have failed or refused this request: an Incarnation
 	// for one start, an ID for all starts.
 	Exclude map[string]bool
-	// Single requests cannot be sent again once they may have run.
-	Single bool
-	// Unheard has a replica asked for a slot first that this node has not heard from lately.
-	Unheard bool
+	// NoRetry requests cannot be sent again once they may have run.
+	NoRetry bool
+	// PreferStale has a replica asked for a slot first that this node has not heard from lately.
+	PreferStale bool
 	// Regions are where the request may be served.
 	Regions place.Regions
 }
@@ -67,7 +67,7 @@
 }
 
 // Distance is how far a candidate is from the node that a request came to.
-func (d *Demand) Distance(candidate *Candidate) place.Distance {
+func (d *Criteria) Distance(candidate *Candidate) place.Distance {
 	return place.Place{Zone: d.Zone, Region: d.Region}.To(candidate.place())
 }
 
@@ -75,8 +75,8 @@
 	// readingRate is the assumed rate of reading prompts, in tokens a second, of
 	// replicas that do not tell theirs.
 	readingRate = 50000.0
-	// busyCost is the cost of each request that runs beside, for it slows the steps.
-	busyCost = 4 * time.Millisecond
+	// concurrencyCost is the cost of each request that runs beside, for it slows the steps.
+	concurrencyCost = 4 * time.Millisecond
 	// connectCost is the cost of asking a replica for a slot that this node has not
 	// heard from lately: a new connection takes 2 to 5 ms, and one that nothing is known
 	// of is likely as busy as others.
@@ -86,44 +86,44 @@
 	// less than connectCost, so that a full replica is asked after one that this node has not
 	// heard from, however few slots the full one has: nothing would ever be heard of the other.
 	refusalCost = connectCost
-	// swapCost is the cost of an item that gives way.
-	swapCost = 10 * time.Millisecond
+	// preemptionCost is the cost of an item that gives way.
+	preemptionCost = 10 * time.Millisecond
 )
 
 // Pick returns the candidate with the least predicted time to the first event.
 // Filters come first, the score decides, and the order of the ids, turned by
 // the affinity, breaks ties.
-func Pick(candidates []Candidate, demand *Demand, weights Weights) (*Candidate, error) {
-	demand.home = homeOf(candidates, demand)
-	open := candidates
-	if demand.Batch && demand.Reserve > 0 {
-		open = unreserved(candidates, demand.Reserve)
+func Pick(candidates []Candidate, criteria *Criteria, weights Weights) (*Candidate, error) {
+	criteria.home = affinityHome(candidates, criteria)
+	eligible := candidates
+	if criteria.Batch && criteria.Reserve > 0 {
+		eligible = unreserved(candidates, criteria.Reserve)
 	}
-	best := pickLeast(open, demand, weights, sound, Predict)
-	if best == nil && !demand.Batch {
-		best = pickLeast(open, demand, weights, lastResort, Predict)
+	best := pickLowest(eligible, criteria, weights, available, Predict)
+	if best == nil && !criteria.Batch {
+		best = pickLowest(eligible, criteria, weights, lastResort, Predict)
 	}
 	if best == nil {
-		return nil, noReplica(candidates, demand)
+		return nil, noReplicaError(candidates, criteria)
 	}
 	return best, nil
 }
 
-// noReplica tells what keeps a request from each of the candidates.
-func noReplica(candidates []Candidate, demand *Demand) error {
-	failed := &NoReplicaError{Bound: demand.Regions != nil}
+// noReplicaError tells what keeps a request from each of the candidates.
+func noReplicaError(candidates []Candidate, criteria *Criteria) error {
+	failure := &NoReplicaError{RegionRestricted: criteria.Regions != nil}
 	for i := range candidates {
-		why := candidates[i].excluded(demand)
+		why := candidates[i].hardExclusion(criteria)
 		if why == Usable {
-			why = candidates[i].unsound(demand)
+			why = candidates[i].softExclusion(criteria)
 		}
 		if why == Usable {
 			// Its slots are left to online requests.
 			why = Occupied
 		}
-		failed.count(&candidates[i], why)
+		failure.count(&candidates[i], why)
 	}
-	return failed
+	return failure
 }
 
 // unreserved returns the candidates without the fastest ones that hold a share
@@ -141,62 +141,64 @@
 	for i := range ordered {
 		total += ordered[i].Slots
 	}
-	open := (1 - share) * float64(total)
+	remaining := (1 - share) * float64(total)
 	for i := range ordered {
-		open -= float64(ordered[i].Slots)
-		if open < 0 {
+		remaining -= float64(ordered[i].Slots)
+		if remaining < 0 {
 			return ordered[:i]
 		}
 	}
 	return ordered
 }
 
-type filter func(*Candidate, *Demand) bool
+type filter func(*Candidate, *Criteria) bool
 
 // serves reports whether a replica serves what is asked for at all.
-func serves(candidate *Candidate, demand *Demand) bool {
+func serves(candidate *Candidate, criteria *Criteria) bool {
 	switch {
-	case demand.Batch && candidate.NoBatch, !demand.Batch && candidate.NoOnline:
+	case criteria.Batch && candidate.NoBatch, !criteria.Batch && candidate.NoOnline:
 		return false
-	case demand.Version != "" && candidate.Version != "" && candidate.Version != demand.Version:
+	case criteria.Version != "" && candidate.Version != "" && candidate.Version != criteria.Version:
 		return false
 	default:
-		return demand.Adapter == "" || slices.Contains(candidate.Adapters, demand.Adapter)
+		return criteria.Adapter == "" || slices.Contains(candidate.Adapters, criteria.Adapter)
 	}
 }
 
-// unsound reports what speaks against a replica for now.
-func (c *Candidate) unsound(demand *Demand) Exclusion {
+// softExclusion reports what speaks against a replica for now.
+func (c *Candidate) softExclusion(criteria *Criteria) Exclusion {
 	switch {
 	case c.Ejected:
 		return Ejected
-	case demand.Borrowed && c.Open >= c.Slots:
+	case criteria.Borrowed && c.Open >= c.Slots:
 		return Occupied
-	case demand.Batch && !demand.Borrowed && (c.Open >= c.Share || c.Free() < 1):
+	case criteria.Batch && !criteria.Borrowed && (c.Open >= c.Share || c.Free() < 1):
 		return Occupied
 	default:
 		return Usable
 	}
 }
 
-func sound(candidate *Candidate, demand *Demand) bool { return candidate.unsound(demand) == Usable }
+func available(candidate *Candidate, criteria *Criteria) bool {
+	return candidate.softExclusion(criteria) == Usable
+}
 
 // lastResort takes ejected replicas rather than none.
-func lastResort(*Candidate, *Demand) bool { return true }
+func lastResort(*Candidate, *Criteria) bool { return true }
 
 // predictor estimates the time to the first event at a candidate.
-type predictor func(*Candidate, *Demand, Weights) time.Duration
+type predictor func(*Candidate, *Criteria, Weights) time.Duration
 
-func pickLeast(candidates []Candidate, demand *Demand, weights Weights, passes filter, predict predictor) *Candidate {
+func pickLowest(candidates []Candidate, criteria *Criteria, weights Weights, passes filter, predict predictor) *Candidate {
 	var best *Candidate
 	bestScore := math.Inf(1)
 	for i := range candidates {
 		candidate := &candidates[i]
-		if candidate.excluded(demand) != Usable || !passes(candidate, demand) {
+		if candidate.hardExclusion(criteria) != Usable || !passes(candidate, criteria) {
 			continue
 		}
-		score := predict(candidate, demand, weights).Seconds()
-		score += float64(mix(candidate.Key^demand.Affinity)>>40) * 1e-12
+		score := predict(candidate, criteria, weights).Seconds()
+		score += float64(mix(candidate.Key^criteria.Affinity)>>40) * 1e-12
 		if score < bestScore {
 			best, bestScore = candidate, score
 		}
@@ -204,35 +206,35 @@
 	return best
 }
 
-// homeOf returns the key of the replica where prompts with the same prefix meet
+// affinityHome returns the key of the replica where prompts with the same prefix meet
 // (rendezvous hashing, Thaler and Ravishankar, 1998), so that it stays cached there.
 // Each region has its own: the way to another costs more than reading the prefix.
-func homeOf(candidates []Candidate, demand *Demand) uint64 {
+func affinityHome(candidates []Candidate, criteria *Criteria) uint64 {
 	var home, best uint64
-	if demand.Affinity == 0 {
+	if criteria.Affinity == 0 {
 		return 0
 	}
-	near := false
+	foundSameRegion := false
 	for i := range candidates {
 		candidate := &candidates[i]
-		if candidate.Ejected || candidate.excludedByPlace(demand) != Usable || !serves(candidate, demand) {
+		if candidate.Ejected || candidate.placeExclusion(criteria) != Usable || !serves(candidate, criteria) {
 			continue
 		}
-		own := demand.Distance(candidate) != place.OtherRegion
-		weight := mix(candidate.Key ^ demand.Affinity)
-		if home == 0 || own && !near || own == near && weight > best {
-			home, best, near = candidate.Key, weight, own
+		sameRegion := criteria.Distance(candidate) != place.OtherRegion
+		weight := mix(candidate.Key ^ criteria.Affinity)
+		if home == 0 || sameRegion && !foundSameRegion || sameRegion == foundSameRegion && weight > best {
+			home, best, foundSameRegion = candidate.Key, weight, sameRegion
 		}
 	}
 	return home
 }
 
-// uncached counts the tokens of a prompt that the replica is not believed to keep.
-func uncached(candidate *Candidate, demand *Demand) int {
-	if candidate.Key == demand.home {
-		return demand.Tokens - demand.Shared
+// uncachedTokens counts the tokens of a prompt that the replica is not believed to keep.
+func uncachedTokens(candidate *Candidate, criteria *Criteria) int {
+	if candidate.Key == criteria.home {
+		return criteria.Tokens - criteria.SharedTokens
 	}
-	return demand.Tokens
+	return criteria.Tokens
 }
 
 // readingTime is how long the replica takes to read so many tokens.
@@ -247,22 +249,22 @@
 // PickUnqueued returns the candidate with the least predicted time to the first
 // event if a slot is free there: the one to ask for a slot. It looks at those of other
 // regions if away is set, and at the others otherwise.
-func PickUnqueued(candidates []Candidate, demand *Demand, weights Weights, away bool) (*Candidate, error) {
-	demand.home = homeOf(candidates, demand)
-	passes := func(candidate *Candidate, demand *Demand) bool {
-		return (demand.Distance(candidate) == place.OtherRegion) == away && sound(candidate, demand)
+func PickUnqueued(candidates []Candidate, criteria *Criteria, weights Weights, otherRegions bool) (*Candidate, error) {
+	criteria.home = affinityHome(candidates, criteria)
+	passes := func(candidate *Candidate, criteria *Criteria) bool {
+		return (criteria.Distance(candidate) == place.OtherRegion) == otherRegions && available(candidate, criteria)
 	}
-	best := pickLeast(candidates, demand, weights, passes, predictAsked)
+	best := pickLowest(candidates, criteria, weights, passes, predictReservation)
 	if best == nil {
-		return nil, noReplica(candidates, demand)
+		return nil, noReplicaError(candidates, criteria)
 	}
 	return best, nil
 }
 
-// predictAsked estimates the time to the first event where a slot is asked for.
-func predictAsked(candidate *Candidate, demand *Demand, weights Weights) time.Duration {
-	total := predictUnqueued(candidate, demand, weights)
-	if candidate.Fresh == demand.Unheard {
+// predictReservation estimates the time to the first event where a slot is asked for.
+func predictReservation(candidate *Candidate, criteria *Criteria, weights Weights) time.Duration {
+	total := predictUnqueued(candidate, criteria, weights)
+	if candidate.Fresh == criteria.PreferStale {
 		total += connectCost
 	}
 	if candidate.Free() < 1 {
@@ -272,33 +274,35 @@
 }
 
 // predictUnqueued estimates the time to the first event where a slot is free.
-func predictUnqueued(candidate *Candidate, demand *Demand, weights Weights) time.Duration {
-	total := candidate.readingTime(candidate.PendingTokens+uncached(candidate, demand)) +
-		time.Duration(candidate.Busy()*float64(busyCost)) + weights.Cost(demand.Distance(candidate))
-	if demand.Single {
-		total += time.Duration(candidate.Failing * float64(failingCost))
+func predictUnqueued(candidate *Candidate, criteria *Criteria, weights Weights) time.Duration {
+	total := candidate.readingTime(candidate.PendingTokens+uncachedTokens(candidate, criteria)) +
+		time.Duration(candidate.Busy()*float64(concurrencyCost)) + weights.Cost(criteria.Distance(candidate))
+	if criteria.NoRetry {
+		total += time.Duration(candidate.FailureShare * float64(failingCost))
 	}
 	return total
 }
 
 // Predict estimates the time to the first event at a candidate.
-func Predict(candidate *Candidate, demand *Demand, weights Weights) time.Duration {
-	total := predictUnqueued(candidate, demand, weights)
-	if wait := candidate.waitForSlot(); candidate.swaps(demand.Ask) {
-		total += min(wait, swapCost)
+func Predict(candidate *Candidate, criteria *Criteria, weights Weights) time.Duration {
+	total := predictUnqueued(candidate, criteria, weights)
+	if wait := candidate.waitForSlot(); candidate.preempts(criteria.RequestInfo) {
+		total += min(wait, preemptionCost)
 	} else {
 		total += wait
 	}
 	return total
 }
 
-// crowded is the part of all slots that online requests need from which on a slot of
+// crowdedUsage is the part of all slots that online requests need from which on a slot of
 // this node may well be taken by another's: those who find none of their own free ask
 // for any.
-const crowded = 0.7
+const crowdedUsage = 0.7
 
-// Spare reports whether one of this node's slots there is surely free.
-func (c *Candidate) Spare() bool { return c.Open < c.Share && c.Waiting < 1 && c.Fleet < crowded }
+// HasSpareSlot reports whether one of this node's slots there is surely free.
+func (c *Candidate) HasSpareSlot() bool {
+	return c.Open < c.Share && c.Waiting < 1 && c.FleetUsage < crowdedUsage
+}
 
 // waitForSlot estimates the wait for a slot. Where this node has none to spare,
 // the others are taken to use theirs.
@@ -310,22 +314,22 @@
 	return time.Duration(waiting * float64(c.SlotTime))
 }
 
-// Expected is the time to the first event of a request there, by what is learned.
-func (c *Candidate) Expected(ask Ask) time.Duration {
+// ExpectedFirstEvent is the time to the first event of a request there, by what is learned.
+func (c *Candidate) ExpectedFirstEvent(req RequestInfo) time.Duration {
 	switch {
-	case ask.Reserved:
-		return c.First
-	case c.swaps(ask):
-		return c.First + swapCost
+	case req.Reserved:
+		return c.FirstEvent
+	case c.preempts(req):
+		return c.FirstEvent + preemptionCost
 	default:
-		return c.First + c.waitForSlot()
+		return c.FirstEvent + c.waitForSlot()
 	}
 }
 
-// swaps reports whether an item of this node gives way there to a request that
+// preempts reports whether an item of this node gives way there to a request that
 // would wait there for longer than it has time.
-func (c *Candidate) swaps(ask Ask) bool {
-	return c.Batch > 0 && c.waitForSlot() > ask.patience(c.First, c.PatienceShare)
+func (c *Candidate) preempts(req RequestInfo) bool {
+	return c.Batch > 0 && c.waitForSlot() > req.patience(c.FirstEvent, c.PatienceShare)
 }
 
 // mix spreads a hash (the finalizer of SplitMix64).
--- a/internal/replica/regions.go
+++ b/internal/replica/regions.go
@@ -6,9 +6,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	slots := map[string]int{}
-	for _, known := range s.pool(pool) {
-		if !known.info.Leaving && !s.evacuated[known.info.Zone] {
-			slots[known.info.Region] += known.info.Slots
+	for _, e := range s.pool(pool) {
+		if !e.info.Leaving && !s.evacuated[e.info.Zone] {
+			slots[e.info.Region] += e.info.Slots
 		}
 	}
 	return slots
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -15,13 +15,13 @@
 type Info struct {
 	// ID names the replica. It may start again under the same one.
 	ID string
-	// Born is when it started, as it says, in Unix milliseconds; 0 if it does not say. A
+	// StartedUnixMs is when it started, as it says, in Unix milliseconds; 0 if it does not say. A
 	// replica that starts again under its ID is told from the one before by it. It is for
 	// comparing alone: clocks of machines differ and step back.
-	Born    int64
-	Pool    string
-	Address string
-	Zone    string
+	StartedUnixMs int64
+	Pool          string
+	Address       string
+	Zone          string
 	// Region is the region of its zone; empty if it is not known.
 	Region string
 	// Slots is the number of requests that it runs at the same time.
@@ -71,9 +71,9 @@
 	PendingTokens int
 	// Ejected replicas are left out for their failures or slowness.
 	Ejected bool
-	// Failing is the share of failures among the answers of late that nodes tell of, from 0
+	// FailureShare is the share of failures among the answers of late that nodes tell of, from 0
 	// to 1.
-	Failing float64
+	FailureShare float64
 	// Evacuated replicas stand in a zone that operators empty.
 	Evacuated bool
 	// Cold is what this node may do with it while it is cold.
@@ -83,20 +83,20 @@
 	Share int
 	// SlotTime is how long it usually takes until one of its slots is free.
 	SlotTime time.Duration
-	// First is the usual time to the first event of a request that need not wait.
-	First time.Duration
-	// Soonest is the least time to the first event that is to be expected.
-	Soonest time.Duration
+	// FirstEvent is the usual time to the first event of a request that need not wait.
+	FirstEvent time.Duration
+	// MinFirstEvent is the least time to the first event that is to be expected.
+	MinFirstEvent time.Duration
 	// PatienceShare is the part of the time left to its objective which a request
 	// waits for a slot before an item gives way.
 	PatienceShare float64
-	// Age is the age of what the replica last said of its load; -1 if it said nothing.
-	Age time.Duration
+	// LoadAge is the age of what the replica last said of its load; -1 if it said nothing.
+	LoadAge time.Duration
 	// Waiting estimates the requests that wait there for a slot.
 	Waiting float64
-	// Fleet is the part of the pool's slots that online requests of all nodes need; 0 if
+	// FleetUsage is the part of the pool's slots that online requests of all nodes need; 0 if
 	// it is not known.
-	Fleet float64
+	FleetUsage float64
 	// Fresh is set if something came from the replica a moment ago: this node has a
 	// connection to it and knows something of its load.
 	Fresh bool
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -44,12 +44,12 @@
 
 func TestSet_LapsedInALongOutageStaysForAWhile(t *testing.T) {
 	set, now := newSet(2), time.Now()
-	set.Outage(6*time.Second, now)
+	set.OutageEnded(6*time.Second, now)
 	set.Remove("r00", now)
 	if found := ids(set.Snapshot(testPool, 0, now)); !found["r00"] {
 		t.Fatal("a replica whose entry lapsed in an outage is no candidate")
 	}
-	if found := ids(set.Snapshot(testPool, 0, now.Add(doubtTime+time.Millisecond))); found["r00"] {
+	if found := ids(set.Snapshot(testPool, 0, now.Add(delistedGrace+time.Millisecond))); found["r00"] {
 		t.Fatal("a lapsed replica that is not listed again is still a candidate")
 	}
 }
@@ -58,7 +58,7 @@
 	// A finding: a replica that left 3 s after an outage was sent requests for
 	// 2.7 s more, past the drain bound.
 	set, now := newSet(2), time.Now()
-	set.Outage(6*time.Second, now)
+	set.OutageEnded(6*time.Second, now)
 	later := now.Add(3 * time.Second)
 	set.Remove("r00", later)
 	if found := ids(set.Snapshot(testPool, 0, later)); found["r00"] {
@@ -68,7 +68,7 @@
 
 func TestSet_GoneInAShortOutageIsGoneAtOnce(t *testing.T) {
 	set, now := newSet(2), time.Now()
-	set.Outage(500*time.Millisecond, now)
+	set.OutageEnded(500*time.Millisecond, now)
 	set.Remove("r00", now)
 	if found := ids(set.Snapshot(testPool, 0, now)); found["r00"] {
 		t.Fatal("no entry lapses in half a second")
@@ -78,7 +78,7 @@
 func TestSet_FailuresEjectAndTimeBringsBack(t *testing.T) {
 	set, now := newSet(2), time.Now()
 	for range failuresToEject {
-		set.Begin("r00", Ask{}, now).End(Failed, now)
+		set.Begin("r00", RequestInfo{}, now).End(Failed, now)
 	}
 	if _, ejected := set.Count(now); ejected != 1 {
 		t.Fatalf("%d replicas are ejected, want 1", ejected)
@@ -91,7 +91,7 @@
 func TestSet_AbandonedRequestsTellNothing(t *testing.T) {
 	set, now := newSet(1), time.Now()
 	for range 10 {
-		set.Begin("r00", Ask{}, now).End(Abandoned, now)
+		set.Begin("r00", RequestInfo{}, now).End(Abandoned, now)
 	}
 	if _, ejected := set.Count(now); ejected != 0 {
 		t.Fatal("callers that left ejected a replica")
@@ -100,10 +100,10 @@
 
 func TestUse_BusyReplicaIsNotSilent(t *testing.T) {
 	set, now := newSet(1), time.Now()
-	waiting := set.Begin("r00", Ask{}, now)
-	answered := set.Begin("r00", Ask{}, now)
+	waiting := set.Begin("r00", RequestInfo{}, now)
+	answered := set.Begin("r00", RequestInfo{}, now)
 	later := now.Add(time.Second)
-	answered.Heard(later)
+	answered.Received(later)
 	if silence := waiting.Silence(later); silence != 0 {
 		t.Fatalf("silence is %v while the replica answers others", silence)
 	}
@@ -112,14 +112,14 @@
 func TestUse_PressedAsksBatchToGiveWay(t *testing.T) {
 	set, now := newSet(1), time.Now()
 	asked := 0
-	set.Pressed = func(_ string, items int, _ Pressure) { asked = items }
-	online := set.Begin("r00", Ask{}, now)
-	online.Load(Load{Running: 4, Waiting: 9, Slots: 4}, now)
+	set.OnPressure = func(_ string, items int, _ Pressure) { asked = items }
+	online := set.Begin("r00", RequestInfo{}, now)
+	online.RecordLoad(Load{Running: 4, Waiting: 9, Slots: 4}, now)
 	if asked != 0 {
 		t.Fatal("a node without batch items there is asked to give way")
 	}
-	set.Begin("r00", Ask{Batch: true}, now)
-	online.Load(Load{Running: 4, Waiting: 9, Slots: 4}, now)
+	set.Begin("r00", RequestInfo{Batch: true}, now)
+	online.RecordLoad(Load{Running: 4, Waiting: 9, Slots: 4}, now)
 	if asked != 1 {
 		t.Fatalf("%d items are asked to give way, want the only one", asked)
 	}
@@ -130,10 +130,10 @@
 func TestUse_NoItemGivesWayWhileSlotsAreFree(t *testing.T) {
 	set, now := newSet(1), time.Now()
 	asked := 0
-	set.Pressed = func(_ string, items int, _ Pressure) { asked += items }
-	set.Begin("r00", Ask{Batch: true}, now)
-	online := set.Begin("r00", Ask{}, now)
-	online.Load(Load{Running: 1, Waiting: 3, Slots: 4}, now)
+	set.OnPressure = func(_ string, items int, _ Pressure) { asked += items }
+	set.Begin("r00", RequestInfo{Batch: true}, now)
+	online := set.Begin("r00", RequestInfo{}, now)
+	online.RecordLoad(Load{Running: 1, Waiting: 3, Slots: 4}, now)
 	if asked != 0 {
 		t.Fatalf("%d items are asked to give way though the slots suffice", asked)
 	}
@@ -145,7 +145,7 @@
 	nodes := testNodes(200)
 	set.Divide(nodes[7].ID, nodes)
 	all := set.pool(testPool)
-	home := homeAmong(all, affinity, now)
+	home := affinityEntry(all, affinity, now)
 	for range 20 {
 		sample := set.Snapshot(testPool, affinity, now)
 		own := 0
@@ -164,14 +164,14 @@
 		{Info: Info{ID: "a", Slots: 4}, Key: 1, Open: 3},
 		{Info: Info{ID: "b", Slots: 4}, Key: 2, Open: 1},
 	}
-	best, err := Pick(candidates, &Demand{}, Weights{})
+	best, err := Pick(candidates, &Criteria{}, Weights{})
 	if err != nil || best.ID != "b" {
 		t.Fatalf("Pick = %v, %v, want b", best, err)
 	}
 }
 
 func TestPick_ItemsTakeOnlyThisNodesFreeSlots(t *testing.T) {
-	item := &Demand{Ask: Ask{Batch: true}}
+	item := &Criteria{RequestInfo: RequestInfo{Batch: true}}
 	candidates := []Candidate{{Info: Info{ID: "a", Slots: 10}, Key: 1, Open: 2, Share: 2}}
 	if _, err := Pick(candidates, item, Weights{}); !errors.Is(err, ErrNoReplica) {
 		t.Fatalf("an item was placed in a slot of another node: %v", err)
@@ -191,7 +191,7 @@
 	for i := range 8 {
 		candidates = append(candidates, Candidate{Info: Info{ID: fmt.Sprint(i), Slots: 12}, Key: Key(fmt.Sprint(i)), Share: 12, SlotTime: 60 * time.Millisecond})
 	}
-	demand := Demand{Ask: Ask{Tokens: 9000}, Shared: 6000, Affinity: 77}
+	demand := Criteria{RequestInfo: RequestInfo{Tokens: 9000}, SharedTokens: 6000, Affinity: 77}
 	home, err := Pick(candidates, &demand, Weights{})
 	if err != nil {
 		t.Fatal(err)
@@ -211,10 +211,10 @@
 		{Info: Info{ID: "a", Slots: 4}, Key: 1, Ejected: true},
 		{Info: Info{ID: "b", Slots: 4}, Key: 2, Open: 6},
 	}
-	if best, _ := Pick(candidates, &Demand{}, Weights{}); best.ID != "b" {
+	if best, _ := Pick(candidates, &Criteria{}, Weights{}); best.ID != "b" {
 		t.Fatal("an ejected replica was picked though another is sound")
 	}
-	if best, err := Pick(candidates[:1], &Demand{}, Weights{}); err != nil || best.ID != "a" {
+	if best, err := Pick(candidates[:1], &Criteria{}, Weights{}); err != nil || best.ID != "a" {
 		t.Fatal("no replica was picked though an ejected one is there")
 	}
 }
@@ -227,16 +227,16 @@
 	}
 	weights := Weights{}
 	for range 20 {
-		best, err := Pick(candidates, &Demand{Ask: Ask{Batch: true}, Reserve: 0.34}, weights)
+		best, err := Pick(candidates, &Criteria{RequestInfo: RequestInfo{Batch: true}, Reserve: 0.34}, weights)
 		if err != nil || best.ID == "fast" {
 			t.Fatalf("Pick = %v, %v", best, err)
 		}
 		best.Open++
 	}
-	if best, err := Pick(candidates, &Demand{Ask: Ask{Tokens: 100}}, weights); err != nil || best.ID != "fast" {
+	if best, err := Pick(candidates, &Criteria{RequestInfo: RequestInfo{Tokens: 100}}, weights); err != nil || best.ID != "fast" {
 		t.Fatalf("an online request goes to %v, %v", best, err)
 	}
-	if _, err := Pick(candidates, &Demand{Ask: Ask{Batch: true}, Reserve: 1}, weights); !errors.Is(err, ErrNoReplica) {
+	if _, err := Pick(candidates, &Criteria{RequestInfo: RequestInfo{Batch: true}, Reserve: 1}, weights); !errors.Is(err, ErrNoReplica) {
 		t.Fatalf("an item was placed on reserved replicas: %v", err)
 	}
 }
--- a/internal/replica/restartuse_test.go
+++ b/internal/replica/restartuse_test.go
@@ -11,7 +11,7 @@
 // told reports whether a request knows that its replica has started again since.
 func told(use *Use) bool {
 	select {
-	case <-use.Reborn():
+	case <-use.Restarted():
 		return true
 	default:
 		return false
@@ -22,10 +22,10 @@
 	now := time.Now()
 	set := startedSet(2, now)
 	var noticed []Restart
-	set.Restarted = func(restart Restart) { noticed = append(noticed, restart) }
+	set.OnRestart = func(restart Restart) { noticed = append(noticed, restart) }
 	uses := busy(set, now)
 	// Two ask for the channel before, one after.
-	asked := uses[0].Reborn()
+	asked := uses[0].Restarted()
 	if told(uses[1]) {
 		t.Fatal("told of a start that is not known")
 	}
@@ -35,7 +35,7 @@
 	}
 	// Born is smaller: a clock has stepped back.
 	set.put(listed(secondBorn), now)
-	next := set.Begin("r00", Ask{}, now)
+	next := set.Begin("r00", RequestInfo{}, now)
 	<-asked
 	for i, use := range uses {
 		if !told(use) {
@@ -45,7 +45,7 @@
 	if told(next) {
 		t.Error("a request to the new one is told")
 	}
-	if len(noticed) != 1 || noticed[0].Open != 3 || noticed[0].Batch != 1 || noticed[0].Before != firstBorn || noticed[0].Replica.Born != secondBorn {
+	if len(noticed) != 1 || noticed[0].Open != 3 || noticed[0].Batch != 1 || noticed[0].PreviousStartedUnixMs != firstBorn || noticed[0].Replica.StartedUnixMs != secondBorn {
 		t.Errorf("noticed %+v", noticed)
 	}
 	// Another one, and then the words are those of three starts.
@@ -58,13 +58,13 @@
 func TestReborn_TwoStartsBetweenTwoLooks(t *testing.T) {
 	now := time.Now()
 	set := startedSet(2, now)
-	use := set.Begin("r00", Ask{}, now)
+	use := set.Begin("r00", RequestInfo{}, now)
 	set.put(listed(thirdBorn), now)
 	if !told(use) {
 		t.Error("not told of the start after the next")
 	}
-	if _, before, _ := set.Starts("r00"); before.Born != firstBorn {
-		t.Errorf("the start before is %d", before.Born)
+	if _, before, _ := set.CurrentAndPrevious("r00"); before.StartedUnixMs != firstBorn {
+		t.Errorf("the start before is %d", before.StartedUnixMs)
 	}
 }
 
@@ -73,9 +73,9 @@
 func TestReborn_AfterItWasNotListed(t *testing.T) {
 	now := time.Now()
 	set := startedSet(2, now)
-	use := set.Begin("r00", Ask{}, now)
+	use := set.Begin("r00", RequestInfo{}, now)
 	set.Remove("r00", now)
-	late := set.BeginAt(listed(firstBorn), Ask{}, now)
+	late := set.BeginAt(listed(firstBorn), RequestInfo{}, now)
 	if told(use) || told(late) {
 		t.Fatal("told of a start that is not known")
 	}
@@ -98,11 +98,11 @@
 func TestReborn_RequestsSentSinceItRefusedAreTheNewOnes(t *testing.T) {
 	now := time.Now()
 	set := startedSet(2, now)
-	before := set.Begin("r00", Ask{Tokens: 5, Batch: true}, now)
+	before := set.Begin("r00", RequestInfo{Tokens: 5, Batch: true}, now)
 	now = now.Add(time.Second)
-	set.Begin("r00", Ask{}, now).End(Unreachable, now)
+	set.Begin("r00", RequestInfo{}, now).End(Unreachable, now)
 	now = now.Add(time.Second)
-	since := set.Begin("r00", Ask{Tokens: 7, Batch: true}, now)
+	since := set.Begin("r00", RequestInfo{Tokens: 7, Batch: true}, now)
 	now = now.Add(time.Second)
 	set.put(listed(secondBorn), now)
 	if !told(before) || told(since) {
@@ -111,16 +111,16 @@
 	if known := seen(t, set, "r00", now); known.Open != 1 || known.Batch != 1 || known.PendingTokens != 7 {
 		t.Errorf("the request at the new one is not counted there: %+v", known)
 	}
-	since.GiveWay()
-	since.First(now)
+	since.MarkPreempted()
+	since.FirstEvent(now)
 	since.End(Failed, now)
 	before.End(Failed, now)
-	if known := seen(t, set, "r00", now); known.Open != 0 || known.Batch != 0 || known.PendingTokens != 0 || known.Failing == 0 {
+	if known := seen(t, set, "r00", now); known.Open != 0 || known.Batch != 0 || known.PendingTokens != 0 || known.FailureShare == 0 {
 		t.Errorf("after all ended: %+v", known)
 	}
 	// A refusal long ago says nothing.
-	use := set.Begin("r00", Ask{}, now)
-	set.put(listed(thirdBorn), now.Add(unreachableLately+time.Second))
+	use := set.Begin("r00", RequestInfo{}, now)
+	set.put(listed(thirdBorn), now.Add(recentlyUnreachable+time.Second))
 	if !told(use) {
 		t.Error("a request is taken as sent to the new one for a refusal long ago")
 	}
@@ -166,11 +166,11 @@
 	now := time.Now()
 	set := startedSet(2, now)
 	set.put(listed(secondBorn), now)
-	if set.BeginAt(listed(firstBorn), Ask{}, now) != nil {
+	if set.BeginAt(listed(firstBorn), RequestInfo{}, now) != nil {
 		t.Error("a request is sent to a start that is over")
 	}
 	for _, info := range []Info{listed(secondBorn), listed(0), {ID: "r00"}} {
-		if set.BeginAt(info, Ask{}, now) == nil {
+		if set.BeginAt(info, RequestInfo{}, now) == nil {
 			t.Errorf("no request is sent to %+v", info)
 		}
 	}
@@ -183,11 +183,11 @@
 	now := time.Now()
 	set := startedSet(2, now)
 	set.put(listed(secondBorn), now)
-	set.Full(listed(firstBorn), now)
+	set.MarkFull(listed(firstBorn), now)
 	if known := seen(t, set, "r00", now); known.Others != 0 {
 		t.Errorf("taken as full: %+v", known)
 	}
-	set.Full(listed(secondBorn), now)
+	set.MarkFull(listed(secondBorn), now)
 	if known := seen(t, set, "r00", now); known.Others != 4 {
 		t.Errorf("not taken as full: %+v", known)
 	}
@@ -197,7 +197,7 @@
 	now := time.Now()
 	set := startedSet(1, now)
 	first := listed(firstBorn)
-	demand := &Demand{Exclude: map[string]bool{first.Incarnation(): true}}
+	demand := &Criteria{Exclude: map[string]bool{first.Incarnation(): true}}
 	if _, err := Pick(set.SnapshotFor(testPool, demand, now), demand, Weights{}); err == nil {
 		t.Error("a replica is chosen that failed the request")
 	}
@@ -215,9 +215,9 @@
 	now := time.Now()
 	set := evidenceSet(4)
 	set.put(listed(firstBorn), now)
-	set.Begin("r00", Ask{}, now).End(Failed, now)
+	set.Begin("r00", RequestInfo{}, now).End(Failed, now)
 	reports := set.FailureReports(now)
-	if len(reports) != 1 || reports[0].Born != firstBorn {
+	if len(reports) != 1 || reports[0].StartedUnixMs != firstBorn {
 		t.Fatalf("told %+v", reports)
 	}
 	set.put(listed(secondBorn), now)
@@ -226,7 +226,7 @@
 	}
 	tell := func(born int64) {
 		for _, node := range []string{"n1", "n2", "n3"} {
-			set.TakeFailureReports(Reporter{Node: node, Zone: node}, []FailureReport{{Replica: Key("r00"), Born: born, Failures: 5}}, now)
+			set.AddFailureReports(Reporter{Node: node, Zone: node}, []FailureReport{{Replica: Key("r00"), StartedUnixMs: born, Failures: 5}}, now)
 		}
 	}
 	tell(firstBorn)
@@ -245,17 +245,17 @@
 func TestFeeders_TellWhichStartTheyAreAskedAbout(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := coldSet("a", []string{"b"}, false, now)
-	set.put(Info{ID: "cold", Pool: testPool, Slots: 8, Born: firstBorn, ColdLeft: 3 * time.Second}, now)
-	feeders := set.Feeders(testPool, &Demand{}, now)
-	if len(feeders) != 1 || feeders[0].Born != firstBorn {
+	set.put(Info{ID: "cold", Pool: testPool, Slots: 8, StartedUnixMs: firstBorn, ColdLeft: 3 * time.Second}, now)
+	feeders := set.ColdSenders(testPool, &Criteria{}, now)
+	if len(feeders) != 1 || feeders[0].StartedUnixMs != firstBorn {
 		t.Fatalf("feeders are %+v", feeders)
 	}
 	for born, want := range map[int64]bool{0: true, firstBorn: true, secondBorn: false} {
-		if got := set.Started("cold", born); got != want {
+		if got := set.IsCurrentStart("cold", born); got != want {
 			t.Errorf("Started(%d) = %v", born, got)
 		}
 	}
-	if set.Started("other", 0) {
+	if set.IsCurrentStart("other", 0) {
 		t.Error("a replica that is not listed has started")
 	}
 }
@@ -344,7 +344,7 @@
 				m.forget()
 			},
 			"send": func(t *rapid.T) {
-				ask := Ask{Tokens: 3, Batch: rapid.Bool().Draw(t, "batch")}
+				ask := RequestInfo{Tokens: 3, Batch: rapid.Bool().Draw(t, "batch")}
 				use := m.set.BeginAt(listed(m.born), ask, m.now)
 				if use == nil {
 					t.Fatal("a request is not sent to the start that is known")
@@ -364,10 +364,10 @@
 	at := rapid.IntRange(0, len(m.sent)-1).Draw(t, "request")
 	use := m.sent[at].use
 	if rapid.Bool().Draw(t, "first") {
-		use.First(m.now)
+		use.FirstEvent(m.now)
 	}
 	if rapid.Bool().Draw(t, "gives way") {
-		use.GiveWay()
+		use.MarkPreempted()
 	}
 	use.End(rapid.SampledFrom([]Result{Succeeded, Failed, Refused, Abandoned}).Draw(t, "result"), m.now)
 	m.sent = slices.Delete(m.sent, at, at+1)
