--- a/internal/replica/sample.go
+++ b/internal/replica/sample.go
@@ -12,41 +12,41 @@
 	// from within freshFor. They are of its own region if there are any.
 	sampleRandom = 2
 	freshFor     = 3 * time.Second
-	// sampleAway is the number of random replicas of other regions among them, for
+	// sampleOtherRegion is the number of random replicas of other regions among them, for
 	// requests that find their region full.
-	sampleAway = 1
-	// unheardEvery is the time between two questions for a slot that go to a replica which this
+	sampleOtherRegion = 1
+	// staleProbeInterval is the time between two questions for a slot that go to a replica which this
 	// node has not heard from within freshFor, though others are believed to have one free. What
 	// comes of a question is known for freshFor, so a node hears of three such replicas in that
 	// time, and pays at most one connectCost a second for it.
-	unheardEvery = time.Second
+	staleProbeInterval = time.Second
 )
 
-// AskUnheard reports whether the next question for a slot of a pool should go to a replica that
+// ProbeStale reports whether the next question for a slot of a pool should go to a replica that
 // this node has not heard from lately. Else one that nobody sends anything, as after an evacuation
 // of its zone, is left aside for as long as others seem to have room: what they hold of other
 // nodes' requests is known late, and not at all where replicas do not tell their load.
-func (s *Set) AskUnheard(pool string, now time.Time) bool {
+func (s *Set) ProbeStale(pool string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.demandOf(pool)
-	if now.Sub(known.unheardAsked) < unheardEvery {
+	estimates := s.estimatesFor(pool)
+	if now.Sub(estimates.staleProbedAt) < staleProbeInterval {
 		return false
 	}
-	known.unheardAsked = now
+	estimates.staleProbedAt = now
 	return true
 }
 
 // nearby returns the entries of a region; all if there are none or it is not known.
 func nearby(list []*entry, region string) []*entry {
-	away := func(known *entry) bool { return known.info.Region != "" && known.info.Region != region }
-	if region == "" || !slices.ContainsFunc(list, away) {
+	otherRegion := func(e *entry) bool { return e.info.Region != "" && e.info.Region != region }
+	if region == "" || !slices.ContainsFunc(list, otherRegion) {
 		return list
 	}
 	near := make([]*entry, 0, len(list))
-	for _, known := range list {
-		if !away(known) {
-			near = append(near, known)
+	for _, e := range list {
+		if !otherRegion(e) {
+			near = append(near, e)
 		}
 	}
 	if len(near) == 0 {
@@ -60,14 +60,14 @@
 // feeds. The caller holds mu.
 func (s *Set) sample(list, near []*entry, now time.Time) []*entry {
 	chosen := make([]*entry, 0, len(list))
-	for _, known := range list {
-		if s.shareOf(known, now) > 0 || known.fresh(now) {
-			chosen = append(chosen, known)
+	for _, e := range list {
+		if s.shareOf(e, now) > 0 || e.fresh(now) {
+			chosen = append(chosen, e)
 		}
 	}
 	chosen = addRandom(chosen, near, min(sampleRandom, len(list)-len(chosen)))
 	if len(near) < len(list) {
-		chosen = addRandom(chosen, list, sampleAway)
+		chosen = addRandom(chosen, list, sampleOtherRegion)
 	}
 	return chosen
 }
@@ -82,19 +82,19 @@
 	return chosen
 }
 
-// homeAmong returns the entry where prompts with the same prefix meet.
-func homeAmong(list []*entry, affinity uint64, now time.Time) *entry {
+// affinityEntry returns the entry where prompts with the same prefix meet.
+func affinityEntry(list []*entry, affinity uint64, now time.Time) *entry {
 	var home *entry
 	var best uint64
 	if affinity == 0 {
 		return nil
 	}
-	for _, known := range list {
-		if known.info.Leaving || known.forgotten(now) || known.ejected(now) {
+	for _, e := range list {
+		if e.info.Leaving || e.graceExpired(now) || e.ejected(now) {
 			continue
 		}
-		if weight := mix(known.key ^ affinity); home == nil || weight > best {
-			home, best = known, weight
+		if weight := mix(e.key ^ affinity); home == nil || weight > best {
+			home, best = e, weight
 		}
 	}
 	return home
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -13,15 +13,15 @@
 const (
 	// othersWeight is the weight of the newest load report.
 	othersWeight = 0.6
-	// othersFade is the time after which a report tells little.
-	othersFade = 3 * time.Second
-	// waitingFade is the time after which a report of waiting requests tells
+	// othersDecayTime is the time after which a report tells little.
+	othersDecayTime = 3 * time.Second
+	// waitingDecayTime is the time after which a report of waiting requests tells
 	// nothing.
-	waitingFade = 400 * time.Millisecond
-	// refusedFill is the assumed load, in slots, of a replica that refused, and
+	waitingDecayTime = 400 * time.Millisecond
+	// refusedLoad is the assumed load, in slots, of a replica that refused, and
 	// refusedFade how fast that assumption fades.
-	refusedFill = 2.0
-	refusedFade = 400 * time.Millisecond
+	refusedLoad      = 2.0
+	refusedDecayTime = 400 * time.Millisecond
 )
 
 // entry is the set's record of a replica.
@@ -30,8 +30,8 @@
 	key   uint64
 	open  int
 	batch int
-	// leaving counts the items among batch that were asked to give way.
-	leaving int
+	// preempted counts the items among batch that were asked to give way.
+	preempted int
 	// borrowed counts the items among batch, without those leaving, in slots of others.
 	borrowed int
 	// starved counts those among borrowed that keep their slots.
@@ -39,25 +39,25 @@
 	// evacuated is set if operators empty the zone; rebuild sets it.
 	evacuated bool
 	// share is the number of slots that are this node's.
-	share    int
-	pending  int
-	others   float64
-	reported time.Time
+	share           int
+	pending         int
+	others          float64
+	othersUpdatedAt time.Time
 	// waiting is the number of requests that the last report says were waiting.
-	waiting   int
-	waitingAt time.Time
+	waiting        int
+	loadReportedAt time.Time
 	// refusedAt is when it last refused a request of this node.
 	refusedAt time.Time
 	health    health
-	// own is what this node has seen of it of late, told what others tell.
-	own    Tally
-	told   map[string]reportedTally
-	shared sharedEjection
-	// heard is when anything last came from the replica.
-	heard time.Time
-	// vanished is when the entry left the list; zero while it is listed.
-	vanished time.Time
-	cold     coldness
+	// ownTally is what this node has seen of it of late, told what others tell.
+	ownTally Tally
+	reports  map[string]reportedTally
+	shared   sharedEjection
+	// lastReceived is when anything last came from the replica.
+	lastReceived time.Time
+	// delistedAt is when the entry left the list; zero while it is listed.
+	delistedAt time.Time
+	cold       coldState
 	// uses are the requests there that have not ended.
 	uses map[*Use]struct{}
 	// followers are told when the replica has started again.
@@ -67,11 +67,11 @@
 	// restartedAt is when it was noticed to have started again under its id; zero if this
 	// is the first start that this node knows of.
 	restartedAt time.Time
-	// before is what was said of the start before.
-	before Info
-	// replaced is set once the replica is known to have started again since: what comes
+	// previous is what was said of the start previous.
+	previous Info
+	// superseded is set once the replica is known to have started again since: what comes
 	// of the requests sent before says nothing of it any more.
-	replaced bool
+	superseded bool
 }
 
 // Set is a node's view of all replicas. It is safe for concurrent use.
@@ -82,63 +82,63 @@
 	// this node: whether they start again concerns these.
 	unlisted map[string]*entry
 	// byPool is rebuilt from entries when stale is set.
-	byPool map[string][]*entry
-	byKey  map[uint64]*entry
-	stale  bool
+	byPool     map[string][]*entry
+	byKey      map[uint64]*entry
+	indexStale bool
 	// Zone is where this node stands. It is set before use.
 	Zone string
 	// self and nodes are between whom the slots are divided; none means that all
 	// are this node's.
 	self  string
 	nodes []place.Node
-	// here is where this node is, as nodes tell each other.
-	here place.Place
+	// selfPlace is where this node is, as nodes tell each other.
+	selfPlace place.Place
 	// division rises with each change of these.
 	division uint64
-	// demand is what online requests take of each pool, at this node.
-	demand map[string]*demand
+	// estimates is what online requests take of each pool, at this node.
+	estimates map[string]*poolEstimates
 	// evacuated are the zones that operators empty.
 	evacuated map[string]bool
 	// fleet is what nodes have told of each pool.
 	fleet map[string]*fleetView
 	// outageEnd is when the list's source came back after a long outage. doubts is set while
 	// there may be entries that vanished around it.
-	outageEnd time.Time
-	doubts    bool
-	// heard is when anything last came from any replica.
-	heard   time.Time
-	changed chan struct{}
+	outageEnd       time.Time
+	pendingDelisted bool
+	// lastReceived is when anything last came from any replica.
+	lastReceived time.Time
+	changed      chan struct{}
 	// coldLimits are what cold replicas bear, by pool; coldHeld counts what was held
 	// back for it.
-	coldLimits map[string]ColdLimit
-	coldHeld   uint64
-	// listedAt is a time as of which the list of replicas is known; zero if nobody tells.
-	listedAt time.Time
-	// feedList are the nodes that may feed cold replicas by the division feedDivision,
+	coldLimits   map[string]ColdLimit
+	coldHeldBack uint64
+	// listTime is a time as of which the list of replicas is known; zero if nobody tells.
+	listTime time.Time
+	// senderList are the nodes that may feed cold replicas by the division feedDivision,
 	// feedSelf is this node's place among them.
-	feedList []feedNode
-	feedSelf int
+	senderList []senderNode
+	senderSelf int
 	// notJoined is set while this node is not among the members that it knows.
-	notJoined    bool
-	feedDivision uint64
+	notJoined      bool
+	senderDivision uint64
 	// ColdTolerance must be set before the first use.
 	ColdTolerance ColdTolerance
-	// Ejected is told of each ejection, outside the lock.
-	Ejected func(info Info, result Result)
-	// EjectedByMany is told, outside the lock, of each replica that is left out on the evidence
+	// OnEjected is told of each ejection, outside the lock.
+	OnEjected func(info Info, result Result)
+	// OnSharedEjection is told, outside the lock, of each replica that is left out on the evidence
 	// of several nodes.
-	EjectedByMany func(ejection SharedEjection)
-	// Restarted is told, outside the lock, of each replica that has started again under its
+	OnSharedEjection func(ejection SharedEjection)
+	// OnRestart is told, outside the lock, of each replica that has started again under its
 	// id.
-	Restarted func(restart Restart)
-	// Pressed is asked, outside the lock, to make batch items of this node give
+	OnRestart func(restart Restart)
+	// OnPressure is asked, outside the lock, to make batch items of this node give
 	// way at a replica.
-	Pressed func(id string, items int, why Pressure)
+	OnPressure func(id string, items int, why Pressure)
 }
 
 // NewSet returns an empty set.
 func NewSet() *Set {
-	return &Set{entries: map[string]*entry{}, unlisted: map[string]*entry{}, byPool: map[string][]*entry{}, demand: map[string]*demand{}, fleet: map[string]*fleetView{}, changed: make(chan struct{})}
+	return &Set{entries: map[string]*entry{}, unlisted: map[string]*entry{}, byPool: map[string][]*entry{}, estimates: map[string]*poolEstimates{}, fleet: map[string]*fleetView{}, changed: make(chan struct{})}
 }
 
 // Put takes in a listed replica. It reports whether the replica was not listed before; one
@@ -146,41 +146,41 @@
 func (s *Set) Put(info Info) bool { return s.put(info, clock.Now()) }
 
 func (s *Set) put(info Info, now time.Time) bool {
-	added, restart := s.take(info, now)
-	if restart != nil && s.Restarted != nil {
-		s.Restarted(*restart)
+	added, restart := s.update(info, now)
+	if restart != nil && s.OnRestart != nil {
+		s.OnRestart(*restart)
 	}
 	return added
 }
 
-func (s *Set) take(info Info, now time.Time) (added bool, restart *Restart) {
+func (s *Set) update(info Info, now time.Time) (added bool, restart *Restart) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, listed := s.entries[info.ID]
-	known, fresh, restart := s.entryFor(&info, now)
-	moved := !listed || fresh || known.info.Pool != info.Pool || known.info.Slots != info.Slots || known.info.place() != info.place()
-	known.info = info
-	known.vanished = time.Time{}
+	e, fresh, restart := s.entryFor(&info, now)
+	reindex := !listed || fresh || e.info.Pool != info.Pool || e.info.Slots != info.Slots || e.info.place() != info.place()
+	e.info = info
+	e.delistedAt = time.Time{}
 	if info.ColdLeft > 0 {
-		s.chill(known, now.Add(info.ColdLeft), ColdTold, now)
+		s.markCold(e, now.Add(info.ColdLeft), ColdReported, now)
 	}
-	if moved {
-		s.index()
+	if reindex {
+		s.invalidateIndex()
 	} else {
-		s.wake()
+		s.notifyChanged()
 	}
 	return !listed, restart
 }
 
-// index marks the lists by pool as out of date. The caller holds mu.
-func (s *Set) index() {
-	s.stale = true
-	s.wake()
+// invalidateIndex marks the lists by pool as out of date. The caller holds mu.
+func (s *Set) invalidateIndex() {
+	s.indexStale = true
+	s.notifyChanged()
 }
 
 // pool returns the entries of a pool in the order of their ids. The caller holds mu.
 func (s *Set) pool(name string) []*entry {
-	if s.stale {
+	if s.indexStale {
 		s.rebuild()
 	}
 	return s.byPool[name]
@@ -189,21 +189,21 @@
 func (s *Set) rebuild() {
 	byPool := make(map[string][]*entry, len(s.byPool))
 	byKey := make(map[uint64]*entry, len(s.entries))
-	for _, known := range s.entries {
-		byKey[known.key] = known
-		known.evacuated = s.evacuated[known.info.Zone]
-		byPool[known.info.Pool] = append(byPool[known.info.Pool], known)
+	for _, e := range s.entries {
+		byKey[e.key] = e
+		e.evacuated = s.evacuated[e.info.Zone]
+		byPool[e.info.Pool] = append(byPool[e.info.Pool], e)
 	}
 	for _, list := range byPool {
 		sort.Slice(list, func(i, j int) bool { return list[i].info.ID < list[j].info.ID })
 	}
 	s.byPool, s.byKey = byPool, byKey
-	s.stale = false
+	s.indexStale = false
 	s.divide()
 }
 
-// wake tells those that wait for a change. The caller holds mu.
-func (s *Set) wake() {
+// notifyChanged tells those that wait for a change. The caller holds mu.
+func (s *Set) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -220,9 +220,9 @@
 func (s *Set) Count(now time.Time) (listed, ejected int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, known := range s.entries {
+	for _, e := range s.entries {
 		listed++
-		if known.ejected(now) {
+		if e.ejected(now) {
 			ejected++
 		}
 	}
@@ -233,23 +233,23 @@
 func (s *Set) Get(id string) (Info, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known, ok := s.entries[id]
+	e, ok := s.entries[id]
 	if !ok {
 		return Info{}, false
 	}
-	return known.info, true
+	return e.info, true
 }
 
 // List returns all listed replicas of all pools.
 func (s *Set) List(now time.Time) []Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stale {
+	if s.indexStale {
 		s.rebuild()
 	}
 	var list []Candidate
-	for _, known := range s.entries {
-		list = append(list, s.candidate(known, now))
+	for _, e := range s.entries {
+		list = append(list, s.candidate(e, now))
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	return list
@@ -262,94 +262,94 @@
 // knowledge would be flooded, the least busy of a few random ones is not
 // (Mitzenmacher, 2001). Nor does the cost of a request grow with the fleet.
 func (s *Set) Snapshot(pool string, affinity uint64, now time.Time) []Candidate {
-	return s.SnapshotFor(pool, &Demand{Affinity: affinity}, now)
+	return s.SnapshotFor(pool, &Criteria{Affinity: affinity}, now)
 }
 
 // SnapshotFor returns the replicas of a pool that a choice for a request looks at. If
 // operators keep the request from all of them, these are the ones returned, for the
 // choice to tell why there is none.
-func (s *Set) SnapshotFor(pool string, demand *Demand, now time.Time) []Candidate {
+func (s *Set) SnapshotFor(pool string, criteria *Criteria, now time.Time) []Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := s.allowed(s.pool(pool), demand)
+	list := s.allowed(s.pool(pool), criteria)
 	if len(list) == 0 {
-		return s.candidatesOf(s.pool(pool), now)
+		return s.candidates(s.pool(pool), now)
 	}
-	near := nearby(list, demand.Region)
-	chosen := s.sample(list, near, now)
-	if s.allHeld(chosen, demand.Batch, now) {
-		return s.candidatesOf(list, now)
+	nearby := nearby(list, criteria.Region)
+	chosen := s.sample(list, nearby, now)
+	if s.allBlocked(chosen, criteria.Batch, now) {
+		return s.candidates(list, now)
 	}
-	if home := homeAmong(near, demand.Affinity, now); home != nil && !slices.Contains(chosen, home) {
+	if home := affinityEntry(nearby, criteria.Affinity, now); home != nil && !slices.Contains(chosen, home) {
 		chosen = append(chosen, home)
 	}
-	return s.candidatesOf(chosen, now)
+	return s.candidates(chosen, now)
 }
 
 // allowed returns the entries that a request may be sent to for where they stand. The
 // caller holds mu.
-func (s *Set) allowed(list []*entry, demand *Demand) []*entry {
-	if demand.Regions == nil && len(s.evacuated) == 0 {
+func (s *Set) allowed(list []*entry, criteria *Criteria) []*entry {
+	if criteria.Regions == nil && len(s.evacuated) == 0 {
 		return list
 	}
 	allowed := make([]*entry, 0, len(list))
-	for _, known := range list {
-		if !s.evacuated[known.info.Zone] && demand.Regions.Allows(known.info.Region) {
-			allowed = append(allowed, known)
+	for _, e := range list {
+		if !s.evacuated[e.info.Zone] && criteria.Regions.Allows(e.info.Region) {
+			allowed = append(allowed, e)
 		}
 	}
 	return allowed
 }
 
-func (s *Set) candidatesOf(list []*entry, now time.Time) []Candidate {
+func (s *Set) candidates(list []*entry, now time.Time) []Candidate {
 	candidates := make([]Candidate, 0, len(list))
-	for _, known := range list {
-		if known.info.Leaving || known.forgotten(now) {
+	for _, e := range list {
+		if e.info.Leaving || e.graceExpired(now) {
 			continue
 		}
-		candidates = append(candidates, s.candidate(known, now))
+		candidates = append(candidates, s.candidate(e, now))
 	}
 	return candidates
 }
 
 // candidate returns an entry as the picker sees it. The caller holds mu.
 func (s *Set) candidate(e *entry, now time.Time) Candidate {
-	known := s.demandOf(e.info.Pool)
-	known.turnover(now)
+	estimates := s.estimatesFor(e.info.Pool)
+	estimates.advance(now)
 	return Candidate{
-		First: known.first, Soonest: known.soonest(), PatienceShare: known.patienceShare(e.info.Slots), SlotTime: known.hold() / time.Duration(max(1, e.info.Slots)),
-		Info: e.info, Key: e.key, Open: e.open - e.leaving, Batch: e.batch - e.leaving, Share: s.shareOf(e, now), Cold: s.coldView(e, now),
-		Others: e.othersAt(now), PendingTokens: e.pending, Ejected: e.ejected(now), Failing: s.failureShare(e, now), Waiting: e.waitingAtTime(now),
-		Age: e.loadAge(now), Fresh: e.fresh(now), Fleet: s.fleetUsage(e.info.Pool, now),
+		FirstEvent: estimates.firstEvent, MinFirstEvent: estimates.minFirstEvent(), PatienceShare: estimates.patienceShare(e.info.Slots), SlotTime: estimates.slotHold() / time.Duration(max(1, e.info.Slots)),
+		Info: e.info, Key: e.key, Open: e.open - e.preempted, Batch: e.batch - e.preempted, Share: s.shareOf(e, now), Cold: s.coldView(e, now),
+		Others: e.decayedOthers(now), PendingTokens: e.pending, Ejected: e.ejected(now), FailureShare: s.failureShare(e, now), Waiting: e.decayedWaiting(now),
+		LoadAge: e.loadAge(now), Fresh: e.fresh(now), FleetUsage: s.fleetUsage(e.info.Pool, now),
 		Evacuated: s.evacuated[e.info.Zone],
 	}
 }
 
 // fresh reports whether something came from the replica a moment ago.
-func (e *entry) fresh(now time.Time) bool { return now.Sub(e.heard) < freshFor }
+func (e *entry) fresh(now time.Time) bool { return now.Sub(e.lastReceived) < freshFor }
 
 // loadAge is the age of the last report of load; -1 if there was none.
 func (e *entry) loadAge(now time.Time) time.Duration {
-	if e.waitingAt.IsZero() {
+	if e.loadReportedAt.IsZero() {
 		return -1
 	}
-	return now.Sub(e.waitingAt)
+	return now.Sub(e.loadReportedAt)
 }
 
-// waitingAtTime fades the last report of waiting requests.
-func (e *entry) waitingAtTime(now time.Time) float64 {
-	age := now.Sub(e.waitingAt)
-	if e.waiting == 0 || age >= waitingFade {
+// decayedWaiting fades the last report of waiting requests.
+func (e *entry) decayedWaiting(now time.Time) float64 {
+	age := now.Sub(e.loadReportedAt)
+	if e.waiting == 0 || age >= waitingDecayTime {
 		return 0
 	}
-	return float64(e.waiting) * (1 - float64(age)/float64(waitingFade))
+	return float64(e.waiting) * (1 - float64(age)/float64(waitingDecayTime))
 }
 
-// othersAt fades the estimate as the report grows old.
-func (e *entry) othersAt(now time.Time) float64 {
-	age := now.Sub(e.reported)
-	if e.others == 0 || age >= othersFade {
+// decayedOthers fades the estimate as the report grows old.
+func (e *entry) decayedOthers(now time.Time) float64 {
+	age := now.Sub(e.othersUpdatedAt)
+	if e.others == 0 || age >= othersDecayTime {
 		return 0
 	}
-	return e.others * (1 - float64(age)/float64(othersFade))
+	return e.others * (1 - float64(age)/float64(othersDecayTime))
 }
--- a/internal/replica/slope.go
+++ b/internal/replica/slope.go
@@ -3,10 +3,10 @@
 const (
 	// slopeMemory is the number of observations that a slope is learned from.
 	slopeMemory = 200
-	// slopeLeast is the least number of them, and slopeSpread the least spread
+	// slopeMinCount is the least number of them, and slopeSpread the least spread
 	// of x against its mean, from which a slope is told.
-	slopeLeast  = 20
-	slopeSpread = 0.3
+	slopeMinCount  = 20
+	slopeMinSpread = 0.3
 )
 
 // slope learns how y grows with x, by least squares over the newest
@@ -28,7 +28,7 @@
 
 // get returns the slope, or false as long as it cannot be told.
 func (s *slope) get() (float64, bool) {
-	if s.count < slopeLeast || s.varX < slopeSpread*slopeSpread*s.meanX*s.meanX {
+	if s.count < slopeMinCount || s.varX < slopeMinSpread*slopeMinSpread*s.meanX*s.meanX {
 		return 0, false
 	}
 	return s.covXY / s.varX, true
--- a/internal/replica/tally.go
+++ b/internal/replica/tally.go
@@ -48,8 +48,8 @@
 	t.observed = now
 }
 
-// used reports whether anything was seen of late.
-func (t *Tally) used(now time.Time) bool { return now.Sub(t.observed) < evidenceMemory }
+// recent reports whether anything was seen of late.
+func (t *Tally) recent(now time.Time) bool { return now.Sub(t.observed) < evidenceMemory }
 
 // failedSince reports whether the replica failed after a moment and of late.
 func (t *Tally) failedSince(after, now time.Time) bool {
--- a/internal/replica/unheard_test.go
+++ b/internal/replica/unheard_test.go
@@ -15,10 +15,10 @@
 	for i := range full {
 		id := fmt.Sprintf("full-%d", i)
 		set.Put(Info{ID: id, Pool: testPool, Slots: slots})
-		use := set.Begin(id, Ask{}, now)
-		use.Heard(now)
+		use := set.Begin(id, RequestInfo{}, now)
+		use.Received(now)
 		use.End(Succeeded, now)
-		set.Full(Info{ID: id}, now)
+		set.MarkFull(Info{ID: id}, now)
 	}
 	return set
 }
@@ -30,8 +30,8 @@
 	now := time.Unix(1000, 0)
 	for _, slots := range []int{1, 2, 8} {
 		set := newReturned(slots, 4, now)
-		for _, ask := range []Ask{{}, {Batch: true, Borrowed: true}} {
-			demand := &Demand{Ask: ask}
+		for _, ask := range []RequestInfo{{}, {Batch: true, Borrowed: true}} {
+			demand := &Criteria{RequestInfo: ask}
 			asked, err := PickUnqueued(set.SnapshotFor(testPool, demand, now), demand, Weights{}, false)
 			if err != nil || asked.ID != "returned" {
 				t.Errorf("replicas of %d slots, batch %v: asked %+v, %v", slots, ask.Batch, asked, err)
@@ -46,8 +46,8 @@
 	now := time.Unix(1000, 0)
 	set := newReturned(2, 0, now)
 	set.Put(Info{ID: "free", Pool: testPool, Slots: 2})
-	set.Begin("free", Ask{}, now).Heard(now)
-	demand := &Demand{}
+	set.Begin("free", RequestInfo{}, now).Received(now)
+	demand := &Criteria{}
 	asked, err := PickUnqueued(set.SnapshotFor(testPool, demand, now), demand, Weights{}, false)
 	if err != nil || asked.ID != "free" {
 		t.Fatalf("asked %+v, %v", asked, err)
@@ -70,12 +70,12 @@
 	for i := range 4 {
 		id := fmt.Sprintf("free-%d", i)
 		set.Put(Info{ID: id, Pool: testPool, Slots: 2})
-		set.Begin(id, Ask{}, now).Heard(now)
+		set.Begin(id, RequestInfo{}, now).Received(now)
 	}
 	asked := map[string]int{}
 	for range 100 {
 		now = now.Add(20 * time.Millisecond)
-		demand := &Demand{Unheard: set.AskUnheard(testPool, now)}
+		demand := &Criteria{PreferStale: set.ProbeStale(testPool, now)}
 		chosen, err := PickUnqueued(set.SnapshotFor(testPool, demand, now), demand, Weights{}, false)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/replica/use.go
+++ b/internal/replica/use.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Ask is what a request wants of a replica.
-type Ask struct {
+// RequestInfo is what a request wants of a replica.
+type RequestInfo struct {
 	// Tokens is the part of its prompt that the replica is expected to read.
 	Tokens int
 	Batch  bool
@@ -22,7 +22,7 @@
 
 // patience is how long a request may wait for a slot: a share of the time that is
 // left if its first event then takes so long.
-func (a Ask) patience(first time.Duration, share float64) time.Duration {
+func (a RequestInfo) patience(first time.Duration, share float64) time.Duration {
 	return time.Duration(share * float64(max(0, a.Objective-first)))
 }
 
@@ -42,134 +42,134 @@
 
 // Use counts one request at a replica until End.
 type Use struct {
-	set   *Set
-	entry *entry
-	pool  string
-	ask   Ask
-	sent  time.Time
-	// spare is set if one of this node's slots was free when it was sent.
-	spare bool
-	first bool
-	ended bool
-	// heard is when anything last came of this request's answer; zero if nothing did.
-	heard time.Time
-	// gaveWay is set on items that were asked to give way.
-	gaveWay bool
-	// left is set once the replica is known to have started again since the request was
+	set     *Set
+	entry   *entry
+	pool    string
+	request RequestInfo
+	sent    time.Time
+	// hadSpareSlot is set if one of this node's slots was free when it was sent.
+	hadSpareSlot bool
+	firstEvent   bool
+	ended        bool
+	// lastReceived is when anything last came of this request's answer; zero if nothing did.
+	lastReceived time.Time
+	// preempted is set on items that were asked to give way.
+	preempted bool
+	// superseded is set once the replica is known to have started again since the request was
 	// sent; reborn is closed then, if it was asked for.
-	left   bool
-	reborn chan struct{}
+	superseded bool
+	restarted  chan struct{}
 }
 
 // Begin is BeginAt for a replica of any start.
-func (s *Set) Begin(id string, ask Ask, now time.Time) *Use {
-	return s.BeginAt(Info{ID: id}, ask, now)
+func (s *Set) Begin(id string, req RequestInfo, now time.Time) *Use {
+	return s.BeginAt(Info{ID: id}, req, now)
 }
 
 // BeginAt counts a request about to be sent to a replica as it was chosen. An online request
 // that would wait there for longer than it has time has an item of this node give way. It
 // returns nil if the replica must not get the request now: it is cold, or has started again
 // since it was chosen.
-func (s *Set) BeginAt(chosen Info, ask Ask, now time.Time) *Use {
-	use, why := s.begin(&chosen, ask, now)
-	if why != nil && s.Pressed != nil {
-		s.Pressed(chosen.ID, 1, *why)
+func (s *Set) BeginAt(chosen Info, req RequestInfo, now time.Time) *Use {
+	use, why := s.begin(&chosen, req, now)
+	if why != nil && s.OnPressure != nil {
+		s.OnPressure(chosen.ID, 1, *why)
 	}
 	return use
 }
 
-func (s *Set) begin(chosen *Info, ask Ask, now time.Time) (use *Use, why *Pressure) {
+func (s *Set) begin(chosen *Info, req RequestInfo, now time.Time) (use *Use, why *Pressure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stale {
+	if s.indexStale {
 		s.rebuild()
 	}
-	known := s.chosen(chosen)
-	if known == nil {
+	e := s.entryForSend(chosen)
+	if e == nil {
 		return nil, nil
 	}
-	candidate := s.candidate(known, now)
-	if !s.admitCold(known, ask, now) {
+	candidate := s.candidate(e, now)
+	if !s.admitCold(e, req, now) {
 		return nil, nil
 	}
-	if !ask.Batch && !ask.Reserved && candidate.swaps(ask) {
-		why = &Pressure{Wait: candidate.waitForSlot(), Patience: ask.patience(candidate.First, candidate.PatienceShare), Age: candidate.Age}
+	if !req.Batch && !req.Reserved && candidate.preempts(req) {
+		why = &Pressure{Wait: candidate.waitForSlot(), Patience: req.patience(candidate.FirstEvent, candidate.PatienceShare), Age: candidate.LoadAge}
 	}
-	use = &Use{set: s, pool: known.info.Pool, ask: ask, sent: now, spare: ask.Reserved || candidate.Spare()}
-	s.demandOf(known.info.Pool).begin(ask, now)
-	use.attach(known)
+	use = &Use{set: s, pool: e.info.Pool, request: req, sent: now, hadSpareSlot: req.Reserved || candidate.HasSpareSlot()}
+	s.estimatesFor(e.info.Pool).begin(req, now)
+	use.attach(e)
 	return use, why
 }
 
-// Load takes in what the replica said of its load with an answer. If requests
+// RecordLoad takes in what the replica said of its load with an answer. If requests
 // wait there for longer than they have time, items of this node give way.
-func (u *Use) Load(load Load, now time.Time) {
-	if id, items, why := u.takeLoad(load, now); items > 0 && u.set.Pressed != nil {
-		u.set.Pressed(id, items, why)
+func (u *Use) RecordLoad(load Load, now time.Time) {
+	if id, items, why := u.recordLoad(load, now); items > 0 && u.set.OnPressure != nil {
+		u.set.OnPressure(id, items, why)
 	}
 }
 
-// takeLoad returns the replica, and the number of this node's items there that should give
+// recordLoad returns the replica, and the number of this node's items there that should give
 // way.
-func (u *Use) takeLoad(load Load, now time.Time) (id string, items int, why Pressure) {
+func (u *Use) recordLoad(load Load, now time.Time) (id string, items int, why Pressure) {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
 	id = u.entry.info.ID
-	if u.entry.replaced {
+	if u.entry.superseded {
 		return id, 0, why
 	}
 	others := max(0, float64(load.Running+load.Waiting-u.entry.open))
-	previous := u.entry.othersAt(now)
+	previous := u.entry.decayedOthers(now)
 	u.entry.others = previous + othersWeight*(others-previous)
-	u.entry.reported = now
-	u.entry.waiting, u.entry.waitingAt = load.queued(), now
+	u.entry.othersUpdatedAt = now
+	u.entry.waiting, u.entry.loadReportedAt = load.queued(), now
 	candidate := u.set.candidate(u.entry, now)
-	patience := time.Duration(candidate.PatienceShare / patienceLeast * float64(u.set.demandOf(u.entry.info.Pool).patience))
-	bearable := int(patience / max(time.Millisecond, candidate.SlotTime))
+	patience := time.Duration(candidate.PatienceShare / minPatienceShare * float64(u.set.estimatesFor(u.entry.info.Pool).patience))
+	tolerable := int(patience / max(time.Millisecond, candidate.SlotTime))
 	why = Pressure{Queued: load.queued(), Wait: time.Duration(load.queued()) * candidate.SlotTime, Patience: patience}
-	return id, min(candidate.Batch, load.queued()-bearable), why
+	return id, min(candidate.Batch, load.queued()-tolerable), why
 }
 
-// Full notes that a replica, as it was asked, has no free slot.
-func (s *Set) Full(asked Info, now time.Time) {
+// MarkFull notes that a replica, as it was asked, has no free slot.
+func (s *Set) MarkFull(asked Info, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if known, ok := s.entries[asked.ID]; ok && known.info.SameStart(&asked) {
-		known.others = max(known.othersAt(now), float64(known.info.Slots-known.open))
-		known.reported = now
+	if e, ok := s.entries[asked.ID]; ok && e.info.SameStart(&asked) {
+		e.others = max(e.decayedOthers(now), float64(e.info.Slots-e.open))
+		e.othersUpdatedAt = now
 	}
 }
 
-// GiveWay notes that an item was asked to give way: its slot counts as free.
-func (u *Use) GiveWay() {
+// MarkPreempted notes that an item was asked to give way: its slot counts as free.
+func (u *Use) MarkPreempted() {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
-	if u.ask.Batch && !u.gaveWay && !u.ended {
-		u.gaveWay = true
-		u.entry.leaving++
-		u.entry.lend(u.ask, -1)
+	if u.request.Batch && !u.preempted && !u.ended {
+		u.preempted = true
+		u.entry.preempted++
+		u.entry.addBorrowed(u.request, -1)
 	}
 }
 
-// First notes that the answer has begun: its prompt has been read.
-func (u *Use) First(now time.Time) {
+// FirstEvent notes that the answer has begun: its prompt has been read.
+func (u *Use) FirstEvent(now time.Time) {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
-	if u.first {
+	if u.firstEvent {
 		return
 	}
-	u.first = true
-	u.entry.pending -= u.ask.Tokens
-	if u.spare && !u.ask.Batch {
-		u.set.demandOf(u.entry.info.Pool).begun(u.ask, now.Sub(u.sent))
+	u.firstEvent = true
+	u.entry.pending -= u.request.Tokens
+	if u.hadSpareSlot && !u.request.Batch {
+		u.set.estimatesFor(u.entry.info.Pool).observeFirstEvent(u.request, now.Sub(u.sent))
 	}
 }
 
-// Heard notes that something of this request's answer came: the replica is busy, not silent.
-func (u *Use) Heard(now time.Time) {
+// Received notes that something of this request's answer came: the replica is busy, not silent.
+func (u *Use) Received(now time.Time) {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
-	u.heard, u.entry.heard, u.set.heard = now, now, now
+	u.lastReceived, u.entry.lastReceived, u.set.lastReceived = now, now, now
 }
 
 // Silence returns the time since anything of any request came from the replica,
@@ -177,8 +177,8 @@
 func (u *Use) Silence(now time.Time) time.Duration {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
-	if u.entry.heard.After(u.sent) {
-		return now.Sub(u.entry.heard)
+	if u.entry.lastReceived.After(u.sent) {
+		return now.Sub(u.entry.lastReceived)
 	}
 	return now.Sub(u.sent)
 }
@@ -189,19 +189,19 @@
 func (u *Use) OwnSilence(now time.Time) (silence time.Duration, begun bool) {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
-	if u.heard.IsZero() {
+	if u.lastReceived.IsZero() {
 		return now.Sub(u.sent), false
 	}
-	return now.Sub(u.heard), true
+	return now.Sub(u.lastReceived), true
 }
 
 // End stops counting and takes in how the request ended.
 func (u *Use) End(result Result, now time.Time) {
 	info, ejected, ejection := u.finish(result, now)
-	if ejected && u.set.Ejected != nil {
-		u.set.Ejected(info, result)
+	if ejected && u.set.OnEjected != nil {
+		u.set.OnEjected(info, result)
 	}
-	u.set.ejectedByMany(ejection)
+	u.set.notifySharedEjection(ejection)
 }
 
 func (u *Use) finish(result Result, now time.Time) (info Info, ejected bool, ejection *SharedEjection) {
@@ -211,15 +211,15 @@
 		return Info{}, false, nil
 	}
 	u.ended = true
-	u.set.demandOf(u.pool).end(u.ask, !u.gaveWay, result, now.Sub(u.sent), now)
+	u.set.estimatesFor(u.pool).end(u.request, !u.preempted, result, now.Sub(u.sent), now)
 	u.detach()
 	if result == Succeeded {
-		u.set.heard = now
+		u.set.lastReceived = now
 	}
-	if !u.entry.replaced {
+	if !u.entry.superseded {
 		ejected, ejection = u.set.observe(u.entry, result, now)
 	}
-	u.set.wake()
+	u.set.notifyChanged()
 	return u.entry.info, ejected, ejection
 }
 
@@ -227,20 +227,20 @@
 // replica, on own evidence or that of several nodes. The caller holds mu.
 func (s *Set) observe(e *entry, result Result, now time.Time) (ejected bool, ejection *SharedEjection) {
 	ejected = e.health.observe(result, now)
-	e.own.observe(result, now)
+	e.ownTally.observe(result, now)
 	switch result {
 	case Succeeded:
-		s.reached(e, now)
+		s.noteReachable(e, now)
 	case Failed:
 		ejection = s.evaluate(e, now)
 	case Unreachable:
 		e.unreachableAt = now
 		ejection = s.evaluate(e, now)
-		s.unreached(e, now)
+		s.noteUnreachable(e, now)
 	case Refused:
 		// A replica that refuses has its slots and its queue full.
-		e.others = max(e.others, refusedFill*float64(e.info.Slots))
-		e.reported = now.Add(refusedFade - othersFade)
+		e.others = max(e.others, refusedLoad*float64(e.info.Slots))
+		e.othersUpdatedAt = now.Add(refusedDecayTime - othersDecayTime)
 		e.refusedAt = now
 	}
 	return ejected, ejection
--- a/internal/server/reconnect_test.go
+++ b/internal/server/reconnect_test.go
@@ -27,7 +27,7 @@
 	}))
 	defer engineServer.Close()
 	set := replica.NewSet()
-	info := replica.Info{ID: "r", Pool: "p", Address: engineServer.URL, Slots: 1, Born: 2000}
+	info := replica.Info{ID: "r", Pool: "p", Address: engineServer.URL, Slots: 1, StartedUnixMs: 2000}
 	set.Put(info)
 	s := &Server{options: Options{Replicas: set, Engines: engine.NewClient(nil)}}
 	app := iris.New()
@@ -54,7 +54,7 @@
 	if line, err := body.ReadString('\n'); err != nil || line != "id: 3\n" {
 		t.Fatalf("the caller got %q, %v", line, err)
 	}
-	info.Born = 1000
+	info.StartedUnixMs = 1000
 	set.Put(info)
 	rest, err := io.ReadAll(body)
 	if err != nil || bytes.Contains(rest, []byte("[DONE]")) {
--- a/internal/server/sink.go
+++ b/internal/server/sink.go
@@ -182,8 +182,8 @@
 
 // comeBack is how long a caller whose request did not run should wait.
 func comeBack(err error) time.Duration {
-	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) && none.Lasts() {
-		return none.ComeBack()
+	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) && none.Persistent() {
+		return none.RetryAfter()
 	}
 	return overloadRetryAfter
 }
