--- a/internal/replica/availability.go
+++ b/internal/replica/availability.go
@@ -4,27 +4,25 @@
 	"time"
 )
 
-// Availability is when a request that found no replica to take it can expect one, by what this
-// node knows: the refusals and the loads that replicas told of late, and how long slots
-// are held.
+// Availability predicts when a rejected request can expect a replica, from recent refusals and
+// load reports and from how long slots are held.
 type Availability struct {
-	// Wait is the least predicted time until a replica takes a request; 0 if one may now.
+	// Wait is the least predicted time until a replica accepts a request; 0 if one may now.
 	Wait time.Duration
-	// Known tells that Wait rests on fresh words: of all replicas that the request may
-	// use, or of some while the nodes together need all slots.
+	// Known reports whether Wait rests on recent reports: of all replicas that the request may
+	// use, or of several if the pool is full.
 	Known bool
 }
 
 const (
-	// minKnownReplicas is the number of replicas whose fresh words stand for those of a pool that
-	// is full by what nodes told: as many as a request asks before it pauses.
+	// minKnownReplicas is the number of replicas with recent reports that suffices for a pool
+	// which is full according to the nodes: as many as a request asks before it pauses.
 	minKnownReplicas = 3
-	// fullUsage is the part of a pool's slots that online requests need from which on it is
-	// full.
+	// fullUsage is the usage by online requests from which on a pool is full.
 	fullUsage = 1.0
 )
 
-// PredictAvailability predicts when a replica of a pool takes a request again.
+// PredictAvailability predicts when a replica of a pool accepts a request again.
 func (s *Set) PredictAvailability(pool string, criteria *Criteria, now time.Time) Availability {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,8 +49,8 @@
 	return result
 }
 
-// availabilityAt predicts when one replica takes a request. It reports whether the replica said
-// something of it a moment ago. The caller holds mu.
+// availabilityAt predicts when one replica accepts a request. It reports whether the replica
+// refused or reported its load within waitingDecayTime. The caller holds mu.
 func (s *Set) availabilityAt(e *entry, candidate *Candidate, criteria *Criteria, now time.Time) (time.Duration, bool) {
 	if candidate.Cold.Blocks(criteria.Batch) {
 		return candidate.Cold.Wait, true
@@ -67,7 +65,7 @@
 	}
 	waiting := candidate.Waiting
 	if refused {
-		// Its queue moves on once a slot is free.
+		// Its queue advances once a slot becomes free.
 		waiting = max(waiting, 1)
 	}
 	return time.Duration(waiting * float64(candidate.SlotTime)), true
--- a/internal/replica/borrow.go
+++ b/internal/replica/borrow.go
@@ -5,44 +5,42 @@
 	"time"
 )
 
-// Items run in their node's own slots. A node may have none, where there are fewer slots
-// than nodes or online requests need nearly all of its part, while slots of other nodes
-// stay free because these have nothing to run. Then an item borrows a slot: the replica
-// itself sets a free one aside, so no two nodes count on the same, and nothing has to be
-// agreed on or given back between nodes.
+// Items normally run in slots of their own node. A node may have none left, if there are fewer slots
+// than nodes or online requests need nearly all of its slots, while slots of other nodes are idle. An
+// item may then borrow a slot: the replica itself reserves a free one, so no two nodes count on the
+// same slot, and nodes need not agree on slots or return them to each other.
 
 const (
-	// BorrowAfter is how long an item finds no room before it borrows. Nodes without room
-	// for the length of a pulse of requests, some 2.4 s on the users' deployments, get it
-	// back by themselves; the users ask for items to be had by a replica within 5 s.
+	// BorrowAfter is how long an item must have waited before it borrows. Nodes without capacity
+	// for the length of a burst of requests, some 2.4 s on the users' deployments, regain it by
+	// themselves; the users require that a replica gets an item within 5 s.
 	BorrowAfter = 3 * time.Second
-	// borrowWithOwnItems is the same at a node that runs items of the pool meanwhile. It is for
-	// nodes that hear of no idle room: in another region, or told by words that are lost.
+	// borrowWithOwnItems is the same for a node that runs items of the pool. It serves nodes without
+	// reports of idle slots, because they are in another region or the reports are lost.
 	borrowWithOwnItems = 15 * time.Second
-	// StarvedAfter is how long an item finds no room before it borrows though online requests
-	// are said to need all slots, and keeps the slot then: what they need is told as the
-	// peaks of many nodes, which is more than they hold at any time, and some slots may stand
-	// empty for good. The replica still decides, and a node has one such item at a time.
+	// StarvedAfter is how long an item must have waited before it borrows although online requests
+	// are reported to need all slots. The item is then exempt from preemption. The reported need
+	// is a sum of peaks of many nodes, which exceeds the actual use at any time, so some slots
+	// might stay idle forever. The replica still decides, and a node has one such item at a time.
 	StarvedAfter = 30 * time.Second
-	// borrowReducedFrom is the part of a pool's slots that online requests need from which on
-	// fewer and fewer of the nodes that run no item borrow. Below it the replicas are half
-	// empty and all may.
+	// borrowReducedFrom is the usage by online requests from which on fewer and fewer of the nodes
+	// without running items may borrow. Below it the replicas are half empty, and all may.
 	borrowReducedFrom = 0.5
-	// maxBorrowUsage is the most that online requests count as needing: a replica has the last
-	// word on whether a slot is free, so each node asks now and then.
+	// maxBorrowUsage caps the usage that is compared with a node's limit, so that each node asks a
+	// replica now and then: the replica decides whether a slot is free.
 	maxBorrowUsage = 0.9
-	// borrowLimitPeriod is how long a node's limit stays the same. Then it is another, so that the
-	// same nodes do not go without for good where online requests need most slots.
+	// borrowLimitPeriod is how long a node's limit stays the same. The limit changes so that no node
+	// is excluded forever where online requests need most slots.
 	borrowLimitPeriod = time.Second
-	// goldenRatioFraction less one: its multiples, less their whole part, are spread evenly however
-	// many there are, so a node's limit is above borrowUsage once in 13 turns at the least.
+	// goldenRatioFraction is the fractional part of the golden ratio. The fractional parts of its
+	// multiples are evenly spread, so a node's limit exceeds maxBorrowUsage at least once in 13
+	// periods.
 	goldenRatioFraction = 0.6180339887498949
 )
 
-// MayBorrow reports whether an item that has found no room among this node's own slots for
-// some time may ask replicas of a pool for a slot of others: where the nodes of the region
-// tell of more idle room than is borrowed; and, without such a word, one at a time where
-// online requests do not need the slots.
+// MayBorrow reports whether an item that has waited for a slot of this node may ask the replicas of a
+// pool for a slot of other nodes. It may if nodes report more idle slots than are borrowed; without
+// such a report, one item at a time may if online requests do not need the slots.
 func (s *Set) MayBorrow(pool string, waited time.Duration, now time.Time) bool {
 	if waited < BorrowAfter {
 		return false
@@ -69,9 +67,9 @@
 	}
 }
 
-// borrowingUsage is the part of the slots that online requests need, as far as borrowing goes: as
-// other nodes told; where none did, of this node's own, which says little of the others'.
-// The caller holds mu.
+// borrowingUsage returns the usage by online requests, for decisions on borrowing, as reported by
+// other nodes. Without reports it is the usage of this node's slots, which says little of the
+// others'. The caller holds mu.
 func (s *Set) borrowingUsage(pool string, share int, now time.Time) float64 {
 	usage := s.fleetUsage(pool, now)
 	if share > 0 && !s.hasReports(pool, now) {
@@ -80,28 +78,27 @@
 	return min(usage, maxBorrowUsage)
 }
 
-// fullyUsed reports whether online requests need all slots of a pool by what other nodes told,
-// so that borrowed ones are to be left. The caller holds mu.
+// fullyUsed reports whether online requests need all slots of a pool according to other nodes, so that
+// borrowed slots have to be released. The caller holds mu.
 func (s *Set) fullyUsed(pool string, now time.Time) bool {
 	return s.hasReports(pool, now) && s.fleetUsage(pool, now) >= fullUsage
 }
 
-// hasReports reports whether other nodes told of a pool a moment ago. The caller holds mu.
+// hasReports reports whether other nodes reported on a pool within fleetMaxAge. The caller holds mu.
 func (s *Set) hasReports(pool string, now time.Time) bool {
 	view := s.fleet[pool]
 	return view != nil && now.Sub(view.reportedAt) <= fleetMaxAge
 }
 
-// borrowLimit is the part of the slots that online requests may need at most for this node
-// to borrow, between borrowFrom and fullPool, evenly spread over nodes and turns. The caller
-// holds mu.
+// borrowLimit returns the usage by online requests up to which this node may borrow. It lies between
+// borrowReducedFrom and fullUsage, evenly spread over nodes and periods. The caller holds mu.
 func (s *Set) borrowLimit(pool string, now time.Time) float64 {
 	periods := float64(now.UnixNano() / int64(borrowLimitPeriod) % (1 << 20))
 	_, fraction := math.Modf(s.rounding(pool) + periods*goldenRatioFraction)
 	return borrowReducedFrom + (fullUsage-borrowReducedFrom)*fraction
 }
 
-// addBorrowed counts an item that begins or leaves (-1) a slot of others.
+// addBorrowed adjusts the counts for an item that starts (1) or leaves (-1) a borrowed slot.
 func (e *entry) addBorrowed(req RequestInfo, count int) {
 	if req.Batch && req.Borrowed {
 		e.borrowed += count
@@ -111,8 +108,8 @@
 	}
 }
 
-// countStarved counts those of these items that keep their slots. The caller holds the set's
-// lock.
+// countStarved returns the number of items in borrowed slots that are exempt from preemption. The
+// caller holds the set's lock.
 func countStarved(list []*entry) int {
 	starved := 0
 	for _, e := range list {
@@ -121,7 +118,7 @@
 	return starved
 }
 
-// countBorrowed counts this node's items in slots of others. The caller holds the set's lock.
+// countBorrowed returns the number of items in borrowed slots. The caller holds the set's lock.
 func countBorrowed(list []*entry) int {
 	borrowed := 0
 	for _, e := range list {
@@ -130,9 +127,9 @@
 	return borrowed
 }
 
-// PickIdle returns the replica to be asked for a slot for an item: the least busy one, of
-// other regions if away is set. What is believed of the requests of others leaves none out: a
-// replica with few slots that refused once would be passed over for seconds.
+// PickIdle returns the replica to ask for a reservation for an item: the least busy one, of other
+// regions if otherRegions is set. The estimated load of other nodes excludes none: a replica with few
+// slots that refused once would otherwise be skipped for seconds.
 func PickIdle(candidates []Candidate, demand *Criteria, weights Weights, otherRegions bool) (*Candidate, error) {
 	if demand.Reserve > 0 {
 		candidates = unreserved(candidates, demand.Reserve)
@@ -140,7 +137,7 @@
 	return PickUnqueued(candidates, demand, weights, otherRegions)
 }
 
-// RecordIdle takes in how many slots a node has for items that it does not use, less those that
+// RecordIdle records the number of slots that a node has for items and does not use, less those that
 // its items have borrowed.
 func (s *Set) RecordIdle(pool string, idle float64, now time.Time) {
 	s.mu.Lock()
@@ -150,8 +147,8 @@
 	}
 }
 
-// idleSlots is the number of idle slots, less those borrowed, among the nodes that told of
-// late; 0 if nothing is known.
+// idleSlots returns the number of idle slots, less the borrowed ones, among the nodes that reported
+// within fleetMaxAge; 0 if unknown.
 func (f *fleetView) idleSlots(now time.Time) float64 {
 	if now.Sub(f.at) > fleetMaxAge {
 		return 0
--- a/internal/replica/cold.go
+++ b/internal/replica/cold.go
@@ -6,46 +6,46 @@
 	"time"
 )
 
-// A replica that has just started bears only a few requests a second. How many all nodes
-// together send it must hold without a word between them, and also while they differ
-// about who is there. So a few nodes, chosen by rendezvous hashing (Thaler and Ravishankar,
-// 1998) over the live ones, feed a cold replica; each of them keeps to its part of the
-// rate by spacing its sends, and all others send it nothing. See coldrate.go.
+// A replica that has just started (is cold) sustains only a few requests a second. All nodes
+// together must keep to that limit without coordination, and also while their views of the members
+// differ. So a few live nodes, chosen by rendezvous hashing (Thaler and Ravishankar, 1998), are the
+// senders of a cold replica. Each keeps to its part of the rate by spacing its sends, and all other
+// nodes send nothing. See coldrate.go.
 
 const (
-	// recentContact is how long ago something must have come from any replica for one
-	// that cannot be reached to be taken as gone: otherwise it is this node that is cut
-	// off. Replicas of a busy pool are heard from many times a second.
+	// recentContact is how recently this node must have received data from any replica to take
+	// an unreachable one as down. Otherwise this node itself is assumed to be cut off, since
+	// data arrives from the replicas of a busy pool many times a second.
 	recentContact = time.Second
-	// startListedDelay is how long after the first answer of a replica that has started the
-	// list says so at the latest, in calm: it writes its entry with its first heartbeat, each
-	// 1.2 s on the users' platform, and the feed takes some ms.
+	// startListedDelay is how long after the first answer of a restarted replica the list shows
+	// the restart at the latest: the replica writes its row with its first heartbeat, each 1.2 s
+	// on the users' platform, and the feed of changes takes some milliseconds.
 	startListedDelay = 1500 * time.Millisecond
-	// maxColdChanges bounds the changes that wait to be logged.
+	// maxColdChanges bounds the changes that one call of ColdChanges returns.
 	maxColdChanges = 256
 )
 
-// ColdLimit is what replicas of a pool bear while they are cold. The zero value bounds
-// nothing.
+// ColdLimit is the rate limit of the replicas of a pool while they are cold. The zero value means
+// no limit.
 type ColdLimit struct {
-	// Rate is in requests a second.
+	// Rate is in requests per second, of all nodes together.
 	Rate float64
 	// Start is how long a replica is cold after its start.
 	Start time.Duration
 }
 
-// ColdReason says why a replica is taken as cold.
+// ColdReason is why a replica is considered cold.
 type ColdReason uint8
 
 const (
-	// ColdReported replicas say so themselves.
+	// ColdReported means that the replica reports that it is cold.
 	ColdReported ColdReason = iota
-	// ColdReturned replicas stand in a zone that operators emptied a moment ago.
+	// ColdReturned means that the evacuation of its zone has just ended.
 	ColdReturned
-	// ColdUnreachable replicas took no connection a moment ago.
+	// ColdUnreachable means that the replica accepted no connection recently.
 	ColdUnreachable
-	// ColdUnconfirmed replicas answer again after that: the list tells soon whether they are
-	// the ones from before.
+	// ColdUnconfirmed means that a replica answers again after it was unreachable, and the list
+	// does not show yet whether it restarted.
 	ColdUnconfirmed
 )
 
@@ -63,23 +63,22 @@
 	}
 }
 
-// coldState is what is known of a replica's warming up. The zero value is warm. The set's
-// lock guards it.
+// coldState is the cold state of a replica. The zero value is warm. The set's lock guards it.
 type coldState struct {
 	since, until time.Time
 	reason       ColdReason
-	// nextSend is when this node may send it the nextSend request.
+	// nextSend is when this node may send it the next request.
 	nextSend time.Time
-	// senders are the nodes that may, by their places among the set's, feeds is whether
-	// this node is one of them; both were worked out for that division.
+	// senders are the indexes in Set.nodes of the nodes that may send to it, isSender is whether
+	// this node is one of them; both are as of division.
 	senders  []int
 	isSender bool
 	division uint64
-	// logged is what ColdChanges last told.
+	// logged is the state that ColdChanges last returned.
 	logged bool
 }
 
-// SetColdLimits sets what cold replicas bear, by pool. Pools without a limit are not bounded.
+// SetColdLimits sets the limits of cold replicas by pool. Pools without a limit are not restricted.
 func (s *Set) SetColdLimits(limits map[string]ColdLimit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,12 +86,12 @@
 		return
 	}
 	s.coldLimits = limits
-	// How many nodes feed a cold replica depends on its limit.
+	// The number of senders of a cold replica depends on its limit.
 	s.division++
 	s.notifyChanged()
 }
 
-// coldLimit returns the limit of an entry that is taken as cold now. The caller holds mu.
+// coldLimit returns the limit of an entry and whether it is considered cold now. The caller holds mu.
 func (s *Set) coldLimit(e *entry, now time.Time) (limit ColdLimit, cold bool) {
 	if len(s.coldLimits) == 0 || !now.Before(e.cold.until) && !s.listStale(now) {
 		return ColdLimit{}, false
@@ -101,15 +100,15 @@
 	return limit, cold && limit.Rate > 0
 }
 
-// confirmedCold reports whether something tells that an entry is cold now, other than the age
-// of the list. The caller holds mu.
+// confirmedCold reports whether an entry is considered cold for another reason than the age of the
+// list. The caller holds mu.
 func (s *Set) confirmedCold(e *entry, now time.Time) bool {
 	_, cold := s.coldLimit(e, now)
 	return cold && now.Before(e.cold.until)
 }
 
-// markCold takes an entry as cold until a moment, or for longer if it is known to be. The
-// caller holds mu.
+// markCold marks an entry as cold until a time, or longer if it is marked so already. The caller
+// holds mu.
 func (s *Set) markCold(e *entry, until time.Time, reason ColdReason, now time.Time) {
 	if !until.After(e.cold.until) {
 		return
@@ -124,33 +123,33 @@
 	e.cold.until = until
 }
 
-// markPresumedCold takes an entry as cold though it did not say so: its row, written about
-// each heartbeat, may be older than what happened. The caller holds mu.
+// markPresumedCold marks an entry as cold although the replica did not report it: its row, written
+// with each heartbeat, may be older than the event. The caller holds mu.
 func (s *Set) markPresumedCold(e *entry, from time.Time, reason ColdReason, now time.Time) {
 	if limit, ok := s.coldLimits[e.info.Pool]; ok && limit.Rate > 0 {
 		s.markCold(e, from.Add(limit.Start), reason, now)
 	}
 }
 
-// ReportCold takes in that a replica says that it is cold for so long yet.
+// ReportCold records that the replica reports being cold for some time longer.
 func (u *Use) ReportCold(left time.Duration, now time.Time) {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
 	u.set.markCold(u.entry, now.Add(left), ColdReported, now)
 }
 
-// noteUnreachable takes in that a replica took no connection: as long as it is left out for
-// that, only the nodes that feed it try, also as a last resort. If nothing comes from any
-// replica it is this node that is cut off. The caller holds mu.
+// noteUnreachable records that a replica accepted no connection. While it is ejected for that, only
+// its senders try it, also as a last resort. If no replica is heard from, this node is likely cut
+// off, and nothing is recorded. The caller holds mu.
 func (s *Set) noteUnreachable(e *entry, now time.Time) {
 	if limit := s.coldLimits[e.info.Pool]; limit.Rate > 0 && now.Sub(s.lastReceived) < recentContact {
 		s.markCold(e, e.health.ejectedUntil, ColdUnreachable, now)
 	}
 }
 
-// noteReachable takes in that a replica answered after it was unreachable. One that does not say
-// when it was born would have another id if it had started: it is as warm as before. Others
-// may have started again under theirs, which the list tells soon. The caller holds mu.
+// noteReachable records that a replica answered after it was unreachable. A replica that reports no
+// start time gets a new ID when it restarts, so one with the same ID did not restart and is warm.
+// Others may have restarted under their ID, which the list shows soon. The caller holds mu.
 func (s *Set) noteReachable(e *entry, now time.Time) {
 	if e.cold.reason != ColdUnreachable || !now.Before(e.cold.until) {
 		return
@@ -161,8 +160,8 @@
 	}
 }
 
-// markReturned takes in that zones are not emptied any more: their replicas have nothing to
-// do, so all nodes would fill them at once. The caller holds mu.
+// markReturned marks the replicas of zones whose evacuation ends as cold: they are idle, so all
+// nodes would send to them at once. The caller holds mu.
 func (s *Set) markReturned(zones map[string]bool, now time.Time) {
 	for _, e := range s.entries {
 		if s.evacuated[e.info.Zone] && !zones[e.info.Zone] {
@@ -171,28 +170,28 @@
 	}
 }
 
-// ColdView is what a node does with a cold replica.
+// ColdView is what a node may send to a replica while it is cold.
 type ColdView struct {
-	// Left is how long it is taken as cold yet; 0 if it is warm.
+	// Left is how much longer the replica is considered cold; 0 if it is warm.
 	Left time.Duration
-	// Wait is the time until this node may send it a request: until it is warm if other
-	// nodes feed it.
+	// Wait is the time until this node may send it a request. If this node is not one of its
+	// senders, that is when the replica is warm.
 	Wait time.Duration
 	// Idle is set if online requests have left this node's part of the rate unused.
 	Idle bool
-	// Rate is this node's part in requests a second.
+	// Rate is this node's part of the rate, in requests per second.
 	Rate float64
-	// Presumed is set if nothing tells that it is cold but the age of the list; Left is
-	// then when to look again.
+	// Presumed is set if the age of the list is the only reason. Left is then the time until the
+	// next check.
 	Presumed bool
 }
 
-// Blocks reports whether a request must not be sent there now.
+// Blocks reports whether a request must not be sent to the replica now.
 func (v ColdView) Blocks(batch bool) bool {
 	return v.Left > 0 && (v.Wait > 0 || batch && !v.Idle)
 }
 
-// coldView returns what this node may do with an entry. The caller holds mu.
+// coldView returns what this node may send to an entry. The caller holds mu.
 func (s *Set) coldView(e *entry, now time.Time) ColdView {
 	limit, cold := s.coldLimit(e, now)
 	if !cold {
@@ -213,8 +212,8 @@
 	return view
 }
 
-// allBlocked reports whether all of some entries are cold and must not get a request now.
-// The caller holds mu.
+// allBlocked reports whether all of the given entries are cold and must not get a request now. The
+// caller holds mu.
 func (s *Set) allBlocked(list []*entry, batch bool, now time.Time) bool {
 	if len(s.coldLimits) == 0 {
 		return false
@@ -227,8 +226,8 @@
 	return true
 }
 
-// admitCold takes a request's place in this node's part of the rate, unless there is none
-// now. It reports whether the request may be sent. The caller holds mu.
+// admitCold reports whether a request may be sent to an entry, and if the entry is cold, uses up one
+// send of this node's part of the rate. The caller holds mu.
 func (s *Set) admitCold(e *entry, req RequestInfo, now time.Time) bool {
 	if req.Granted {
 		return true
@@ -244,36 +243,36 @@
 	return true
 }
 
-// interval is the time between two requests at a rate.
+// interval returns the time between two requests at a rate.
 func interval(rate float64) time.Duration {
 	return time.Duration(math.Ceil(float64(time.Second) / rate))
 }
 
-// ColdHeldBack counts the sends that were held back because a replica was cold.
+// ColdHeldBack returns the number of sends that were held back because a replica was cold.
 func (s *Set) ColdHeldBack() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.coldHeldBack
 }
 
-// NoteHeldBack notes a request that waits because all replicas that it could go to are cold.
+// NoteHeldBack counts a request that waits because all replicas that could serve it are cold.
 func (s *Set) NoteHeldBack() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.coldHeldBack++
 }
 
-// ColdChange is a replica that is taken as cold, or as warm again.
+// ColdChange is a change of a replica to cold, or back to warm.
 type ColdChange struct {
 	Info   Info
 	Cold   bool
 	Reason ColdReason
-	// For is how long it has been cold, Left how long it will be.
+	// For is how long the replica has been cold, Left how much longer it will be.
 	For, Left time.Duration
 }
 
-// ColdChanges returns what has changed since the last call, maxColdChanges at most; the
-// rest comes with the next one. It is for the log.
+// ColdChanges returns the changes since the last call, for the log. It returns at most
+// maxColdChanges; the next call returns the others.
 func (s *Set) ColdChanges(now time.Time) []ColdChange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -295,7 +294,7 @@
 	return changes
 }
 
-// CountCold returns the number of replicas that are known to be cold.
+// CountCold returns the number of replicas that are considered cold, without presumed ones.
 func (s *Set) CountCold(now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/replica/coldgrant.go
+++ b/internal/replica/coldgrant.go
@@ -5,23 +5,22 @@
 	"time"
 )
 
-// Where all replicas of a pool are cold, nodes that feed none of them would have nothing
-// to send their requests to. They ask a node that feeds one for a place; what it grants
-// comes out of its own part of the rate, so the bound holds as before.
+// If all replicas of a pool are cold, nodes that are not senders of any have no replica to use. They
+// ask a sender for a grant, which uses up one send of the sender's own part of the rate, so the
+// limit holds.
 
-// ColdSender is a node that feeds a cold replica.
+// ColdSender is a node that may send to a cold replica.
 type ColdSender struct {
 	Replica, Node string
-	// StartedUnixMs is that of the replica's start, Zone where it stands.
+	// StartedUnixMs identifies the start of the replica, Zone is its zone.
 	StartedUnixMs int64
 	Zone          string
-	// Presumed is set if nothing told this node that the replica is cold but the age of its
-	// list.
+	// Presumed is set if the age of the list is this node's only reason to consider it cold.
 	Presumed bool
 }
 
-// ColdSenders returns the nodes that feed the cold replicas which a request could go to, as
-// far as this node knows the members.
+// ColdSenders returns the senders of the cold replicas that could serve a request, according to this
+// node's view of the members.
 func (s *Set) ColdSenders(pool string, criteria *Criteria, now time.Time) []ColdSender {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,7 +30,7 @@
 		if e.info.Leaving || candidate.Ejected || candidate.hardExclusion(criteria) != Cold {
 			continue
 		}
-		// That brings its feeders up to date.
+		// Brings senders up to date.
 		s.isColdSender(e, now)
 		for _, i := range e.cold.senders {
 			node := s.nodes[i].ID
@@ -48,8 +47,9 @@
 	return senders
 }
 
-// randomOtherNode returns a random other node, or this one if there is none: where this node feeds
-// a replica that it only presumes to be cold, any other may know better. The caller holds mu.
+// randomOtherNode returns a random other node, or this one if there is none. If this node is the
+// sender of a replica that it only presumes to be cold, any other node may know better. The caller
+// holds mu.
 func (s *Set) randomOtherNode() string {
 	others := len(s.nodes) - 1
 	if others < 1 {
@@ -61,8 +61,8 @@
 	return s.nodes[others].ID
 }
 
-// GrantCold takes a place in this node's part of a cold replica's rate for another node.
-// It reports whether there was one.
+// GrantCold uses up one send of this node's part of a cold replica's rate for another node. It
+// reports whether one was available.
 func (s *Set) GrantCold(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,15 +72,15 @@
 	}
 	view := s.coldView(e, now)
 	if view.Left == 0 || view.Blocks(false) {
-		// What the other node takes for cold and this one for warm has changed meanwhile;
-		// one of them is yet to hear of it.
+		// The asking node considers the replica cold and this one does not: the views of the two
+		// differ until both have received the latest change.
 		return false
 	}
 	e.cold.nextSend = now.Add(interval(view.Rate))
 	return true
 }
 
-// CandidateByID returns a replica as a choice sees it.
+// CandidateByID returns the snapshot of a listed replica.
 func (s *Set) CandidateByID(id string, now time.Time) (*Candidate, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/replica/coldrate.go
+++ b/internal/replica/coldrate.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// maxColdSenders is the most nodes that feed a cold replica: with one, a cold replica
-	// would stand idle for as long as that node is gone unnoticed; with many, the first
-	// request of each would leave little of the rate.
+	// maxColdSenders is the maximum number of senders of a cold replica. With a single sender, the
+	// replica would be idle until other nodes notice that the sender is gone; with many, their
+	// first requests alone would use up most of the rate.
 	maxColdSenders = 3
-	// membershipViews is the number of choices of nodes that may be in force at once, in views
-	// of the members that share none of the chosen ones: that of before a change, also
-	// at nodes which are cut off, and that of after it.
+	// membershipViews is the number of disjoint sets of senders that may be active at once, due to
+	// different views of the members: the set before a change, which nodes that are cut off still
+	// use, and the set after it.
 	membershipViews = 2
-	// minSenderRate is the least that is worth a node of its own, in requests a second.
+	// minSenderRate is the minimum rate per sender, in requests per second, to add a sender.
 	minSenderRate = 4
-	// newSenderDelay is how long a node that has become a feeder by a change of the members
-	// waits: the second that is judged, in which the feeder before it may have sent.
+	// newSenderDelay is how long a node waits that became a sender by a change of the members. It is
+	// the second in which requests are counted and the previous sender may have sent some.
 	newSenderDelay = time.Second
 )
 
-// ColdTolerance is how far beyond its rate a cold replica may get requests in any one
-// second: rate x Over + Slack. A zero Over counts as 1.
+// ColdTolerance bounds the requests that a cold replica may get in any one second, at
+// rate x Over + Slack. A zero Over counts as 1.
 type ColdTolerance struct {
 	Over, Slack float64
 }
 
-// bound is the number of requests that a cold replica may get in any one second.
+// bound returns the maximum number of requests to a cold replica in any one second.
 func (t ColdTolerance) bound(rate float64) float64 {
 	if t.Over == 0 {
 		return rate + t.Slack
@@ -35,8 +35,8 @@
 	return rate*t.Over + t.Slack
 }
 
-// parts returns how many nodes feed a cold replica and the rate of each. In any one
-// second a node sends at most its rate and one request more.
+// split returns the number of senders of a cold replica and the rate of each. In any one second a
+// sender sends at most its rate plus one request.
 func (t ColdTolerance) parts(rate float64) (nodes int, part float64) {
 	bound := t.bound(rate)
 	each := bound / membershipViews
@@ -48,21 +48,21 @@
 	if bound < 1 {
 		return 0, 0
 	}
-	// The bound is too small for two views: one request in somewhat over a second, which
-	// holds while nodes agree.
+	// The bound is too small for two disjoint sets of senders. One request in slightly more than
+	// a second keeps to it while the views of the nodes agree.
 	return 1, min(slowSenderRate, rate)
 }
 
-// slowSenderRate spaces requests by somewhat more than the second that is judged.
+// slowSenderRate spaces requests by slightly more than the second in which they are counted.
 const slowSenderRate = 0.9
 
-// isColdSender reports whether this node is one of those that feed an entry, which is cold. One
-// that becomes so by a change of the members waits first. The caller holds mu.
+// isColdSender reports whether this node is a sender of an entry, which is cold. A node that becomes
+// a sender by a change of the members first waits newSenderDelay. The caller holds mu.
 func (s *Set) isColdSender(e *entry, now time.Time) bool {
 	if e.cold.division == s.division {
 		return e.cold.isSender
 	}
-	// A node that did not know the members takes nobody's place in its own view.
+	// A node that had no members in its view replaces no other sender.
 	replaces := !e.cold.isSender && len(e.cold.senders) > 0
 	s.chooseSenders(e)
 	if held := now.Add(newSenderDelay); replaces && e.cold.isSender && held.After(e.cold.nextSend) {
@@ -71,10 +71,10 @@
 	return e.cold.isSender
 }
 
-// chooseSenders works out which nodes feed an entry: one of its zone, which reaches it when
-// the zone is cut off, then those with the largest weights, which are there when its zone
-// was lost and comes back. A node that is not
-// among the nodes does not know them all, and feeds nothing. The caller holds mu.
+// chooseSenders chooses the senders of an entry: one of its zone, which can reach it when the zone is
+// cut off, then those with the highest weights, which remain available when the zone is lost and
+// comes back. A node that is not among the members does not know all of them, and is no sender. The
+// caller holds mu.
 func (s *Set) chooseSenders(e *entry) {
 	count, _ := s.ColdTolerance.parts(s.coldLimits[e.info.Pool].Rate)
 	nodes, self := s.senderNodes()
@@ -92,16 +92,16 @@
 	e.cold.senders, e.cold.isSender, e.cold.division = chosen, slices.Contains(chosen, self), s.division
 }
 
-// senderNode is a node that may feed replicas.
+// senderNode is a node that may become a sender.
 type senderNode struct {
 	key  uint64
 	zone string
-	// notMember is set if it is among the nodes only because it is this one.
+	// notMember is set for this node while it is not among the members that it knows.
 	notMember bool
 }
 
-// highestWeight returns the place of the node with the largest weight for an entry, of those that
-// are eligible; -1 if there is none.
+// highestWeight returns the index of the eligible node with the highest rendezvous weight for an
+// entry; -1 if there is none.
 func highestWeight(nodes []senderNode, e *entry, eligible func(i int) bool) int {
 	found, most := -1, uint64(0)
 	for i := range nodes {
@@ -115,9 +115,9 @@
 	return found
 }
 
-// SetJoined tells whether this node is among the members that it knows, and not only there because
-// it is this one. Until it is, it feeds nothing: those that started before it may be missing, too,
-// and of nodes that start together each would be the only one of its zone in its own view.
+// SetJoined sets whether this node is among the members that it knows. Until then it sends to no cold
+// replica: it may not know the nodes that started earlier, and of several nodes that start together
+// each would consider itself the only one of its zone.
 func (s *Set) SetJoined(joined bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,8 +129,8 @@
 	s.notifyChanged()
 }
 
-// senderNodes returns the nodes that may feed replicas, and this node's place among them; -1
-// if it is not there. They are worked out once for each division. The caller holds mu.
+// senderNodes returns the nodes that may become senders and this node's index among them, or -1. The
+// result is cached for each division. The caller holds mu.
 func (s *Set) senderNodes() (nodes []senderNode, self int) {
 	if s.division == 0 {
 		return nil, -1
@@ -149,8 +149,8 @@
 	return s.senderList, s.senderSelf
 }
 
-// shareOf is the number of an entry's slots that are this node's: while it is cold, the
-// nodes that feed it have them all. The caller holds mu.
+// shareOf returns the number of an entry's slots that are allotted to this node. While the entry is
+// cold, its senders share all of them. The caller holds mu.
 func (s *Set) shareOf(e *entry, now time.Time) int {
 	limit, cold := s.coldLimit(e, now)
 	if !cold {
--- a/internal/replica/delisted.go
+++ b/internal/replica/delisted.go
@@ -2,24 +2,23 @@
 
 import "time"
 
-// While the source of the list is away, replicas cannot renew their entries there: those that are
-// missing after a long outage may be well. They are used for a while yet, on own evidence, and
-// dropped if they are not listed again. Else a node that was cut off would divide the slots of
-// replicas which are gone for good, and come to another division than all others: of the slots
-// that are there some would be no node's, and others two nodes'.
+// While the source of the list is down, replicas cannot renew their entries, so those missing after a
+// long outage may still be running. They are used for a grace period, subject to this node's own
+// evidence, and dropped if they are not listed again. Without the drop, a node that was cut off would
+// divide the slots of dead replicas too and come to another division than the other nodes: some slots
+// would be allotted to no node and others to two.
 
 const (
-	// delistedGrace is how long a replica that vanished from the list around an
-	// outage of the platform's store may still be used, on own evidence.
+	// delistedGrace is how long a replica that was delisted around an outage of the platform's
+	// store may still be used, subject to this node's own evidence.
 	delistedGrace = 2 * time.Second
-	// outageWindow is how long after an outage a vanished replica is kept.
+	// outageWindow is how long after an outage a delisted replica gets that grace period.
 	outageWindow = 200 * time.Millisecond
-	// minLapsingOutage is the length of an outage from which on entries lapse.
+	// minLapsingOutage is the minimum length of an outage that makes entries lapse.
 	minLapsingOutage = 2500 * time.Millisecond
 )
 
-// Remove takes in that a replica is listed no more. That is no sign that it ended: it may
-// serve on for a while.
+// Remove records that a replica is no longer listed. It may still be running and answer requests.
 func (s *Set) Remove(id string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,9 +34,9 @@
 	s.invalidateIndex()
 }
 
-// OutageEnded notes that the list's source has come back after an outage. After a
-// long one, entries may be missing though their replicas are well, for these
-// could not renew them; after a short one, who is missing has left.
+// OutageEnded records that the source of the list is back after an outage. After a long outage,
+// replicas may be missing that are running, since they could not renew their entries; after a short
+// one, missing replicas have left.
 func (s *Set) OutageEnded(length time.Duration, now time.Time) {
 	if length < minLapsingOutage {
 		return
@@ -47,14 +46,13 @@
 	s.outageEnd = now
 }
 
-// graceExpired reports whether an entry that left the list around an outage has
-// been used without a new listing for long enough.
+// graceExpired reports whether an entry that was delisted around an outage was not listed again within
+// the grace period.
 func (e *entry) graceExpired(now time.Time) bool {
 	return !e.delistedAt.IsZero() && now.Sub(e.delistedAt) > delistedGrace
 }
 
-// dropExpired drops the entries that are in doubt no more, for they were not listed again in time.
-// The caller holds mu.
+// dropExpired drops the delisted entries whose grace period is over. The caller holds mu.
 func (s *Set) dropExpired(now time.Time) {
 	if !s.pendingDelisted {
 		return
--- a/internal/replica/demand.go
+++ b/internal/replica/demand.go
@@ -6,43 +6,42 @@
 )
 
 const (
-	// initialHold stands in until it is learned how long requests hold a slot, and
-	// counts as so many requests.
+	// initialHold is the assumed time that a request holds a slot until one is measured. It has the
+	// weight of initialHoldCount requests.
 	initialHold      = 500 * time.Millisecond
 	initialHoldCount = 2
-	// averageWeight is the weight of the newest request in what is learned of all.
+	// averageWeight is the weight of the newest request in moving averages.
 	averageWeight = 0.05
-	// holdMemory is how far back the turnover of slots is looked at.
+	// holdMemory is the time constant of the average time that a slot is held.
 	holdMemory = 5 * time.Second
-	// minPatienceShare is the part of the time that is left to the objective which a
-	// request waits for a slot at least before an item gives way; the rest is for
-	// what the estimate misses.
+	// minPatienceShare is the minimum part of the time left to its objective for which a request
+	// waits for a slot before it preempts an item. The rest allows for errors of the estimate.
 	minPatienceShare = 0.5
 )
 
-// poolEstimates is what a node has learned of a pool from its own requests. The zero
-// value knows nothing. The set's lock guards it.
+// poolEstimates are what a node learned of a pool from its own requests. The zero value is empty. The
+// set's lock guards it.
 type poolEstimates struct {
-	// open counts the online requests under way.
+	// open is the number of online requests in flight.
 	open int
-	// peak is the largest number of late, as of peakAt; it decays.
+	// peak is the largest recent value of open, decayed up to peakAt.
 	peak   float64
 	peakAt time.Time
 	// onlineHold is how long an online request holds a slot.
 	onlineHold time.Duration
-	// firstEvent is the time to the firstEvent event of a request that need not wait, spread its
-	// mean deviation.
+	// firstEvent is the mean time to the first event of a request that does not wait,
+	// firstEventDeviation its mean deviation.
 	firstEvent          time.Duration
 	firstEventDeviation time.Duration
 	// patience is how long an online request may usually wait for a slot.
 	patience time.Duration
-	// running counts requests and items; busy, in slot seconds, and ends are what
-	// they came to of late, as of turnoverAt.
-	// readingSlope is how the time to the first event grows with the prompt.
+	// running is the number of requests and items in flight; busy, in slot seconds, and releases,
+	// in slots, are decaying sums as of advancedAt.
+	// readingSlope is how the time to the first event grows with the length of the prompt.
 	readingSlope slope
-	// staleProbedAt is when a replica was last to be asked that nothing was heard from.
+	// staleProbedAt is when ProbeStale last returned true.
 	staleProbedAt time.Time
-	// itemTokens is the length of items, prompt and answer.
+	// itemTokens is the mean length of items, prompt and answer.
 	itemTokens float64
 	running    int
 	busy       float64
@@ -50,7 +49,7 @@
 	advancedAt time.Time
 }
 
-// begin takes in that a request was sent.
+// begin records that a request is sent.
 func (d *poolEstimates) begin(req RequestInfo, now time.Time) {
 	d.advance(now)
 	d.running++
@@ -63,7 +62,7 @@
 	d.open++
 }
 
-// end takes in that a request has left its slot, of its own accord or not.
+// end records that a request has left its slot. countRelease is false if it was preempted.
 func (d *poolEstimates) end(req RequestInfo, countRelease bool, result Result, took time.Duration, now time.Time) {
 	d.advance(now)
 	d.running--
@@ -80,7 +79,7 @@
 	}
 }
 
-// observeFirstEvent takes in the first event of a request that did not have to wait.
+// observeFirstEvent records the first event of a request that did not wait for a slot.
 func (d *poolEstimates) observeFirstEvent(req RequestInfo, took time.Duration) {
 	if d.firstEvent == 0 {
 		d.firstEventDeviation = took / 2
@@ -90,21 +89,20 @@
 	d.readingSlope.add(float64(req.Tokens), took.Seconds())
 }
 
-// minFirstEventDeviations is the number of mean deviations below the mean where the soonest first
-// event is looked for: some 5 in 100 come sooner if their times are normal. A sender's
-// time-out is found in the same way, four above the mean (Jacobson, 1988; RFC 6298).
+// minFirstEventDeviations is the number of mean deviations below the mean at which the earliest first
+// event is expected; some 5 in 100 come earlier if the times are normally distributed. TCP computes
+// its retransmission timeout likewise, at four above the mean (Jacobson, 1988; RFC 6298).
 const minFirstEventDeviations = 2
 
-// minFirstEvent is the least time to the first event that is to be expected; 0 where nothing is
-// learned, or times differ widely.
+// minFirstEvent returns the least time to the first event that can be expected; 0 if nothing is
+// measured or the times vary widely.
 func (d *poolEstimates) minFirstEvent() time.Duration {
 	return max(0, d.firstEvent-minFirstEventDeviations*d.firstEventDeviation)
 }
 
-// patienceShare is the part of the time that is left which a request waits before
-// an item gives way. An item that goes on elsewhere is read again, which holds up
-// all that run there; where this costs more slot time than the request itself
-// takes, the request waits longer.
+// patienceShare returns the part of the time left to its objective for which a request waits before it
+// preempts an item. The prompt of a preempted item is processed again on another replica, which slows
+// all requests there. If that costs more slot time than the request itself, the request waits longer.
 func (d *poolEstimates) patienceShare(slots int) float64 {
 	cost := d.itemTokens / d.readingRate() * float64(slots)
 	onlineHold := d.onlineHold
@@ -114,7 +112,7 @@
 	return max(minPatienceShare, cost/(cost+onlineHold.Seconds()))
 }
 
-// readingRate is how fast replicas read prompts, in tokens a second.
+// readingRate returns the prompt processing rate of replicas, in tokens per second.
 func (d *poolEstimates) readingRate() float64 {
 	if seconds, ok := d.readingSlope.get(); ok && seconds > 0 {
 		return 1 / seconds
@@ -122,7 +120,7 @@
 	return readingRate
 }
 
-// updateAverage moves what is known towards what was seen.
+// updateAverage adds a sample to a moving average.
 func updateAverage(average *time.Duration, sample time.Duration) {
 	if *average == 0 {
 		*average = sample
@@ -130,8 +128,8 @@
 	*average += time.Duration(averageWeight * float64(sample-*average))
 }
 
-// level is the number of slots that online requests are expected to need: those
-// that they hold, or held a moment ago, for what comes in a burst comes on.
+// level returns the number of slots that online requests are expected to need: those that they hold,
+// or held a moment ago, since bursts tend to continue.
 func (d *poolEstimates) level(now time.Time) float64 {
 	onlineHold := d.onlineHold
 	if onlineHold == 0 {
@@ -141,7 +139,7 @@
 	return max(float64(d.open), faded)
 }
 
-// advance brings the sums up to now.
+// advance updates the decaying sums to now.
 func (d *poolEstimates) advance(now time.Time) {
 	passed := now.Sub(d.advancedAt)
 	if d.advancedAt.IsZero() || passed <= 0 {
@@ -154,13 +152,13 @@
 	d.advancedAt = now
 }
 
-// slotHold is how long a slot is held at a time, by requests and items together.
+// slotHold returns how long a slot is held on average, by requests and items together.
 func (d *poolEstimates) slotHold() time.Duration {
 	seconds := (d.busy + initialHoldCount*initialHold.Seconds()) / (d.releases + initialHoldCount)
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// estimatesFor returns what is known of a pool. The caller holds mu.
+// estimatesFor returns the estimates for a pool. The caller holds mu.
 func (s *Set) estimatesFor(pool string) *poolEstimates {
 	estimates := s.estimates[pool]
 	if estimates == nil {
@@ -170,24 +168,24 @@
 	return estimates
 }
 
-// PoolStats is what decisions about a pool go by at this node.
+// PoolStats are the values on which this node bases its decisions about a pool.
 type PoolStats struct {
-	// Share counts this node's slots, Open its online requests, Items its items in these,
-	// Borrowed those in slots of others.
+	// Share is the number of this node's slots, Open that of its online requests, Items that of its
+	// items in its own slots, Borrowed that of its items in slots of other nodes.
 	Share, Open, Items, Borrowed int
-	// Level is the number of slots that online requests are expected to need, FleetUsage the
-	// part of all slots that online requests of all nodes need as far as they told.
+	// Level is the number of slots that online requests of this node are expected to need,
+	// FleetUsage the part of all slots that online requests of all nodes need, as reported.
 	Level, FleetUsage float64
-	// SlotHold is how long a slot is held at a time, OnlineHold how long by an online
-	// request, FirstEvent the time to a first event that waits for no slot.
+	// SlotHold is how long a slot is held on average, OnlineHold how long by an online request,
+	// FirstEvent the time to the first event of a request that does not wait.
 	SlotHold, OnlineHold, FirstEvent time.Duration
-	// PatienceShare is the part of the time left that a request waits for a slot.
+	// PatienceShare is the part of the time left to its objective that a request waits for a slot.
 	PatienceShare float64
-	// ReadingRate is how fast prompts are read, in tokens a second.
+	// ReadingRate is the prompt processing rate, in tokens per second.
 	ReadingRate float64
 }
 
-// PoolStats returns what is known of each pool that has replicas.
+// PoolStats returns the statistics of each pool that has replicas.
 func (s *Set) PoolStats(now time.Time) map[string]PoolStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -207,8 +205,8 @@
 	return all
 }
 
-// sumShares returns the slots of this node that take items, and its items there. Items
-// that run on where operators empty the zone, or in borrowed slots, hold none of them.
+// sumShares returns the number of this node's slots that accept items and of its items in them. Items
+// that still run in evacuated zones, or in borrowed slots, hold none of these slots.
 func (s *Set) sumShares(list []*entry, now time.Time) (share, items int) {
 	for _, e := range list {
 		if !e.info.Leaving && !e.info.NoBatch {
@@ -221,11 +219,11 @@
 	return share, items
 }
 
-// FreeItemSlots returns how many more items of this node may run now: its slots less
-// what online requests hold or are expected to need.
+// FreeItemSlots returns how many more items of this node may run now: its slots less those that online
+// requests hold or are expected to need.
 func (s *Set) FreeItemSlots(pool string, now time.Time) int { return s.ItemCapacity(pool, now).Free() }
 
-// ItemCapacity returns what decides how many items of this node may run.
+// ItemCapacity returns the values that determine how many items of this node may run.
 func (s *Set) ItemCapacity(pool string, now time.Time) ItemCapacity {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,9 +240,9 @@
 	return capacity
 }
 
-// rounding is what this node adds before it rounds its room down, between 0 and 1.
-// Where a node has two or three slots, rounding down alone would leave one of them
-// empty; spread evenly over the nodes, it loses nothing in sum.
+// rounding returns what this node adds, between 0 and 1, before it rounds its capacity down. If a node
+// has two or three slots, rounding down alone would leave one of them unused. The offsets are evenly
+// spread over the nodes, so the sum of the capacities is unaffected.
 func (s *Set) rounding(pool string) float64 {
 	if len(s.nodes) == 0 {
 		return 0
--- a/internal/replica/divide.go
+++ b/internal/replica/divide.go
@@ -7,9 +7,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// Divide divides the slots of all replicas among nodes, this one being self.
-// All nodes that know the same nodes and replicas divide alike, so each keeps
-// to its own slots without a word between them.
+// Divide divides the slots of all replicas among nodes, of which self is this one. Nodes that know the
+// same nodes and replicas compute the same division, so each can keep to its own slots without
+// coordination.
 func (s *Set) Divide(self string, nodes []place.Node) {
 	nodes = slices.SortedFunc(slices.Values(nodes), func(a, b place.Node) int { return cmp.Compare(a.ID, b.ID) })
 	s.mu.Lock()
@@ -25,8 +25,8 @@
 	s.invalidateIndex()
 }
 
-// divide sets the share of each entry. Those in zones that operators empty have none
-// to divide. The caller holds mu.
+// divide sets the share of each entry. Replicas in evacuated zones have no slots to divide. The caller
+// holds mu.
 func (s *Set) divide() {
 	for _, list := range s.byPool {
 		replicas := make([]ReplicaSlots, len(list))
@@ -43,19 +43,19 @@
 	}
 }
 
-// ReplicaSlots are the slots of a replica.
+// ReplicaSlots describes the slots of a replica.
 type ReplicaSlots struct {
 	Key   uint64
 	Count int
 	Place place.Place
 }
 
-// Shares returns how many slots of each replica are self's. Slots go to the nodes of
-// their zone; where these have less than their part of the region's, to others of the
-// region; where those of a region have much less than others, to others at all (see
-// lend). Among nodes, the slots of a replica go to those that have the least so far and
-// ties are broken by rendezvous hashing, so a node that comes or goes moves few. A node
-// that is not among the nodes has all. It takes time in proportion to nodes x replicas.
+// Shares returns how many slots of each replica are allotted to self. Slots go to nodes of their zone;
+// if the nodes of another zone of the region have less than the mean, to these; and if the nodes of
+// another region have far less than the mean, to those (see lendSlots). Among the eligible nodes,
+// slots go to those with the fewest so far, and ties are broken by rendezvous hashing, so that a node
+// that joins or leaves moves few slots. If self is not among nodes, it gets all slots. The cost is
+// proportional to nodes x replicas.
 func Shares(self string, nodes []place.Node, replicas []ReplicaSlots) []int {
 	shares := make([]int, len(replicas))
 	at := indexOf(nodes, self)
@@ -78,12 +78,12 @@
 	return shares
 }
 
-// indexOf returns the place of a node among others; -1 if it is not there.
+// indexOf returns the index of the node with an ID; -1 if there is none.
 func indexOf(nodes []place.Node, id string) int {
 	return slices.IndexFunc(nodes, func(one place.Node) bool { return one.ID == id })
 }
 
-// addWithin adds the slots that zones of a region lend within it.
+// addWithin adds the slots that zones of a region lend to other zones of the region.
 func addWithin(lent []int, region place.Place, nodes []place.Node, replicas []ReplicaSlots) {
 	var own []place.Node
 	for _, node := range nodes {
@@ -103,7 +103,7 @@
 	}
 }
 
-// allocator deals the slots of one replica after the other.
+// allocator allots the slots of one replica after the other and tracks how many each node has.
 type allocator struct {
 	nodes     []place.Node
 	self      int
@@ -112,7 +112,7 @@
 	ranked    []slotClaim
 }
 
-// slotClaim is a node's claim to a slot of a replica.
+// slotClaim is the rank of a node for the next slot of a replica.
 type slotClaim struct {
 	node, allocated int
 	weight          uint64
@@ -133,7 +133,7 @@
 	return d
 }
 
-// allocateWithin deals slots among the nodes of their own group and adds self's to its shares.
+// allocateWithin allots slots to nodes of the replica's group and adds those of self to shares.
 func (d *allocator) allocateWithin(replicas []ReplicaSlots, group grouping, shares []int) {
 	members := map[place.Place][]int{}
 	for i, node := range d.nodes {
@@ -145,15 +145,15 @@
 	}
 }
 
-// allocateReplica deals the slots of a allocateReplica among some nodes and returns how many are
-// self's. One after the other goes to the node that has the least.
+// allocateReplica allots the slots of a replica to the given nodes and returns the number that self
+// gets. Each slot goes to the node with the fewest so far.
 func (d *allocator) allocateReplica(one ReplicaSlots, among []int) (share int) {
 	for left := one.Count; left > 0 && len(among) > 0; {
 		d.rank(one.Key, min(left, len(among)), among)
 		least := d.ranked[0].allocated
 		for _, chosen := range d.ranked {
 			if chosen.allocated > least {
-				// Those that have less come first again.
+				// Nodes with fewer slots go first again.
 				break
 			}
 			d.allocated[chosen.node]++
@@ -166,7 +166,7 @@
 	return share
 }
 
-// rank finds the nodes that come first for a replica, in order.
+// rank sets ranked to the first count nodes for a replica, in order.
 func (d *allocator) rank(replica uint64, count int, among []int) {
 	d.ranked = d.ranked[:0]
 	for _, node := range among {
--- a/internal/replica/evacuate.go
+++ b/internal/replica/evacuate.go
@@ -7,8 +7,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/clock"
 )
 
-// SetEvacuated takes in which zones operators empty: their replicas take nothing new until
-// the zone is not among them any more. What runs there runs on.
+// SetEvacuated sets the zones that operators evacuate. Their replicas get no new requests until the
+// evacuation ends; requests in flight continue.
 func (s *Set) SetEvacuated(zones map[string]bool) { s.setEvacuated(zones, clock.Now()) }
 
 func (s *Set) setEvacuated(zones map[string]bool, now time.Time) {
@@ -22,14 +22,14 @@
 	s.invalidateIndex()
 }
 
-// Evacuated returns the zones that operators empty.
+// Evacuated returns the zones that operators evacuate.
 func (s *Set) Evacuated() map[string]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.evacuated)
 }
 
-// IsEvacuated reports whether operators empty the zone of a listed replica.
+// IsEvacuated reports whether the zone of a listed replica is evacuated.
 func (s *Set) IsEvacuated(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/replica/evidence.go
+++ b/internal/replica/evidence.go
@@ -6,93 +6,92 @@
 	"time"
 )
 
-// Nodes tell each other of the replicas that fail for them, for a pair of a node and a
-// replica meets seldom in a large fleet, and each node would learn alone what all could
-// know. A replica that fails for several nodes is left out by all of them for a while;
-// then two nodes try it, and the others follow if these say nothing more. Nodes are
-// counted, not only failures, so that one that is itself cut off or wrong has no replica
-// left out; and one for which many replicas fail tells nothing.
+// Nodes report to each other the replicas that fail for them. In a large fleet a given node rarely
+// uses a given replica, so each would learn slowly by itself. A replica that fails for several nodes
+// is ejected by all of them for a while. Then two nodes probe it, and the others follow unless these
+// report failures. Nodes are counted, not only failures, so that a node that is cut off or faulty
+// cannot eject a replica by itself; and a node for which many replicas fail reports no failures.
 
 const (
-	// minReporters is the number of nodes that a replica has to fail for, and reportedFailures
-	// how many of their answers, faded, have to be failures.
+	// minReporters is the number of nodes for which a replica must fail to be ejected, and
+	// minReportedFailures the number of failures, after decay.
 	minReporters        = 2
 	minReportedFailures = 2.0
-	// minFailureShare is the share of failures among the answers that nodes tell of. Replicas
-	// that spoil one answer in fifty stay far below it.
+	// minFailureShare is the minimum share of failures among the reported answers. Replicas that
+	// fail one request in fifty stay far below it.
 	minFailureShare = 0.5
-	// sharedEjectionFirst is how long a replica is left out first; it doubles each time that
-	// it fails again soon, up to sharedEjectionMax.
+	// sharedEjectionFirst is the length of the first ejection. It doubles with each further
+	// ejection within ejectionMemory, up to sharedEjectionMax.
 	sharedEjectionFirst = 2 * time.Second
 	sharedEjectionMax   = 8 * time.Second
-	// probation is how long only probers nodes send to a replica after that: a few of
-	// their requests, and the way of a word to all.
+	// probation is how long only proberCount nodes send to a replica after an ejection. It allows
+	// for a few of their requests and the propagation of a report to all nodes.
 	probation   = 1500 * time.Millisecond
 	proberCount = 2
-	// reejectWindow is the time after an ejection within which one failure brings the next.
+	// reejectWindow is the time after probation within which one failure ejects a replica again.
 	reejectWindow = 3 * time.Second
-	// ejectionMemory is the time after an ejection from which on the next one is a first one.
+	// ejectionMemory is the time after an ejection from which on the next counts as the first.
 	ejectionMemory = 30 * time.Second
-	// maxFailingShare is the share of the replicas used of late beyond which a node that
-	// reports them is more likely wrong itself, if they are more than failingLeast.
+	// maxFailingShare is the share of recently used replicas beyond which a node that sees them
+	// fail is more likely faulty itself, if they are more than minFailingReplicas.
 	maxFailingShare    = 1.0 / 3
 	minFailingReplicas = 2
-	// sharedEjectionShare bounds the part of a pool that is left out on the word of others.
+	// sharedEjectionShare bounds the part of a pool that is ejected on evidence of several nodes.
 	sharedEjectionShare = 0.5
-	// minReportedSuccesses is the least count of whole answers that is worth telling.
+	// minReportedSuccesses is the minimum count of complete answers worth reporting.
 	minReportedSuccesses = 0.3
-	// maxFailureReports bounds the replicas of one message, each of some 25 bytes.
+	// maxFailureReports bounds the reports of one message, each of some 25 bytes.
 	maxFailureReports = 32
-	// maxCount bounds a count that another process may tell.
+	// maxCount bounds the counts accepted from another process.
 	maxCount = 1e6
-	// failingCost is what a replica whose answers all fail of late counts as slower to a
-	// request that cannot be sent twice: most of an objective of 300 ms.
+	// failingCost is the penalty, for a request that cannot be sent again, of a replica all of
+	// whose recent answers failed: most of an objective of 300 ms.
 	failingCost = 200 * time.Millisecond
 )
 
-// FailureReport is what a node tells of a replica that failed for it, or of one that failed
-// for others and not for it.
+// FailureReport is a node's report on a replica that failed for it, or on one that failed for other
+// nodes but not for it.
 type FailureReport struct {
-	// Replica is the replica's Key, Born that of its start which the report is about; 0 if
-	// the node does not say.
+	// Replica is the replica's Key, StartedUnixMs the start that the report is about; 0 if
+	// unknown to the node.
 	Replica       uint64
 	StartedUnixMs int64
-	// Failures and Successes count the node's answers from it, fading.
+	// Failures and Successes count the node's answers from it, after decay.
 	Failures, Successes float64
-	// Age is the time since the last failure, if there are any.
+	// Age is the time since the last failure, if there was any.
 	Age time.Duration
 }
 
-// Reporter is a node that tells what it has seen.
+// Reporter is a node that sends failure reports.
 type Reporter struct{ Node, Zone string }
 
-// SharedEjection tells why a replica is left out on the evidence of several nodes.
+// SharedEjection describes an ejection on the evidence of several nodes.
 type SharedEjection struct {
 	Replica Info
 	// Nodes is the number of nodes that it failed for; Failures and Successes count their
-	// answers, fading.
+	// answers, after decay.
 	Nodes               int
 	Failures, Successes float64
-	// For is how long it is left out, Prober whether this node is the one to try it then.
+	// For is the length of the ejection, Prober whether this node is to probe the replica then.
 	For    time.Duration
 	Prober bool
 }
 
-// reportedTally is what a node has told of a replica.
+// reportedTally is the tally of a replica that another node reported.
 type reportedTally struct {
 	Tally
 	zone string
 }
 
-// sharedEjection is a replica's being left out on the evidence of several nodes. The zero
-// value is a replica that never was.
+// sharedEjection is the state of a replica's ejections on the evidence of several nodes. The zero
+// value is a replica that was never ejected.
 type sharedEjection struct {
 	since, until time.Time
 	count        int
 	prober       bool
 }
 
-// active reports whether the replica is left out now.
+// active reports whether the replica is ejected now.
 func (x *sharedEjection) active(now time.Time) bool {
 	until := x.until
 	if !x.prober {
@@ -101,17 +100,17 @@
 	return now.Before(until)
 }
 
-// onProbation reports whether one failure now brings the next ejection.
+// onProbation reports whether one failure now ejects the replica again.
 func (x *sharedEjection) onProbation(now time.Time) bool {
 	return x.count > 0 && now.Before(x.until.Add(probation+reejectWindow))
 }
 
-// ejected reports whether the replica is left out now, on own evidence or that of others.
+// ejected reports whether the replica is ejected now, on this node's evidence or that of several nodes.
 func (e *entry) ejected(now time.Time) bool { return e.health.ejected(now) || e.shared.active(now) }
 
-// FailureReports returns what this node has to tell of replicas that failed for it of late,
-// and of those that others report and that answered it well. It tells of no failures if the
-// replicas are so many that the fault is likely its own.
+// FailureReports returns this node's reports on replicas that recently failed for it, and on replicas
+// that other nodes report and that answered it well. It reports no failures if so many replicas fail
+// that the fault is likely on this node.
 func (s *Set) FailureReports(now time.Time) []FailureReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,14 +139,14 @@
 	return reports[:min(len(reports), maxFailureReports)]
 }
 
-// AddFailureReports takes in what a node tells.
+// AddFailureReports records the reports of another node.
 func (s *Set) AddFailureReports(reporter Reporter, reports []FailureReport, now time.Time) {
 	for _, ejection := range s.addFailureReports(reporter, reports, now) {
 		s.notifySharedEjection(&ejection)
 	}
 }
 
-// notifySharedEjection tells that a replica is left out, outside the lock; nil is none.
+// notifySharedEjection calls OnSharedEjection unless ejection is nil. The caller does not hold mu.
 func (s *Set) notifySharedEjection(ejection *SharedEjection) {
 	if ejection != nil && s.OnSharedEjection != nil {
 		s.OnSharedEjection(*ejection)
@@ -177,7 +176,7 @@
 	return ejections
 }
 
-// tally returns the counts that were told.
+// tally returns the reported counts.
 func (r *FailureReport) tally(now time.Time) Tally {
 	tally := Tally{Failures: r.Failures, Successes: r.Successes, at: now}
 	if r.Failures > 0 {
@@ -186,14 +185,13 @@
 	return tally
 }
 
-// valid reports whether what another process tells can be.
+// valid reports whether a report of another process has plausible values.
 func (r *FailureReport) valid() bool {
 	return r.Failures >= 0 && r.Failures < maxCount && r.Successes >= 0 && r.Successes < maxCount && r.Age >= 0
 }
 
-// matches reports whether a report is matches the start of a replica that an entry is for. One
-// that does not say is taken as such unless its newest failure was seen before the start was
-// noticed.
+// matches reports whether a report is about the start of the replica that an entry describes. A report
+// without a start time is, unless its newest failure was seen before the restart was noticed.
 func (r *FailureReport) matches(e *entry, now time.Time) bool {
 	if r.StartedUnixMs != 0 && e.info.StartedUnixMs != 0 {
 		return r.StartedUnixMs == e.info.StartedUnixMs
@@ -201,10 +199,10 @@
 	return !now.Add(-r.Age).Before(e.restartedAt)
 }
 
-// evidenceSum adds up what several nodes have seen of a replica.
+// evidenceSum adds up what several nodes observed of a replica.
 type evidenceSum struct {
 	Failures, Successes float64
-	// reporters counts the nodes for which it failed.
+	// reporters is the number of nodes for which it failed.
 	reporters int
 }
 
@@ -216,21 +214,21 @@
 	}
 }
 
-// mostlyFails reports whether at least half of the answers were failures.
+// mostlyFails reports whether at least minFailureShare of the answers were failures.
 func (s *evidenceSum) mostlyFails() bool {
 	return s.reporters > 0 && s.Failures >= minFailureShare*(s.Failures+s.Successes)
 }
 
-// failsForSeveral reports whether the replica failed for several nodes, and mostly.
+// failsForSeveral reports whether the replica mostly failed, and did so for several nodes.
 func (s *evidenceSum) failsForSeveral() bool {
 	return s.reporters >= minReporters && s.Failures >= minReportedFailures && s.mostlyFails()
 }
 
-// evidence is what nodes have seen of a replica: all of them, and those of this node's
-// zone, for a replica may fail for the callers of one zone alone.
+// evidence is what nodes observed of a replica: all nodes, and those of this node's zone, since a
+// replica may fail for the callers of one zone only.
 type evidence struct {
 	all, sameZone evidenceSum
-	// zones are those of the nodes for which it failed.
+	// zones are the zones of the nodes for which it failed.
 	zones map[string]bool
 }
 
@@ -244,8 +242,8 @@
 	}
 }
 
-// evidenceAbout sums up the evidence of this node and of others that is newer than the last
-// ejection. The caller holds mu.
+// evidenceAbout sums up the evidence of this node and of others that is newer than the last ejection.
+// The caller holds mu.
 func (s *Set) evidenceAbout(e *entry, now time.Time) evidence {
 	seen := evidence{zones: map[string]bool{}}
 	e.ownTally.advance(now)
@@ -263,8 +261,8 @@
 	return seen
 }
 
-// evaluate leaves a replica out if it fails for several nodes: of this node's zone, or of
-// several zones. The caller holds mu.
+// evaluate ejects a replica that fails for several nodes, of this node's zone or of several zones. It
+// returns nil if there is no new ejection. The caller holds mu.
 func (s *Set) evaluate(e *entry, now time.Time) *SharedEjection {
 	if now.Before(e.shared.until) {
 		return nil
@@ -285,8 +283,8 @@
 	}
 }
 
-// warrantsEjection reports whether the evidence is enough to leave the replica out: one
-// failure is, while it is being tried after an ejection.
+// warrantsEjection reports whether the evidence suffices to eject the replica. After an ejection, one
+// failure does.
 func (e *evidence) warrantsEjection(probed bool) bool {
 	if probed && (e.sameZone.mostlyFails() || e.all.mostlyFails()) {
 		return true
@@ -294,7 +292,7 @@
 	return e.sameZone.failsForSeveral() || len(e.zones) > 1 && e.all.failsForSeveral()
 }
 
-// mayEject reports whether a pool bears to lose one more replica. The caller holds mu.
+// mayEject reports whether one more replica of a pool may be ejected. The caller holds mu.
 func (s *Set) mayEject(pool string, now time.Time) bool {
 	list := s.pool(pool)
 	excluded := 1
@@ -306,8 +304,8 @@
 	return float64(excluded) <= sharedEjectionShare*float64(len(list))
 }
 
-// isProber reports whether this node is one of those that try a replica first after its
-// ejection. They are others each time, so that one that is wrong cannot keep it out.
+// isProber reports whether this node is one of those that probe a replica after its ejection. The
+// probers differ each time, so that a faulty one cannot keep the replica ejected.
 func (s *Set) isProber(e *entry) bool {
 	if len(s.nodes) <= proberCount {
 		return true
@@ -323,13 +321,13 @@
 	return before < proberCount
 }
 
-// failureShare is the share of failures among the answers that nodes have told of, this one
-// included, since the last ejection. The caller holds mu.
+// failureShare returns the share of failures among the answers that this node and others reported
+// since the last ejection. The caller holds mu.
 func (s *Set) failureShare(e *entry, now time.Time) float64 {
 	if len(e.reports) == 0 && !e.ownTally.failedSince(e.shared.since, now) {
 		return 0
 	}
 	seen := s.evidenceAbout(e, now)
-	// One whole answer is presumed, so that a single failure does not weigh as all.
+	// One complete answer is assumed, so that a single failure does not count as 100%.
 	return seen.all.Failures / (seen.all.Failures + seen.all.Successes + 1)
 }
--- a/internal/replica/exclusion.go
+++ b/internal/replica/exclusion.go
@@ -6,27 +6,26 @@
 	"time"
 )
 
-// Exclusion says why a replica may not take a request now. Choice, reservation, log
-// and metrics share it. The zero value says that it may.
+// Exclusion is the reason why a replica may not take a request now, for picking, reservations, logs
+// and metrics. The zero value means that it may.
 type Exclusion uint8
 
 const (
 	// Usable replicas may take the request.
 	Usable Exclusion = iota
-	// Evacuated replicas stand in a zone that an operator empties.
+	// Evacuated replicas are in a zone that operators evacuate.
 	Evacuated
-	// Elsewhere replicas stand in a region that may not serve the request.
+	// Elsewhere replicas are in a region that may not serve the request.
 	Elsewhere
-	// Unsuitable replicas do not serve what is asked for: the kind of work, the
-	// version, the adapter.
+	// Unsuitable replicas do not serve the required kind of work, version or adapter.
 	Unsuitable
-	// Tried replicas have failed or refused the request already.
+	// Tried replicas have already failed or refused the request.
 	Tried
-	// Cold replicas have been sent as much as they bear while they are cold.
+	// Cold replicas are cold, and this node's part of their rate is used up.
 	Cold
-	// Ejected replicas are left out for their failures.
+	// Ejected replicas are ejected for failures.
 	Ejected
-	// Occupied replicas have no slot for an item.
+	// Occupied replicas have no slot for the item.
 	Occupied
 	exclusions
 )
@@ -40,25 +39,24 @@
 	return names[e]
 }
 
-// persistent reports whether the exclusion goes only by a change of what operators declare:
-// it is of no use to wait for it within a request.
+// persistent reports whether only a change by operators ends the exclusion, so that a request gains
+// nothing by waiting.
 func (e Exclusion) persistent() bool { return e == Evacuated || e == Elsewhere }
 
-// NoReplicaError reports that no replica can take the request now, and why. It is
-// ErrNoReplica.
+// NoReplicaError reports that no replica can take the request now, and why. It wraps ErrNoReplica.
 type NoReplicaError struct {
-	// Counts counts the replicas looked at, by what excluded them.
+	// Counts counts the replicas considered by what excluded them.
 	Counts [exclusions]int
 	// ColdWait is the least time until a cold replica may get the request.
 	ColdWait time.Duration
-	// RegionRestricted says that the request may be served in some regions only.
+	// RegionRestricted is set if the request may be served in some regions only.
 	RegionRestricted bool
 }
 
 // Error implements error.
 func (e *NoReplicaError) Error() string { return ErrNoReplica.Error() + ": " + e.Reasons() }
 
-// Reasons counts the replicas that were looked at by what excluded them, for the log.
+// Reasons formats Counts for the log.
 func (e *NoReplicaError) Reasons() string {
 	var reasons []string
 	for reason, count := range e.Counts {
@@ -76,11 +74,11 @@
 	}
 }
 
-// Unwrap makes it ErrNoReplica.
+// Unwrap returns ErrNoReplica.
 func (e *NoReplicaError) Unwrap() error { return ErrNoReplica }
 
-// Persistent reports whether waiting is of no use: there are replicas, and all of them are
-// excluded by what operators declare, or none stands where the request may be served.
+// Persistent reports whether waiting is of no use: all replicas are excluded by what operators
+// declare, or none is listed where the request may be served.
 func (e *NoReplicaError) Persistent() bool {
 	lasting := 0
 	for reason, count := range e.Counts {
@@ -92,14 +90,14 @@
 	return lasting > 0 || e.RegionRestricted
 }
 
-// WaitsForCold reports whether the request waits for cold replicas alone: without the rate that
-// they bear, one of them would take it.
+// WaitsForCold reports whether the request waits for cold replicas only, one of which would take it if
+// it were warm.
 func (e *NoReplicaError) WaitsForCold() bool {
 	others := e.Counts[Tried] + e.Counts[Ejected] + e.Counts[Occupied]
 	return e.Counts[Cold] > 0 && others == 0
 }
 
-// count takes in what excludes a replica.
+// count adds an excluded replica.
 func (e *NoReplicaError) count(c *Candidate, why Exclusion) {
 	if why == Cold && (e.Counts[Cold] == 0 || c.Cold.Wait < e.ColdWait) {
 		e.ColdWait = c.Cold.Wait
@@ -107,7 +105,7 @@
 	e.Counts[why]++
 }
 
-// placeExclusion reports what keeps a request from a replica for where it stands.
+// placeExclusion returns why the place of a replica excludes it for a request, if it does.
 func (c *Candidate) placeExclusion(criteria *Criteria) Exclusion {
 	switch {
 	case c.Evacuated:
@@ -119,14 +117,13 @@
 	}
 }
 
-// tried reports whether the replica has failed or refused the request. One that has started
-// again since has not.
+// tried reports whether the replica has already failed or refused the request. A restarted replica
+// has not.
 func (c *Candidate) tried(criteria *Criteria) bool {
 	return len(criteria.Exclude) > 0 && (criteria.Exclude[c.Incarnation()] || criteria.Exclude[c.ID])
 }
 
-// hardExclusion reports what keeps a request from a replica for good: trying it as a last
-// resort does not help.
+// hardExclusion returns a reason against a replica that holds even for a last resort.
 func (c *Candidate) hardExclusion(criteria *Criteria) Exclusion {
 	if why := c.placeExclusion(criteria); why != Usable {
 		return why
--- a/internal/replica/fleet.go
+++ b/internal/replica/fleet.go
@@ -7,26 +7,26 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// What a node sees of a pool's demand by itself is little: it has a few slots, and by
-// chance many or few of the callers. Nodes tell each other what online requests need,
-// so that those with few callers keep items out of slots that others want.
+// A node by itself sees little of a pool's demand: it has a few slots and, by chance, many or few of
+// the callers. Nodes report to each other what their online requests need, so that a node with few
+// callers keeps its items out of slots that other nodes need.
 
 const (
-	// fleetMemory is how far back what was told counts: a few words of 100 ms each, far
-	// less than a pulse of some seconds.
+	// fleetMemory is the time constant by which reports decay: a few reports at intervals of
+	// 100 ms, much less than a burst of some seconds.
 	fleetMemory = 200 * time.Millisecond
-	// fleetMaxAge is the age from which on nothing is known of the others.
+	// fleetMaxAge is the age from which on reports of other nodes are ignored.
 	fleetMaxAge = time.Second
 )
 
-// fleetView sums up what nodes have told of a pool, fading. The zero value knows
-// nothing.
+// fleetView sums up the reports of all nodes on a pool, with exponential decay. The zero value is
+// empty.
 type fleetView struct {
 	level, share float64
-	// idle sums up the slots for items that are not used, less those borrowed.
+	// idle is the sum of slots for items that are not used, less the borrowed ones.
 	idle float64
 	at   time.Time
-	// reportedAt is when another node last told.
+	// reportedAt is when another node last reported.
 	reportedAt time.Time
 }
 
@@ -38,7 +38,7 @@
 	f.at = now
 }
 
-// usage is the part of the slots that online requests need; 0 if nothing is known.
+// usage returns the part of the slots that online requests need; 0 if unknown.
 func (f *fleetView) usage(now time.Time) float64 {
 	if f.share == 0 || now.Sub(f.at) > fleetMaxAge {
 		return 0
@@ -46,9 +46,9 @@
 	return f.level / f.share
 }
 
-// RecordDemand takes in what online requests of a node need of a pool, beside its slots there.
-// Without slots they are guests of this node's region, which add to what its own nodes
-// told.
+// RecordDemand records another node's report of the slots that its online requests need in a pool
+// (level) and of its own slots there (share). A share of 0 stands for requests from another region,
+// which add to the demand of this region's nodes.
 func (s *Set) RecordDemand(pool string, level float64, share int, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,26 +71,26 @@
 	view.add(level, float64(share), now)
 }
 
-// PoolDemand is what online requests of this node need of a pool.
+// PoolDemand is what online requests of this node need of a pool, as reported to other nodes.
 type PoolDemand struct {
 	Pool string
-	// Level is in slots, Share the number of this node's.
+	// Level is in slots. Share is the number of this node's slots.
 	Level float64
 	Share int
-	// FleetUsage is the part of all slots that online requests of all nodes need as far as
-	// they told, Excess the number of this node's items that hold such slots.
+	// FleetUsage is the part of all slots that online requests of all nodes need, as reported.
+	// Excess is the number of this node's items in slots that online requests need.
 	FleetUsage float64
 	Excess     int
-	// Idle is the number of slots that this node has for items and does not use, less those
-	// that its items have borrowed; BorrowedExcess is how many of these are to be left.
+	// Idle is the number of slots that this node has for items and does not use, less those that
+	// its items have borrowed. BorrowedExcess is the number of borrowed slots to release.
 	Idle           int
 	BorrowedExcess int
-	// Away counts the online requests under way in other regions, by region.
+	// Away is the number of online requests in flight in each other region.
 	Away map[string]int
 }
 
-// UpdateDemand takes in what this node needs itself, and returns what it is to tell others. It
-// looks at each replica once.
+// UpdateDemand records this node's own demand and returns what it reports to others. It visits each
+// replica once.
 func (s *Set) UpdateDemand(now time.Time) []PoolDemand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,8 +121,8 @@
 	return demands
 }
 
-// openByRegion counts this node's online requests in other regions; nil if there are none. The
-// caller holds mu.
+// openByRegion returns the number of this node's online requests in each other region; nil if there
+// are none. The caller holds mu.
 func (s *Set) openByRegion(list []*entry) map[string]int {
 	var open map[string]int
 	for _, e := range list {
@@ -138,9 +138,9 @@
 	return open
 }
 
-// neededSlots is the number of this node's slots that online requests need: a fair part of
-// what all nodes need, for those that find no slot of their node free ask for any; where
-// nothing was told, what its own need. The caller holds mu.
+// neededSlots returns the number of this node's slots that online requests need: its share of what all
+// nodes need, since requests that find no free slot of their node use slots of any. Without reports
+// it is what this node's own requests need. The caller holds mu.
 func (s *Set) neededSlots(pool string, share int, now time.Time) float64 {
 	if usage := s.fleetUsage(pool, now); usage > 0 {
 		return usage * float64(share)
@@ -148,8 +148,8 @@
 	return s.estimatesFor(pool).level(now)
 }
 
-// fleetUsage is the part of a pool's slots that online requests of all nodes need. The
-// caller holds mu.
+// fleetUsage returns the part of a pool's slots that online requests of all nodes need; 0 if unknown.
+// The caller holds mu.
 func (s *Set) fleetUsage(pool string, now time.Time) float64 {
 	if view := s.fleet[pool]; view != nil {
 		return view.usage(now)
--- a/internal/replica/health.go
+++ b/internal/replica/health.go
@@ -3,37 +3,36 @@
 import "time"
 
 const (
-	// failuresToEject is the number of failures in a row that eject a replica.
+	// failuresToEject is the number of consecutive failures that eject a replica.
 	failuresToEject = 2
-	// ejectionFirst is the first ejection's length; it doubles with each next one.
+	// ejectionFirst is the length of the first ejection. It doubles with each further one.
 	ejectionFirst = 700 * time.Millisecond
 	ejectionMax   = 6 * time.Second
 	// failureWeight is the weight of the newest answer in the share of failures.
 	failureWeight = 0.15
-	// failureShareToEject ejects replicas that fail now and then, all the time.
+	// failureShareToEject ejects replicas that fail intermittently.
 	failureShareToEject = 0.3
-	// minAnswers is the number of answers before the share is judged.
+	// minAnswers is the number of answers before the share of failures is considered.
 	minAnswers = 8
 )
 
-// Result tells how a request ended at a replica, as far as it concerns the
-// replica's health.
+// Result is the outcome of a request, as far as it concerns the health of the replica.
 type Result int
 
 const (
-	// Succeeded answers were whole.
+	// Succeeded means that the answer was complete.
 	Succeeded Result = iota
-	// Failed answers broke off, were wrong or never came.
+	// Failed means that the answer broke off, was invalid or did not arrive.
 	Failed
-	// Refused requests were turned away unrun.
+	// Refused means that the replica rejected the request without running it.
 	Refused
-	// Unreachable replicas took no connection.
+	// Unreachable means that the replica accepted no connection.
 	Unreachable
-	// Abandoned requests were given up by the caller; they tell nothing.
+	// Abandoned means that the caller gave up, which says nothing of the replica.
 	Abandoned
 )
 
-// health is a node's own evidence about a replica. The set's lock guards it.
+// health is this node's own evidence about a replica. The set's lock guards it.
 type health struct {
 	consecutiveFailures int
 	answers             int
@@ -42,7 +41,7 @@
 	ejectedUntil        time.Time
 }
 
-// observe takes in how a request ended. It reports whether that ejected the replica.
+// observe records the result of a request. It reports whether that ejected the replica.
 func (h *health) observe(result Result, now time.Time) bool {
 	switch result {
 	case Succeeded:
@@ -77,8 +76,8 @@
 	return true
 }
 
-// ejected reports whether the replica is left out now. When the time is over
-// the next request is the probe: one more failure ejects for longer.
+// ejected reports whether the replica is ejected now. After an ejection the next request is the
+// probe: one more consecutive failure ejects the replica for longer.
 func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
 // String returns the name used in logs.
--- a/internal/replica/lend.go
+++ b/internal/replica/lend.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// minZonePercent is the part, in percent, of the mean number of slots of a region's
-	// nodes that those of each of its zones have at least: another zone costs 1 ms.
+	// minZonePercent is the least share of slots per node of each zone, in percent of the mean of
+	// its region. Crossing zones costs only 1 ms.
 	minZonePercent = 100
-	// minRegionPercent is the same for the regions of a fleet. Another region costs some
-	// 40 ms for each request, so its slots are given only to nodes that would otherwise
-	// have too few for their part of the items, which all nodes get alike; requests
-	// reach the rest by reservation.
+	// minRegionPercent is the same for regions, in percent of the mean of the fleet. Crossing
+	// regions costs some 40 ms per request, so slots of another region go only to nodes that would
+	// otherwise have too few for their items, which are spread evenly over all nodes. Online
+	// requests reach the other slots by reservation.
 	minRegionPercent = 50
 	percent          = 100
 )
 
-// grouping names the group that a place belongs to.
+// grouping returns the group that a place belongs to.
 type grouping func(place.Place) place.Place
 
 func byZone(at place.Place) place.Place   { return at }
 func byRegion(at place.Place) place.Place { return place.Place{Region: at.Region} }
 func anywhere(place.Place) place.Place    { return place.Place{} }
 
-// group is what the nodes and replicas of one place have together.
+// group is the total of the nodes and replicas of a group of places.
 type group struct {
 	nodes, slots int
 	replicas     []int
 }
 
-// groups sums up replicas by group.
+// groups groups replicas.
 func groups(replicas []ReplicaSlots, by grouping) map[place.Place]*group {
 	all := map[place.Place]*group{}
 	for i, one := range replicas {
@@ -52,10 +52,10 @@
 	return g
 }
 
-// lendSlots returns how many slots of each replica go to nodes of other groups than its own.
-// A group without nodes lends all. Groups whose nodes have more than the mean lendSlots what
-// others lack to the least part of it, in percent, in proportion to what they have beyond the mean.
-// It counts in integers, for all nodes must come to the same.
+// lendSlots returns how many slots of each replica go to nodes of other groups. A group without nodes
+// lends all. Groups with more than the mean per node lend, in proportion to their surplus, what the
+// others lack to minPercent of the mean. It uses integers only, because all nodes must compute the
+// same result.
 func lendSlots(nodes []place.Node, replicas []ReplicaSlots, by grouping, minPercent int) []int {
 	lent := make([]int, len(replicas))
 	all := groups(replicas, by)
@@ -93,7 +93,7 @@
 	return sum
 }
 
-// meanShare is a meanShare, in percent, of the slots that a group's nodes have at the mean.
+// meanShare returns a percentage of the slots that a group's nodes would have at the mean.
 func (g group) meanShare(one *group, percentage int) int {
 	if g.nodes == 0 {
 		return 0
@@ -101,7 +101,7 @@
 	return g.slots * one.nodes * percentage / (g.nodes * percent)
 }
 
-// surplus is what a group with nodes has surplus the mean.
+// surplus returns the number of slots beyond the mean of a group that has nodes.
 func (g group) surplus(one *group) int {
 	if one.nodes == 0 {
 		return 0
@@ -109,9 +109,8 @@
 	return max(0, one.slots-g.meanShare(one, percent))
 }
 
-// distribute takes slots from the group's replicas in proportion to what they have. What is
-// left by rounding is taken in the order of hashes, so that a change of the count by
-// one changes one replica.
+// distribute spreads count over the group's replicas in proportion to their slots. The remainder of
+// rounding goes in the order of hashes, so that a change of count by one changes one replica.
 func (g *group) distribute(count int, replicas []ReplicaSlots, taken []int) {
 	if count == 0 || g.slots == 0 {
 		return
@@ -131,7 +130,7 @@
 	}
 }
 
-// subtract returns replicas without some of their slots.
+// subtract returns replicas with counts subtracted from their slots.
 func subtract(replicas []ReplicaSlots, counts []int) []ReplicaSlots {
 	left := slices.Clone(replicas)
 	for i := range left {
@@ -140,7 +139,7 @@
 	return left
 }
 
-// withCounts returns replicas with other numbers of slots.
+// withCounts returns replicas with their numbers of slots replaced.
 func withCounts(replicas []ReplicaSlots, counts []int) []ReplicaSlots {
 	others := slices.Clone(replicas)
 	for i := range others {
--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -15,46 +15,46 @@
 	ErrNoReplica = errors.New("no replica can take the request now")
 )
 
-// Criteria is what a request asks of a replica.
+// Criteria states what a request requires of a replica.
 type Criteria struct {
-	// Zone and Region are where this node is.
+	// Zone and Region are those of this node.
 	Zone   string
 	Region string
 	RequestInfo
-	// Affinity spreads prompts that share a prefix; 0 if there is none.
+	// Affinity identifies the prompt prefix that requests share; 0 if there is none.
 	Affinity uint64
 	// SharedTokens is the length of that prefix.
 	SharedTokens int
-	// home is the replica that is believed to keep the prefix; Pick sets it.
+	// home is the key of the replica that is expected to cache the prefix; Pick sets it.
 	home uint64
-	// Reserve is the share of the slots, those of the fastest replicas, that items
-	// leave to online requests.
+	// Reserve is the share of the slots, on the fastest replicas, that items leave to online
+	// requests.
 	Reserve float64
-	// Version, if set, is the only version allowed; an answer that goes on
-	// elsewhere needs the one that began it.
+	// Version, if set, is the only version allowed. An answer that is resumed on another replica
+	// requires the version that began it.
 	Version string
 	// Adapter, if set, must be loaded.
 	Adapter string
-	// Exclude are the replicas that have failed or refused this request: an Incarnation
-	// for one start, an ID for all starts.
+	// Exclude holds the replicas that failed or refused this request, by Incarnation for a
+	// single start and by ID for all starts.
 	Exclude map[string]bool
-	// NoRetry requests cannot be sent again once they may have run.
+	// NoRetry is set if the request cannot be sent again once it may have run.
 	NoRetry bool
-	// PreferStale has a replica asked for a slot first that this node has not heard from lately.
+	// PreferStale prefers replicas that are not Fresh when asking for a reservation.
 	PreferStale bool
 	// Regions are where the request may be served.
 	Regions place.Regions
 }
 
-// Weights say what a picker gives up for what. They come from settings.
+// Weights are the settings for the cost of distance.
 type Weights struct {
-	// CrossZone is the time that a request may wait longer to stay in its zone.
+	// CrossZone is how much longer a request may wait to stay in its zone.
 	CrossZone time.Duration
-	// CrossRegion is the same for its region; never less than CrossZone.
+	// CrossRegion is the same for its region. Values below CrossZone count as CrossZone.
 	CrossRegion time.Duration
 }
 
-// Cost is what a distance costs a request.
+// Cost returns the cost of a distance.
 func (w Weights) Cost(distance place.Distance) time.Duration {
 	switch distance {
 	case place.SameZone:
@@ -66,33 +66,32 @@
 	}
 }
 
-// Distance is how far a candidate is from the node that a request came to.
+// Distance returns the distance from this node to a candidate.
 func (d *Criteria) Distance(candidate *Candidate) place.Distance {
 	return place.Place{Zone: d.Zone, Region: d.Region}.To(candidate.place())
 }
 
 const (
-	// readingRate is the assumed rate of reading prompts, in tokens a second, of
-	// replicas that do not tell theirs.
+	// readingRate is the assumed prompt processing rate, in tokens per second, of replicas that
+	// report none.
 	readingRate = 50000.0
-	// concurrencyCost is the cost of each request that runs beside, for it slows the steps.
+	// concurrencyCost is the cost of each concurrent request, which slows down the decoding steps.
 	concurrencyCost = 4 * time.Millisecond
-	// connectCost is the cost of asking a replica for a slot that this node has not
-	// heard from lately: a new connection takes 2 to 5 ms, and one that nothing is known
-	// of is likely as busy as others.
+	// connectCost is the cost of asking for a reservation at a replica that is not Fresh: a new
+	// connection takes 2 to 5 ms, and a replica of unknown load is likely as busy as the others.
 	connectCost = 10 * time.Millisecond
-	// refusalCost is the cost of asking a replica for a slot that is believed to have none free:
-	// most likely it refuses, and the few questions that a request has are used up. It is no
-	// less than connectCost, so that a full replica is asked after one that this node has not
-	// heard from, however few slots the full one has: nothing would ever be heard of the other.
+	// refusalCost is the cost of asking for a reservation at a replica that is believed to be
+	// full: it likely refuses, which uses up one of the request's few tries. It must not be less
+	// than connectCost, so that a full replica ranks behind one that is not Fresh even if it has
+	// few slots; otherwise this node would never learn the state of the latter.
 	refusalCost = connectCost
-	// preemptionCost is the cost of an item that gives way.
+	// preemptionCost is the cost of preempting an item.
 	preemptionCost = 10 * time.Millisecond
 )
 
-// Pick returns the candidate with the least predicted time to the first event.
-// Filters come first, the score decides, and the order of the ids, turned by
-// the affinity, breaks ties.
+// Pick returns the candidate with the lowest predicted time to the first event, among those that
+// meet the criteria. Ties are broken by a hash of replica and affinity. The error is a
+// *NoReplicaError.
 func Pick(candidates []Candidate, criteria *Criteria, weights Weights) (*Candidate, error) {
 	criteria.home = affinityHome(candidates, criteria)
 	eligible := candidates
@@ -109,7 +108,7 @@
 	return best, nil
 }
 
-// noReplicaError tells what keeps a request from each of the candidates.
+// noReplicaError returns an error that says what excludes each of the candidates.
 func noReplicaError(candidates []Candidate, criteria *Criteria) error {
 	failure := &NoReplicaError{RegionRestricted: criteria.Regions != nil}
 	for i := range candidates {
@@ -118,7 +117,7 @@
 			why = candidates[i].softExclusion(criteria)
 		}
 		if why == Usable {
-			// Its slots are left to online requests.
+			// Its slots are reserved for online requests.
 			why = Occupied
 		}
 		failure.count(&candidates[i], why)
@@ -126,9 +125,8 @@
 	return failure
 }
 
-// unreserved returns the candidates without the fastest ones that hold a share
-// of the slots. Replicas that do not tell their speed go by their keys, so that
-// all nodes reserve the same.
+// unreserved returns the candidates without the fastest ones that hold the given share of the
+// slots. Replicas of equal speed are ordered by key, so that all nodes reserve the same ones.
 func unreserved(candidates []Candidate, share float64) []Candidate {
 	ordered := slices.Clone(candidates)
 	slices.SortFunc(ordered, func(a, b Candidate) int {
@@ -153,7 +151,7 @@
 
 type filter func(*Candidate, *Criteria) bool
 
-// serves reports whether a replica serves what is asked for at all.
+// serves reports whether a replica serves the kind of work, version and adapter that is asked for.
 func serves(candidate *Candidate, criteria *Criteria) bool {
 	switch {
 	case criteria.Batch && candidate.NoBatch, !criteria.Batch && candidate.NoOnline:
@@ -165,7 +163,7 @@
 	}
 }
 
-// softExclusion reports what speaks against a replica for now.
+// softExclusion returns a reason against a replica that a last resort may ignore.
 func (c *Candidate) softExclusion(criteria *Criteria) Exclusion {
 	switch {
 	case c.Ejected:
@@ -183,7 +181,7 @@
 	return candidate.softExclusion(criteria) == Usable
 }
 
-// lastResort takes ejected replicas rather than none.
+// lastResort accepts ejected replicas when all others are excluded.
 func lastResort(*Candidate, *Criteria) bool { return true }
 
 // predictor estimates the time to the first event at a candidate.
@@ -206,9 +204,9 @@
 	return best
 }
 
-// affinityHome returns the key of the replica where prompts with the same prefix meet
-// (rendezvous hashing, Thaler and Ravishankar, 1998), so that it stays cached there.
-// Each region has its own: the way to another costs more than reading the prefix.
+// affinityHome returns the key of the replica to which prompts with the same prefix are sent, by
+// rendezvous hashing (Thaler and Ravishankar, 1998), so that it caches the prefix. Each region has
+// its own, since crossing regions costs more than reading the prefix again.
 func affinityHome(candidates []Candidate, criteria *Criteria) uint64 {
 	var home, best uint64
 	if criteria.Affinity == 0 {
@@ -229,7 +227,7 @@
 	return home
 }
 
-// uncachedTokens counts the tokens of a prompt that the replica is not believed to keep.
+// uncachedTokens returns the number of prompt tokens that the replica has to process.
 func uncachedTokens(candidate *Candidate, criteria *Criteria) int {
 	if candidate.Key == criteria.home {
 		return criteria.Tokens - criteria.SharedTokens
@@ -237,7 +235,7 @@
 	return criteria.Tokens
 }
 
-// readingTime is how long the replica takes to read so many tokens.
+// readingTime returns how long the replica takes to process a number of prompt tokens.
 func (c *Candidate) readingTime(tokens int) time.Duration {
 	rate := c.ReadingRate
 	if rate <= 0 {
@@ -246,9 +244,9 @@
 	return time.Duration(float64(tokens) / rate * float64(time.Second))
 }
 
-// PickUnqueued returns the candidate with the least predicted time to the first
-// event if a slot is free there: the one to ask for a slot. It looks at those of other
-// regions if away is set, and at the others otherwise.
+// PickUnqueued returns the candidate to ask for a reservation: the one with the lowest predicted
+// time to the first event if it has a free slot. It considers replicas of other regions if
+// otherRegions is set, and those of this region otherwise. The error is a *NoReplicaError.
 func PickUnqueued(candidates []Candidate, criteria *Criteria, weights Weights, otherRegions bool) (*Candidate, error) {
 	criteria.home = affinityHome(candidates, criteria)
 	passes := func(candidate *Candidate, criteria *Criteria) bool {
@@ -261,7 +259,7 @@
 	return best, nil
 }
 
-// predictReservation estimates the time to the first event where a slot is asked for.
+// predictReservation estimates the time to the first event where a reservation is asked for.
 func predictReservation(candidate *Candidate, criteria *Criteria, weights Weights) time.Duration {
 	total := predictUnqueued(candidate, criteria, weights)
 	if candidate.Fresh == criteria.PreferStale {
@@ -273,7 +271,7 @@
 	return total
 }
 
-// predictUnqueued estimates the time to the first event where a slot is free.
+// predictUnqueued estimates the time to the first event given a free slot.
 func predictUnqueued(candidate *Candidate, criteria *Criteria, weights Weights) time.Duration {
 	total := candidate.readingTime(candidate.PendingTokens+uncachedTokens(candidate, criteria)) +
 		time.Duration(candidate.Busy()*float64(concurrencyCost)) + weights.Cost(criteria.Distance(candidate))
@@ -283,7 +281,7 @@
 	return total
 }
 
-// Predict estimates the time to the first event at a candidate.
+// Predict estimates the time to the first event at a candidate, including the wait for a slot.
 func Predict(candidate *Candidate, criteria *Criteria, weights Weights) time.Duration {
 	total := predictUnqueued(candidate, criteria, weights)
 	if wait := candidate.waitForSlot(); candidate.preempts(criteria.RequestInfo) {
@@ -294,18 +292,17 @@
 	return total
 }
 
-// crowdedUsage is the part of all slots that online requests need from which on a slot of
-// this node may well be taken by another's: those who find none of their own free ask
-// for any.
+// crowdedUsage is the usage from which on another node is likely to have taken a slot of this
+// node: nodes without a free slot of their own ask for any.
 const crowdedUsage = 0.7
 
-// HasSpareSlot reports whether one of this node's slots there is surely free.
+// HasSpareSlot reports whether one of this node's slots there is almost certainly free.
 func (c *Candidate) HasSpareSlot() bool {
 	return c.Open < c.Share && c.Waiting < 1 && c.FleetUsage < crowdedUsage
 }
 
-// waitForSlot estimates the wait for a slot. Where this node has none to spare,
-// the others are taken to use theirs.
+// waitForSlot estimates the wait for a slot. If this node has no slot left there, it assumes that
+// the other nodes use theirs.
 func (c *Candidate) waitForSlot() time.Duration {
 	waiting := c.Waiting
 	if c.Open >= c.Share {
@@ -314,7 +311,7 @@
 	return time.Duration(waiting * float64(c.SlotTime))
 }
 
-// ExpectedFirstEvent is the time to the first event of a request there, by what is learned.
+// ExpectedFirstEvent returns the expected time to the first event of a request there.
 func (c *Candidate) ExpectedFirstEvent(req RequestInfo) time.Duration {
 	switch {
 	case req.Reserved:
@@ -326,13 +323,13 @@
 	}
 }
 
-// preempts reports whether an item of this node gives way there to a request that
-// would wait there for longer than it has time.
+// preempts reports whether a request would wait there longer than its objective permits, so that
+// an item of this node is preempted for it.
 func (c *Candidate) preempts(req RequestInfo) bool {
 	return c.Batch > 0 && c.waitForSlot() > req.patience(c.FirstEvent, c.PatienceShare)
 }
 
-// mix spreads a hash (the finalizer of SplitMix64).
+// mix is the finalizer of SplitMix64. It spreads the bits of a hash.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/replica/regions.go
+++ b/internal/replica/regions.go
@@ -1,7 +1,7 @@
 package replica
 
-// RegionSlots returns the slots that the replicas of a pool have in each region. Replicas
-// that are leaving, or stand in a zone that operators empty, have none.
+// RegionSlots returns the number of slots of a pool's replicas in each region, without those of
+// replicas that are leaving or evacuated.
 func (s *Set) RegionSlots(pool string) map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,6 +1,10 @@
-// Package replica keeps a node's view of the replicas behind its routes: which
-// are listed, what they last said of their load, what this node has open there
-// and which of them misbehave, as far as this node's own evidence goes.
+// Package replica tracks the replicas behind a node's routes and picks one for each request. It
+// keeps which replicas are listed, the load they last reported, this node's requests in flight at
+// each, and which replicas are ejected, on this node's evidence or on that of its peers.
+//
+// A replica is one start of a model server with a fixed number of slots, each of which runs one
+// request. Requests are online, or batch items that may be preempted. The slots of a pool are
+// divided among the nodes; see Shares.
 package replica
 
 import (
@@ -13,100 +17,98 @@
 
 // Info describes a listed replica.
 type Info struct {
-	// ID names the replica. It may start again under the same one.
+	// ID names the replica. A restarted replica may keep its ID.
 	ID string
-	// StartedUnixMs is when it started, as it says, in Unix milliseconds; 0 if it does not say. A
-	// replica that starts again under its ID is told from the one before by it. It is for
-	// comparing alone: clocks of machines differ and step back.
+	// StartedUnixMs is the start time that the replica reports, in Unix milliseconds; 0 if it
+	// reports none. It tells starts under the same ID apart. Compare it for equality only, since
+	// clocks differ between machines and may step back.
 	StartedUnixMs int64
 	Pool          string
 	Address       string
 	Zone          string
-	// Region is the region of its zone; empty if it is not known.
+	// Region is the region of Zone; empty if unknown.
 	Region string
-	// Slots is the number of requests that it runs at the same time.
+	// Slots is the number of requests that the replica runs concurrently.
 	Slots int
-	// ReadingRate is how fast it reads prompts, in tokens a second; 0 if it does
-	// not say.
+	// ReadingRate is the prompt processing rate in tokens per second; 0 if not reported.
 	ReadingRate float64
-	// ColdLeft is how long it said, when it was listed, that it is cold yet.
+	// ColdLeft is how much longer the replica reported being cold when it was listed.
 	ColdLeft time.Duration
-	// Leaving replicas finish what they have and take nothing new.
+	// Leaving is set while the replica drains: it finishes its requests and accepts no new ones.
 	Leaving bool
 	// Version is the version of the model that it serves; empty if unknown.
 	Version string
-	// Adapters are those that it has loaded.
+	// Adapters lists the loaded adapters.
 	Adapters []string
-	// NoOnline and NoBatch keep a kind of work away.
+	// NoOnline and NoBatch exclude online requests and batch items.
 	NoOnline bool
 	NoBatch  bool
 }
 
-// place is where the replica stands.
+// place returns the zone and region of the replica.
 func (i *Info) place() place.Place { return place.Place{Zone: i.Zone, Region: i.Region} }
 
-// Load is what a replica said of its requests from all callers.
+// Load is the load that a replica reports for the requests of all callers.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// queued counts the requests that wait for a slot. A replica also counts those
-// as waiting that have a slot and whose prompt is being read.
+// queued returns the number of requests that wait for a slot. Replicas also report a request as
+// waiting while it has a slot and its prompt is being read.
 func (l Load) queued() int { return max(0, l.Running+l.Waiting-l.Slots) }
 
-// Candidate is a replica in a snapshot, as the picker sees it.
+// Candidate is a snapshot of a replica for picking.
 type Candidate struct {
 	Info
-	// Key is a hash of the ID, for orders that all nodes agree on.
+	// Key is a hash of the ID, for orders on which all nodes agree.
 	Key uint64
-	// Open counts this node's requests there, Batch those of them that are items.
+	// Open is the number of this node's requests in flight there, Batch the items among them.
 	Open  int
 	Batch int
-	// Others estimates the requests of other nodes there.
+	// Others estimates the number of other nodes' requests there.
 	Others float64
-	// PendingTokens counts prompt tokens that this node sent there and that
-	// have not led to a first event yet.
+	// PendingTokens is the number of prompt tokens that this node sent there in requests without
+	// a first event yet.
 	PendingTokens int
-	// Ejected replicas are left out for their failures or slowness.
+	// Ejected is set if the replica is left out for failures.
 	Ejected bool
-	// FailureShare is the share of failures among the answers of late that nodes tell of, from 0
-	// to 1.
+	// FailureShare is the share of failures, from 0 to 1, among the recent answers that this
+	// node and its peers report.
 	FailureShare float64
-	// Evacuated replicas stand in a zone that operators empty.
+	// Evacuated is set if operators evacuate the zone of the replica.
 	Evacuated bool
-	// Cold is what this node may do with it while it is cold.
+	// Cold is what this node may send to the replica while it is cold.
 	Cold ColdView
-	// Share is the number of its slots that are this node's by the division among
-	// the nodes.
+	// Share is the number of its slots that are allotted to this node.
 	Share int
-	// SlotTime is how long it usually takes until one of its slots is free.
+	// SlotTime is the expected time until one of its slots becomes free.
 	SlotTime time.Duration
-	// FirstEvent is the usual time to the first event of a request that need not wait.
+	// FirstEvent is the usual time to the first event of a request that does not wait.
 	FirstEvent time.Duration
-	// MinFirstEvent is the least time to the first event that is to be expected.
+	// MinFirstEvent is the least time to the first event that can be expected.
 	MinFirstEvent time.Duration
-	// PatienceShare is the part of the time left to its objective which a request
-	// waits for a slot before an item gives way.
+	// PatienceShare is the part of the time left to its objective for which a request waits for
+	// a slot before it preempts an item.
 	PatienceShare float64
-	// LoadAge is the age of what the replica last said of its load; -1 if it said nothing.
+	// LoadAge is the age of the last load report; -1 if there is none.
 	LoadAge time.Duration
-	// Waiting estimates the requests that wait there for a slot.
+	// Waiting estimates the number of requests that wait there for a slot.
 	Waiting float64
 	// FleetUsage is the part of the pool's slots that online requests of all nodes need; 0 if
-	// it is not known.
+	// unknown.
 	FleetUsage float64
-	// Fresh is set if something came from the replica a moment ago: this node has a
-	// connection to it and knows something of its load.
+	// Fresh is set if this node received data from the replica within freshFor: it has an open
+	// connection and recent knowledge of the load.
 	Fresh bool
 }
 
-// Busy estimates the requests running or waiting there, of all nodes.
+// Busy estimates the number of requests of all nodes that run or wait there.
 func (c *Candidate) Busy() float64 { return float64(c.Open) + c.Others }
 
-// Free estimates the free slots; negative when requests wait.
+// Free estimates the number of free slots. It is negative if requests wait.
 func (c *Candidate) Free() float64 { return float64(c.Slots) - c.Busy() }
 
-// Key is the hash of a replica's id.
+// Key returns the hash of a replica's or node's ID.
 func Key(id string) uint64 { return xxhash.Sum64String(id) }
--- a/internal/replica/restart.go
+++ b/internal/replica/restart.go
@@ -5,29 +5,28 @@
 	"time"
 )
 
-// A replica may start again under its ID. What a node keeps of the one before, its requests
-// there, its load, health, warmth and the evidence about it, says nothing of the new one.
-// So each start has an entry of its own. Requests keep the entry of the start that they were
-// sent to, and what comes of them later is lost on it.
-
-// recentlyUnreachable is how long ago a replica that has started again may have refused a
-// connection for the requests sent since then to count as its own: nothing listened there
-// in between, so the replica that took their connections is the new one. The list tells of
-// a start within 3 s on the users' platform, and a replica that is down is tried again
-// after 0.7 to 6 s.
+// A replica may restart under the same ID. What a node knows of the previous start (requests in
+// flight, load, health, cold state, evidence) does not apply to the new one, so each start has an
+// entry of its own. Requests keep the entry of the start that they were sent to, and their later
+// results are recorded there without effect on the new start.
+
+// recentlyUnreachable is how recently a restarted replica must have refused a connection for requests
+// sent since then to count as sent to the new start: nothing was listening in between, so the new
+// start accepted their connections. The list shows a restart within 3 s on the users' platform, and a
+// replica that is down is tried again after 0.7 to 6 s.
 const recentlyUnreachable = 5 * time.Second
 
-// Restart tells of a replica that has started again under its id.
+// Restart describes a replica that has restarted under its ID.
 type Restart struct {
-	// Replica is the new one, Before when the one before started, in Unix milliseconds.
+	// Replica is the new start; PreviousStartedUnixMs identifies the previous one.
 	Replica               Info
 	PreviousStartedUnixMs int64
-	// Open counts the requests of this node that were sent to the one before, Batch those
-	// of them that are items. Moved counts those known to have been sent to the new one.
+	// Open is the number of this node's requests that were sent to the previous start, Batch the
+	// items among them. Moved is the number of requests known to have been sent to the new start.
 	Open, Batch, Moved int
 }
 
-// Incarnation names a start of a replica: its ID, and its Born if it says that.
+// Incarnation identifies a start of a replica: its ID, and its start time if known.
 func (i *Info) Incarnation() string {
 	if i.StartedUnixMs == 0 {
 		return i.ID
@@ -35,16 +34,16 @@
 	return i.ID + "/" + strconv.FormatInt(i.StartedUnixMs, 10)
 }
 
-// SameStart reports whether what is said of a replica at two times may be about the same
-// start of it. What is not said does not tell starts apart.
+// SameStart reports whether two descriptions of a replica may be of the same start. Start times or
+// addresses tell starts apart only if both are known.
 func (i *Info) SameStart(other *Info) bool {
 	moved := i.Address != "" && other.Address != "" && i.Address != other.Address
 	apart := i.StartedUnixMs != 0 && other.StartedUnixMs != 0 && i.StartedUnixMs != other.StartedUnixMs
 	return i.ID == other.ID && !moved && !apart
 }
 
-// IsCurrentStart reports whether a listed replica may be the start of it that another process
-// names by its Born, 0 if it does not say.
+// IsCurrentStart reports whether the start time that another process knows of a listed replica may be
+// that of its current start. A startedUnixMs of 0 means unknown.
 func (s *Set) IsCurrentStart(id string, born int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,8 +51,8 @@
 	return ok && e.info.SameStart(&Info{ID: id, StartedUnixMs: born})
 }
 
-// CurrentAndPrevious returns what is said of a listed replica, and what was said of its start before;
-// the latter is zero if this node knows of none.
+// CurrentAndPrevious returns the descriptions of a listed replica and of its previous start; the
+// latter is zero if unknown.
 func (s *Set) CurrentAndPrevious(id string) (now, previous Info, listed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,8 +63,8 @@
 	return e.info, e.previous, true
 }
 
-// entryFor returns the entry of a replica that is listed now: the one that is known, or a
-// fresh one if the replica is new or has started again. The caller holds mu.
+// entryFor returns the entry of a listed replica: the known one, or a fresh one if the replica is new
+// or has restarted. The caller holds mu.
 func (s *Set) entryFor(info *Info, now time.Time) (e *entry, fresh bool, restart *Restart) {
 	e, ok := s.entries[info.ID]
 	if !ok {
@@ -87,12 +86,13 @@
 	return e, fresh, restart
 }
 
-// restart returns a fresh entry for a replica that has started again. Requests at the one
-// before are told, those sent to the new one already are counted there. The caller holds mu.
+// restart returns a fresh entry for a replica that has restarted. Requests sent to the previous start
+// are notified; those known to have been sent to the new start are moved to the entry. The caller
+// holds mu.
 func (s *Set) restart(previous *entry, info *Info, now time.Time) (*entry, *Restart) {
 	next := &entry{key: previous.key, info: *info, restartedAt: now, previous: previous.info}
-	// The nodes that feed a cold replica are the same ones as before; this one keeps to its
-	// part of the rate from one start to the next.
+	// The senders of a cold replica do not change with a restart, and this node keeps to its part
+	// of the rate across it.
 	next.cold.nextSend = previous.cold.nextSend
 	previous.superseded = true
 	for use := range previous.uses {
@@ -108,14 +108,13 @@
 	return next, &Restart{Replica: *info, PreviousStartedUnixMs: previous.info.StartedUnixMs, Open: previous.open, Batch: previous.batch, Moved: next.open}
 }
 
-// sentToSuccessor reports whether a request was sent to the replica that has taken the place of
-// this one, noticed now. The caller holds mu.
+// sentToSuccessor reports whether a request was sent to the new start of a replica whose restart is
+// noticed now. The caller holds mu.
 func (e *entry) sentToSuccessor(use *Use, now time.Time) bool {
 	return use.sent.After(e.unreachableAt) && now.Sub(e.unreachableAt) < recentlyUnreachable
 }
 
-// drop forgets an entry that is not listed any more, unless answers are awaited there. The
-// caller holds mu.
+// drop removes an entry from the list. It is kept in unlisted while it is in use. The caller holds mu.
 func (s *Set) drop(e *entry) {
 	delete(s.entries, e.info.ID)
 	if e.inUse() {
@@ -123,8 +122,8 @@
 	}
 }
 
-// entryForSend returns the entry to count a request at that is about to be sent to a replica as it
-// was entryForSend; nil if the replica has started again since. The caller holds mu.
+// entryForSend returns the entry for a request to the chosen replica; nil if the replica has restarted
+// since it was chosen. The caller holds mu.
 func (s *Set) entryForSend(info *Info) *entry {
 	e, ok := s.entries[info.ID]
 	if !ok {
@@ -142,8 +141,8 @@
 	}
 }
 
-// Restarted returns a channel that is closed once the replica is known to have started again
-// since the request was sent: no answer comes from the one before. It is never nil.
+// Restarted returns a channel that is closed once the replica is known to have restarted since the
+// request was sent, which means that no answer will come. It is never nil.
 func (u *Use) Restarted() <-chan struct{} {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
@@ -156,10 +155,9 @@
 	return u.restarted
 }
 
-// Follow returns the address of a listed replica, and a channel that is closed once the
-// replica is known to have started again, for those who read an answer there that another
-// node asked for: it is no use of this node. stop must be called; listed is false if the
-// replica is not listed, and the rest nil then.
+// Follow returns the address of a listed replica and a channel that is closed once the replica is
+// known to have restarted. It is for reading an answer that another node requested, for which this
+// node has no Use. The caller must call stop. If listed is false, the other results are zero.
 func (s *Set) Follow(id string) (address string, restarted <-chan struct{}, stop func(), listed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,19 +180,17 @@
 	s.removeUnused(e)
 }
 
-// removeUnused forgets an entry that is not listed once nobody waits for an answer there. The
-// caller holds mu.
+// removeUnused removes an unlisted entry that is no longer in use. The caller holds mu.
 func (s *Set) removeUnused(e *entry) {
 	if id := e.info.ID; !e.inUse() && s.unlisted[id] == e {
 		delete(s.unlisted, id)
 	}
 }
 
-// inUse reports whether anybody here waits for an answer of the replica. The caller holds
-// mu.
+// inUse reports whether this node awaits an answer of the replica. The caller holds mu.
 func (e *entry) inUse() bool { return e.open > 0 || len(e.followers) > 0 }
 
-// markSuperseded tells the request that its replica has started again. The caller holds mu.
+// markSuperseded notifies the request that its replica has restarted. The caller holds mu.
 func (u *Use) markSuperseded() {
 	u.superseded = true
 	if u.restarted != nil {
@@ -202,7 +198,7 @@
 	}
 }
 
-// attach counts the request at an entry. The caller holds mu.
+// attach registers the request at an entry. The caller holds mu.
 func (u *Use) attach(to *entry) {
 	u.entry = to
 	if to.uses == nil {
@@ -212,21 +208,20 @@
 	u.count(1)
 }
 
-// detach ends that. The caller holds mu.
+// detach unregisters the request from its entry. The caller holds mu.
 func (u *Use) detach() {
 	u.count(-1)
 	delete(u.entry.uses, u)
 	u.set.removeUnused(u.entry)
 }
 
-// move counts the request at another entry. The caller holds mu.
+// move registers the request at another entry. The caller holds mu.
 func (u *Use) move(to *entry) {
 	u.detach()
 	u.attach(to)
 }
 
-// count adds the request to what is counted at its entry, or takes it off. The caller holds
-// mu.
+// count adds the request to the counters of its entry (1), or removes it (-1). The caller holds mu.
 func (u *Use) count(sign int) {
 	u.entry.open += sign
 	if !u.firstEvent {
--- a/internal/replica/retryafter.go
+++ b/internal/replica/retryafter.go
@@ -2,21 +2,19 @@
 
 import "time"
 
-// EvacuationRetryAfter is what a caller is told to wait where operators keep its request from
-// all replicas. An operator's act has no known end; it lasts for minutes, and the nodes
-// know of its end within a second. So it is long enough that callers who come back until
-// then do not add to the load (one that waits without a deadline makes 0.2 calls a second)
-// and short enough that none waits long after the end. A caller with a deadline waits no
-// longer than that allows.
+// EvacuationRetryAfter is the retry delay for callers whose requests are excluded from all replicas
+// by an evacuation. An evacuation ends at an unknown time, usually after minutes, and nodes learn
+// of its end within a second. The delay is long enough that retries add little load (0.2 calls a
+// second for a caller without a deadline) and short enough that no caller waits long after the end.
+// A deadline shortens it.
 const EvacuationRetryAfter = 5 * time.Second
 
-// UnlistedRetryAfter is what a caller is told to wait where no replica is listed in the
-// regions of its request. One that starts is listed after a heartbeat, 1.2 s on the users'
-// platform.
+// UnlistedRetryAfter is the retry delay for callers whose regions have no listed replica. A replica
+// that starts is listed after one heartbeat, 1.2 s on the users' platform.
 const UnlistedRetryAfter = 1200 * time.Millisecond
 
-// RetryAfter is how long a caller should wait whose request no replica may serve for where
-// it stands.
+// RetryAfter returns how long a caller should wait if the place of every replica excludes its
+// request.
 func (e *NoReplicaError) RetryAfter() time.Duration {
 	if e.Counts[Evacuated] > 0 {
 		return EvacuationRetryAfter
@@ -24,7 +22,7 @@
 	return UnlistedRetryAfter
 }
 
-// MainReason returns what excludes most of the replicas, the first by order among equals;
+// MainReason returns the exclusion that applies to most replicas, the first by order among equals;
 // Usable if there is none.
 func (e *NoReplicaError) MainReason() Exclusion {
 	reason, most := Usable, 0
--- a/internal/replica/sample.go
+++ b/internal/replica/sample.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// sampleRandom is the number of random replicas that a choice looks at, beside
-	// those that this node knows: where it has slots, and those that it has heard
-	// from within freshFor. They are of its own region if there are any.
+	// sampleRandom is the number of random replicas of the node's own region in a sample, if there
+	// are any. The others are those with slots of this node and those that it received data from
+	// within freshFor.
 	sampleRandom = 2
 	freshFor     = 3 * time.Second
-	// sampleOtherRegion is the number of random replicas of other regions among them, for
-	// requests that find their region full.
+	// sampleOtherRegion is the number of random replicas of any region in a sample, for requests
+	// whose region is full.
 	sampleOtherRegion = 1
-	// staleProbeInterval is the time between two questions for a slot that go to a replica which this
-	// node has not heard from within freshFor, though others are believed to have one free. What
-	// comes of a question is known for freshFor, so a node hears of three such replicas in that
-	// time, and pays at most one connectCost a second for it.
+	// staleProbeInterval is the time between two reservations that go to a replica which is not
+	// Fresh although others are believed to have a free slot. A replica stays Fresh for freshFor,
+	// so a node learns the state of three such replicas in that time and pays at most one
+	// connectCost a second.
 	staleProbeInterval = time.Second
 )
 
-// ProbeStale reports whether the next question for a slot of a pool should go to a replica that
-// this node has not heard from lately. Else one that nobody sends anything, as after an evacuation
-// of its zone, is left aside for as long as others seem to have room: what they hold of other
-// nodes' requests is known late, and not at all where replicas do not tell their load.
+// ProbeStale reports whether the next reservation in a pool should prefer replicas that are not
+// Fresh, and starts the next interval if so. Otherwise a replica that receives no requests, as
+// after an evacuation of its zone, would stay unused while others appear to have capacity: the
+// load of other nodes there is known late, or not at all if replicas do not report theirs.
 func (s *Set) ProbeStale(pool string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,7 +37,7 @@
 	return true
 }
 
-// nearby returns the entries of a region; all if there are none or it is not known.
+// nearby returns the entries of a region; all if it has none or is unknown.
 func nearby(list []*entry, region string) []*entry {
 	otherRegion := func(e *entry) bool { return e.info.Region != "" && e.info.Region != region }
 	if region == "" || !slices.ContainsFunc(list, otherRegion) {
@@ -55,9 +55,9 @@
 	return near
 }
 
-// sample returns the replicas that this node knows, some random others nearby, and a
-// few random ones anywhere if not all are nearby. Of cold ones it knows those that it
-// feeds. The caller holds mu.
+// sample returns the replicas with slots of this node or recent data, random ones nearby, and
+// random ones of any region if not all are nearby. This node has slots of a cold replica only if
+// it is one of its senders. The caller holds mu.
 func (s *Set) sample(list, near []*entry, now time.Time) []*entry {
 	chosen := make([]*entry, 0, len(list))
 	for _, e := range list {
@@ -72,7 +72,7 @@
 	return chosen
 }
 
-// addRandom adds up to so many random entries of a list.
+// addRandom adds up to count random entries of a list.
 func addRandom(chosen, list []*entry, count int) []*entry {
 	for range count {
 		if random := list[rand.IntN(len(list))]; !slices.Contains(chosen, random) {
@@ -82,7 +82,7 @@
 	return chosen
 }
 
-// affinityEntry returns the entry where prompts with the same prefix meet.
+// affinityEntry returns the entry to which prompts with the same prefix are sent; nil if none.
 func affinityEntry(list []*entry, affinity uint64, now time.Time) *entry {
 	var home *entry
 	var best uint64
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -11,128 +11,125 @@
 )
 
 const (
-	// othersWeight is the weight of the newest load report.
+	// othersWeight is the weight of the newest load report in the estimate of others' requests.
 	othersWeight = 0.6
-	// othersDecayTime is the time after which a report tells little.
+	// othersDecayTime is the time over which that estimate decays to zero.
 	othersDecayTime = 3 * time.Second
-	// waitingDecayTime is the time after which a report of waiting requests tells
-	// nothing.
+	// waitingDecayTime is the time over which a report of waiting requests decays to zero.
 	waitingDecayTime = 400 * time.Millisecond
-	// refusedLoad is the assumed load, in slots, of a replica that refused, and
-	// refusedFade how fast that assumption fades.
+	// refusedLoad is the assumed load, in multiples of its slots, of a replica that refused a
+	// request, and refusedDecayTime the time over which that assumption decays to zero.
 	refusedLoad      = 2.0
 	refusedDecayTime = 400 * time.Millisecond
 )
 
-// entry is the set's record of a replica.
+// entry is the set's record of one start of a replica. The set's lock guards it.
 type entry struct {
 	info  Info
 	key   uint64
 	open  int
 	batch int
-	// preempted counts the items among batch that were asked to give way.
+	// preempted counts the items among batch that were asked to stop.
 	preempted int
-	// borrowed counts the items among batch, without those leaving, in slots of others.
+	// borrowed counts the items among batch in slots of other nodes, without the preempted ones.
 	borrowed int
-	// starved counts those among borrowed that keep their slots.
+	// starved counts the items among borrowed that are exempt from preemption.
 	starved int
-	// evacuated is set if operators empty the zone; rebuild sets it.
+	// evacuated is set if operators evacuate the zone; rebuild sets it.
 	evacuated bool
-	// share is the number of slots that are this node's.
+	// share is the number of slots that are allotted to this node.
 	share           int
 	pending         int
 	others          float64
 	othersUpdatedAt time.Time
-	// waiting is the number of requests that the last report says were waiting.
+	// waiting is the number of waiting requests in the last load report.
 	waiting        int
 	loadReportedAt time.Time
-	// refusedAt is when it last refused a request of this node.
+	// refusedAt is when the replica last refused a request of this node.
 	refusedAt time.Time
 	health    health
-	// ownTally is what this node has seen of it of late, told what others tell.
+	// ownTally counts this node's recent answers, reports those that each peer reported.
 	ownTally Tally
 	reports  map[string]reportedTally
 	shared   sharedEjection
-	// lastReceived is when anything last came from the replica.
+	// lastReceived is when this node last received data from the replica.
 	lastReceived time.Time
-	// delistedAt is when the entry left the list; zero while it is listed.
+	// delistedAt is when the replica left the list; zero while it is listed.
 	delistedAt time.Time
 	cold       coldState
-	// uses are the requests there that have not ended.
+	// uses are the requests in flight there.
 	uses map[*Use]struct{}
-	// followers are told when the replica has started again.
+	// followers are closed when the replica restarts.
 	followers map[chan struct{}]struct{}
-	// unreachableAt is when it last took no connection of this node.
+	// unreachableAt is when the replica last accepted no connection of this node.
 	unreachableAt time.Time
-	// restartedAt is when it was noticed to have started again under its id; zero if this
-	// is the first start that this node knows of.
+	// restartedAt is when this node noticed the restart that led to this entry; zero for the
+	// first start that it knows of.
 	restartedAt time.Time
-	// previous is what was said of the start previous.
+	// previous describes the previous start.
 	previous Info
-	// superseded is set once the replica is known to have started again since: what comes
-	// of the requests sent before says nothing of it any more.
+	// superseded is set once the replica is known to have restarted: results of requests sent to
+	// this start no longer apply to the replica.
 	superseded bool
 }
 
-// Set is a node's view of all replicas. It is safe for concurrent use.
+// Set is a node's view of all replicas. It is safe for concurrent use. Its exported fields must
+// be set before the first use; the callbacks are called without the lock held.
 type Set struct {
 	mu      sync.Mutex
 	entries map[string]*entry
-	// unlisted are the entries of replicas that are not listed and still have requests of
-	// this node: whether they start again concerns these.
+	// unlisted are entries of replicas that are not listed and still have requests or followers
+	// of this node, which have to learn of a restart.
 	unlisted map[string]*entry
-	// byPool is rebuilt from entries when stale is set.
+	// byPool and byKey are rebuilt from entries when indexStale is set.
 	byPool     map[string][]*entry
 	byKey      map[uint64]*entry
 	indexStale bool
-	// Zone is where this node stands. It is set before use.
+	// Zone is the zone of this node.
 	Zone string
-	// self and nodes are between whom the slots are divided; none means that all
-	// are this node's.
+	// self and nodes are this node and all those among which slots are divided. If self is not
+	// in nodes, all slots are allotted to this node.
 	self  string
 	nodes []place.Node
-	// selfPlace is where this node is, as nodes tell each other.
+	// selfPlace is the place of this node according to nodes.
 	selfPlace place.Place
-	// division rises with each change of these.
+	// division is incremented when nodes, notJoined or coldLimits change.
 	division uint64
-	// estimates is what online requests take of each pool, at this node.
+	// estimates are what this node learned of each pool from its own requests.
 	estimates map[string]*poolEstimates
-	// evacuated are the zones that operators empty.
+	// evacuated are the zones that operators evacuate.
 	evacuated map[string]bool
-	// fleet is what nodes have told of each pool.
+	// fleet sums up what nodes reported of each pool.
 	fleet map[string]*fleetView
-	// outageEnd is when the list's source came back after a long outage. doubts is set while
-	// there may be entries that vanished around it.
+	// outageEnd is when the source of the list came back after a long outage. pendingDelisted is
+	// set while there may be entries that were delisted around it.
 	outageEnd       time.Time
 	pendingDelisted bool
-	// lastReceived is when anything last came from any replica.
+	// lastReceived is when this node last received data from any replica.
 	lastReceived time.Time
 	changed      chan struct{}
-	// coldLimits are what cold replicas bear, by pool; coldHeld counts what was held
-	// back for it.
+	// coldLimits are the limits of cold replicas by pool; coldHeldBack counts the sends held
+	// back for them.
 	coldLimits   map[string]ColdLimit
 	coldHeldBack uint64
-	// listTime is a time as of which the list of replicas is known; zero if nobody tells.
+	// listTime is the time as of which the list is known; zero if SetListTime was never called.
 	listTime time.Time
-	// senderList are the nodes that may feed cold replicas by the division feedDivision,
-	// feedSelf is this node's place among them.
+	// senderList are the nodes that may be senders of cold replicas, as of senderDivision, and
+	// senderSelf is this node's index among them.
 	senderList []senderNode
 	senderSelf int
 	// notJoined is set while this node is not among the members that it knows.
 	notJoined      bool
 	senderDivision uint64
-	// ColdTolerance must be set before the first use.
+	// ColdTolerance bounds how far a cold replica's rate may be exceeded.
 	ColdTolerance ColdTolerance
-	// OnEjected is told of each ejection, outside the lock.
+	// OnEjected is called for each ejection on this node's own evidence.
 	OnEjected func(info Info, result Result)
-	// OnSharedEjection is told, outside the lock, of each replica that is left out on the evidence
-	// of several nodes.
+	// OnSharedEjection is called for each ejection on the evidence of several nodes.
 	OnSharedEjection func(ejection SharedEjection)
-	// OnRestart is told, outside the lock, of each replica that has started again under its
-	// id.
+	// OnRestart is called for each replica that has restarted under its ID.
 	OnRestart func(restart Restart)
-	// OnPressure is asked, outside the lock, to make batch items of this node give
-	// way at a replica.
+	// OnPressure is called to preempt batch items of this node at a replica.
 	OnPressure func(id string, items int, why Pressure)
 }
 
@@ -141,8 +138,8 @@
 	return &Set{entries: map[string]*entry{}, unlisted: map[string]*entry{}, byPool: map[string][]*entry{}, estimates: map[string]*poolEstimates{}, fleet: map[string]*fleetView{}, changed: make(chan struct{})}
 }
 
-// Put takes in a listed replica. It reports whether the replica was not listed before; one
-// that has started again under its id was.
+// Put adds or updates a listed replica. It reports whether the replica was not listed before; one
+// that restarted under its ID was.
 func (s *Set) Put(info Info) bool { return s.put(info, clock.Now()) }
 
 func (s *Set) put(info Info, now time.Time) bool {
@@ -172,13 +169,13 @@
 	return !listed, restart
 }
 
-// invalidateIndex marks the lists by pool as out of date. The caller holds mu.
+// invalidateIndex marks byPool and byKey as out of date. The caller holds mu.
 func (s *Set) invalidateIndex() {
 	s.indexStale = true
 	s.notifyChanged()
 }
 
-// pool returns the entries of a pool in the order of their ids. The caller holds mu.
+// pool returns the entries of a pool in the order of their IDs. The caller holds mu.
 func (s *Set) pool(name string) []*entry {
 	if s.indexStale {
 		s.rebuild()
@@ -202,21 +199,21 @@
 	s.divide()
 }
 
-// notifyChanged tells those that wait for a change. The caller holds mu.
+// notifyChanged closes the channel that Changed returned. The caller holds mu.
 func (s *Set) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed at the next change that may free
-// room: an ended request, a listed replica.
+// Changed returns a channel that is closed at the next change that may free capacity, such as a
+// request that ends or a replica that is listed.
 func (s *Set) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Count returns the numbers of listed and of ejected replicas.
+// Count returns the number of listed and of ejected replicas.
 func (s *Set) Count(now time.Time) (listed, ejected int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,7 +226,7 @@
 	return listed, ejected
 }
 
-// Get returns a listed replica.
+// Get returns the description of a listed replica.
 func (s *Set) Get(id string) (Info, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -240,7 +237,7 @@
 	return e.info, true
 }
 
-// List returns all listed replicas of all pools.
+// List returns all listed replicas of all pools in the order of their IDs.
 func (s *Set) List(now time.Time) []Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -255,19 +252,17 @@
 	return list
 }
 
-// Snapshot returns the replicas of a pool that a choice looks at now, in the order
-// of their ids: those where this node has slots, those that it has heard from a
-// moment ago, a few random ones, and the home of a prefix. In a small fleet these
-// are all. What a node knows of others is old; the least busy of all by that
-// knowledge would be flooded, the least busy of a few random ones is not
-// (Mitzenmacher, 2001). Nor does the cost of a request grow with the fleet.
+// Snapshot returns the candidates of a pool for one choice, in the order of their IDs: replicas
+// with slots of this node, replicas that it received data from recently, a few random ones, and
+// the home of the prefix. In a small fleet these are all. Knowledge of other replicas is old, and
+// always choosing the least loaded one by old knowledge overloads it; choosing among a few random
+// ones does not (Mitzenmacher, 2001). The cost of a choice is independent of the size of the fleet.
 func (s *Set) Snapshot(pool string, affinity uint64, now time.Time) []Candidate {
 	return s.SnapshotFor(pool, &Criteria{Affinity: affinity}, now)
 }
 
-// SnapshotFor returns the replicas of a pool that a choice for a request looks at. If
-// operators keep the request from all of them, these are the ones returned, for the
-// choice to tell why there is none.
+// SnapshotFor returns the candidates of a pool for a request. If evacuations or the regions of the
+// request exclude all replicas, it returns all of them, so that the choice can say why none fits.
 func (s *Set) SnapshotFor(pool string, criteria *Criteria, now time.Time) []Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -286,8 +281,8 @@
 	return s.candidates(chosen, now)
 }
 
-// allowed returns the entries that a request may be sent to for where they stand. The
-// caller holds mu.
+// allowed returns the entries that evacuations and the regions of the request permit. The caller
+// holds mu.
 func (s *Set) allowed(list []*entry, criteria *Criteria) []*entry {
 	if criteria.Regions == nil && len(s.evacuated) == 0 {
 		return list
@@ -312,7 +307,7 @@
 	return candidates
 }
 
-// candidate returns an entry as the picker sees it. The caller holds mu.
+// candidate returns the snapshot of an entry. The caller holds mu.
 func (s *Set) candidate(e *entry, now time.Time) Candidate {
 	estimates := s.estimatesFor(e.info.Pool)
 	estimates.advance(now)
@@ -325,10 +320,10 @@
 	}
 }
 
-// fresh reports whether something came from the replica a moment ago.
+// fresh reports whether this node received data from the replica within freshFor.
 func (e *entry) fresh(now time.Time) bool { return now.Sub(e.lastReceived) < freshFor }
 
-// loadAge is the age of the last report of load; -1 if there was none.
+// loadAge returns the age of the last load report; -1 if there is none.
 func (e *entry) loadAge(now time.Time) time.Duration {
 	if e.loadReportedAt.IsZero() {
 		return -1
@@ -336,7 +331,7 @@
 	return now.Sub(e.loadReportedAt)
 }
 
-// decayedWaiting fades the last report of waiting requests.
+// decayedWaiting returns the last reported number of waiting requests, decayed by its age.
 func (e *entry) decayedWaiting(now time.Time) float64 {
 	age := now.Sub(e.loadReportedAt)
 	if e.waiting == 0 || age >= waitingDecayTime {
@@ -345,7 +340,7 @@
 	return float64(e.waiting) * (1 - float64(age)/float64(waitingDecayTime))
 }
 
-// decayedOthers fades the estimate as the report grows old.
+// decayedOthers returns the estimate of other nodes' requests, decayed by its age.
 func (e *entry) decayedOthers(now time.Time) float64 {
 	age := now.Sub(e.othersUpdatedAt)
 	if e.others == 0 || age >= othersDecayTime {
--- a/internal/replica/slope.go
+++ b/internal/replica/slope.go
@@ -1,21 +1,21 @@
 package replica
 
 const (
-	// slopeMemory is the number of observations that a slope is learned from.
+	// slopeMemory is the effective number of observations that a slope is estimated from.
 	slopeMemory = 200
-	// slopeMinCount is the least number of them, and slopeSpread the least spread
-	// of x against its mean, from which a slope is told.
+	// slopeMinCount is the minimum number of observations, and slopeMinSpread the minimum
+	// standard deviation of x relative to its mean, for an estimate.
 	slopeMinCount  = 20
 	slopeMinSpread = 0.3
 )
 
-// slope learns how y grows with x, by least squares over the newest
-// observations. The zero value knows nothing.
+// slope estimates how y grows with x, by least squares over the newest observations. The zero
+// value is empty.
 type slope struct {
 	count, meanX, meanY, varX, covXY float64
 }
 
-// add takes in an observation.
+// add adds an observation.
 func (s *slope) add(x, y float64) {
 	s.count = min(s.count+1, slopeMemory)
 	weight := 1 / s.count
@@ -26,7 +26,7 @@
 	s.covXY = (1 - weight) * (s.covXY + weight*fromX*fromY)
 }
 
-// get returns the slope, or false as long as it cannot be told.
+// get returns the slope. It returns false if the observations do not suffice.
 func (s *slope) get() (float64, bool) {
 	if s.count < slopeMinCount || s.varX < slopeMinSpread*slopeMinSpread*s.meanX*s.meanX {
 		return 0, false
--- a/internal/replica/tally.go
+++ b/internal/replica/tally.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// evidenceMemory is how far back answers count as evidence about a replica. A node of a
-// large fleet meets a replica each 20 s (87 nodes before 60 replicas on the users'
-// deployment), all nodes together some four times a second: ten answers of all.
+// evidenceMemory is the time constant by which answers decay as evidence, and the age up to which
+// they count as recent. In a large fleet (87 nodes, 60 replicas) one node meets a given replica
+// once in 20 s, but all nodes together four times a second, which makes ten answers.
 const evidenceMemory = 3 * time.Second
 
-// Tally counts the whole answers and the failures of a replica, fading. The zero value
-// has seen nothing.
+// Tally counts the complete answers and the failures of a replica, with exponential decay. The
+// zero value is empty.
 type Tally struct {
 	Failures, Successes float64
-	// LastFailure is when the last failure was seen.
+	// LastFailure is when the last failure was observed.
 	LastFailure time.Time
-	// at is when the counts were last faded, observed when the last answer was seen.
+	// at is the time to which the counts have decayed, observed that of the last answer.
 	at, observed time.Time
 }
 
-// advance fades the counts up to now.
+// advance decays the counts up to now.
 func (t *Tally) advance(now time.Time) {
 	passed := now.Sub(t.at)
 	if t.at.IsZero() || passed <= 0 {
@@ -33,7 +33,7 @@
 	t.at = now
 }
 
-// observe takes in how a request ended.
+// observe records the result of a request.
 func (t *Tally) observe(result Result, now time.Time) {
 	t.advance(now)
 	switch result {
@@ -48,10 +48,10 @@
 	t.observed = now
 }
 
-// recent reports whether anything was seen of late.
+// recent reports whether an answer was observed within evidenceMemory.
 func (t *Tally) recent(now time.Time) bool { return now.Sub(t.observed) < evidenceMemory }
 
-// failedSince reports whether the replica failed after a moment and of late.
+// failedSince reports whether a failure was observed after a time and within evidenceMemory.
 func (t *Tally) failedSince(after, now time.Time) bool {
 	return t.LastFailure.After(after) && now.Sub(t.LastFailure) < evidenceMemory
 }
--- a/internal/replica/use.go
+++ b/internal/replica/use.go
@@ -2,73 +2,73 @@
 
 import "time"
 
-// RequestInfo is what a request wants of a replica.
+// RequestInfo describes a request that is to be sent to a replica.
 type RequestInfo struct {
-	// Tokens is the part of its prompt that the replica is expected to read.
+	// Tokens is the number of prompt tokens that the replica is expected to process.
 	Tokens int
 	Batch  bool
-	// Reserved is set if a slot of the replica is set aside for the request.
+	// Reserved is set if the replica has reserved a slot for the request.
 	Reserved bool
-	// Granted is set if a node that feeds the replica, which is cold, gave the request a
-	// place in its part of the rate.
+	// Granted is set if a sender of the replica, which is cold, granted the request a send from
+	// its part of the rate.
 	Granted bool
-	// Borrowed is set if an item asks for a slot that is not its node's.
+	// Borrowed is set for an item that uses a slot of another node.
 	Borrowed bool
-	// Starved is set if it keeps the slot though online requests of other nodes want it.
+	// Starved is set if such an item keeps its slot though online requests of other nodes need it.
 	Starved bool
-	// Objective is the time left until the first event is late; 0 if nobody minds.
+	// Objective is the time left until the first event is late; 0 if there is no objective.
 	Objective time.Duration
 }
 
-// patience is how long a request may wait for a slot: a share of the time that is
-// left if its first event then takes so long.
+// patience returns how long a request may wait for a slot: a share of the time left after the
+// expected time to its first event.
 func (a RequestInfo) patience(first time.Duration, share float64) time.Duration {
 	return time.Duration(share * float64(max(0, a.Objective-first)))
 }
 
-// Pressure is what makes items give way at a replica, with what was known.
+// Pressure is why items are preempted at a replica.
 type Pressure struct {
-	// Queued is the number of requests that the replica says wait for a slot; 0 if
-	// an arriving request was predicted to wait.
+	// Queued is the number of requests that the replica reports as waiting for a slot; 0 if an
+	// arriving request was predicted to wait.
 	Queued int
-	// Wait is how long a request would wait, Patience how long it may.
+	// Wait is the predicted wait for a slot, Patience the longest acceptable one.
 	Wait, Patience time.Duration
-	// Fleet is the part of all slots that online requests of all nodes need, if that is
-	// why; 0 otherwise.
+	// Fleet is the part of all slots that online requests of all nodes need if that is the
+	// reason; 0 otherwise.
 	Fleet float64
-	// Age is the age of what the replica last said of its load.
+	// Age is the age of the replica's last load report.
 	Age time.Duration
 }
 
-// Use counts one request at a replica until End.
+// Use tracks one request in flight at a replica, from Set.Begin to End.
 type Use struct {
 	set     *Set
 	entry   *entry
 	pool    string
 	request RequestInfo
 	sent    time.Time
-	// hadSpareSlot is set if one of this node's slots was free when it was sent.
+	// hadSpareSlot is set if one of this node's slots was free when the request was sent.
 	hadSpareSlot bool
 	firstEvent   bool
 	ended        bool
-	// lastReceived is when anything last came of this request's answer; zero if nothing did.
+	// lastReceived is when data of this request's answer last arrived; zero if none did.
 	lastReceived time.Time
-	// preempted is set on items that were asked to give way.
+	// preempted is set on items that were asked to stop.
 	preempted bool
-	// superseded is set once the replica is known to have started again since the request was
-	// sent; reborn is closed then, if it was asked for.
+	// superseded is set once the replica is known to have restarted since the request was sent.
+	// restarted, if it was created, is closed at the same time.
 	superseded bool
 	restarted  chan struct{}
 }
 
-// Begin is BeginAt for a replica of any start.
+// Begin is BeginAt for any start of a replica.
 func (s *Set) Begin(id string, req RequestInfo, now time.Time) *Use {
 	return s.BeginAt(Info{ID: id}, req, now)
 }
 
-// BeginAt counts a request about to be sent to a replica as it was chosen. An online request
-// that would wait there for longer than it has time has an item of this node give way. It
-// returns nil if the replica must not get the request now: it is cold, or has started again
+// BeginAt registers a request that is about to be sent to the chosen replica. An online request
+// that would wait there longer than its objective permits preempts an item of this node. It
+// returns nil if the request must not be sent now, because the replica is cold or has restarted
 // since it was chosen.
 func (s *Set) BeginAt(chosen Info, req RequestInfo, now time.Time) *Use {
 	use, why := s.begin(&chosen, req, now)
@@ -101,16 +101,15 @@
 	return use, why
 }
 
-// RecordLoad takes in what the replica said of its load with an answer. If requests
-// wait there for longer than they have time, items of this node give way.
+// RecordLoad records the load that the replica reported with an answer. If requests wait there
+// for too long, items of this node are preempted.
 func (u *Use) RecordLoad(load Load, now time.Time) {
 	if id, items, why := u.recordLoad(load, now); items > 0 && u.set.OnPressure != nil {
 		u.set.OnPressure(id, items, why)
 	}
 }
 
-// recordLoad returns the replica, and the number of this node's items there that should give
-// way.
+// recordLoad returns the replica and the number of this node's items to preempt there.
 func (u *Use) recordLoad(load Load, now time.Time) (id string, items int, why Pressure) {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
@@ -130,7 +129,7 @@
 	return id, min(candidate.Batch, load.queued()-tolerable), why
 }
 
-// MarkFull notes that a replica, as it was asked, has no free slot.
+// MarkFull records that a replica, asked for a reservation, had no free slot.
 func (s *Set) MarkFull(asked Info, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +139,7 @@
 	}
 }
 
-// MarkPreempted notes that an item was asked to give way: its slot counts as free.
+// MarkPreempted records that an item was asked to stop, so that its slot counts as free.
 func (u *Use) MarkPreempted() {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
@@ -151,7 +150,7 @@
 	}
 }
 
-// FirstEvent notes that the answer has begun: its prompt has been read.
+// FirstEvent records the first event of the answer: the prompt has been processed.
 func (u *Use) FirstEvent(now time.Time) {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
@@ -165,15 +164,15 @@
 	}
 }
 
-// Received notes that something of this request's answer came: the replica is busy, not silent.
+// Received records that data of this request's answer arrived.
 func (u *Use) Received(now time.Time) {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
 	u.lastReceived, u.entry.lastReceived, u.set.lastReceived = now, now, now
 }
 
-// Silence returns the time since anything of any request came from the replica,
-// or since this request was sent, whichever is shorter.
+// Silence returns the time since any data arrived from the replica, for any request, or since
+// this request was sent, whichever is shorter.
 func (u *Use) Silence(now time.Time) time.Duration {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
@@ -183,9 +182,9 @@
 	return now.Sub(u.sent)
 }
 
-// OwnSilence returns the time since anything of this request's answer came, or since it was
-// sent, and whether anything has come. A replica that answers others may never answer this
-// request: its connection may be dead, or its run be lost.
+// OwnSilence returns the time since data of this request's answer arrived, or since it was sent,
+// and whether any data has arrived. A replica that answers other requests may never answer this
+// one: its connection may be dead or its run lost.
 func (u *Use) OwnSilence(now time.Time) (silence time.Duration, begun bool) {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
@@ -195,7 +194,7 @@
 	return now.Sub(u.lastReceived), true
 }
 
-// End stops counting and takes in how the request ended.
+// End unregisters the request and records its result.
 func (u *Use) End(result Result, now time.Time) {
 	info, ejected, ejection := u.finish(result, now)
 	if ejected && u.set.OnEjected != nil {
@@ -223,8 +222,8 @@
 	return u.entry.info, ejected, ejection
 }
 
-// observe takes in how a request ended at a replica. It reports whether that ejected the
-// replica, on own evidence or that of several nodes. The caller holds mu.
+// observe records the result of a request at a replica. It reports whether that ejected the
+// replica, on this node's evidence or on that of several nodes. The caller holds mu.
 func (s *Set) observe(e *entry, result Result, now time.Time) (ejected bool, ejection *SharedEjection) {
 	ejected = e.health.observe(result, now)
 	e.ownTally.observe(result, now)
@@ -238,7 +237,7 @@
 		ejection = s.evaluate(e, now)
 		s.noteUnreachable(e, now)
 	case Refused:
-		// A replica that refuses has its slots and its queue full.
+		// A replica refuses only when its slots and its queue are full.
 		e.others = max(e.others, refusedLoad*float64(e.info.Slots))
 		e.othersUpdatedAt = now.Add(refusedDecayTime - othersDecayTime)
 		e.refusedAt = now
