--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -91,7 +91,7 @@
 	one.result.Pool = target.Pool()
 	one.demand = replica.Criteria{
 		Zone: f.Zone, Region: f.Region, RequestInfo: replica.RequestInfo{Tokens: request.Prompt.Tokens}, Affinity: affinityOf(request.Prompt), SharedTokens: sharedTokens(request.Prompt),
-		Adapter: target.Adapter, Exclude: map[string]bool{}, Regions: target.Regions.And(request.Regions),
+		Adapter: target.Adapter, Exclude: map[string]bool{}, Regions: target.Regions.Intersect(request.Regions),
 		NoRetry: !one.mayRepeat() || target.MaxAttempts < 2,
 	}
 	if !one.deadline.IsZero() {
@@ -108,7 +108,7 @@
 func (f *Forwarder) Predict(target *route.Route, request *Request, now time.Time) (time.Duration, error) {
 	demand := &replica.Criteria{
 		Zone: f.Zone, Region: f.Region, RequestInfo: replica.RequestInfo{Tokens: request.Prompt.Tokens}, Adapter: target.Adapter,
-		Regions: target.Regions.And(request.Regions),
+		Regions: target.Regions.Intersect(request.Regions),
 	}
 	best, err := replica.Pick(f.Replicas.SnapshotFor(target.Pool(), demand, now), demand, f.Weights)
 	if none := coldOnly(err); none != nil {
--- a/internal/inventory/entry.go
+++ b/internal/inventory/entry.go
@@ -43,9 +43,9 @@
 	Slots    int          `cbor:"11,keyasint,omitempty"`
 	// ReadingRate is how fast the engine reads prompts, in tokens a second.
 	ReadingRate float64 `cbor:"12,keyasint,omitempty"`
-	// Born is when the engine started, by its own clock in Unix milliseconds; 0 if it does
+	// StartedUnixMs is when the engine started, by its own clock in Unix milliseconds; 0 if it does
 	// not say.
-	Born int64 `cbor:"13,keyasint,omitempty"`
+	StartedUnixMs int64 `cbor:"13,keyasint,omitempty"`
 }
 
 // Reported reports whether the engine has ever answered.
@@ -61,20 +61,20 @@
 	return e.Address == other.Address && e.Zone == other.Zone && e.Pool == other.Pool &&
 		e.Generation == other.Generation && e.Machine == other.Machine && e.State == other.State &&
 		e.Role == other.Role && e.Version == other.Version && e.Fence == other.Fence && e.Slots == other.Slots &&
-		e.ReadingRate == other.ReadingRate && e.Born == other.Born
+		e.ReadingRate == other.ReadingRate && e.StartedUnixMs == other.StartedUnixMs
 }
 
-// report takes in what an engine says of itself.
-func (e *Entry) report(load *engine.Load) {
+// setReport takes in what an engine says of itself.
+func (e *Entry) setReport(load *engine.Load) {
 	e.State, e.Role, e.Version = load.State, load.Role, load.Version
 	e.Adapters, e.Fence, e.Slots = load.Adapters, load.Fence, load.MaxSequences
-	e.ReadingRate, e.Born = load.PrefillPerSec, load.StartedUnixMs
+	e.ReadingRate, e.StartedUnixMs = load.PrefillPerSec, load.StartedUnixMs
 }
 
 // Info returns the entry as the choice of a replica sees it.
 func (e *Entry) Info(id string) replica.Info {
 	return replica.Info{
-		ID: id, StartedUnixMs: e.Born, Pool: e.Pool, Address: e.Address, Zone: e.Zone, Slots: e.Slots,
+		ID: id, StartedUnixMs: e.StartedUnixMs, Pool: e.Pool, Address: e.Address, Zone: e.Zone, Slots: e.Slots,
 		Leaving: e.Machine == machines.Leaving || e.State != engine.StateReady,
 		Version: e.Version, Adapters: e.Adapters, ReadingRate: e.ReadingRate,
 		NoOnline: e.Role == engine.RoleBatch, NoBatch: e.Role == engine.RoleOnline,
--- a/internal/inventory/observer.go
+++ b/internal/inventory/observer.go
@@ -20,11 +20,11 @@
 	observeInterval = 400 * time.Millisecond
 	// observeTimeout bounds one engine's answer.
 	observeTimeout = 800 * time.Millisecond
-	// observeParallel bounds the engines asked at the same time.
-	observeParallel = 64
-	// rowsAtOnce bounds the rows of one write.
-	rowsAtOnce  = 40
-	callTimeout = 3 * time.Second
+	// observeConcurrency bounds the engines asked at the same time.
+	observeConcurrency = 64
+	// maxRowsPerWrite bounds the rows of one write.
+	maxRowsPerWrite = 40
+	callTimeout     = 3 * time.Second
 )
 
 // Engines asks an engine for its report.
@@ -40,10 +40,10 @@
 	View     *View
 	Engines  Engines
 	Machines func() []machines.Machine
-	// Ours returns those of some replicas that are this node's to observe. All are
+	// Assigned returns those of some replicas that are this node's to observe. All are
 	// asked about at once, for an answer costs a look at all nodes.
-	Ours func(ids []string) map[string]bool
-	Log  zerolog.Logger
+	Assigned func(ids []string) map[string]bool
+	Log      zerolog.Logger
 }
 
 // Run observes until the context ends.
@@ -51,7 +51,7 @@
 	ticker := time.NewTicker(observeInterval)
 	defer ticker.Stop()
 	for {
-		o.look(ctx)
+		o.observe(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -60,32 +60,32 @@
 	}
 }
 
-// look writes what has changed since the last look.
-func (o *Observer) look(ctx context.Context) {
+// observe writes what has changed since the last observe.
+func (o *Observer) observe(ctx context.Context) {
 	listed := o.Machines()
 	if listed == nil {
 		return
 	}
-	ours := o.ours(listed)
-	writes := o.gone(listed, ours)
-	writes = append(writes, o.changed(ctx, listed, ours)...)
+	assigned := o.assigned(listed)
+	writes := o.removals(listed, assigned)
+	writes = append(writes, o.updates(ctx, listed, assigned)...)
 	for len(writes) > 0 {
-		some := writes[:min(rowsAtOnce, len(writes))]
-		writes = writes[len(some):]
+		batch := writes[:min(maxRowsPerWrite, len(writes))]
+		writes = writes[len(batch):]
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-		_, err := o.Table.Commit(callCtx, table.NewOperation(), some...)
+		_, err := o.Table.Commit(callCtx, table.NewOperation(), batch...)
 		cancel()
 		if err != nil {
 			// The view brings what stands by the next look.
-			o.Log.Debug().Err(err).Int("rows", len(some)).Msg("replica entries not written")
+			o.Log.Debug().Err(err).Int("rows", len(batch)).Msg("replica entries not written")
 			return
 		}
 	}
 }
 
-// ours returns the replicas that this node observes, of those on the machine
+// assigned returns the replicas that this node observes, of those on the machine
 // list and of those that have entries.
-func (o *Observer) ours(listed []machines.Machine) map[string]bool {
+func (o *Observer) assigned(listed []machines.Machine) map[string]bool {
 	var ids []string
 	for _, machine := range listed {
 		if machine.Role == machines.RoleEngine {
@@ -95,36 +95,36 @@
 	for _, entry := range o.View.List() {
 		ids = append(ids, entry.ID)
 	}
-	return o.Ours(ids)
+	return o.Assigned(ids)
 }
 
-// gone returns the removals of entries whose machines are off the list.
-func (o *Observer) gone(listed []machines.Machine, ours map[string]bool) []table.Write {
-	present := map[string]bool{}
+// removals returns the removals of entries whose machines are off the list.
+func (o *Observer) removals(listed []machines.Machine, assigned map[string]bool) []table.Write {
+	listedIDs := map[string]bool{}
 	for _, machine := range listed {
-		present[machine.ID] = true
+		listedIDs[machine.ID] = true
 	}
 	var writes []table.Write
 	for _, entry := range o.View.List() {
-		if !present[entry.ID] && ours[entry.ID] {
+		if !listedIDs[entry.ID] && assigned[entry.ID] {
 			writes = append(writes, table.Write{Key: key(entry.ID), Kind: table.Delete, Expect: entry.Version})
 		}
 	}
 	return writes
 }
 
-// changed asks the engines and returns the writes of entries that differ.
-func (o *Observer) changed(ctx context.Context, listed []machines.Machine, ours map[string]bool) []table.Write {
+// updates asks the engines and returns the writes of entries that differ.
+func (o *Observer) updates(ctx context.Context, listed []machines.Machine, assigned map[string]bool) []table.Write {
 	var mu sync.Mutex
 	var writes []table.Write
 	var group errgroup.Group
-	group.SetLimit(observeParallel)
+	group.SetLimit(observeConcurrency)
 	for _, machine := range listed {
-		if machine.Role != machines.RoleEngine || !ours[machine.ID] {
+		if machine.Role != machines.RoleEngine || !assigned[machine.ID] {
 			continue
 		}
 		group.Go(func() error {
-			if write, differs := o.compare(ctx, machine); differs {
+			if write, changed := o.compare(ctx, machine); changed {
 				mu.Lock()
 				defer mu.Unlock()
 				writes = append(writes, write)
@@ -146,7 +146,7 @@
 	// An engine that does not answer keeps its last report: that it fails is
 	// for those to say who send it requests.
 	if load, err := o.Engines.Load(callCtx, machine.Address); err == nil {
-		next.report(&load)
+		next.setReport(&load)
 	}
 	if ok && next.equal(&known.Entry) {
 		return table.Write{}, false
--- a/internal/jobs/homes.go
+++ b/internal/jobs/homes.go
@@ -41,7 +41,7 @@
 	}
 	homes := homesBy(table, job, table.Named(job.Route))
 	for _, other := range job.Others {
-		homes = homes.And(homesBy(table, job, table.Named(other)))
+		homes = homes.Intersect(homesBy(table, job, table.Named(other)))
 	}
 	return homes
 }
@@ -55,10 +55,10 @@
 		homes = job.Homes
 	}
 	if target != nil {
-		homes = homes.And(target.Regions)
+		homes = homes.Intersect(target.Regions)
 	}
 	if caller != nil {
-		homes = homes.And(caller.Regions)
+		homes = homes.Intersect(caller.Regions)
 	}
 	return homes
 }
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -257,7 +257,7 @@
 	if err != nil {
 		entry = c.log.Warn().Err(err).Stringer("ran", outcome.Of(err))
 		if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) {
-			entry = entry.Str("excluded", none.Reasons()).Strs("homes", target.Regions.And(request.Regions))
+			entry = entry.Str("excluded", none.Reasons()).Strs("homes", target.Regions.Intersect(request.Regions))
 		}
 	}
 	entry.Str("request", request.ID).Str("route", target.Name).Str("pool", result.Pool).
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -186,7 +186,7 @@
 	}
 	n.observer = &inventory.Observer{
 		Table: n.table, View: &n.inventory, Engines: n.engines, Machines: n.machines.current,
-		Ours: func(ids []string) map[string]bool { return n.sessions.Share(n.session.ID(), ids) }, Log: n.log,
+		Assigned: func(ids []string) map[string]bool { return n.sessions.Share(n.session.ID(), ids) }, Log: n.log,
 	}
 	n.placement = placement.NewController(placement.Options{
 		Table: n.table, Session: n.session, Watcher: n.sessions, Store: n.resources,
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -20,10 +20,10 @@
 // Region returns the region of a zone; empty if it is not known.
 func (m Map) Region(zone string) string { return m[zone] }
 
-// Has reports whether a region has a zone.
-func (m Map) Has(region string) bool {
-	for _, known := range m {
-		if known == region {
+// HasRegion reports whether a region has a zone.
+func (m Map) HasRegion(region string) bool {
+	for _, r := range m {
+		if r == region {
 			return true
 		}
 	}
@@ -31,10 +31,10 @@
 }
 
 // Validate adds what is wrong with the map to the findings of a place in the settings.
-func (m Map) Validate(found *findings.List, path string) {
+func (m Map) Validate(list *findings.List, path string) {
 	for zone, region := range m {
 		if zone == "" || region == "" {
-			found.Add(path, "zone %q lies in region %q: both need a name", zone, region)
+			list.Add(path, "zone %q lies in region %q: both need a name", zone, region)
 		}
 	}
 }
@@ -48,21 +48,21 @@
 	return r == nil || region != "" && slices.Contains(r, region)
 }
 
-// And returns the regions that are in both sets.
-func (r Regions) And(other Regions) Regions {
+// Intersect returns the regions that are in both sets.
+func (r Regions) Intersect(other Regions) Regions {
 	switch {
 	case r == nil:
 		return other
 	case other == nil:
 		return r
 	}
-	both := Regions{}
+	common := Regions{}
 	for _, region := range r {
 		if slices.Contains(other, region) {
-			both = append(both, region)
+			common = append(common, region)
 		}
 	}
-	return both
+	return common
 }
 
 // Node is a node of the fleet and where it is.
@@ -96,8 +96,8 @@
 	}
 }
 
-// To returns the distance to another place.
-func (p Place) To(other Place) Distance {
+// DistanceTo returns the distance to another place.
+func (p Place) DistanceTo(other Place) Distance {
 	switch {
 	case p.Region != "" && other.Region != "" && p.Region != other.Region:
 		return OtherRegion
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -7,9 +7,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/findings"
 )
 
-func TestRegions_And(t *testing.T) {
+func TestRegions_Intersect(t *testing.T) {
 	north, both := Regions{"north"}, Regions{"north", "south"}
-	for _, one := range []struct {
+	for _, tt := range []struct {
 		name       string
 		a, b, want Regions
 	}{
@@ -20,9 +20,9 @@
 		{"none in common", north, Regions{"south"}, Regions{}},
 		{"none and any", Regions{}, nil, Regions{}},
 	} {
-		got := one.a.And(one.b)
-		if !slices.Equal(got, one.want) || (got == nil) != (one.want == nil) {
-			t.Errorf("%s: %#v, want %#v", one.name, got, one.want)
+		got := tt.a.Intersect(tt.b)
+		if !slices.Equal(got, tt.want) || (got == nil) != (tt.want == nil) {
+			t.Errorf("%s: %#v, want %#v", tt.name, got, tt.want)
 		}
 	}
 }
@@ -39,10 +39,10 @@
 	}
 }
 
-func TestMap_ValidateNamesThePlace(t *testing.T) {
-	var found findings.List
-	Map{"a": ""}.Validate(&found, "node.zones")
-	if all := found.All(); len(all) != 1 || all[0].Path != "node.zones" {
+func TestMap_ValidateReportsPath(t *testing.T) {
+	var list findings.List
+	Map{"a": ""}.Validate(&list, "node.zones")
+	if all := list.All(); len(all) != 1 || all[0].Path != "node.zones" {
 		t.Errorf("findings %v", all)
 	}
 }
--- a/internal/placement/controller.go
+++ b/internal/placement/controller.go
@@ -22,10 +22,10 @@
 	// grows with the fleet, so that the store's load does not.
 	contendInterval = 2 * time.Second
 	contendPerNode  = 100 * time.Millisecond
-	// orderPatience is how long an order may take to show in the reports before
+	// orderTimeout is how long an order may take to show in the reports before
 	// it is sent anew.
-	orderPatience = 10 * time.Second
-	callTimeout   = 3 * time.Second
+	orderTimeout = 10 * time.Second
+	callTimeout  = 3 * time.Second
 )
 
 // Orders sends fenced orders.
@@ -48,15 +48,15 @@
 // Controller carries plans out for the pools whose lease it holds.
 type Controller struct {
 	options Options
-	held    map[string]*holding
+	held    map[string]*heldPool
 }
 
-// holding is the state of a held pool.
-type holding struct {
+// heldPool is the state of a held pool.
+type heldPool struct {
 	grant lease.Grant
-	// sent counts the orders under this epoch; with the epoch it makes the fence.
-	sent    uint64
-	ordered map[string]sentOrder
+	// orderCount counts the orders under this epoch; with the epoch it makes the fence.
+	orderCount    uint64
+	pendingOrders map[string]sentOrder
 }
 
 type sentOrder struct {
@@ -67,7 +67,7 @@
 
 // NewController returns a controller; Run makes it work.
 func NewController(options Options) *Controller {
-	return &Controller{options: options, held: map[string]*holding{}}
+	return &Controller{options: options, held: map[string]*heldPool{}}
 }
 
 // Run contends for the pools' leases and carries plans out until the context ends.
@@ -121,17 +121,17 @@
 		case errors.Is(err, lease.ErrHeld):
 			delete(c.held, pool.Name)
 		case err == nil:
-			c.take(pool.Name, grant)
+			c.recordGrant(pool.Name, grant)
 		}
 	}
 }
 
-func (c *Controller) take(pool string, grant lease.Grant) {
+func (c *Controller) recordGrant(pool string, grant lease.Grant) {
 	current, ok := c.held[pool]
 	if ok && current.grant.Epoch == grant.Epoch {
 		return
 	}
-	c.held[pool] = &holding{grant: grant, ordered: map[string]sentOrder{}}
+	c.held[pool] = &heldPool{grant: grant, pendingOrders: map[string]sentOrder{}}
 	c.options.Log.Info().Str("pool", pool).Uint64("epoch", grant.Epoch).Msg("placement lease taken")
 }
 
@@ -146,9 +146,9 @@
 		if !ok {
 			continue
 		}
-		held.annotate(replicas, clock.Now())
+		held.markOrdered(replicas, clock.Now())
 		for _, action := range Plan(pool, roles, replicas) {
-			if !c.order(ctx, pool.Name, held, action) {
+			if !c.sendOrder(ctx, pool.Name, held, action) {
 				delete(c.held, pool.Name)
 				break
 			}
@@ -156,18 +156,18 @@
 	}
 }
 
-// annotate marks the replicas whose order has not shown in a report yet.
-func (h *holding) annotate(replicas []Replica, now time.Time) {
+// markOrdered marks the replicas whose order has not shown in a report yet.
+func (p *heldPool) markOrdered(replicas []Replica, now time.Time) {
 	for i := range replicas {
-		sent, ok := h.ordered[replicas[i].ID]
+		pending, ok := p.pendingOrders[replicas[i].ID]
 		if !ok {
 			continue
 		}
-		if replicas[i].Fence >= sent.fence || now.Sub(sent.at) > orderPatience {
-			delete(h.ordered, replicas[i].ID)
+		if replicas[i].Fence >= pending.fence || now.Sub(pending.at) > orderTimeout {
+			delete(p.pendingOrders, replicas[i].ID)
 			continue
 		}
-		content := sent.content
+		content := pending.content
 		replicas[i].Ordered = &content
 	}
 }
@@ -175,10 +175,10 @@
 // fenceBits is the part of a fence that counts the orders of one epoch.
 const fenceBits = 24
 
-// order sends one order; it reports false when a newer holder has acted.
-func (c *Controller) order(ctx context.Context, pool string, held *holding, action Action) bool {
-	held.sent++
-	fence := held.grant.Epoch<<fenceBits | held.sent
+// sendOrder sends one sendOrder; it reports false when a newer holder has acted.
+func (c *Controller) sendOrder(ctx context.Context, pool string, held *heldPool, action Action) bool {
+	held.orderCount++
+	fence := held.grant.Epoch<<fenceBits | held.orderCount
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := c.options.Orders.Order(callCtx, action.Address, engine.Order{
@@ -189,7 +189,7 @@
 		return false
 	}
 	if err == nil {
-		held.ordered[action.Replica] = sentOrder{content: action.Content, fence: fence, at: clock.Now()}
+		held.pendingOrders[action.Replica] = sentOrder{content: action.Content, fence: fence, at: clock.Now()}
 		c.options.Log.Info().Str("pool", pool).Str("replica", action.Replica).Uint64("fence", fence).
 			Str("version", action.Content.Version).Str("role", string(action.Content.Role)).Msg("order sent")
 	}
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -72,7 +72,7 @@
 		byID[replica.ID] = replica
 		desired := desiredContent(pool, roles, replica)
 		switch {
-		case replica.State == engine.StateLoading || reloads(replica):
+		case replica.State == engine.StateLoading || reloadPending(replica):
 			loading++
 		case replica.State == engine.StateReady:
 			serving++
@@ -80,21 +80,21 @@
 		if replica.Ordered != nil && replica.Ordered.equal(desired) {
 			continue
 		}
-		if !current(replica).equal(desired) {
+		if !currentContent(replica).equal(desired) {
 			reload := replica.Version != desired.Version
 			pending = append(pending, Action{Replica: replica.ID, Address: replica.Address, Content: desired, Reload: reload})
 		}
 	}
-	sort.Slice(pending, func(i, j int) bool { return before(pending[i], pending[j], byID) })
+	sort.Slice(pending, func(i, j int) bool { return less(pending[i], pending[j], byID) })
 	return admit(pool, pending, byID, loading, serving)
 }
 
-func current(replica Replica) Content {
+func currentContent(replica Replica) Content {
 	return Content{Version: replica.Version, Adapters: replica.Adapters, Role: replica.Role}
 }
 
-// reloads reports whether an order is on its way that takes the replica out of service.
-func reloads(replica Replica) bool {
+// reloadPending reports whether an order is on its way that takes the replica out of service.
+func reloadPending(replica Replica) bool {
 	return replica.Ordered != nil && replica.Ordered.Version != replica.Version
 }
 
@@ -120,7 +120,7 @@
 	return actions
 }
 
-func before(a, b Action, byID map[string]Replica) bool {
+func less(a, b Action, byID map[string]Replica) bool {
 	replicaA, replicaB := byID[a.Replica], byID[b.Replica]
 	readyA, readyB := replicaA.State == engine.StateReady, replicaB.State == engine.StateReady
 	if readyA != readyB {
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -19,10 +19,10 @@
 func TestPlan_RolloutKeepsItsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 12).Draw(t, "count")
-		least := rapid.IntRange(0, count-1).Draw(t, "min")
+		minServing := rapid.IntRange(0, count-1).Draw(t, "min")
 		limit := rapid.IntRange(1, 4).Draw(t, "maxUnavailable")
 		pool := Pool{Name: "p", Spec: &v1.ModelPoolSpec{
-			Model: "m", Version: "v2", Replicas: v1.ReplicaRange{Min: least, Max: count}, MaxUnavailable: limit,
+			Model: "m", Version: "v2", Replicas: v1.ReplicaRange{Min: minServing, Max: count}, MaxUnavailable: limit,
 		}}
 		replicas := make([]Replica, count)
 		for i := range replicas {
@@ -37,8 +37,8 @@
 			if loading > limit {
 				t.Fatalf("%d replicas load at a time, allowed %d", loading, limit)
 			}
-			if serving := count - loading; serving < least {
-				t.Fatalf("%d replicas serve, at least %d must", serving, least)
+			if serving := count - loading; serving < minServing {
+				t.Fatalf("%d replicas serve, at least %d must", serving, minServing)
 			}
 			if loading == 0 {
 				break
@@ -46,7 +46,7 @@
 			if round > 10*count {
 				t.Fatal("the rollout does not end")
 			}
-			finishOne(replicas)
+			finishOneLoad(replicas)
 		}
 		for _, replica := range replicas {
 			if replica.Version != "v2" {
@@ -75,7 +75,7 @@
 	return loading
 }
 
-func finishOne(replicas []Replica) {
+func finishOneLoad(replicas []Replica) {
 	for i := range replicas {
 		if replicas[i].State == engine.StateLoading {
 			replicas[i].State = engine.StateReady
@@ -91,12 +91,12 @@
 		{Pool: "other", Role: "batch"},
 	}
 	ready := Replica{Pool: "p", State: engine.StateReady, Reported: true, Version: "v1", Role: engine.RoleMixed, Generation: "newer"}
-	a, b, old, leaving := ready, ready, ready, ready
-	a.ID, b.ID, old.ID, leaving.ID = "a", "b", "old", "leaving"
-	old.Generation = "older"
+	a, b, older, leaving := ready, ready, ready, ready
+	a.ID, b.ID, older.ID, leaving.ID = "a", "b", "old", "leaving"
+	older.Generation = "older"
 	leaving.State = engine.StateLeaving
 	got := map[string]engine.Role{}
-	for _, action := range Plan(pool, roles, []Replica{a, b, old, leaving}) {
+	for _, action := range Plan(pool, roles, []Replica{a, b, older, leaving}) {
 		if action.Reload {
 			t.Errorf("a role change reloads %s", action.Replica)
 		}
@@ -109,7 +109,7 @@
 
 // An order that has been sent and does not show in the reports yet is not sent
 // again, and counts as loading.
-func TestPlan_OrderOnItsWay(t *testing.T) {
+func TestPlan_CountsPendingOrderAsLoading(t *testing.T) {
 	pool := Pool{Name: "p", Spec: &v1.ModelPoolSpec{Model: "m", Version: "v2", Replicas: v1.ReplicaRange{Max: 9}, MaxUnavailable: 1}}
 	first := Replica{ID: "a", Pool: "p", State: engine.StateReady, Reported: true, Version: "v1", Role: engine.RoleMixed}
 	second := first
--- a/internal/replica/cold.go
+++ b/internal/replica/cold.go
@@ -201,7 +201,7 @@
 	if s.presumedCold(e, now) {
 		view = ColdView{Left: maxListAge, Presumed: true}
 	}
-	_, rate := s.ColdTolerance.parts(limit.Rate)
+	_, rate := s.ColdTolerance.split(limit.Rate)
 	if rate <= 0 || !s.isColdSender(e, now) {
 		view.Wait = view.Left
 		return view
--- a/internal/replica/cold_test.go
+++ b/internal/replica/cold_test.go
@@ -215,7 +215,7 @@
 func TestColdTolerance_PartsOfTwoViewsKeepTheBound(t *testing.T) {
 	for _, rate := range []float64{0.5, 1, 2, 4, 15, 100} {
 		for _, tolerance := range []ColdTolerance{{}, {Over: 1.5, Slack: 5}, {Over: 1, Slack: 10}, {Over: 3}} {
-			nodes, part := tolerance.parts(rate)
+			nodes, part := tolerance.split(rate)
 			views := 2
 			if part < 1 {
 				views = 1
--- a/internal/replica/coldrate.go
+++ b/internal/replica/coldrate.go
@@ -37,7 +37,7 @@
 
 // split returns the number of senders of a cold replica and the rate of each. In any one second a
 // sender sends at most its rate plus one request.
-func (t ColdTolerance) parts(rate float64) (nodes int, part float64) {
+func (t ColdTolerance) split(rate float64) (nodes int, part float64) {
 	bound := t.bound(rate)
 	each := bound / membershipViews
 	nodes = min(max(int(each/minSenderRate), 1), maxColdSenders)
@@ -65,8 +65,8 @@
 	// A node that had no members in its view replaces no other sender.
 	replaces := !e.cold.isSender && len(e.cold.senders) > 0
 	s.chooseSenders(e)
-	if held := now.Add(newSenderDelay); replaces && e.cold.isSender && held.After(e.cold.nextSend) {
-		e.cold.nextSend = held
+	if earliest := now.Add(newSenderDelay); replaces && e.cold.isSender && earliest.After(e.cold.nextSend) {
+		e.cold.nextSend = earliest
 	}
 	return e.cold.isSender
 }
@@ -76,7 +76,7 @@
 // comes back. A node that is not among the members does not know all of them, and is no sender. The
 // caller holds mu.
 func (s *Set) chooseSenders(e *entry) {
-	count, _ := s.ColdTolerance.parts(s.coldLimits[e.info.Pool].Rate)
+	count, _ := s.ColdTolerance.split(s.coldLimits[e.info.Pool].Rate)
 	nodes, self := s.senderNodes()
 	var chosen []int
 	if sameZone := highestWeight(nodes, e, func(i int) bool { return nodes[i].zone == e.info.Zone }); sameZone >= 0 && count > 0 {
@@ -156,7 +156,7 @@
 	if !cold {
 		return e.share
 	}
-	nodes, rate := s.ColdTolerance.parts(limit.Rate)
+	nodes, rate := s.ColdTolerance.split(limit.Rate)
 	if rate <= 0 || !s.isColdSender(e, now) {
 		return 0
 	}
--- a/internal/replica/demand.go
+++ b/internal/replica/demand.go
@@ -135,20 +135,20 @@
 	if onlineHold == 0 {
 		onlineHold = initialHold
 	}
-	faded := d.peak * math.Exp(-float64(now.Sub(d.peakAt))/float64(onlineHold))
-	return max(float64(d.open), faded)
+	decayed := d.peak * math.Exp(-float64(now.Sub(d.peakAt))/float64(onlineHold))
+	return max(float64(d.open), decayed)
 }
 
 // advance updates the decaying sums to now.
 func (d *poolEstimates) advance(now time.Time) {
-	passed := now.Sub(d.advancedAt)
-	if d.advancedAt.IsZero() || passed <= 0 {
+	elapsed := now.Sub(d.advancedAt)
+	if d.advancedAt.IsZero() || elapsed <= 0 {
 		d.advancedAt = now
 		return
 	}
-	kept := math.Exp(-float64(passed) / float64(holdMemory))
-	d.busy = d.busy*kept + float64(d.running)*passed.Seconds()
-	d.releases *= kept
+	decay := math.Exp(-float64(elapsed) / float64(holdMemory))
+	d.busy = d.busy*decay + float64(d.running)*elapsed.Seconds()
+	d.releases *= decay
 	d.advancedAt = now
 }
 
--- a/internal/replica/fleet.go
+++ b/internal/replica/fleet.go
@@ -31,10 +31,10 @@
 }
 
 func (f *fleetView) add(level, share float64, now time.Time) {
-	kept := math.Exp(-float64(max(0, now.Sub(f.at))) / float64(fleetMemory))
-	f.level = f.level*kept + level
-	f.share = f.share*kept + share
-	f.idle *= kept
+	decay := math.Exp(-float64(max(0, now.Sub(f.at))) / float64(fleetMemory))
+	f.level = f.level*decay + level
+	f.share = f.share*decay + share
+	f.idle *= decay
 	f.at = now
 }
 
@@ -127,7 +127,7 @@
 	var open map[string]int
 	for _, e := range list {
 		online := e.open - e.batch
-		if online <= 0 || s.selfPlace.To(e.info.place()) != place.OtherRegion {
+		if online <= 0 || s.selfPlace.DistanceTo(e.info.place()) != place.OtherRegion {
 			continue
 		}
 		if open == nil {
--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -68,7 +68,7 @@
 
 // Distance returns the distance from this node to a candidate.
 func (d *Criteria) Distance(candidate *Candidate) place.Distance {
-	return place.Place{Zone: d.Zone, Region: d.Region}.To(candidate.place())
+	return place.Place{Zone: d.Zone, Region: d.Region}.DistanceTo(candidate.place())
 }
 
 const (
--- a/internal/replica/restart.go
+++ b/internal/replica/restart.go
@@ -37,18 +37,18 @@
 // SameStart reports whether two descriptions of a replica may be of the same start. Start times or
 // addresses tell starts apart only if both are known.
 func (i *Info) SameStart(other *Info) bool {
-	moved := i.Address != "" && other.Address != "" && i.Address != other.Address
-	apart := i.StartedUnixMs != 0 && other.StartedUnixMs != 0 && i.StartedUnixMs != other.StartedUnixMs
-	return i.ID == other.ID && !moved && !apart
+	addressDiffers := i.Address != "" && other.Address != "" && i.Address != other.Address
+	startDiffers := i.StartedUnixMs != 0 && other.StartedUnixMs != 0 && i.StartedUnixMs != other.StartedUnixMs
+	return i.ID == other.ID && !addressDiffers && !startDiffers
 }
 
 // IsCurrentStart reports whether the start time that another process knows of a listed replica may be
 // that of its current start. A startedUnixMs of 0 means unknown.
-func (s *Set) IsCurrentStart(id string, born int64) bool {
+func (s *Set) IsCurrentStart(id string, startedUnixMs int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.entries[id]
-	return ok && e.info.SameStart(&Info{ID: id, StartedUnixMs: born})
+	return ok && e.info.SameStart(&Info{ID: id, StartedUnixMs: startedUnixMs})
 }
 
 // CurrentAndPrevious returns the descriptions of a listed replica and of its previous start; the
--- a/internal/replica/tally.go
+++ b/internal/replica/tally.go
@@ -22,14 +22,14 @@
 
 // advance decays the counts up to now.
 func (t *Tally) advance(now time.Time) {
-	passed := now.Sub(t.at)
-	if t.at.IsZero() || passed <= 0 {
+	elapsed := now.Sub(t.at)
+	if t.at.IsZero() || elapsed <= 0 {
 		t.at = now
 		return
 	}
-	kept := math.Exp(-float64(passed) / float64(evidenceMemory))
-	t.Failures *= kept
-	t.Successes *= kept
+	decay := math.Exp(-float64(elapsed) / float64(evidenceMemory))
+	t.Failures *= decay
+	t.Successes *= decay
 	t.at = now
 }
 
--- a/internal/route/homes.go
+++ b/internal/route/homes.go
@@ -30,7 +30,7 @@
 		found.Add(path, "holds no region: requests are served nowhere")
 	}
 	for _, region := range homes {
-		if !zones.Has(region) {
+		if !zones.HasRegion(region) {
 			found.Add(path, "no zone of node.zones lies in region %q", region)
 		}
 	}
@@ -42,7 +42,7 @@
 		return
 	}
 	for _, target := range c.Routes {
-		if len(target.Regions) > 0 && len(homes.And(target.Regions)) == 0 {
+		if len(target.Regions) > 0 && len(homes.Intersect(target.Regions)) == 0 {
 			found.Add(path, "has no region in common with routes[%s].regions: requests are served nowhere", target.Name)
 		}
 	}
