--- a/internal/replica/divide.go
+++ b/internal/replica/divide.go
@@ -60,21 +60,21 @@
 	shares := make([]int, len(replicas))
 	at := indexOf(nodes, self)
 	if at < 0 {
-		for i, one := range replicas {
-			shares[i] = one.Count
+		for i, r := range replicas {
+			shares[i] = r.Count
 		}
 		return shares
 	}
 	alloc := newAllocator(nodes, at)
-	toAny := lendSlots(nodes, replicas, byRegion, minRegionPercent)
-	native := subtract(replicas, toAny)
-	toRegion := make([]int, len(replicas))
-	for region := range groups(native, byRegion) {
-		addWithin(toRegion, region, nodes, native)
+	lentToAny := lendSlots(nodes, replicas, byRegion, minRegionPercent)
+	regional := subtract(replicas, lentToAny)
+	lentInRegion := make([]int, len(replicas))
+	for region := range groups(regional, byRegion) {
+		addWithin(lentInRegion, region, nodes, regional)
 	}
-	alloc.allocateWithin(subtract(native, toRegion), byZone, shares)
-	alloc.allocateWithin(withCounts(replicas, toRegion), byRegion, shares)
-	alloc.allocateWithin(withCounts(replicas, toAny), anywhere, shares)
+	alloc.allocateWithin(subtract(regional, lentInRegion), byZone, shares)
+	alloc.allocateWithin(withCounts(replicas, lentInRegion), byRegion, shares)
+	alloc.allocateWithin(withCounts(replicas, lentToAny), anywhere, shares)
 	return shares
 }
 
@@ -92,9 +92,9 @@
 		}
 	}
 	within := make([]ReplicaSlots, len(replicas))
-	for i, one := range replicas {
-		within[i] = one
-		if byRegion(one.Place) != region {
+	for i, r := range replicas {
+		within[i] = r
+		if byRegion(r.Place) != region {
 			within[i].Count = 0
 		}
 	}
@@ -140,8 +140,8 @@
 		at := group(node.Place)
 		members[at] = append(members[at], i)
 	}
-	for i, one := range replicas {
-		shares[i] += d.allocateReplica(one, members[group(one.Place)])
+	for i, r := range replicas {
+		shares[i] += d.allocateReplica(r, members[group(r.Place)])
 	}
 }
 
--- a/internal/replica/lend.go
+++ b/internal/replica/lend.go
@@ -35,9 +35,9 @@
 // groups groups replicas.
 func groups(replicas []ReplicaSlots, by grouping) map[place.Place]*group {
 	all := map[place.Place]*group{}
-	for i, one := range replicas {
-		g := groupAt(all, by(one.Place))
-		g.slots += one.Count
+	for i, r := range replicas {
+		g := groupAt(all, by(r.Place))
+		g.slots += r.Count
 		g.replicas = append(g.replicas, i)
 	}
 	return all
@@ -64,31 +64,31 @@
 	}
 	fleet := sumOf(all)
 	missing, surplus := 0, 0
-	for _, one := range all {
-		missing += max(0, fleet.meanShare(one, minPercent)-one.slots)
-		surplus += fleet.surplus(one)
-		if one.nodes == 0 {
-			missing -= one.slots
+	for _, g := range all {
+		missing += max(0, fleet.meanShare(g, minPercent)-g.slots)
+		surplus += fleet.surplus(g)
+		if g.nodes == 0 {
+			missing -= g.slots
 		}
 	}
-	for _, one := range all {
+	for _, g := range all {
 		count := 0
 		switch {
-		case one.nodes == 0:
-			count = one.slots
+		case g.nodes == 0:
+			count = g.slots
 		case missing > 0 && surplus > 0:
-			count = min(missing*fleet.surplus(one)/surplus, fleet.surplus(one))
+			count = min(missing*fleet.surplus(g)/surplus, fleet.surplus(g))
 		}
-		one.distribute(count, replicas, lent)
+		g.distribute(count, replicas, lent)
 	}
 	return lent
 }
 
 func sumOf(all map[place.Place]*group) group {
 	sum := group{}
-	for _, one := range all {
-		sum.nodes += one.nodes
-		sum.slots += one.slots
+	for _, g := range all {
+		sum.nodes += g.nodes
+		sum.slots += g.slots
 	}
 	return sum
 }
