--- a/internal/inventory/entry.go
+++ b/internal/inventory/entry.go
@@ -1,10 +1,9 @@
-// Package inventory keeps the list of replicas in the table, so that every node
-// learns of them by one feed.
+// Package inventory keeps the list of replicas in a table, so that every node learns of them by one
+// change feed.
 //
-// The platform's list of machines says where replicas are and lags; the engines
-// say what they serve. Observers, one node a replica, ask both and write what
-// has changed. A row changes only when something in it does, so the feed is
-// quiet while the replicas are.
+// The platform's list of machines has the addresses of the replicas, with some delay; the engines
+// report what they serve. For each replica one node, its observer, queries both and writes changes. A
+// row is written only if its content changes, so the feed is idle while the replicas do not change.
 package inventory
 
 import (
@@ -24,31 +23,31 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("inventory")
 
-// Group is the table group of the list, and its one partition.
+// Group is the name of the table group that holds the list, and of its only partition.
 const Group = "replicas"
 
-// Entry is what is known of a replica.
+// Entry is the row of a replica.
 type Entry struct {
 	Address    string         `cbor:"1,keyasint"`
 	Zone       string         `cbor:"2,keyasint"`
 	Pool       string         `cbor:"3,keyasint"`
 	Generation string         `cbor:"4,keyasint,omitempty"`
 	Machine    machines.State `cbor:"5,keyasint"`
-	// The rest is the engine's last report; State is empty before the first one.
+	// The following fields are from the engine's last report. State is empty before the first one.
 	State    engine.State `cbor:"6,keyasint,omitempty"`
 	Role     engine.Role  `cbor:"7,keyasint,omitempty"`
 	Version  string       `cbor:"8,keyasint,omitempty"`
 	Adapters []string     `cbor:"9,keyasint,omitempty"`
 	Fence    uint64       `cbor:"10,keyasint,omitempty"`
 	Slots    int          `cbor:"11,keyasint,omitempty"`
-	// ReadingRate is how fast the engine reads prompts, in tokens a second.
+	// ReadingRate is the prompt processing rate of the engine, in tokens per second.
 	ReadingRate float64 `cbor:"12,keyasint,omitempty"`
-	// StartedUnixMs is when the engine started, by its own clock in Unix milliseconds; 0 if it does
-	// not say.
+	// StartedUnixMs is when the engine started, by its own clock, in Unix milliseconds; 0 if not
+	// reported.
 	StartedUnixMs int64 `cbor:"13,keyasint,omitempty"`
 }
 
-// Reported reports whether the engine has ever answered.
+// Reported reports whether the engine has ever sent a report.
 func (e *Entry) Reported() bool { return e.State != "" }
 
 func (e *Entry) equal(other *Entry) bool {
@@ -64,14 +63,14 @@
 		e.ReadingRate == other.ReadingRate && e.StartedUnixMs == other.StartedUnixMs
 }
 
-// setReport takes in what an engine says of itself.
+// setReport sets the fields that an engine reports.
 func (e *Entry) setReport(load *engine.Load) {
 	e.State, e.Role, e.Version = load.State, load.Role, load.Version
 	e.Adapters, e.Fence, e.Slots = load.Adapters, load.Fence, load.MaxSequences
 	e.ReadingRate, e.StartedUnixMs = load.PrefillPerSec, load.StartedUnixMs
 }
 
-// Info returns the entry as the choice of a replica sees it.
+// Info returns the entry in the form that is used to pick replicas.
 func (e *Entry) Info(id string) replica.Info {
 	return replica.Info{
 		ID: id, StartedUnixMs: e.StartedUnixMs, Pool: e.Pool, Address: e.Address, Zone: e.Zone, Slots: e.Slots,
@@ -83,29 +82,28 @@
 
 func key(id string) table.Key { return table.Key{Partition: Group, Sort: id} }
 
-// Decode reads an entry from its row.
+// Decode decodes the entry of a row.
 func Decode(row table.Row) (Entry, error) {
 	var entry Entry
 	err := cbor.Unmarshal(row.Body, &entry)
 	return entry, Error.Wrap(err)
 }
 
-// Listed is an entry with its id and the version of its row.
+// Listed is an entry with its replica's ID and the version of its row.
 type Listed struct {
 	ID      string
 	Version uint64
 	Entry
 }
 
-// View is a node's copy of the list. It is safe for concurrent use; the zero
-// value is an empty one.
+// View is a node's copy of the list. It is safe for concurrent use; the zero value is empty.
 type View struct {
 	mu      sync.Mutex
 	entries map[string]Listed
 }
 
-// Apply takes in a change of Group. It returns the entry, or false if the
-// replica is gone or the row cannot be read.
+// Apply applies a change of Group. It returns the entry, or false if the row was removed or cannot be
+// decoded.
 func (v *View) Apply(change table.Change) (Listed, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -122,7 +120,7 @@
 	return listed, true
 }
 
-// List returns all entries in the order of their ids.
+// List returns all entries in the order of their IDs.
 func (v *View) List() []Listed {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -13,13 +13,13 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// fakeEngines answers for engines by address.
+// fakeEngines holds the report of each engine by address. Other engines do not answer.
 type fakeEngines map[string]engine.Load
 
 func (r fakeEngines) Load(_ context.Context, base string) (engine.Load, error) {
 	load, ok := r[base]
 	if !ok {
-		return load, errors.New("silent")
+		return load, errors.New("no answer")
 	}
 	return load, nil
 }
@@ -66,18 +66,18 @@
 	catchUp()
 	entries := observer.View.List()
 	if len(entries) != 1 || entries[0].ID != "a" || entries[0].Version != 1 || entries[0].Entry.Version != "v1" {
-		t.Fatalf("entries are %+v", entries)
+		t.Fatalf("entries are %+v, want only a at version 1", entries)
 	}
 	observer.observe(t.Context())
 	catchUp()
 	if again := observer.View.List(); again[0].Version != entries[0].Version {
-		t.Fatal("an unchanged entry was written again")
+		t.Fatal("unchanged entry was written again")
 	}
 	engines["a"] = engine.Load{State: engine.StateLeaving, Version: "v1", MaxSequences: 8, Role: engine.RoleMixed}
 	observer.observe(t.Context())
 	catchUp()
 	if info := observer.View.List()[0].Info("a"); !info.Leaving {
-		t.Fatalf("a leaving engine is listed as %+v", info)
+		t.Fatalf("leaving engine is listed as %+v", info)
 	}
 }
 
@@ -92,11 +92,11 @@
 	observer.observe(t.Context())
 	catchUp()
 	if entry := observer.View.List()[0]; entry.State != engine.StateReady {
-		t.Fatalf("entry is %+v", entry)
+		t.Fatalf("entry is %+v, want state ready", entry)
 	}
 }
 
-// TestObserver_RecordsEngineRestart: nothing else in the report differs.
+// A restart is recorded even if nothing but the start time in the report differs.
 func TestObserver_RecordsEngineRestart(t *testing.T) {
 	store := tabletest.New()
 	list := []machines.Machine{{ID: "a", Role: machines.RoleEngine, Zone: "mine", Address: "a", State: machines.Live}}
@@ -107,7 +107,7 @@
 		observer.observe(t.Context())
 		catchUp()
 		if info := observer.View.List()[0].Info("a"); info.StartedUnixMs != startedUnixMs {
-			t.Errorf("an engine that started at %d is listed as %+v", startedUnixMs, info)
+			t.Errorf("engine started at %d is listed as %+v", startedUnixMs, info)
 		}
 	}
 }
@@ -122,12 +122,11 @@
 	observer.observe(t.Context())
 	catchUp()
 	if left := observer.View.List(); len(left) != 0 {
-		t.Fatalf("entries are %+v", left)
+		t.Fatalf("entries are %+v, want none", left)
 	}
 }
 
-// A finding (hollow, 320 nodes, 600 replicas: eight cores busy): whose a replica
-// is was worked out for each by itself, with a look at all nodes each time.
+// Guards against looking up the observer of each replica separately, which scans all nodes each time.
 func TestObserver_CallsAssignedOncePerPass(t *testing.T) {
 	var list []machines.Machine
 	for i := range 50 {
@@ -141,6 +140,6 @@
 	}
 	observer.observe(t.Context())
 	if calls != 1 {
-		t.Fatalf("asked %d times", calls)
+		t.Fatalf("Assigned was called %d times, want 1", calls)
 	}
 }
--- a/internal/inventory/observer.go
+++ b/internal/inventory/observer.go
@@ -15,33 +15,32 @@
 )
 
 const (
-	// observeInterval is the time between two looks at the engines; it
-	// bounds how late a leaving replica is noticed.
+	// observeInterval is the time between two passes over the engines. It bounds how late the
+	// observer notices that a replica is leaving.
 	observeInterval = 400 * time.Millisecond
-	// observeTimeout bounds one engine's answer.
+	// observeTimeout bounds the wait for one engine's report.
 	observeTimeout = 800 * time.Millisecond
-	// observeConcurrency bounds the engines asked at the same time.
+	// observeConcurrency bounds the number of concurrent queries to engines.
 	observeConcurrency = 64
 	// maxRowsPerWrite bounds the rows of one write.
 	maxRowsPerWrite = 40
 	callTimeout     = 3 * time.Second
 )
 
-// Engines asks an engine for its report.
+// Engines queries engines for their reports.
 type Engines interface {
 	Load(ctx context.Context, base string) (engine.Load, error)
 }
 
-// Observer keeps the entries of the replicas that are this node's to observe. Two
-// observers of a replica for a moment only write the same thing twice: every write
-// expects the version that it is worked out from.
+// Observer maintains the entries of the replicas assigned to this node. Two observers of a replica, for
+// a moment, do no harm: each write is conditional on the row version that it is based on.
 type Observer struct {
 	Table    table.Service
 	View     *View
 	Engines  Engines
 	Machines func() []machines.Machine
-	// Assigned returns those of some replicas that are this node's to observe. All are
-	// asked about at once, for an answer costs a look at all nodes.
+	// Assigned returns which of the given replicas this node observes. It is called once for all
+	// of them, since each call scans all nodes.
 	Assigned func(ids []string) map[string]bool
 	Log      zerolog.Logger
 }
@@ -60,7 +59,7 @@
 	}
 }
 
-// observe writes what has changed since the last observe.
+// observe writes the changes since the last pass.
 func (o *Observer) observe(ctx context.Context) {
 	listed := o.Machines()
 	if listed == nil {
@@ -76,15 +75,15 @@
 		_, err := o.Table.Commit(callCtx, table.NewOperation(), batch...)
 		cancel()
 		if err != nil {
-			// The view brings what stands by the next look.
+			// The view has the current rows by the next pass.
 			o.Log.Debug().Err(err).Int("rows", len(batch)).Msg("replica entries not written")
 			return
 		}
 	}
 }
 
-// assigned returns the replicas that this node observes, of those on the machine
-// list and of those that have entries.
+// assigned returns which replicas this node observes, of those on the machine list and those that
+// have entries.
 func (o *Observer) assigned(listed []machines.Machine) map[string]bool {
 	var ids []string
 	for _, machine := range listed {
@@ -98,7 +97,7 @@
 	return o.Assigned(ids)
 }
 
-// removals returns the removals of entries whose machines are off the list.
+// removals returns writes that delete entries whose machines are no longer listed.
 func (o *Observer) removals(listed []machines.Machine, assigned map[string]bool) []table.Write {
 	listedIDs := map[string]bool{}
 	for _, machine := range listed {
@@ -113,7 +112,7 @@
 	return writes
 }
 
-// updates asks the engines and returns the writes of entries that differ.
+// updates queries the engines and returns writes of the entries that differ.
 func (o *Observer) updates(ctx context.Context, listed []machines.Machine, assigned map[string]bool) []table.Write {
 	var mu sync.Mutex
 	var writes []table.Write
@@ -143,8 +142,8 @@
 	next.Generation, next.Machine = machine.Generation, machine.State
 	callCtx, cancel := context.WithTimeout(ctx, observeTimeout)
 	defer cancel()
-	// An engine that does not answer keeps its last report: that it fails is
-	// for those to say who send it requests.
+	// An engine that does not answer keeps its last report. The nodes that send requests to it
+	// detect the failure.
 	if load, err := o.Engines.Load(callCtx, machine.Address); err == nil {
 		next.setReport(&load)
 	}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,5 +1,4 @@
-// Package place says where nodes and replicas are, and in which regions a request
-// may be served.
+// Package place describes where nodes and replicas are and in which regions a request may be served.
 package place
 
 import (
@@ -8,19 +7,19 @@
 	"github.com/wheelhoist/wheelhoist/internal/findings"
 )
 
-// Place is where a machine is.
+// Place is the zone and region of a machine. An empty field is unknown.
 type Place struct {
 	Zone   string
 	Region string
 }
 
-// Map tells the region of each zone. The zero value knows none.
+// Map maps each zone to its region. The zero value is empty.
 type Map map[string]string
 
-// Region returns the region of a zone; empty if it is not known.
+// Region returns the region of a zone; empty if unknown.
 func (m Map) Region(zone string) string { return m[zone] }
 
-// HasRegion reports whether a region has a zone.
+// HasRegion reports whether any zone is in a region.
 func (m Map) HasRegion(region string) bool {
 	for _, r := range m {
 		if r == region {
@@ -30,7 +29,7 @@
 	return false
 }
 
-// Validate adds what is wrong with the map to the findings of a place in the settings.
+// Validate adds a finding for each invalid entry, under the settings path of the map.
 func (m Map) Validate(list *findings.List, path string) {
 	for zone, region := range m {
 		if zone == "" || region == "" {
@@ -39,11 +38,10 @@
 	}
 }
 
-// Regions is a set of regions: nil is any region, an empty one is none.
+// Regions is a set of regions. A nil set holds any region, an empty one holds none.
 type Regions []string
 
-// Allows reports whether a region is in the set. A region that is not known is in no
-// set but that of any region.
+// Allows reports whether a region is in the set. An unknown (empty) region is only in the nil set.
 func (r Regions) Allows(region string) bool {
 	return r == nil || region != "" && slices.Contains(r, region)
 }
@@ -65,20 +63,20 @@
 	return common
 }
 
-// Node is a node of the fleet and where it is.
+// Node is a node of the fleet and its place.
 type Node struct {
 	ID string
 	Place
 }
 
-// Distance is how far apart two places are.
+// Distance classifies how far apart two places are.
 type Distance uint8
 
 const (
 	// SameZone is the distance within a zone.
 	SameZone Distance = iota
-	// SameRegion is the distance between zones of a region, and that of places whose
-	// regions are not both known.
+	// SameRegion is the distance between zones of a region, or between zones if either region is
+	// unknown.
 	SameRegion
 	// OtherRegion is the distance between regions.
 	OtherRegion
@@ -96,7 +94,7 @@
 	}
 }
 
-// DistanceTo returns the distance to another place.
+// DistanceTo returns the distance between two places.
 func (p Place) DistanceTo(other Place) Distance {
 	switch {
 	case p.Region != "" && other.Region != "" && p.Region != other.Region:
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -22,20 +22,20 @@
 	} {
 		got := tt.a.Intersect(tt.b)
 		if !slices.Equal(got, tt.want) || (got == nil) != (tt.want == nil) {
-			t.Errorf("%s: %#v, want %#v", tt.name, got, tt.want)
+			t.Errorf("%s: got %#v, want %#v", tt.name, got, tt.want)
 		}
 	}
 }
 
 func TestRegions_Allows(t *testing.T) {
 	if !Regions(nil).Allows("") || !Regions(nil).Allows("north") {
-		t.Error("the set of any region leaves one out")
+		t.Error("the nil set does not hold every region")
 	}
 	if (Regions{}).Allows("north") {
-		t.Error("the empty set has a region")
+		t.Error("the empty set holds a region")
 	}
 	if (Regions{""}).Allows("") || (Regions{"north"}).Allows("") {
-		t.Error("a region that is not known is in a set")
+		t.Error("an unknown region is in a set")
 	}
 }
 
@@ -43,6 +43,6 @@
 	var list findings.List
 	Map{"a": ""}.Validate(&list, "node.zones")
 	if all := list.All(); len(all) != 1 || all[0].Path != "node.zones" {
-		t.Errorf("findings %v", all)
+		t.Errorf("findings %v, want one at node.zones", all)
 	}
 }
--- a/internal/placement/controller.go
+++ b/internal/placement/controller.go
@@ -18,17 +18,16 @@
 const (
 	// planInterval is the time between two plans of a lease holder.
 	planInterval = 500 * time.Millisecond
-	// contendInterval bounds how often a node without the lease asks for it; it
-	// grows with the fleet, so that the store's load does not.
+	// contendInterval is the time between two attempts of a node to acquire the leases. It grows by
+	// contendPerNode for each node, so that the load of the store does not grow with the fleet.
 	contendInterval = 2 * time.Second
 	contendPerNode  = 100 * time.Millisecond
-	// orderTimeout is how long an order may take to show in the reports before
-	// it is sent anew.
+	// orderTimeout is how long an order may take to appear in the reports before it is sent again.
 	orderTimeout = 10 * time.Second
 	callTimeout  = 3 * time.Second
 )
 
-// Orders sends fenced orders.
+// Orders sends fenced orders to engines.
 type Orders interface {
 	Order(ctx context.Context, base string, order engine.Order) error
 }
@@ -45,16 +44,16 @@
 	Log      zerolog.Logger
 }
 
-// Controller carries plans out for the pools whose lease it holds.
+// Controller executes plans for the pools whose leases it holds.
 type Controller struct {
 	options Options
 	held    map[string]*heldPool
 }
 
-// heldPool is the state of a held pool.
+// heldPool is the state of a pool whose lease is held.
 type heldPool struct {
 	grant lease.Grant
-	// orderCount counts the orders under this epoch; with the epoch it makes the fence.
+	// orderCount counts the orders under the lease epoch. Epoch and count make up the fence.
 	orderCount    uint64
 	pendingOrders map[string]sentOrder
 }
@@ -65,12 +64,12 @@
 	at      time.Time
 }
 
-// NewController returns a controller; Run makes it work.
+// NewController returns a controller. It does nothing until Run is called.
 func NewController(options Options) *Controller {
 	return &Controller{options: options, held: map[string]*heldPool{}}
 }
 
-// Run contends for the pools' leases and carries plans out until the context ends.
+// Run contends for the leases of the pools and executes plans until the context ends.
 func (c *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
@@ -109,9 +108,8 @@
 	return roles
 }
 
-// contend asks for the leases of all pools. A holder that cannot reach the
-// store goes on: nobody can have taken the lease over, or if somebody has, the
-// engines refuse the lower fence.
+// contend tries to acquire the leases of all pools. A holder that cannot reach the store continues:
+// either no other node has taken over the lease, or the engines refuse the lower fence.
 func (c *Controller) contend(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -156,7 +154,7 @@
 	}
 }
 
-// markOrdered marks the replicas whose order has not shown in a report yet.
+// markOrdered sets Ordered on the replicas whose order does not appear in a report yet.
 func (p *heldPool) markOrdered(replicas []Replica, now time.Time) {
 	for i := range replicas {
 		pending, ok := p.pendingOrders[replicas[i].ID]
@@ -172,10 +170,10 @@
 	}
 }
 
-// fenceBits is the part of a fence that counts the orders of one epoch.
+// fenceBits is the number of bits of a fence that count the orders of one epoch.
 const fenceBits = 24
 
-// sendOrder sends one sendOrder; it reports false when a newer holder has acted.
+// sendOrder sends one order. It returns false if a newer lease holder has sent orders.
 func (c *Controller) sendOrder(ctx context.Context, pool string, held *heldPool, action Action) bool {
 	held.orderCount++
 	fence := held.grant.Epoch<<fenceBits | held.orderCount
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -1,7 +1,6 @@
-// Package placement brings the declared versions, adapters and roles onto the
-// replicas. Planning is a pure function of what is declared and what the
-// replicas report; a controller that holds the pool's lease carries it out by
-// fenced orders.
+// Package placement rolls out the declared versions, adapters and roles to the replicas. Planning is a
+// pure function of what is declared and what the replicas report. The controller that holds the lease
+// of a pool executes the plan by fenced orders.
 package placement
 
 import (
@@ -12,7 +11,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/engine"
 )
 
-// Replica is a replica as the planner sees it.
+// Replica is the planner's view of a replica.
 type Replica struct {
 	ID         string
 	Address    string
@@ -25,7 +24,7 @@
 	Adapters   []string
 	Role       engine.Role
 	Fence      uint64
-	// Ordered is the content of an order sent and not reported yet.
+	// Ordered is the content of an order that was sent and does not appear in a report yet.
 	Ordered *Content
 }
 
@@ -45,7 +44,7 @@
 	Replica string
 	Address string
 	Content Content
-	// Reload tells that the replica cannot serve while it obeys.
+	// Reload is set if the replica cannot serve while it executes the order.
 	Reload bool
 }
 
@@ -57,10 +56,9 @@
 
 // Plan returns the orders to send now for a pool.
 //
-// Invariants: no more than MaxUnavailable replicas load at a time, and those
-// that serve never fall below Replicas.Min by an order. Replicas that serve
-// nothing useful come first, then those whose change is cheap, then the older
-// generations, so that the newer ones carry the load longest.
+// At most MaxUnavailable replicas load concurrently, and no order reduces the number of serving
+// replicas below Replicas.Min. Replicas that are not ready come first, then those that need no reload,
+// then the older generations, so that the newer ones serve as long as possible.
 func Plan(pool Pool, roles []*v1.MachineRoleSpec, replicas []Replica) []Action {
 	loading, serving := 0, 0
 	var pending []Action
@@ -93,12 +91,12 @@
 	return Content{Version: replica.Version, Adapters: replica.Adapters, Role: replica.Role}
 }
 
-// reloadPending reports whether an order is on its way that takes the replica out of service.
+// reloadPending reports whether a pending order makes the replica reload, so that it cannot serve.
 func reloadPending(replica Replica) bool {
 	return replica.Ordered != nil && replica.Ordered.Version != replica.Version
 }
 
-// admit takes as many pending actions as the rollout limits allow.
+// admit returns the pending actions that the rollout limits allow.
 func admit(pool Pool, pending []Action, byID map[string]Replica, loading, serving int) []Action {
 	limit := max(1, pool.Spec.MaxUnavailable)
 	var actions []Action
@@ -130,8 +128,7 @@
 		return !a.Reload
 	}
 	if replicaA.Generation != replicaB.Generation {
-		// Generations are declared oldest first by name in the machine list;
-		// "older" sorts after "newer", so the order is reversed.
+		// Names of generations sort in reverse order of age: "older" after "newer".
 		return replicaA.Generation > replicaB.Generation
 	}
 	return a.Replica < b.Replica
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -11,11 +11,11 @@
 	"github.com/wheelhoist/wheelhoist/internal/engine"
 )
 
-// The verdict must be the same every time.
+// A fixed seed makes the property tests deterministic.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// A rollout, with any limits, ends at the declared state, never loads more
-// replicas at a time than allowed and never serves with fewer than the minimum.
+// A rollout under any limits reaches the declared state, never loads more replicas concurrently than
+// allowed, and never serves with fewer than the minimum.
 func TestPlan_RolloutKeepsItsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 12).Draw(t, "count")
@@ -35,28 +35,28 @@
 			actions := Plan(pool, nil, replicas)
 			loading := applyActions(replicas, actions)
 			if loading > limit {
-				t.Fatalf("%d replicas load at a time, allowed %d", loading, limit)
+				t.Fatalf("%d replicas load concurrently, want at most %d", loading, limit)
 			}
 			if serving := count - loading; serving < minServing {
-				t.Fatalf("%d replicas serve, at least %d must", serving, minServing)
+				t.Fatalf("%d replicas serve, want at least %d", serving, minServing)
 			}
 			if loading == 0 {
 				break
 			}
 			if round > 10*count {
-				t.Fatal("the rollout does not end")
+				t.Fatal("the rollout does not complete")
 			}
 			finishOneLoad(replicas)
 		}
 		for _, replica := range replicas {
 			if replica.Version != "v2" {
-				t.Fatalf("%s ends with %s", replica.ID, replica.Version)
+				t.Fatalf("replica %s has version %s after the rollout, want v2", replica.ID, replica.Version)
 			}
 		}
 	})
 }
 
-// applyActions makes the ordered replicas load and counts those that do.
+// applyActions starts the ordered loads and returns the number of replicas that load.
 func applyActions(replicas []Replica, actions []Action) int {
 	for _, action := range actions {
 		for i := range replicas {
@@ -98,17 +98,16 @@
 	got := map[string]engine.Role{}
 	for _, action := range Plan(pool, roles, []Replica{a, b, older, leaving}) {
 		if action.Reload {
-			t.Errorf("a role change reloads %s", action.Replica)
+			t.Errorf("role change of %s is marked as a reload", action.Replica)
 		}
 		got[action.Replica] = action.Content.Role
 	}
 	if len(got) != 2 || got["a"] != engine.RoleOnline || got["old"] != engine.RoleBatch {
-		t.Fatalf("orders %v, want a online and the older generation batch", got)
+		t.Fatalf("orders %v, want role online for a and batch for the older generation", got)
 	}
 }
 
-// An order that has been sent and does not show in the reports yet is not sent
-// again, and counts as loading.
+// A pending order, one not in the reports yet, is not sent again and counts as loading.
 func TestPlan_CountsPendingOrderAsLoading(t *testing.T) {
 	pool := Pool{Name: "p", Spec: &v1.ModelPoolSpec{Model: "m", Version: "v2", Replicas: v1.ReplicaRange{Max: 9}, MaxUnavailable: 1}}
 	first := Replica{ID: "a", Pool: "p", State: engine.StateReady, Reported: true, Version: "v1", Role: engine.RoleMixed}
@@ -116,6 +115,6 @@
 	second.ID = "b"
 	first.Ordered = &Content{Version: "v2", Role: engine.RoleMixed}
 	if actions := Plan(pool, nil, []Replica{first, second}); len(actions) != 0 {
-		t.Fatalf("orders %+v beside one on its way", actions)
+		t.Fatalf("orders %+v while one is pending, want none", actions)
 	}
 }
