--- a/internal/replica/cold.go
+++ b/internal/replica/cold.go
@@ -139,8 +139,8 @@
 }
 
 // noteUnreachable records that a replica accepted no connection. While it is ejected for that, only
-// its senders try it, also as a last resort. If no replica is heard from, this node is likely cut
-// off, and nothing is recorded. The caller holds mu.
+// its senders try it, also as a last resort. If no data arrives from any replica, this node is
+// likely cut off, and nothing is recorded. The caller holds mu.
 func (s *Set) noteUnreachable(e *entry, now time.Time) {
 	if limit := s.coldLimits[e.info.Pool]; limit.Rate > 0 && now.Sub(s.lastReceived) < recentContact {
 		s.markCold(e, e.health.ejectedUntil, ColdUnreachable, now)
@@ -181,8 +181,8 @@
 	Idle bool
 	// Rate is this node's part of the rate, in requests per second.
 	Rate float64
-	// Presumed is set if the age of the list is the only reason. Left is then the time until the
-	// next check.
+	// Presumed is set if the age of the list is the only reason to consider the replica cold.
+	// Left is then the time until the next check.
 	Presumed bool
 }
 
--- a/internal/replica/coldgrant.go
+++ b/internal/replica/coldgrant.go
@@ -72,8 +72,8 @@
 	}
 	view := s.coldView(e, now)
 	if view.Left == 0 || view.Blocks(false) {
-		// The asking node considers the replica cold and this one does not: the views of the two
-		// differ until both have received the latest change.
+		// Either this node's part of the rate is used up, or it considers the replica warm and the
+		// asking node does not, until both have received the latest change.
 		return false
 	}
 	e.cold.nextSend = now.Add(interval(view.Rate))
--- a/internal/replica/delisted.go
+++ b/internal/replica/delisted.go
@@ -14,7 +14,8 @@
 	delistedGrace = 2 * time.Second
 	// outageWindow is how long after an outage a delisted replica gets that grace period.
 	outageWindow = 200 * time.Millisecond
-	// minLapsingOutage is the minimum length of an outage that makes entries lapse.
+	// minLapsingOutage is the minimum length of an outage in which the entries of running replicas may
+	// expire.
 	minLapsingOutage = 2500 * time.Millisecond
 )
 
--- a/internal/replica/demand.go
+++ b/internal/replica/demand.go
@@ -35,14 +35,14 @@
 	firstEventDeviation time.Duration
 	// patience is how long an online request may usually wait for a slot.
 	patience time.Duration
-	// running is the number of requests and items in flight; busy, in slot seconds, and releases,
-	// in slots, are decaying sums as of advancedAt.
 	// readingSlope is how the time to the first event grows with the length of the prompt.
 	readingSlope slope
 	// staleProbedAt is when ProbeStale last returned true.
 	staleProbedAt time.Time
 	// itemTokens is the mean length of items, prompt and answer.
 	itemTokens float64
+	// running is the number of requests and items in flight; busy, in slot seconds, and releases,
+	// in slots, are decaying sums as of advancedAt.
 	running    int
 	busy       float64
 	releases   float64
@@ -242,7 +242,7 @@
 
 // rounding returns what this node adds, between 0 and 1, before it rounds its capacity down. If a node
 // has two or three slots, rounding down alone would leave one of them unused. The offsets are evenly
-// spread over the nodes, so the sum of the capacities is unaffected.
+// spread over the nodes, so that rounding loses no capacity in total.
 func (s *Set) rounding(pool string) float64 {
 	if len(s.nodes) == 0 {
 		return 0
--- a/internal/replica/divide.go
+++ b/internal/replica/divide.go
@@ -80,7 +80,7 @@
 
 // indexOf returns the index of the node with an ID; -1 if there is none.
 func indexOf(nodes []place.Node, id string) int {
-	return slices.IndexFunc(nodes, func(one place.Node) bool { return one.ID == id })
+	return slices.IndexFunc(nodes, func(node place.Node) bool { return node.ID == id })
 }
 
 // addWithin adds the slots that zones of a region lend to other zones of the region.
@@ -118,47 +118,47 @@
 	weight          uint64
 }
 
-func (b slotClaim) precedes(other slotClaim) bool {
-	if b.allocated != other.allocated {
-		return b.allocated < other.allocated
+func (c slotClaim) precedes(other slotClaim) bool {
+	if c.allocated != other.allocated {
+		return c.allocated < other.allocated
 	}
-	return b.weight > other.weight
+	return c.weight > other.weight
 }
 
 func newAllocator(nodes []place.Node, self int) *allocator {
-	d := &allocator{nodes: nodes, self: self, keys: make([]uint64, len(nodes)), allocated: make([]int, len(nodes))}
+	a := &allocator{nodes: nodes, self: self, keys: make([]uint64, len(nodes)), allocated: make([]int, len(nodes))}
 	for i, node := range nodes {
-		d.keys[i] = Key(node.ID)
+		a.keys[i] = Key(node.ID)
 	}
-	return d
+	return a
 }
 
 // allocateWithin allots slots to nodes of the replica's group and adds those of self to shares.
-func (d *allocator) allocateWithin(replicas []ReplicaSlots, group grouping, shares []int) {
+func (a *allocator) allocateWithin(replicas []ReplicaSlots, group grouping, shares []int) {
 	members := map[place.Place][]int{}
-	for i, node := range d.nodes {
+	for i, node := range a.nodes {
 		at := group(node.Place)
 		members[at] = append(members[at], i)
 	}
 	for i, r := range replicas {
-		shares[i] += d.allocateReplica(r, members[group(r.Place)])
+		shares[i] += a.allocateReplica(r, members[group(r.Place)])
 	}
 }
 
 // allocateReplica allots the slots of a replica to the given nodes and returns the number that self
 // gets. Each slot goes to the node with the fewest so far.
-func (d *allocator) allocateReplica(one ReplicaSlots, among []int) (share int) {
-	for left := one.Count; left > 0 && len(among) > 0; {
-		d.rank(one.Key, min(left, len(among)), among)
-		least := d.ranked[0].allocated
-		for _, chosen := range d.ranked {
+func (a *allocator) allocateReplica(r ReplicaSlots, among []int) (share int) {
+	for left := r.Count; left > 0 && len(among) > 0; {
+		a.rank(r.Key, min(left, len(among)), among)
+		least := a.ranked[0].allocated
+		for _, chosen := range a.ranked {
 			if chosen.allocated > least {
 				// Nodes with fewer slots go first again.
 				break
 			}
-			d.allocated[chosen.node]++
+			a.allocated[chosen.node]++
 			left--
-			if chosen.node == d.self {
+			if chosen.node == a.self {
 				share++
 			}
 		}
@@ -167,22 +167,22 @@
 }
 
 // rank sets ranked to the first count nodes for a replica, in order.
-func (d *allocator) rank(replica uint64, count int, among []int) {
-	d.ranked = d.ranked[:0]
+func (a *allocator) rank(replica uint64, count int, among []int) {
+	a.ranked = a.ranked[:0]
 	for _, node := range among {
-		claim := slotClaim{node: node, allocated: d.allocated[node], weight: mix(d.keys[node] ^ replica)}
-		if len(d.ranked) == count {
-			if !claim.precedes(d.ranked[count-1]) {
+		claim := slotClaim{node: node, allocated: a.allocated[node], weight: mix(a.keys[node] ^ replica)}
+		if len(a.ranked) == count {
+			if !claim.precedes(a.ranked[count-1]) {
 				continue
 			}
-			d.ranked = d.ranked[:count-1]
+			a.ranked = a.ranked[:count-1]
 		}
-		at, _ := slices.BinarySearchFunc(d.ranked, claim, func(a, b slotClaim) int {
+		at, _ := slices.BinarySearchFunc(a.ranked, claim, func(a, b slotClaim) int {
 			if a.precedes(b) {
 				return -1
 			}
 			return 1
 		})
-		d.ranked = slices.Insert(d.ranked, at, claim)
+		a.ranked = slices.Insert(a.ranked, at, claim)
 	}
 }
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -270,12 +270,12 @@
 	if len(list) == 0 {
 		return s.candidates(s.pool(pool), now)
 	}
-	nearby := nearby(list, criteria.Region)
-	chosen := s.sample(list, nearby, now)
+	inRegion := nearby(list, criteria.Region)
+	chosen := s.sample(list, inRegion, now)
 	if s.allBlocked(chosen, criteria.Batch, now) {
 		return s.candidates(list, now)
 	}
-	if home := affinityEntry(nearby, criteria.Affinity, now); home != nil && !slices.Contains(chosen, home) {
+	if home := affinityEntry(inRegion, criteria.Affinity, now); home != nil && !slices.Contains(chosen, home) {
 		chosen = append(chosen, home)
 	}
 	return s.candidates(chosen, now)
