--- a/internal/replica/divide.go
+++ b/internal/replica/divide.go
@@ -177,8 +177,8 @@
 			}
 			a.ranked = a.ranked[:count-1]
 		}
-		at, _ := slices.BinarySearchFunc(a.ranked, claim, func(a, b slotClaim) int {
-			if a.precedes(b) {
+		at, _ := slices.BinarySearchFunc(a.ranked, claim, func(x, y slotClaim) int {
+			if x.precedes(y) {
 				return -1
 			}
 			return 1
