--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -44,8 +44,8 @@
 			return outcome.Undecided(fmt.Errorf("%w: %w", ErrBroken, err))
 		}
 		now := clock.Now()
-		use.Heard(now)
-		use.First(now)
+		use.Received(now)
+		use.FirstEvent(now)
 		c.reportFirstEvent(now)
 		watch.setEventLimit(c.route.Gap)
 		if event.HasID && event.ID <= c.lastEventID {
@@ -116,8 +116,8 @@
 		return outcome.Undecided(fmt.Errorf("%w: longer than %d bytes", ErrBroken, maxBufferedBody))
 	}
 	now := clock.Now()
-	use.Heard(now)
-	use.First(now)
+	use.Received(now)
+	use.FirstEvent(now)
 	if c.result.HeadSent {
 		// The stream began at another replica; this error cannot replace its header.
 		return outcome.Undecided(fmt.Errorf("%w: status %d", ErrBroken, answer.Status))
--- a/internal/forward/cold.go
+++ b/internal/forward/cold.go
@@ -24,12 +24,12 @@
 type ColdGranter interface {
 	// RequestGrant asks a node for permission to send one request to a cold replica whose rate that
 	// node shares. It reports whether the node granted it before the context ended.
-	RequestGrant(ctx context.Context, feeder replica.Feeder) bool
+	RequestGrant(ctx context.Context, feeder replica.ColdSender) bool
 }
 
 // coldOnly returns the error of a pick that found only cold replicas which must wait, or nil.
 func coldOnly(err error) *replica.NoReplicaError {
-	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) && none.Cold() {
+	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) && none.WaitsForCold() {
 		return none
 	}
 	return nil
@@ -48,7 +48,7 @@
 	if c.forwarder.ColdGranter == nil {
 		return nil
 	}
-	feeders := c.forwarder.Replicas.Feeders(c.result.Pool, &c.demand, clock.Now())
+	feeders := c.forwarder.Replicas.ColdSenders(c.result.Pool, &c.demand, clock.Now())
 	if len(feeders) == 0 {
 		return nil
 	}
@@ -61,7 +61,7 @@
 	if !granted || askCtx.Err() != nil || clock.Since(began) >= coldGrantTimeout {
 		return nil
 	}
-	chosen, listed := c.forwarder.Replicas.Listed(granter.Replica, clock.Now())
+	chosen, listed := c.forwarder.Replicas.CandidateByID(granter.Replica, clock.Now())
 	if !listed || chosen.Evacuated {
 		return nil
 	}
@@ -71,8 +71,8 @@
 
 // chooseGranter picks a node at random; half of the time among those with a replica in this zone,
 // since other zones are unreachable if the zone is cut off.
-func chooseGranter(feeders []replica.Feeder, zone string) replica.Feeder {
-	var near []replica.Feeder
+func chooseGranter(feeders []replica.ColdSender, zone string) replica.ColdSender {
+	var near []replica.ColdSender
 	for _, one := range feeders {
 		if one.Zone == zone {
 			near = append(near, one)
@@ -86,13 +86,13 @@
 
 // waitForReplica waits until a replica may be available, within the limits of the route.
 func (c *call) waitForReplica(ctx context.Context, err error) error {
-	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) && none.Lasts() {
+	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) && none.Persistent() {
 		// No change before the deadline can help.
 		return err
 	}
 	wait := capacityRetryInterval
 	if none := coldOnly(err); none != nil {
-		c.forwarder.Replicas.HeldBack()
+		c.forwarder.Replicas.NoteHeldBack()
 		wait = max(time.Millisecond, none.ColdWait)
 		if c.forwarder.needsColdGrant(err) {
 			wait = coldRecheckInterval
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -64,7 +64,7 @@
 	sink      Sink
 	deadline  time.Time
 	result    Result
-	demand    replica.Demand
+	demand    replica.Criteria
 	// lastEventID is the last event relayed, lastEventAt when that was.
 	lastEventID int
 	lastEventAt time.Time
@@ -89,10 +89,10 @@
 	c := &call{forwarder: f, route: target, request: request, sink: sink, lastEventID: request.LastEventID}
 	c.deadline = deadlineOf(target, request)
 	c.result.Pool = target.Pool()
-	c.demand = replica.Demand{
-		Zone: f.Zone, Region: f.Region, Ask: replica.Ask{Tokens: request.Prompt.Tokens}, Affinity: affinityOf(request.Prompt), Shared: sharedTokens(request.Prompt),
-		Adapter: target.Adapter, Exclude: map[string]bool{}, Regions: target.Regions.And(request.Regions),
-		Single: !c.mayRepeat() || target.MaxAttempts < 2,
+	c.demand = replica.Criteria{
+		Zone: f.Zone, Region: f.Region, RequestInfo: replica.RequestInfo{Tokens: request.Prompt.Tokens}, Affinity: affinityOf(request.Prompt), SharedTokens: sharedTokens(request.Prompt),
+		Adapter: target.Adapter, Exclude: map[string]bool{}, Regions: target.Regions.Intersect(request.Regions),
+		NoRetry: !c.mayRepeat() || target.MaxAttempts < 2,
 	}
 	if !c.deadline.IsZero() {
 		var cancel context.CancelFunc
@@ -106,9 +106,9 @@
 // Predict estimates the time until a request would get its first event. It returns
 // replica.ErrNoReplica if no replica could serve it.
 func (f *Forwarder) Predict(target *route.Route, request *Request, now time.Time) (time.Duration, error) {
-	demand := &replica.Demand{
-		Zone: f.Zone, Region: f.Region, Ask: replica.Ask{Tokens: request.Prompt.Tokens}, Adapter: target.Adapter,
-		Regions: target.Regions.And(request.Regions),
+	demand := &replica.Criteria{
+		Zone: f.Zone, Region: f.Region, RequestInfo: replica.RequestInfo{Tokens: request.Prompt.Tokens}, Adapter: target.Adapter,
+		Regions: target.Regions.Intersect(request.Regions),
 	}
 	best, err := replica.Pick(f.Replicas.SnapshotFor(target.Pool(), demand, now), demand, f.Weights)
 	if none := coldOnly(err); none != nil {
@@ -246,7 +246,7 @@
 
 func (c *call) attempt(ctx context.Context, chosen *replica.Candidate) error {
 	now := clock.Now()
-	use := c.forwarder.Replicas.BeginAt(chosen.Info, c.demand.Ask, now)
+	use := c.forwarder.Replicas.BeginAt(chosen.Info, c.demand.RequestInfo, now)
 	c.demand.Granted = false
 	if use == nil {
 		c.reservation, c.demand.Reserved = "", false
@@ -255,7 +255,7 @@
 	c.result.Attempts++
 	c.result.Replica, c.result.Region = chosen.ID, chosen.Region
 	c.result.Distance = c.demand.Distance(chosen)
-	c.predicted, c.sentAt, c.status = chosen.Expected(c.demand.Ask), now, 0
+	c.predicted, c.sentAt, c.status = chosen.ExpectedFirstEvent(c.demand.RequestInfo), now, 0
 	if c.forwarder.Observer != nil {
 		c.forwarder.Observer.Sent(c.request, c.result.Attempts, chosen, c.predicted)
 	}
@@ -346,10 +346,10 @@
 	answer.Body = &observedBody{ReadCloser: answer.Body, progress: seen}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.ColdLeft > 0 {
-		use.Chill(answer.ColdLeft, clock.Now())
+		use.ReportCold(answer.ColdLeft, clock.Now())
 	}
 	if answer.Load != nil {
-		use.Load(*answer.Load, clock.Now())
+		use.RecordLoad(*answer.Load, clock.Now())
 	}
 	if answer.EventStream && answer.Status == http.StatusOK {
 		return cancellationError(ctx, c.forwardEvents(answer, use, watch))
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -64,7 +64,7 @@
 // minAttemptTime is the least time in which an attempt at a replica can be useful, given the
 // observed latency of first events and the refusals of this request.
 func (c *call) minAttemptTime(chosen *replica.Candidate) time.Duration {
-	return max(minUsefulTime, chosen.Soonest, refusalFactor*c.slowestRefusal)
+	return max(minUsefulTime, chosen.MinFirstEvent, refusalFactor*c.slowestRefusal)
 }
 
 // hasTimeFor reports whether an attempt at a replica can succeed in the remaining time.
@@ -86,7 +86,7 @@
 
 // busyError returns the error of a request that found no capacity, with the predicted wait.
 func (c *call) busyError(now time.Time) *BusyError {
-	return &BusyError{PredictedWait: c.forwarder.Replicas.Room(c.result.Pool, &c.demand, now).Wait}
+	return &BusyError{PredictedWait: c.forwarder.Replicas.PredictAvailability(c.result.Pool, &c.demand, now).Wait}
 }
 
 // recordRefusal records the duration of an attempt that did not run.
--- a/internal/forward/regions_test.go
+++ b/internal/forward/regions_test.go
@@ -24,7 +24,7 @@
 	set.Divide("a", nodesWithoutPlace("a", "b"))
 	now := time.Now()
 	for _, one := range set.List(now) {
-		set.Begin(one.ID, replica.Ask{}, now)
+		set.Begin(one.ID, replica.RequestInfo{}, now)
 	}
 	return &Forwarder{Replicas: set, Backend: backend, Budget: retry.NewBudget(1)}
 }
@@ -108,7 +108,7 @@
 			began := time.Now()
 			_, err := test.forwarder.Do(t.Context(), routeOf(route.Stream, true, 2), requestInRegions(test.regions), &recordingSink{})
 			var none *replica.NoReplicaError
-			if !errors.As(err, &none) || !none.Lasts() || outcome.Of(err) != outcome.NotDone {
+			if !errors.As(err, &none) || !none.Persistent() || outcome.Of(err) != outcome.NotDone {
 				t.Fatalf("ended with %v", err)
 			}
 			if took := time.Since(began); took > time.Second {
--- a/internal/forward/reserve.go
+++ b/internal/forward/reserve.go
@@ -36,13 +36,13 @@
 // reserve tries to reserve a free slot at another replica if this node has none at the chosen one.
 // It returns the replica to send the request to.
 func (c *call) reserve(ctx context.Context, chosen *replica.Candidate) *replica.Candidate {
-	if c.forwarder.Reserver == nil || c.request.Prompt.TotalTokens() == 0 || chosen.Spare() || chosen.Cold.Left > 0 {
+	if c.forwarder.Reserver == nil || c.request.Prompt.TotalTokens() == 0 || chosen.HasSpareSlot() || chosen.Cold.Left > 0 {
 		// Requests to cold replicas are rate-limited already.
 		return chosen
 	}
 	demand := c.demand
 	demand.Exclude = maps.Clone(c.demand.Exclude)
-	demand.Unheard = c.forwarder.Replicas.AskUnheard(c.result.Pool, clock.Now())
+	demand.PreferStale = c.forwarder.Replicas.ProbeStale(c.result.Pool, clock.Now())
 	if demand.Affinity == 0 {
 		// Equivalent replicas must be asked equally often. In a fixed order, all nodes would ask
 		// the same ones first, and never reach the last while the first do not report that they are
@@ -65,7 +65,7 @@
 
 // reserveAny asks up to the given number of replicas, one after the other, for a slot. It returns
 // the one that reserved a slot, or nil.
-func (c *call) reserveAny(ctx context.Context, demand *replica.Demand, tries int, crossRegion bool) *replica.Candidate {
+func (c *call) reserveAny(ctx context.Context, demand *replica.Criteria, tries int, crossRegion bool) *replica.Candidate {
 	for range tries {
 		asked := c.pickUnqueued(demand, crossRegion)
 		if asked == nil {
@@ -75,7 +75,7 @@
 			return asked
 		}
 		demand.Exclude[asked.Incarnation()] = true
-		demand.Unheard = false
+		demand.PreferStale = false
 	}
 	return nil
 }
@@ -84,11 +84,11 @@
 // its objective in another one, after the reservation call and its own transmission.
 func (c *call) hasTimeForCrossRegion(chosen *replica.Candidate) bool {
 	left := c.route.Objective - clock.Since(c.request.Received)
-	return left > chosen.First+(crossRegionRoundTrips+1)*c.forwarder.Weights.Cost(place.OtherRegion)
+	return left > chosen.FirstEvent+(crossRegionRoundTrips+1)*c.forwarder.Weights.Cost(place.OtherRegion)
 }
 
 // pickUnqueued returns the next replica to ask for a slot, or nil.
-func (c *call) pickUnqueued(demand *replica.Demand, crossRegion bool) *replica.Candidate {
+func (c *call) pickUnqueued(demand *replica.Criteria, crossRegion bool) *replica.Candidate {
 	candidates := c.forwarder.Replicas.SnapshotFor(c.result.Pool, demand, clock.Now())
 	best, err := replica.PickUnqueued(candidates, demand, c.forwarder.Weights, crossRegion)
 	if err != nil {
@@ -120,7 +120,7 @@
 		c.reservation, c.demand.Reserved = id, true
 		return true
 	case errors.Is(err, ErrRefused):
-		c.forwarder.Replicas.Full(asked.Info, began)
+		c.forwarder.Replicas.MarkFull(asked.Info, began)
 	}
 	return false
 }
--- a/internal/forward/restart_test.go
+++ b/internal/forward/restart_test.go
@@ -21,7 +21,7 @@
 
 // announceStart lists a replica with the given start time.
 func announceStart(forwarder *Forwarder, id string, startedAt int64, address string) {
-	forwarder.Replicas.Put(replica.Info{ID: id, Pool: testPool, Address: address, Slots: 4, Born: startedAt})
+	forwarder.Replicas.Put(replica.Info{ID: id, Pool: testPool, Address: address, Slots: 4, StartedUnixMs: startedAt})
 }
 
 // forwarderWithStartTimes returns a forwarder whose replicas report when they started.
@@ -156,11 +156,11 @@
 	forwarder := forwarderWithStartTimes(backend, 1)
 	now := time.Now()
 	for range 4 {
-		forwarder.Replicas.Begin("r0", replica.Ask{}, now)
+		forwarder.Replicas.Begin("r0", replica.RequestInfo{}, now)
 	}
 	announceStart(forwarder, "r1", 1000, "r1")
 	for range 4 {
-		forwarder.Replicas.Begin("r1", replica.Ask{}, now)
+		forwarder.Replicas.Begin("r1", replica.RequestInfo{}, now)
 	}
 	reserver := &scriptedReserver{}
 	reserver.answer = func(id string) (string, error) {
@@ -173,7 +173,7 @@
 		t.Fatal(err)
 	}
 	for _, sent := range backend.sent {
-		if sent.Replica.Born == 1000 && strings.HasPrefix(sent.Replica.Address, "new-") || sent.Reservation != "" && sent.Replica.Born == 1000 {
+		if sent.Replica.StartedUnixMs == 1000 && strings.HasPrefix(sent.Replica.Address, "new-") || sent.Reservation != "" && sent.Replica.StartedUnixMs == 1000 {
 			t.Errorf("sent %+v with %q", sent.Replica, sent.Reservation)
 		}
 		if known, _ := forwarder.Replicas.Get(sent.Replica.ID); known.Address != sent.Replica.Address {
--- a/internal/jobs/harm.go
+++ b/internal/jobs/harm.go
@@ -70,5 +70,5 @@
 	if one.after > from || !forward.LooksLikeCrash(err, 0) {
 		return
 	}
-	r.Quarantine.RecordInterruption(ctx, quarantine.Replica{ID: chosen.ID, StartTime: chosen.Born, Address: chosen.Address}, quarantine.Run{Work: r.identity(one, item), SentAt: began})
+	r.Quarantine.RecordInterruption(ctx, quarantine.Replica{ID: chosen.ID, StartTime: chosen.StartedUnixMs, Address: chosen.Address}, quarantine.Run{Work: r.identity(one, item), SentAt: began})
 }
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -55,8 +55,8 @@
 
 // State implements quarantine.Replicas.
 func (s standings) State(asked quarantine.Replica) quarantine.ReplicaState {
-	known, before, listed := s.replicas.Starts(asked.ID)
-	start := replica.Info{ID: asked.ID, Born: asked.StartTime, Address: asked.Address}
+	known, before, listed := s.replicas.CurrentAndPrevious(asked.ID)
+	start := replica.Info{ID: asked.ID, StartedUnixMs: asked.StartTime, Address: asked.Address}
 	switch {
 	case !listed:
 		return quarantine.Gone
--- a/internal/replica/exclusion.go
+++ b/internal/replica/exclusion.go
@@ -6,27 +6,26 @@
 	"time"
 )
 
-// Exclusion says why a replica may not take a request now. Choice, reservation, log
-// and metrics share it. The zero value says that it may.
+// Exclusion is the reason why a replica may not take a request now, for picking, reservations, logs
+// and metrics. The zero value means that it may.
 type Exclusion uint8
 
 const (
 	// Usable replicas may take the request.
 	Usable Exclusion = iota
-	// Evacuated replicas stand in a zone that an operator empties.
+	// Evacuated replicas are in a zone that operators evacuate.
 	Evacuated
-	// Elsewhere replicas stand in a region that may not serve the request.
+	// Elsewhere replicas are in a region that may not serve the request.
 	Elsewhere
-	// Unsuitable replicas do not serve what is asked for: the kind of work, the
-	// version, the adapter.
+	// Unsuitable replicas do not serve the required kind of work, version or adapter.
 	Unsuitable
-	// Tried replicas have failed or refused the request already.
+	// Tried replicas have already failed or refused the request.
 	Tried
-	// Cold replicas have been sent as much as they bear while they are cold.
+	// Cold replicas are cold, and this node's part of their rate is used up.
 	Cold
-	// Ejected replicas are left out for their failures.
+	// Ejected replicas are ejected for failures.
 	Ejected
-	// Occupied replicas have no slot for an item.
+	// Occupied replicas have no slot for the item.
 	Occupied
 	exclusions
 )
@@ -40,25 +39,24 @@
 	return names[e]
 }
 
-// lasts reports whether the exclusion goes only by a change of what operators declare:
-// it is of no use to wait for it within a request.
-func (e Exclusion) lasts() bool { return e == Evacuated || e == Elsewhere }
+// persistent reports whether only a change by operators ends the exclusion, so that a request gains
+// nothing by waiting.
+func (e Exclusion) persistent() bool { return e == Evacuated || e == Elsewhere }
 
-// NoReplicaError reports that no replica can take the request now, and why. It is
-// ErrNoReplica.
+// NoReplicaError reports that no replica can take the request now, and why. It wraps ErrNoReplica.
 type NoReplicaError struct {
-	// Counts counts the replicas looked at, by what excluded them.
+	// Counts counts the replicas considered by what excluded them.
 	Counts [exclusions]int
 	// ColdWait is the least time until a cold replica may get the request.
 	ColdWait time.Duration
-	// Bound says that the request may be served in some regions only.
-	Bound bool
+	// RegionRestricted is set if the request may be served in some regions only.
+	RegionRestricted bool
 }
 
 // Error implements error.
 func (e *NoReplicaError) Error() string { return ErrNoReplica.Error() + ": " + e.Reasons() }
 
-// Reasons counts the replicas that were looked at by what excluded them, for the log.
+// Reasons formats Counts for the log.
 func (e *NoReplicaError) Reasons() string {
 	var reasons []string
 	for reason, count := range e.Counts {
@@ -69,37 +67,37 @@
 	switch {
 	case len(reasons) > 0:
 		return strings.Join(reasons, ", ")
-	case e.Bound:
+	case e.RegionRestricted:
 		return "none is listed where the request may be served"
 	default:
 		return "none is listed"
 	}
 }
 
-// Unwrap makes it ErrNoReplica.
+// Unwrap returns ErrNoReplica.
 func (e *NoReplicaError) Unwrap() error { return ErrNoReplica }
 
-// Lasts reports whether waiting is of no use: there are replicas, and all of them are
-// excluded by what operators declare, or none stands where the request may be served.
-func (e *NoReplicaError) Lasts() bool {
+// Persistent reports whether waiting is of no use: all replicas are excluded by what operators
+// declare, or none is listed where the request may be served.
+func (e *NoReplicaError) Persistent() bool {
 	lasting := 0
 	for reason, count := range e.Counts {
-		if count > 0 && !Exclusion(reason).lasts() {
+		if count > 0 && !Exclusion(reason).persistent() {
 			return false
 		}
 		lasting += count
 	}
-	return lasting > 0 || e.Bound
+	return lasting > 0 || e.RegionRestricted
 }
 
-// Cold reports whether the request waits for cold replicas alone: without the rate that
-// they bear, one of them would take it.
-func (e *NoReplicaError) Cold() bool {
+// WaitsForCold reports whether the request waits for cold replicas only, one of which would take it if
+// it were warm.
+func (e *NoReplicaError) WaitsForCold() bool {
 	others := e.Counts[Tried] + e.Counts[Ejected] + e.Counts[Occupied]
 	return e.Counts[Cold] > 0 && others == 0
 }
 
-// count takes in what excludes a replica.
+// count adds an excluded replica.
 func (e *NoReplicaError) count(c *Candidate, why Exclusion) {
 	if why == Cold && (e.Counts[Cold] == 0 || c.Cold.Wait < e.ColdWait) {
 		e.ColdWait = c.Cold.Wait
@@ -107,36 +105,35 @@
 	e.Counts[why]++
 }
 
-// excludedByPlace reports what keeps a request from a replica for where it stands.
-func (c *Candidate) excludedByPlace(demand *Demand) Exclusion {
+// placeExclusion returns why the place of a replica excludes it for a request, if it does.
+func (c *Candidate) placeExclusion(criteria *Criteria) Exclusion {
 	switch {
 	case c.Evacuated:
 		return Evacuated
-	case !demand.Regions.Allows(c.Region):
+	case !criteria.Regions.Allows(c.Region):
 		return Elsewhere
 	default:
 		return Usable
 	}
 }
 
-// tried reports whether the replica has failed or refused the request. One that has started
-// again since has not.
-func (c *Candidate) tried(demand *Demand) bool {
-	return len(demand.Exclude) > 0 && (demand.Exclude[c.Incarnation()] || demand.Exclude[c.ID])
+// tried reports whether the replica has already failed or refused the request. A restarted replica
+// has not.
+func (c *Candidate) tried(criteria *Criteria) bool {
+	return len(criteria.Exclude) > 0 && (criteria.Exclude[c.Incarnation()] || criteria.Exclude[c.ID])
 }
 
-// excluded reports what keeps a request from a replica for good: trying it as a last
-// resort does not help.
-func (c *Candidate) excluded(demand *Demand) Exclusion {
-	if why := c.excludedByPlace(demand); why != Usable {
+// hardExclusion returns a reason against a replica that holds even for a last resort.
+func (c *Candidate) hardExclusion(criteria *Criteria) Exclusion {
+	if why := c.placeExclusion(criteria); why != Usable {
 		return why
 	}
 	switch {
-	case !serves(c, demand):
+	case !serves(c, criteria):
 		return Unsuitable
-	case c.tried(demand):
+	case c.tried(criteria):
 		return Tried
-	case c.Cold.Holds(demand.Batch):
+	case c.Cold.Blocks(criteria.Batch):
 		return Cold
 	default:
 		return Usable
--- a/internal/route/regions.go
+++ b/internal/route/regions.go
@@ -29,7 +29,7 @@
 		found.Add(path, "holds no region: requests are served nowhere")
 	}
 	for _, region := range allowed {
-		if !zones.Has(region) {
+		if !zones.HasRegion(region) {
 			found.Add(path, "no zone of node.zones lies in region %q", region)
 		}
 	}
@@ -41,7 +41,7 @@
 		return
 	}
 	for _, target := range c.Routes {
-		if len(target.Regions) > 0 && len(allowed.And(target.Regions)) == 0 {
+		if len(target.Regions) > 0 && len(allowed.Intersect(target.Regions)) == 0 {
 			found.Add(path, "has no region in common with routes[%s].regions: requests are served nowhere", target.Name)
 		}
 	}
