--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -169,7 +169,7 @@
 
 func (g *Gateway) listen() error {
 	front := &platform.Front{Gateway: g, Jobs: &platform.JobFront{
-		Service: g.jobs, Patience: jobPatience, ComeBack: g.ComeBack,
+		Service: g.jobs, Timeout: jobPatience, RetryAfter: g.RetryAfter,
 	}}
 	served := []struct {
 		address string
--- a/internal/node/gatewayfront.go
+++ b/internal/node/gatewayfront.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// ComeBack implements platform.Gateway.
-func (g *Gateway) ComeBack() time.Duration { return comeBack }
+// RetryAfter implements platform.Gateway.
+func (g *Gateway) RetryAfter() time.Duration { return comeBack }
 
 // Stopping implements platform.Gateway.
 func (g *Gateway) Stopping() bool { return g.stopping.Load() }
@@ -99,8 +99,8 @@
 	})
 }
 
-// Turned implements platform.Gateway.
-func (g *Gateway) Turned(id, reason string, status int) {
+// Rejected implements platform.Gateway.
+func (g *Gateway) Rejected(id, reason string, status int) {
 	g.metrics.turned.WithLabelValues(reason).Inc()
 	g.log.Info().Str("request", id).Str("reason", reason).Int("status", status).Msg("request turned away")
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -189,7 +189,7 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-func (m *coreMetrics) storeCall(call platform.Call, took time.Duration, err error) {
+func (m *coreMetrics) storeCall(call platform.CallKind, took time.Duration, err error) {
 	label := "done"
 	if err != nil {
 		label = "failed_" + outcome.Of(err).String()
