--- a/internal/lab/soak/callers.go
+++ b/internal/lab/soak/callers.go
@@ -83,7 +83,7 @@
 	connections := &http.Transport{MaxConnsPerHost: 1}
 	defer connections.CloseIdleConnections()
 	for number := 0; retry.Sleep(ctx, onlinePause); number++ {
-		client := &standin.Client{Address: node.at(), Host: host, Key: keyOf(tenantMain), Connections: connections}
+		client := &standin.Client{Address: node.at(), Host: host, Key: keyOf(tenantMain), Transport: connections}
 		if s.askOver(ctx, client, node, tenantMain, s.prefix(random), fmt.Sprintf("%s-%d", name, number)).Status == 0 {
 			return
 		}
@@ -101,7 +101,7 @@
 }
 
 // askOver sends one request to a node with a client, and notes what came of it.
-func (s *soak) askOver(ctx context.Context, client *standin.Client, chosen *gateway, tenant, prefix, id string) *standin.Answer {
+func (s *soak) askOver(ctx context.Context, client *standin.Client, chosen *gateway, tenant, prefix, id string) *standin.Response {
 	one := Request{
 		ID: id, Prefix: prefix, Once: strings.HasPrefix(prefix, "once"), Tenant: tenant,
 		Node: chosen.id, Life: chosen.lives(), Sent: time.Now(),
@@ -146,7 +146,7 @@
 			return
 		}
 		// A refused connection was not read either.
-		one.Refused = one.Refused && answer.NotRun()
+		one.Refused = one.Refused && answer.NotExecuted()
 		retry.Sleep(ctx, 200*time.Millisecond)
 	}
 }
--- a/internal/lab/soak/check.go
+++ b/internal/lab/soak/check.go
@@ -118,14 +118,14 @@
 		job      string
 		position int
 	}
-	at := map[place]standin.Listed{}
+	at := map[place]standin.JobResult{}
 	positionOf := map[string]int{}
 	for _, one := range c.Readings {
 		key := place{one.Job, one.Position}
-		if known, ok := at[key]; ok && known != one.Listed {
+		if known, ok := at[key]; ok && known != one.JobResult {
 			c.broken(OnePosition, "position %d of job %s was %q and is %q", one.Position, one.Job, known.Item, one.Item)
 		}
-		at[key] = one.Listed
+		at[key] = one.JobResult
 		if known, ok := positionOf[one.Item]; ok && known != one.Position {
 			c.broken(OnePosition, "item %s stands at %d and at %d", one.Item, known, one.Position)
 		}
@@ -137,8 +137,8 @@
 }
 
 // result checks one result's text, or that it has cause to be dead.
-func (c *check) result(job string, one standin.Listed) {
-	if !one.Dead {
+func (c *check) result(job string, one standin.JobResult) {
+	if !one.DeadLetter {
 		if one.Text != c.wholeText() {
 			c.broken(WholeText, "item %s of job %s has the text %q", one.Item, job, one.Text)
 		}
@@ -146,8 +146,8 @@
 	}
 	failed := 0
 	for _, run := range c.runs[one.Item] {
-		switch run.Did {
-		case standin.Invalid:
+		switch run.Behaviour {
+		case standin.RejectInvalid:
 			return
 		case standin.Fail:
 			failed++
@@ -164,7 +164,7 @@
 func (c *check) wholeText() string {
 	var pieces []string
 	for id := 1; id <= c.Events; id++ {
-		pieces = append(pieces, standin.Event(id))
+		pieces = append(pieces, standin.EventData(id))
 	}
 	return strings.Join(pieces, "\n")
 }
@@ -213,15 +213,15 @@
 		if one.Once && ran > 1 {
 			c.broken(AtMostOnce, "request %s ran %d times", one.ID, ran)
 		}
-		if one.Answer.NotRun() {
+		if one.Answer.NotExecuted() {
 			if ran > 0 && one.Once {
 				c.broken(NotRunTrue, "request %s got %d and ran", one.ID, one.Answer.Status)
 			}
-			if one.Answer.Status == http.StatusServiceUnavailable && !one.Answer.ComeBack {
+			if one.Answer.Status == http.StatusServiceUnavailable && !one.Answer.HasRetryAfter {
 				c.broken(ComeBackIsSaid, "request %s got 503 without a time", one.ID)
 			}
 		}
-		if one.Answer.Status == http.StatusOK && one.Answer.Whole && !c.whole(one.Answer.Events()) {
+		if one.Answer.Status == http.StatusOK && one.Answer.Complete && !c.whole(one.Answer.Events()) {
 			c.broken(WholeAnswer, "request %s got %v", one.ID, one.Answer.Events())
 		}
 	}
@@ -232,7 +232,7 @@
 		return false
 	}
 	for i, event := range events {
-		if event != standin.Event(i+1) {
+		if event != standin.EventData(i+1) {
 			return false
 		}
 	}
--- a/internal/lab/soak/checkreads.go
+++ b/internal/lab/soak/checkreads.go
@@ -30,7 +30,7 @@
 type firstRead struct {
 	node   string
 	at     time.Time
-	result standin.Listed
+	result standin.JobResult
 }
 
 // readFacts are what callers knew of jobs, and when.
--- a/internal/lab/soak/checkreads_test.go
+++ b/internal/lab/soak/checkreads_test.go
@@ -21,8 +21,8 @@
 // keptReads adds to a sound history reads of its first job, which was accepted at 1 s, with all
 // that is just allowed.
 func keptReads(h *History, at func(seconds float64) time.Time) {
-	result := []standin.Listed{h.Readings[0].Listed}
-	read := func(node string, sent float64, status int, results []standin.Listed) Read {
+	result := []standin.JobResult{h.Readings[0].JobResult}
+	read := func(node string, sent float64, status int, results []standin.JobResult) Read {
 		return Read{Job: "j", Node: node, Sent: at(sent), Ended: at(sent + 0.1), Status: status, Results: results}
 	}
 	h.Reads = []Read{
@@ -51,7 +51,7 @@
 		says   string
 	}{
 		{"the result", func(h *History) { late(h, readInTime) }, "position 0 of job j, read as \"j-0\" at n first at 2.50 s"},
-		{"the same result", func(h *History) { h.Reads[readLater].Results = []standin.Listed{{Item: "j-1", Dead: true}} }, "is \"j-1\" at m"},
+		{"the same result", func(h *History) { h.Reads[readLater].Results = []standin.JobResult{{Item: "j-1", DeadLetter: true}} }, "is \"j-1\" at m"},
 		{"the job", func(h *History) { late(h, readJobLater) }, "job j, accepted at 1.00 s"},
 		{"the content", func(h *History) {
 			h.Reads[readBodyLater].Ended = h.Reads[readFirst].Sent
--- a/internal/lab/soak/checkzones.go
+++ b/internal/lab/soak/checkzones.go
@@ -125,7 +125,7 @@
 				continue
 			}
 			asked++
-			if one.Answer.Status == http.StatusOK && one.Answer.Whole {
+			if one.Answer.Status == http.StatusOK && one.Answer.Complete {
 				whole++
 			}
 		}
--- a/internal/lab/soak/checkzones_test.go
+++ b/internal/lab/soak/checkzones_test.go
@@ -29,23 +29,23 @@
 	for number := range 2 * leastAsked {
 		one := Request{
 			ID: fmt.Sprintf("lost-%d", number), Tenant: tenantMain, Prefix: "resume", Node: "n", Life: 1,
-			Sent: at(lostAt + 3), Ended: at(lostAt + 3.2), Answer: &standin.Answer{Status: 503, ComeBack: true},
+			Sent: at(lostAt + 3), Ended: at(lostAt + 3.2), Answer: &standin.Response{Status: 503, HasRetryAfter: true},
 		}
 		if number%2 == 0 {
-			one.Answer = &standin.Answer{Status: 200, Whole: true, Body: wholeBody()}
+			one.Answer = &standin.Response{Status: 200, Complete: true, Body: wholeBody()}
 		}
 		h.Requests = append(h.Requests, one)
 	}
 	for number := range 16 {
-		send := standin.ColdSend{At: at(chilledAt + 1 + 0.14*float64(number)), Since: at(chilledAt)}
-		h.ColdSends = append(h.ColdSends, ColdSend{Server: "s2", ColdSend: send})
+		send := standin.ColdRequest{At: at(chilledAt + 1 + 0.14*float64(number)), Since: at(chilledAt)}
+		h.ColdSends = append(h.ColdSends, ColdSend{Server: "s2", ColdRequest: send})
 	}
 }
 
 // late returns a run in the evacuated zone that is too late, of a request to a node.
 func late(h *History, node string) ServerRun {
 	when := h.Evacuations[0].From.Add(7 * time.Second)
-	h.Requests = append(h.Requests, Request{ID: "late", Tenant: tenantMain, Node: node, Answer: &standin.Answer{}})
+	h.Requests = append(h.Requests, Request{ID: "late", Tenant: tenantMain, Node: node, Answer: &standin.Response{}})
 	return ServerRun{Server: "s2", Run: standin.Run{ID: "late", At: when, Header: http.Header{"Tenant": {tenantMain}}}}
 }
 
@@ -56,11 +56,11 @@
 		ColdSpared: func(h *History) {
 			h.ColdSends = append(h.ColdSends, h.ColdSends[5])
 		},
-		OthersServe: func(h *History) { h.Requests[len(h.Requests)-2].Answer = &standin.Answer{} },
+		OthersServe: func(h *History) { h.Requests[len(h.Requests)-2].Answer = &standin.Response{} },
 		LimitWhenCut: func(h *History) {
 			for number := range 50 {
 				id := fmt.Sprintf("flood-%d", number)
-				h.Requests = append(h.Requests, Request{ID: id, Tenant: tenantFlood, Answer: &standin.Answer{}})
+				h.Requests = append(h.Requests, Request{ID: id, Tenant: tenantFlood, Answer: &standin.Response{}})
 				h.Runs = append(h.Runs, ServerRun{Server: "s0", Run: standin.Run{ID: id, At: h.Runs[0].At, Header: http.Header{"Tenant": {tenantFlood}}}})
 			}
 		},
@@ -122,7 +122,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := kept()
 			for i := len(h.Requests) - 2*leastAsked; i < len(h.Requests); i++ {
-				h.Requests[i].Answer = &standin.Answer{}
+				h.Requests[i].Answer = &standin.Response{}
 				change(h, &h.Requests[i])
 			}
 			if found := Check(h); len(found) > 0 {
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -40,11 +40,11 @@
 		retry.Sleep(ctx, fault.For)
 		node.store.set(Clear)
 	case StoreBusy, StoreLoses, StoreLate:
-		s.store.SetTrouble(s.trouble(fault))
+		s.store.SetFault(s.trouble(fault))
 		retry.Sleep(ctx, fault.For)
-		s.store.SetTrouble(nil)
+		s.store.SetFault(nil)
 	case StoreForget:
-		s.store.Forget()
+		s.store.CompactHistory()
 	case Configure:
 		s.configure()
 	case CutFlood:
@@ -92,17 +92,17 @@
 }
 
 // trouble returns what befalls calls to the store.
-func (s *soak) trouble(fault Fault) func(string) standin.Trouble {
-	kind := map[Kind]standin.Trouble{StoreBusy: standin.Busy, StoreLoses: standin.AnswerLost, StoreLate: standin.AnswerLate}[fault.Kind]
+func (s *soak) trouble(fault Fault) func(string) standin.Fault {
+	kind := map[Kind]standin.Fault{StoreBusy: standin.Unavailable, StoreLoses: standin.ResponseLost, StoreLate: standin.WriteDelayed}[fault.Kind]
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(s.Seed, uint64(fault.At)))
-	return func(string) standin.Trouble {
+	return func(string) standin.Fault {
 		mu.Lock()
 		defer mu.Unlock()
 		if random.Float64() < fault.Share {
 			return kind
 		}
-		return standin.Calm
+		return standin.NoFault
 	}
 }
 
@@ -120,13 +120,13 @@
 		retry.Sleep(ctx, fault.For)
 		one.proxy.set(Clear)
 	case ServerBad:
-		one.Behave(s.misbehaviour(fault))
+		one.SetBehaviour(s.misbehaviour(fault))
 		retry.Sleep(ctx, fault.For)
-		one.Behave(nil)
+		one.SetBehaviour(nil)
 	case ServerFull:
-		one.Fill(true)
+		one.SetFull(true)
 		retry.Sleep(ctx, fault.For)
-		one.Fill(false)
+		one.SetFull(false)
 	case DrainServer:
 		s.drain(ctx, one, false)
 	}
@@ -138,6 +138,6 @@
 		if random.Float64() < fault.Share {
 			return bad[random.IntN(len(bad))]
 		}
-		return standin.Whole
+		return standin.Succeed
 	}
 }
--- a/internal/lab/soak/harm.go
+++ b/internal/lab/soak/harm.go
@@ -70,15 +70,15 @@
 
 // harmable is a server's handler: harmful work ends the server.
 func (s *soak) harmable(one *server) http.Handler {
-	return one.Harmed(standin.Harm{
-		Harmful: func(_ string, body []byte) bool { return strings.HasPrefix(string(body), harmPrefix) },
-		Fuse:    fuse,
-		End: func(id string, run standin.HarmfulRun) {
+	return one.WithHarmfulWork(standin.HarmfulWork{
+		IsHarmful:  func(_ string, body []byte) bool { return strings.HasPrefix(string(body), harmPrefix) },
+		CrashDelay: fuse,
+		Crash: func(id string, run standin.HarmfulRun) {
 			if !one.crash(id) {
 				return
 			}
 			record(&s.History, &s.HarmEnds, HarmEnd{
-				ID: run.ID, Work: string(run.Body), Server: one.name, Reached: run.Sent, At: time.Now(),
+				ID: run.ID, Work: string(run.Body), Server: one.name, Reached: run.Received, At: time.Now(),
 			})
 			go one.recover()
 		},
--- a/internal/lab/soak/harm_test.go
+++ b/internal/lab/soak/harm_test.go
@@ -18,7 +18,7 @@
 
 func addHarm(h *History, number int, when time.Time) {
 	id := fmt.Sprintf("harm-0-%d", number)
-	h.HarmSends = append(h.HarmSends, HarmSend{ID: id, Work: "harm-0", Node: "n", Sent: when, Answer: &standin.Answer{Status: 502}})
+	h.HarmSends = append(h.HarmSends, HarmSend{ID: id, Work: "harm-0", Node: "n", Sent: when, Answer: &standin.Response{Status: 502}})
 	h.HarmEnds = append(h.HarmEnds, HarmEnd{ID: id, Work: "harm-0", Server: "s0", Reached: when, At: when.Add(fuse)})
 }
 
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -24,7 +24,7 @@
 	Life   int
 	Sent   time.Time
 	Ended  time.Time
-	Answer *standin.Answer
+	Answer *standin.Response
 }
 
 // Job is a job as its caller saw it.
@@ -46,7 +46,7 @@
 	Job      string
 	Position int
 	At       time.Time
-	standin.Listed
+	standin.JobResult
 }
 
 // Read is a call that reads a job's list from a position on, or an item's content, as its
@@ -63,7 +63,7 @@
 	Sent, Ended time.Time
 	// Status is 0 if no answer came to its end.
 	Status  int
-	Results []standin.Listed
+	Results []standin.JobResult
 }
 
 // Drain is a server that was listed as draining in calm.
@@ -81,14 +81,14 @@
 // ColdSend is a request that a server got while it was cold.
 type ColdSend struct {
 	Server string
-	standin.ColdSend
+	standin.ColdRequest
 }
 
 // HarmSend is a request with work that ends the servers which run it.
 type HarmSend struct {
 	ID, Work, Node string
 	Sent           time.Time
-	Answer         *standin.Answer
+	Answer         *standin.Response
 }
 
 // HarmEnd is the end of a server under a request.
@@ -165,7 +165,7 @@
 	// Quota bounds the tokens of unfinished items.
 	Quota int
 	// Final are the lists read at the very end, by job; a job that nobody could read has none.
-	Final map[string][]standin.Listed
+	Final map[string][]standin.JobResult
 
 	// listed are the items that some reading has shown.
 	listed map[string]bool
@@ -180,12 +180,12 @@
 	*list = append(*list, one)
 }
 
-func (h *History) reading(job string, from int, results []standin.Listed) {
+func (h *History) reading(job string, from int, results []standin.JobResult) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
 	for i, one := range results {
-		h.Readings = append(h.Readings, Reading{Job: job, Position: from + i, At: now, Listed: one})
+		h.Readings = append(h.Readings, Reading{Job: job, Position: from + i, At: now, JobResult: one})
 		if !h.listed[one.Item] {
 			h.order = append(h.order, resultPlace{job, from + i})
 		}
@@ -201,7 +201,7 @@
 }
 
 // final notes a job's list as it was read at the end.
-func (h *History) final(job string, results []standin.Listed) {
+func (h *History) final(job string, results []standin.JobResult) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.Final[job] = results
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -134,6 +134,6 @@
 
 // bad are the ways in which servers misbehave.
 var bad = []standin.Behaviour{
-	standin.CutInEvent, standin.LoseAnswer, standin.Shed, standin.Moved, standin.Foreign, standin.Unsigned,
-	standin.Fail, standin.Invalid,
+	standin.TruncateEvent, standin.DropResponse, standin.Refuse, standin.Misdirect, standin.SwapRequestID, standin.OmitSignature,
+	standin.Fail, standin.RejectInvalid,
 }
--- a/internal/lab/soak/reads.go
+++ b/internal/lab/soak/reads.go
@@ -52,7 +52,7 @@
 
 // readWhole reads a job's list at a node. It reports whether that answered, and whether the
 // job has no item left to list.
-func (s *soak) readWhole(ctx context.Context, job *Job, node int) (results []standin.Listed, done bool, err error) {
+func (s *soak) readWhole(ctx context.Context, job *Job, node int) (results []standin.JobResult, done bool, err error) {
 	results, total, err := s.readList(ctx, Read{Job: job.ID}, node)
 	if err != nil {
 		return nil, false, err
@@ -113,7 +113,7 @@
 }
 
 // readList makes a read of a job's list at a node, and notes what came of it.
-func (s *soak) readList(ctx context.Context, one Read, node int) (results []standin.Listed, total int, err error) {
+func (s *soak) readList(ctx context.Context, one Read, node int) (results []standin.JobResult, total int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callWait)
 	defer cancel()
 	one.Node, one.Sent = s.gateways[node%len(s.gateways)].id, time.Now()
@@ -132,7 +132,7 @@
 
 // statusOf returns the status of an answer that a caller could not use; 0 if there is none.
 func statusOf(err error) int {
-	var answer *standin.NoAnswerError
+	var answer *standin.ResponseError
 	if errors.As(err, &answer) {
 		return answer.Status
 	}
--- a/internal/lab/soak/secondfaults.go
+++ b/internal/lab/soak/secondfaults.go
@@ -80,14 +80,14 @@
 func (s *soak) loseHistory(ctx context.Context, fault Fault) {
 	random := rand.New(rand.NewPCG(s.Seed, uint64(fault.At)))
 	var mu sync.Mutex
-	s.store.SetSilent(func(string) bool {
+	s.store.SetUnresponsive(func(string) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return random.Float64() < fault.Share
 	})
-	defer s.store.SetSilent(nil)
+	defer s.store.SetUnresponsive(nil)
 	retry.Sleep(ctx, fault.For/2)
-	s.store.Forget()
+	s.store.CompactHistory()
 	record(&s.History, &s.HistoryLosses, fault.Kind)
 	retry.Sleep(ctx, fault.For-fault.For/2)
 }
@@ -184,7 +184,7 @@
 // foreignRow has another writer leave a row of its own for a while. Its address is that of a
 // server which nobody has declared.
 func (s *soak) foreignRow(ctx context.Context, fault Fault) {
-	rows := standin.ForeignRows(s.stranger.address, s.zoneOf(fault.Target).name)
+	rows := standin.InvalidEntries(s.stranger.address, s.zoneOf(fault.Target).name)
 	key := fmt.Sprintf("foreign-%d", fault.At.Milliseconds())
 	s.store.PutValue("servers", "", key, rows[fault.Target%len(rows)])
 	s.say("        %s: %q under %s", fault.Kind, rows[fault.Target%len(rows)], key)
@@ -198,7 +198,7 @@
 	var since time.Time
 	var row []byte
 	one := s.firstOf(fault, func(one *server) bool {
-		rows := standin.ForeignRows(one.proxy.address(), one.zone)
+		rows := standin.InvalidEntries(one.proxy.address(), one.zone)
 		row = rows[fault.Target%len(rows)]
 		since = one.overwrite(row)
 		return !since.IsZero()
--- a/internal/lab/soak/servers.go
+++ b/internal/lab/soak/servers.go
@@ -91,7 +91,7 @@
 // entry is what the server's row says. The caller holds mu.
 func (one *server) entry() standin.Entry {
 	return standin.Entry{
-		Address: one.proxy.address(), Zone: one.zone, Slots: one.slots, Born: one.born,
+		Address: one.proxy.address(), Zone: one.zone, Slots: one.slots, Started: one.born,
 		Draining: one.leaves, Cold: !one.leaves, ColdLeft: one.ColdLeft(),
 	}
 }
@@ -201,7 +201,7 @@
 
 // chill has a server turn cold, and say so, until it is warm again.
 func (s *soak) chill(ctx context.Context, one *server, length time.Duration) {
-	one.Chill(length)
+	one.SetCold(length)
 	one.list()
 	s.whileCold(ctx, one)
 }
--- a/internal/lab/soak/site.go
+++ b/internal/lab/soak/site.go
@@ -72,8 +72,8 @@
 	if s.version > 1 {
 		s.prefixes = append(s.prefixes, fmt.Sprintf("added-%d", s.version))
 	}
-	config := standin.DeclareKeyed(s.version, host, tokenQuota, tenants(), s.prefixes...)
-	s.store.Put("op", "config", standin.DeclareCold(config, coldStart, coldRate))
+	config := standin.NewConfigWithTenants(s.version, host, tokenQuota, tenants(), s.prefixes...)
+	s.store.Put("op", "config", standin.AddColdLimits(config, coldStart, coldRate))
 }
 
 // prefix picks a declared prefix.
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -116,7 +116,7 @@
 	return &soak{
 		Options: options, store: standin.NewStore(), zones: newZones(options.Regions), prefixes: []string{"resume", "once"},
 		History: History{
-			Events: answerSize, Quota: tokenQuota, Final: map[string][]standin.Listed{},
+			Events: answerSize, Quota: tokenQuota, Final: map[string][]standin.JobResult{},
 			NodeZones: map[string]string{}, ServerZones: map[string]string{}, ServerSlots: map[string]int{},
 			listed: map[string]bool{},
 		},
@@ -167,8 +167,8 @@
 		for _, run := range one.Runs() {
 			s.Runs = append(s.Runs, ServerRun{Server: one.name, Run: run})
 		}
-		for _, send := range one.ColdSends() {
-			s.ColdSends = append(s.ColdSends, ColdSend{Server: one.name, ColdSend: send})
+		for _, send := range one.ColdRequests() {
+			s.ColdSends = append(s.ColdSends, ColdSend{Server: one.name, ColdRequest: send})
 		}
 		s.ServerOutages = append(s.ServerOutages, one.outs(time.Now())...)
 		s.Overwritten = append(s.Overwritten, one.foreign...)
@@ -192,7 +192,7 @@
 	}
 	for _, one := range s.Requests {
 		switch {
-		case one.Answer.Status == http.StatusOK && one.Answer.Whole:
+		case one.Answer.Status == http.StatusOK && one.Answer.Complete:
 			report.Whole++
 		case one.Answer.Status == http.StatusTooManyRequests:
 			report.Limited++
@@ -258,7 +258,7 @@
 	}
 	retry.Sleep(ctx, time.Until(began.Add(s.For)))
 	s.faults.Wait()
-	s.store.SetTrouble(nil)
+	s.store.SetFault(nil)
 	s.Calm = time.Now().Add(3 * time.Second)
 	// Load goes on in calm for a while, so that what is done there counts strictly.
 	s.disturbCalm(ctx)
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -118,7 +118,7 @@
 func wholeText() string {
 	var pieces []string
 	for id := 1; id <= testEvents; id++ {
-		pieces = append(pieces, standin.Event(id))
+		pieces = append(pieces, standin.EventData(id))
 	}
 	return strings.Join(pieces, "\n")
 }
@@ -135,29 +135,29 @@
 func kept() *History {
 	began := time.Now()
 	at := func(seconds float64) time.Time { return began.Add(time.Duration(seconds * float64(time.Second))) }
-	listed := []standin.Listed{{Item: "j-0", Text: wholeText()}, {Item: "j-1", Dead: true}}
+	listed := []standin.JobResult{{Item: "j-0", Text: wholeText()}, {Item: "j-1", DeadLetter: true}}
 	run := func(server, id string, when float64, did standin.Behaviour) ServerRun {
-		return ServerRun{Server: server, Run: standin.Run{ID: id, At: at(when), Did: did, Header: http.Header{"Tenant": {tenantMain}}}}
+		return ServerRun{Server: server, Run: standin.Run{ID: id, At: at(when), Behaviour: did, Header: http.Header{"Tenant": {tenantMain}}}}
 	}
 	history := &History{
 		Events: testEvents, Quota: 1000, Calm: at(5),
 		Requests: []Request{
-			{ID: "whole", Tenant: tenantMain, Prefix: "once", Once: true, Node: "n", Life: 1, Sent: at(1), Ended: at(1.2), Answer: &standin.Answer{Status: 200, Whole: true, Body: wholeBody()}},
-			{ID: "shed", Tenant: tenantMain, Prefix: "once", Once: true, Node: "n", Life: 1, Sent: at(2), Ended: at(2.1), Answer: &standin.Answer{Status: 503, ComeBack: true}},
-			{ID: "early", Tenant: tenantMain, Prefix: "added", Node: "n", Life: 1, Sent: at(1), Ended: at(1.1), Answer: &standin.Answer{Status: 404}},
-			{ID: "added", Tenant: tenantMain, Prefix: "added", Node: "n", Life: 1, Sent: at(3), Ended: at(3.1), Answer: &standin.Answer{Status: 200, Whole: true, Body: wholeBody()}},
+			{ID: "whole", Tenant: tenantMain, Prefix: "once", Once: true, Node: "n", Life: 1, Sent: at(1), Ended: at(1.2), Answer: &standin.Response{Status: 200, Complete: true, Body: wholeBody()}},
+			{ID: "shed", Tenant: tenantMain, Prefix: "once", Once: true, Node: "n", Life: 1, Sent: at(2), Ended: at(2.1), Answer: &standin.Response{Status: 503, HasRetryAfter: true}},
+			{ID: "early", Tenant: tenantMain, Prefix: "added", Node: "n", Life: 1, Sent: at(1), Ended: at(1.1), Answer: &standin.Response{Status: 404}},
+			{ID: "added", Tenant: tenantMain, Prefix: "added", Node: "n", Life: 1, Sent: at(3), Ended: at(3.1), Answer: &standin.Response{Status: 200, Complete: true, Body: wholeBody()}},
 		},
 		Jobs: []Job{
 			{ID: "j", Items: []string{"j-0", "j-1"}, Tokens: 400, Accepted: true, At: at(1)},
 			{ID: "ended", Items: []string{"e-0"}, Tokens: 400, Accepted: true, At: at(5.5), EndedAt: at(6)},
 			{ID: "refused", Items: []string{"r-0"}, Tokens: 400, Refused: true},
 		},
-		Readings: []Reading{{Job: "j", Position: 0, Listed: listed[0]}, {Job: "j", Position: 1, Listed: listed[1]}, {Job: "j", Position: 0, Listed: listed[0]}},
-		Final:    map[string][]standin.Listed{"j": listed, "ended": nil},
+		Readings: []Reading{{Job: "j", Position: 0, JobResult: listed[0]}, {Job: "j", Position: 1, JobResult: listed[1]}, {Job: "j", Position: 0, JobResult: listed[0]}},
+		Final:    map[string][]standin.JobResult{"j": listed, "ended": nil},
 		Drains:   []Drain{{Server: "s1", At: at(6)}},
 		Runs: []ServerRun{
-			run("s0", "whole", 1, standin.Whole), run("s0", "added", 3, standin.Whole), run("s0", "j-0", 2, standin.Whole),
-			run("s0", "j-1", 2, standin.Invalid), run("s0", "e-0", 5.8, standin.Whole), run("s1", "other", 7, standin.Whole),
+			run("s0", "whole", 1, standin.Succeed), run("s0", "added", 3, standin.Succeed), run("s0", "j-0", 2, standin.Succeed),
+			run("s0", "j-1", 2, standin.RejectInvalid), run("s0", "e-0", 5.8, standin.Succeed), run("s1", "other", 7, standin.Succeed),
 		},
 		NodeZones: map[string]string{"n": "a", "m": "b"}, ServerZones: map[string]string{"s0": "a", "s1": "a", "s2": "b"},
 	}
@@ -176,11 +176,11 @@
 	}
 	mutations := map[Promise]func(h *History){
 		OnePosition: func(h *History) {
-			h.Readings = append(h.Readings, Reading{Job: "j", Position: 2, Listed: standin.Listed{Item: "j-0", Text: wholeText()}})
+			h.Readings = append(h.Readings, Reading{Job: "j", Position: 2, JobResult: standin.JobResult{Item: "j-0", Text: wholeText()}})
 		},
 		WholeText:      func(h *History) { h.Readings[0].Text, h.Readings[2].Text = "piece 1", "piece 1" },
 		JobFinishes:    func(h *History) { h.Final["j"] = h.Final["j"][:1] },
-		TrueDead:       func(h *History) { h.Runs[3].Did = standin.Whole },
+		TrueDead:       func(h *History) { h.Runs[3].Behaviour = standin.Succeed },
 		AtMostOnce:     func(h *History) { h.Runs = append(h.Runs, h.Runs[0]) },
 		NotRunTrue:     func(h *History) { h.Runs[0].ID = "shed" },
 		WholeAnswer:    func(h *History) { h.Requests[0].Answer.Body = h.Requests[0].Answer.Body[:10] },
@@ -189,7 +189,7 @@
 		EndStops:       func(h *History) { h.Runs[4].At = h.Jobs[1].EndedAt.Add(4 * time.Second) },
 		WithinQuota:    func(h *History) { h.Jobs[0].Tokens = 600 },
 		RefusedNotRun:  func(h *History) { h.Runs[5].ID, h.Runs[5].Server = "r-0", "s0" },
-		ComeBackIsSaid: func(h *History) { h.Requests[1].Answer.ComeBack = false },
+		ComeBackIsSaid: func(h *History) { h.Requests[1].Answer.HasRetryAfter = false },
 		TenantNotKey:   func(h *History) { h.Runs[0].Header.Set("Authorization", "Bearer x") },
 		NodeLives: func(h *History) {
 			h.Ended = append(h.Ended, EndedError{Node: "n", Life: 1, State: "exit status 2", Log: "panic"})
@@ -197,7 +197,7 @@
 		WithinLimit: func(h *History) {
 			for number := range 50 {
 				id := fmt.Sprintf("beyond-%d", number)
-				h.Requests = append(h.Requests, Request{ID: id, Tenant: tenantLimited, Answer: &standin.Answer{Status: 200, Whole: true, Body: wholeBody()}})
+				h.Requests = append(h.Requests, Request{ID: id, Tenant: tenantLimited, Answer: &standin.Response{Status: 200, Complete: true, Body: wholeBody()}})
 				h.Runs = append(h.Runs, ServerRun{Server: "s0", Run: standin.Run{ID: id, At: h.Runs[0].At, Header: http.Header{"Tenant": {tenantLimited}}}})
 			}
 		},
--- a/internal/lab/soak/zones.go
+++ b/internal/lab/soak/zones.go
@@ -98,7 +98,7 @@
 	s.cold.Go(func() { s.chillZone(ctx, at, coldStart) })
 	retry.Sleep(ctx, chillBefore)
 	record(&s.History, &s.Evacuations, Outage{Zone: at.name, From: began, To: time.Now()})
-	s.store.TakeBack(at.name)
+	s.store.CancelEvacuation(at.name)
 }
 
 // loseZone has a zone's nodes and servers be gone for a while.
--- a/internal/node/coldlist_test.go
+++ b/internal/node/coldlist_test.go
@@ -104,7 +104,7 @@
 // write writes the replica's row, which is cold for so long yet.
 func (f *coldListFleet) write(left time.Duration) {
 	f.t.Helper()
-	body, err := json.Marshal(standin.ColdListing("a:1", "z", 8, left))
+	body, err := json.Marshal(standin.ColdServerRow("a:1", "z", 8, left))
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/node/evacuation_test.go
+++ b/internal/node/evacuation_test.go
@@ -32,7 +32,7 @@
 		if site.zones[zone] == nil {
 			site.zones[zone] = one
 		}
-		site.store.Put("servers", one.ID, standin.Listing(listening.Listener.Addr().String(), zone, 8, false))
+		site.store.Put("servers", one.ID, standin.ServerRow(listening.Listener.Addr().String(), zone, 8, false))
 	}
 	return site
 }
@@ -185,7 +185,7 @@
 	gateway := site.start("front-1")
 	site.evacuate("a")
 	site.knows(gateway, "a")
-	site.servers[1].Behave(func(int) standin.Behaviour { return standin.CutInEvent })
+	site.servers[1].SetBehaviour(func(int) standin.Behaviour { return standin.TruncateEvent })
 	for i := range 8 {
 		status, text, _ := site.call(gateway, http.MethodPost, "/resume/x", fmt.Sprintf("r%d", i), []byte("prompt"))
 		if status != http.StatusOK || text != wholeStream() {
@@ -256,12 +256,12 @@
 	site := newZonedSite(t, "a", "b")
 	site.evacuate("a")
 	var calls atomic.Int64
-	site.store.SetTrouble(func(string) standin.Trouble {
+	site.store.SetFault(func(string) standin.Fault {
 		// The tables are read late, and not in the same order each time.
 		if calls.Add(1) <= 8 {
-			return standin.Busy
+			return standin.Unavailable
 		}
-		return standin.Calm
+		return standin.NoFault
 	})
 	gateway := site.launch("front-1", nil)
 	site.eventually("ready", func() bool {
@@ -307,7 +307,7 @@
 	cut.Store(true)
 	site.endEvacuation("a")
 	site.evacuate("b")
-	site.store.Forget()
+	site.store.CompactHistory()
 	cut.Store(false)
 	site.knows(gateway, "b")
 	site.avoids(gateway, "b")
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -14,7 +14,7 @@
 func wholeStream() string {
 	var text strings.Builder
 	for id := 1; id <= siteEvents; id++ {
-		_, _ = fmt.Fprintf(&text, "id: %d\ndata: %s\n\n", id, standin.Event(id))
+		_, _ = fmt.Fprintf(&text, "id: %d\ndata: %s\n\n", id, standin.EventData(id))
 	}
 	return text.String()
 }
@@ -22,34 +22,34 @@
 func wholeText() string {
 	var pieces []string
 	for id := 1; id <= siteEvents; id++ {
-		pieces = append(pieces, standin.Event(id))
+		pieces = append(pieces, standin.EventData(id))
 	}
 	return strings.Join(pieces, "\n")
 }
 
 func (s *gatewaySite) behave(behaviour standin.Behaviour, first int) {
 	for _, server := range s.servers {
-		server.Behave(func(number int) standin.Behaviour {
+		server.SetBehaviour(func(number int) standin.Behaviour {
 			if number <= first {
 				return behaviour
 			}
-			return standin.Whole
+			return standin.Succeed
 		})
 	}
 }
 
 func TestGateway_StreamIsWholeWhateverOneServerDoes(t *testing.T) {
 	cases := map[string]standin.Behaviour{
-		"whole": standin.Whole, "cut in an event": standin.CutInEvent, "answer lost": standin.LoseAnswer,
-		"shed": standin.Shed, "address taken over": standin.Moved, "answer of another request": standin.Foreign,
-		"unsigned bytes": standin.Unsigned, "failed run": standin.Fail, "silent": standin.Silent,
+		"whole": standin.Succeed, "cut in an event": standin.TruncateEvent, "answer lost": standin.DropResponse,
+		"shed": standin.Refuse, "address taken over": standin.Misdirect, "answer of another request": standin.SwapRequestID,
+		"unsigned bytes": standin.OmitSignature, "failed run": standin.Fail, "silent": standin.Hang,
 	}
 	for name, behaviour := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			site := newGatewaySite(t, 2)
 			gateway := site.start("a")
-			site.servers[0].Behave(func(int) standin.Behaviour { return behaviour })
+			site.servers[0].SetBehaviour(func(int) standin.Behaviour { return behaviour })
 			for number := range 4 {
 				status, text, header := site.call(gateway, http.MethodPost, "/resume/x?q=1", fmt.Sprintf("q%d", number), []byte("prompt"))
 				if status != http.StatusOK || text != wholeStream() || header.Get("Response-Signature") == "" {
@@ -64,7 +64,7 @@
 	site := newGatewaySite(t, 2)
 	site.configure(2, "once")
 	gateway := site.start("a")
-	site.behave(standin.LoseAnswer, 100)
+	site.behave(standin.DropResponse, 100)
 	status, _, _ := site.call(gateway, http.MethodPost, "/once/x", "q", nil)
 	if runs := len(site.servers[0].Runs()) + len(site.servers[1].Runs()); status != http.StatusBadGateway || runs != 1 {
 		t.Fatalf("status %d after %d runs, want 502 after one", status, runs)
@@ -74,7 +74,7 @@
 func TestGateway_RefusalSaysWhenToComeBack(t *testing.T) {
 	site := newGatewaySite(t, 1)
 	gateway := site.start("a")
-	site.behave(standin.Shed, 1<<30)
+	site.behave(standin.Refuse, 1<<30)
 	began := time.Now()
 	status, _, header := site.call(gateway, http.MethodPost, "/resume/x", "q", nil)
 	if status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
@@ -234,7 +234,7 @@
 func TestGateway_StoreOutageStopsNoStream(t *testing.T) {
 	site := newGatewaySite(t, 2)
 	gateway := site.start("a")
-	site.store.SetTrouble(func(string) standin.Trouble { return standin.Reset })
+	site.store.SetFault(func(string) standin.Fault { return standin.ConnectionReset })
 	for number := range 3 {
 		if status, text, _ := site.call(gateway, http.MethodPost, "/resume/x", fmt.Sprintf("q%d", number), nil); status != http.StatusOK || text != wholeStream() {
 			t.Fatalf("during the outage: %d %q", status, text)
@@ -243,7 +243,7 @@
 	if status, _, header := site.call(gateway, http.MethodPost, "/batch/j", "j", job("j", 1)); status < 500 {
 		t.Fatalf("a job was answered %d %v with the store down", status, header)
 	}
-	site.store.SetTrouble(nil)
+	site.store.SetFault(nil)
 	site.eventually("job taken after the outage", func() bool {
 		status, _, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", job("j", 1))
 		return status == http.StatusAccepted
@@ -255,15 +255,15 @@
 	site := newGatewaySite(t, 2)
 	gateway := site.start("a")
 	calls := 0
-	site.store.SetTrouble(func(path string) standin.Trouble {
+	site.store.SetFault(func(path string) standin.Fault {
 		if !strings.HasSuffix(path, "rows-tx") {
-			return standin.Calm
+			return standin.NoFault
 		}
 		calls++
 		if calls%2 == 1 {
-			return standin.AnswerLost
+			return standin.ResponseLost
 		}
-		return standin.Calm
+		return standin.NoFault
 	})
 	if status, text, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", job("j", 4)); status != http.StatusAccepted {
 		t.Fatalf("submission: %d %q", status, text)
@@ -282,6 +282,6 @@
 	site := newGatewaySite(t, 2)
 	gateway := site.start("a")
 	site.store.Remove("servers", "i-0")
-	site.store.Forget()
+	site.store.CompactHistory()
 	site.eventually("server gone", func() bool { return len(gateway.replicas.Snapshot("llm", 0, time.Now())) == 1 })
 }
--- a/internal/node/gatewaybootstrap_test.go
+++ b/internal/node/gatewaybootstrap_test.go
@@ -24,7 +24,7 @@
 		return first.roster.Address("b") != "" && second.roster.Address("a") != ""
 	})
 	second.Kill()
-	site.store.SetTrouble(func(string) standin.Trouble { return standin.Busy })
+	site.store.SetFault(func(string) standin.Fault { return standin.Unavailable })
 	again, err := StartGateway(context.Background(), second.settings, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -46,7 +46,7 @@
 	site.store.Remove("op", "evacuate/far")
 	site.store.Remove("servers", site.servers[0].ID)
 	site.configure(2, "resume", "more")
-	site.store.SetTrouble(nil)
+	site.store.SetFault(nil)
 	site.eventually("it goes by the store again", func() bool {
 		status, _, _ := site.call(again, http.MethodPost, "/more/x", "q2", nil)
 		return status == http.StatusOK && again.jobWatch.Ready() && !again.replicas.Evacuated()["far"] &&
@@ -58,7 +58,7 @@
 // the store is away.
 func TestGateway_ANodeThatNobodyTellsAnythingWaitsForTheStore(t *testing.T) {
 	site := newGatewaySite(t, 1)
-	site.store.SetTrouble(func(string) standin.Trouble { return standin.Busy })
+	site.store.SetFault(func(string) standin.Fault { return standin.Unavailable })
 	gateway := site.launch("a", nil)
 	for number := range 3 {
 		status, _, header := site.call(gateway, http.MethodPost, "/resume/x", fmt.Sprint(number), nil)
@@ -77,7 +77,7 @@
 	if response.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("a node that knows nothing passes on %d", response.StatusCode)
 	}
-	site.store.SetTrouble(nil)
+	site.store.SetFault(nil)
 	site.eventually("ready once the store answers", gateway.Ready)
 }
 
--- a/internal/node/gatewaycold_test.go
+++ b/internal/node/gatewaycold_test.go
@@ -21,9 +21,9 @@
 	listening := httptest.NewServer(cold)
 	t.Cleanup(listening.Close)
 	site.servers = append(site.servers, cold)
-	config := standin.Declare(2, siteHost, 1000, "resume").(map[string]any)
+	config := standin.NewConfig(2, siteHost, 1000, "resume").(map[string]any)
 	config["services"] = []map[string]any{{"name": "llm", "coldPerS": rate, "coldStartS": 30}}
-	listing := standin.Listing(listening.Listener.Addr().String(), "z", 8, false).(map[string]any)
+	listing := standin.ServerRow(listening.Listener.Addr().String(), "z", 8, false).(map[string]any)
 	listing["coldLeftMs"] = 30000
 	site.store.Put("op", "config", config)
 	site.store.Put("servers", cold.ID, listing)
--- a/internal/node/gatewaycoldlist_test.go
+++ b/internal/node/gatewaycoldlist_test.go
@@ -40,8 +40,8 @@
 	t.Cleanup(listening.Close)
 	site.servers, site.address = append(site.servers, site.replica), listening.Listener.Addr().String()
 	site.list(site.replica.ID, site.address, "ready")
-	config := standin.Declare(2, siteHost, 1000, "resume")
-	site.store.Put("op", "config", standin.DeclareCold(config, coldListStart, cutRate))
+	config := standin.NewConfig(2, siteHost, 1000, "resume")
+	site.store.Put("op", "config", standin.AddColdLimits(config, coldListStart, cutRate))
 	return site
 }
 
@@ -105,8 +105,8 @@
 	site := newCutSite(t)
 	cut, other := site.startBoth()
 	site.cutOff(cut)
-	site.replica.Chill(coldListStart)
-	site.store.Put("servers", site.replica.ID, standin.ColdListing(site.address, "z", cutSlots, coldListStart))
+	site.replica.SetCold(coldListStart)
+	site.store.Put("servers", site.replica.ID, standin.ColdServerRow(site.address, "z", cutSlots, coldListStart))
 	site.eventually("a node that is not cut off knows", func() bool { return other.replicas.CountCold(time.Now()) == 1 })
 	known := time.Now()
 	var calls sync.WaitGroup
@@ -121,7 +121,7 @@
 	}
 	calls.Wait()
 	var sent []standin.Run
-	for _, send := range site.replica.ColdSends() {
+	for _, send := range site.replica.ColdRequests() {
 		if send.At.After(known) {
 			sent = append(sent, standin.Run{At: send.At})
 		}
--- a/internal/node/gatewayevidence_test.go
+++ b/internal/node/gatewayevidence_test.go
@@ -14,7 +14,7 @@
 func TestGateway_LeavesAReplicaOutThatFailsForOthers(t *testing.T) {
 	site := newGatewaySite(t, 4)
 	bad := site.servers[0]
-	bad.Behave(func(int) standin.Behaviour { return standin.Fail })
+	bad.SetBehaviour(func(int) standin.Behaviour { return standin.Fail })
 	gateways := []*Gateway{site.start("a"), site.start("b"), site.start("c")}
 	site.eventually("nodes know each other", func() bool {
 		for _, gateway := range gateways {
@@ -40,6 +40,6 @@
 		}
 		return ejected(gateways[2])
 	})
-	bad.Behave(nil)
+	bad.SetBehaviour(nil)
 	site.eventually("it is used again", func() bool { return !ejected(gateways[2]) })
 }
--- a/internal/node/gatewayharm_test.go
+++ b/internal/node/gatewayharm_test.go
@@ -35,9 +35,9 @@
 	for i := range processes {
 		one := &standin.Process{
 			Name: fmt.Sprintf("i-%d", i), Store: site.store, Zone: "z", Slots: 8, Events: siteEvents,
-			EventTime: 2 * time.Millisecond, Fuse: 10 * time.Millisecond,
-			Harmful: func(_ string, body []byte) bool { return bytes.Equal(body, harmBody) },
-			Lapse:   150 * time.Millisecond, Down: 200 * time.Millisecond,
+			EventTime: 2 * time.Millisecond, CrashDelay: 10 * time.Millisecond,
+			IsHarmful:    func(_ string, body []byte) bool { return bytes.Equal(body, harmBody) },
+			RemovalDelay: 150 * time.Millisecond, Downtime: 200 * time.Millisecond,
 		}
 		if err := one.Start(); err != nil {
 			t.Fatal(err)
@@ -75,7 +75,7 @@
 	count := 0
 	for _, one := range s.processes {
 		for _, crash := range one.Crashes() {
-			if crash.Sent.After(after) {
+			if crash.Received.After(after) {
 				count++
 			}
 		}
@@ -147,7 +147,7 @@
 			}
 			return true
 		})
-		site.store.SetTrouble(func(string) standin.Trouble { return standin.Busy })
+		site.store.SetFault(func(string) standin.Fault { return standin.Unavailable })
 		site.sendUntilThree(gateways)
 		site.sendOn(gateways)
 	})
--- a/internal/node/gatewayhomes_test.go
+++ b/internal/node/gatewayhomes_test.go
@@ -23,7 +23,7 @@
 		listening := httptest.NewServer(one)
 		t.Cleanup(listening.Close)
 		site.servers = append(site.servers, one)
-		site.store.Put("servers", one.ID, standin.Listing(listening.Listener.Addr().String(), zone, 8, false))
+		site.store.Put("servers", one.ID, standin.ServerRow(listening.Listener.Addr().String(), zone, 8, false))
 	}
 	north = site.startAt(settings.Node{ID: "n", Zone: "n1", Region: "north", Zones: homeZones})
 	south = site.startAt(settings.Node{ID: "s", Zone: "s1", Region: "south", Zones: homeZones})
@@ -34,7 +34,7 @@
 // for the gateways.
 func (s *gatewaySite) configureHomes(version int, homes ...string) {
 	s.t.Helper()
-	declared := standin.Declare(version, siteHost, 100000, "resume").(map[string]any)
+	declared := standin.NewConfig(version, siteHost, 100000, "resume").(map[string]any)
 	for _, target := range declared["routes"].([]map[string]any) {
 		target["allowedRegions"] = append([]string{}, homes...)
 	}
--- a/internal/node/gatewaykeys_test.go
+++ b/internal/node/gatewaykeys_test.go
@@ -25,7 +25,7 @@
 }
 
 func (s *gatewaySite) configureKeyed(version int, tenants []standin.Tenant) {
-	s.store.Put("op", "config", standin.DeclareKeyed(version, siteHost, 1000, tenants, "resume", "open"))
+	s.store.Put("op", "config", standin.NewConfigWithTenants(version, siteHost, 1000, tenants, "resume", "open"))
 }
 
 func TestGateway_KeyBecomesTheTenant(t *testing.T) {
@@ -111,7 +111,7 @@
 // TestGateway_WaitingTokensAreATenantsOwn gives each tenant the whole quota.
 func TestGateway_WaitingTokensAreATenantsOwn(t *testing.T) {
 	site := newKeyedSite(t, twoTenants())
-	site.behave(standin.Silent, 1<<30)
+	site.behave(standin.Hang, 1<<30)
 	gateway := site.start("n")
 	submit := func(id, key string, items int) int {
 		status, _, _ := site.callWith(gateway, http.MethodPost, "/batch/"+id, id, job(id, items), keyed(key))
@@ -159,7 +159,7 @@
 	gateway := site.start("n")
 	bounded := site.start("bounded")
 	bounded.settings.Gateway.MaxConfigAge = v1.Duration(2 * time.Second)
-	site.store.SetTrouble(func(string) standin.Trouble { return standin.Busy })
+	site.store.SetFault(func(string) standin.Fault { return standin.Unavailable })
 	site.eventually("configuration old", func() bool {
 		return gateway.configWatch.Age() > staleKeys && bounded.configWatch.Age() > staleKeys
 	})
--- a/internal/node/gatewayquarantine_test.go
+++ b/internal/node/gatewayquarantine_test.go
@@ -206,7 +206,7 @@
 func TestGateway_ResetConnectionsEndNothing(t *testing.T) {
 	site := newGatewaySite(t, 4)
 	for _, server := range site.servers {
-		server.Behave(func(int) standin.Behaviour { return standin.CutInEvent })
+		server.SetBehaviour(func(int) standin.Behaviour { return standin.TruncateEvent })
 	}
 	gateway := site.start("a")
 	for range 5 {
--- a/internal/node/gatewayrestart_test.go
+++ b/internal/node/gatewayrestart_test.go
@@ -30,14 +30,14 @@
 		info, _ := gateway.replicas.Get(silent.ID)
 		info.Born = 2000
 		gateway.listReplica(info, 1, false)
-		silent.Behave(func(number int) standin.Behaviour {
+		silent.SetBehaviour(func(number int) standin.Behaviour {
 			if number > 1 {
-				return standin.Whole
+				return standin.Succeed
 			}
 			// The clock of its machine has stepped back.
 			info.Born = 1000
 			time.AfterFunc(50*time.Millisecond, func() { gateway.listReplica(info, 2, false) })
-			return standin.Silent
+			return standin.Hang
 		})
 		began := time.Now()
 		status, body, _ := site.call(gateway, http.MethodPost, "/"+prefix+"/x", "q-"+prefix, nil)
--- a/internal/node/gatewaysite_test.go
+++ b/internal/node/gatewaysite_test.go
@@ -57,13 +57,13 @@
 }
 
 func (s *gatewaySite) list(id, address, state string) {
-	s.store.Put("servers", id, standin.Listing(address, "z", 8, state != "ready"))
+	s.store.Put("servers", id, standin.ServerRow(address, "z", 8, state != "ready"))
 }
 
 // configure puts a configuration with a stream route under each prefix, and a
 // batch route, in force.
 func (s *gatewaySite) configure(version int, prefixes ...string) {
-	s.store.Put("op", "config", standin.Declare(version, siteHost, 100000, prefixes...))
+	s.store.Put("op", "config", standin.NewConfig(version, siteHost, 100000, prefixes...))
 }
 
 func freeAddress(t *testing.T) string {
