--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -98,8 +98,8 @@
 // Until returns the time until a time of Now.
 func Until(then time.Time) time.Duration { return then.Sub(Now()) }
 
-// Slept returns how long the machine has been suspended since the process began.
-func Slept() time.Duration {
+// Suspended returns how long the machine has been suspended since the process began.
+func Suspended() time.Duration {
 	Now()
 	if known := last.Load(); known != nil {
 		return known.slept
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -26,7 +26,7 @@
 			t.Errorf("after a suspension of %v, %v have passed", length, passed)
 		}
 	}
-	if slept := clock.Slept(); (slept - time.Hour - 5020*time.Millisecond).Abs() > 10*time.Millisecond {
+	if slept := clock.Suspended(); (slept - time.Hour - 5020*time.Millisecond).Abs() > 10*time.Millisecond {
 		t.Errorf("slept for %v", slept)
 	}
 	if since, woke := clock.SinceWake(); !woke || since > time.Second {
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -161,9 +161,9 @@
 	if !clock.CountsSuspension() {
 		c.log.Warn().Msg("this system has no clock that counts suspensions: leases are not safe on a machine that sleeps")
 	}
-	known := clock.Slept()
+	known := clock.Suspended()
 	for retry.Sleep(ctx, wakeLook) {
-		if slept := clock.Slept(); slept > known {
+		if slept := clock.Suspended(); slept > known {
 			c.log.Warn().Dur("for_ms", slept-known).Msg("machine was suspended")
 			known = slept
 		}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -152,7 +152,7 @@
 		}
 		return 0
 	})
-	m.gauge("wheelhoist_suspended_seconds", "Time for which the machine has been suspended since the process began.", func() float64 { return clock.Slept().Seconds() })
+	m.gauge("wheelhoist_suspended_seconds", "Time for which the machine has been suspended since the process began.", func() float64 { return clock.Suspended().Seconds() })
 	m.gauge("wheelhoist_gateway_evacuated_zones", "Zones that operators empty.", func() float64 { return float64(len(c.evacuations.all())) })
 	m.gauge("wheelhoist_gateway_replicas", "Listed replicas.", func() float64 {
 		listed, _ := c.replicas.Count(clock.Now())
