--- a/internal/batch/feeder.go
+++ b/internal/batch/feeder.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// feedTick is the time between two looks at the groups under way.
-	feedTick = 100 * time.Millisecond
-	// activeInterval and activePerSession are the time between two readings of
+	// stepDelay is the time between two looks at the groups under way.
+	stepDelay = 100 * time.Millisecond
+	// minListInterval and activePerSession are the time between two readings of
 	// the list of active batches; it grows with the fleet, so that the table's
 	// load does not.
-	activeInterval   = 500 * time.Millisecond
-	activePerSession = 10 * time.Millisecond
-	// groupsOpen is the number of groups that a tenant of weight 1 has open at a
+	minListInterval        = 500 * time.Millisecond
+	listIntervalPerSession = 10 * time.Millisecond
+	// openGroupsPerTenant is the number of groups that a tenant of weight 1 has open at a
 	// time: enough to keep all places filled while groups end and begin.
-	groupsOpen = 8
-	// dangerMargin is how much longer than estimated the rest of a batch may
+	openGroupsPerTenant = 8
+	// atRiskFactor is how much longer than estimated the rest of a batch may
 	// take before its groups go before the others'.
-	dangerMargin = 2.0
-	// dangerAdvance is how much earlier these count as accepted.
-	dangerAdvance = time.Hour
-	feedTimeout   = 5 * time.Second
+	atRiskFactor = 2.0
+	// atRiskAdvance is how much earlier these count as accepted.
+	atRiskAdvance = time.Hour
+	callTimeout   = 5 * time.Second
 )
 
 // Sessions tells which nodes live.
@@ -58,29 +58,29 @@
 	Log    zerolog.Logger
 
 	mu sync.Mutex
-	// fed are the batches that this node feeds.
-	fed map[string]*feeding
+	// batches are the batches that this node feeds.
+	batches map[string]*fedBatch
 	// accepted are batches that were accepted here since the last look.
 	accepted []*Job
 	// waiting is what the groups waited for after the last look.
 	waiting []WaitingGroup
 }
 
-// feeding is the state of a batch that this node feeds.
-type feeding struct {
+// fedBatch is the state of a batch that this node feeds.
+type fedBatch struct {
 	batch *Job
 	// done are the groups that have their result.
 	done map[int]Group
 	// next is the first group that may not have been begun yet.
 	next int
-	// began is when this node took the batch up, first how many items were done
+	// startedAt is when this node took the batch up, first how many items were done
 	// then; they tell the rate.
-	began time.Time
-	first int
+	startedAt      time.Time
+	initialResults int
 	// waits is what its groups wait for; beginErr is why the next one could not be begun,
 	// finishErr why results could not be made permanent; nil if the last try succeeded.
 	waits     map[int]WaitingGroup
-	beginErr  error
+	submitErr error
 	finishErr error
 }
 
@@ -94,44 +94,44 @@
 
 // Run feeds until the context ends.
 func (f *Feeder) Run(ctx context.Context) {
-	f.fed = map[string]*feeding{}
-	var looked time.Time
+	f.batches = map[string]*fedBatch{}
+	var refreshedAt time.Time
 	for ctx.Err() == nil {
 		changed := f.Service.Work.View.Changed()
-		f.takeAccepted(ctx)
-		if time.Since(looked) > f.activeInterval() {
-			looked = time.Now()
-			f.look(ctx)
+		f.startAccepted(ctx)
+		if time.Since(refreshedAt) > f.listInterval() {
+			refreshedAt = time.Now()
+			f.refresh(ctx)
 		}
 		f.step(ctx)
 		select {
 		case <-ctx.Done():
 		case <-changed:
 			// Results come in bursts; one look serves many.
-			retry.Sleep(ctx, feedTick)
-		case <-time.After(f.activeInterval()):
+			retry.Sleep(ctx, stepDelay)
+		case <-time.After(f.listInterval()):
 		}
 	}
 }
 
-func (f *Feeder) activeInterval() time.Duration {
-	return max(activeInterval, time.Duration(len(f.Sessions.Live()))*activePerSession)
+func (f *Feeder) listInterval() time.Duration {
+	return max(minListInterval, time.Duration(len(f.Sessions.Live()))*listIntervalPerSession)
 }
 
-func (f *Feeder) takeAccepted(ctx context.Context) {
+func (f *Feeder) startAccepted(ctx context.Context) {
 	f.mu.Lock()
 	accepted := f.accepted
 	f.accepted = nil
 	f.mu.Unlock()
 	for _, batch := range accepted {
-		f.take(ctx, batch)
+		f.start(ctx, batch)
 	}
 }
 
-// look reads the list of active batches and takes up those that this node
+// refresh reads the list of active batches and takes up those that this node
 // should feed. Groups of batches that are not on it are stopped.
-func (f *Feeder) look(ctx context.Context) {
-	callCtx, cancel := context.WithTimeout(ctx, feedTimeout)
+func (f *Feeder) refresh(ctx context.Context) {
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	// The groups are looked at before the list: a group of a batch that the
 	// later list lacks belongs to one that has ended.
@@ -143,31 +143,31 @@
 	listed := map[string]bool{}
 	for _, batch := range active {
 		listed[batch.ID] = true
-		if f.fed[batch.ID] == nil && f.Sessions.Preferred(batch.ID) == f.Self {
-			f.take(ctx, batch)
+		if f.batches[batch.ID] == nil && f.Sessions.Preferred(batch.ID) == f.Self {
+			f.start(ctx, batch)
 		}
 	}
-	for id := range f.fed {
+	for id := range f.batches {
 		if !listed[id] || f.Sessions.Preferred(id) != f.Self {
-			delete(f.fed, id)
+			delete(f.batches, id)
 		}
 	}
 	f.stopEnded(callCtx, known, listed)
 }
 
-// take begins to feed a batch.
-func (f *Feeder) take(ctx context.Context, batch *Job) {
-	callCtx, cancel := context.WithTimeout(ctx, feedTimeout)
+// start begins to feed a batch.
+func (f *Feeder) start(ctx context.Context, batch *Job) {
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if batch.State.Final() || f.Service.findActive(callCtx, batch) != nil {
+	if batch.State.Final() || f.Service.loadActiveVersion(callCtx, batch) != nil {
 		return
 	}
-	done, err := f.Service.groups(callCtx, batch.ID)
+	done, err := f.Service.doneGroups(callCtx, batch.ID)
 	if err != nil {
 		return
 	}
-	completed, failed, _ := count(done)
-	f.fed[batch.ID] = &feeding{batch: batch, done: done, began: time.Now(), first: completed + failed}
+	completed, failed, _ := sumGroups(done)
+	f.batches[batch.ID] = &fedBatch{batch: batch, done: done, startedAt: time.Now(), initialResults: completed + failed}
 }
 
 // stopEnded ends and removes the groups of batches that have ended.
@@ -190,47 +190,47 @@
 // step finishes the groups that are done and begins others.
 func (f *Feeder) step(ctx context.Context) {
 	open := map[string]int{}
-	for _, fed := range f.ordered() {
-		f.finish(ctx, fed)
+	for _, fed := range f.byDeadline() {
+		f.finishGroups(ctx, fed)
 		tenant := fed.batch.Tenant
-		open[tenant] += f.openGroups(fed)
+		open[tenant] += f.countOpenGroups(fed)
 	}
-	for _, fed := range f.ordered() {
+	for _, fed := range f.byDeadline() {
 		tenant := fed.batch.Tenant
-		for open[tenant] < f.window(tenant) && f.begin(ctx, fed) {
+		for open[tenant] < f.maxOpenGroups(tenant) && f.submitNext(ctx, fed) {
 			open[tenant]++
 		}
 	}
-	f.noteWaits(time.Now())
+	f.updateWaiting(time.Now())
 }
 
-// ordered returns the batches, the earliest deadline first.
-func (f *Feeder) ordered() []*feeding {
-	ordered := make([]*feeding, 0, len(f.fed))
-	for _, fed := range f.fed {
-		ordered = append(ordered, fed)
+// byDeadline returns the batches, the earliest deadline first.
+func (f *Feeder) byDeadline() []*fedBatch {
+	sorted := make([]*fedBatch, 0, len(f.batches))
+	for _, fed := range f.batches {
+		sorted = append(sorted, fed)
 	}
-	sort.Slice(ordered, func(i, j int) bool {
-		a, b := ordered[i].batch, ordered[j].batch
+	sort.Slice(sorted, func(i, j int) bool {
+		a, b := sorted[i].batch, sorted[j].batch
 		if !a.Deadline.Equal(b.Deadline) {
 			return a.Deadline.Before(b.Deadline)
 		}
 		return a.ID < b.ID
 	})
-	return ordered
+	return sorted
 }
 
-// window is the number of groups that a tenant may have open.
-func (f *Feeder) window(tenant string) int {
+// maxOpenGroups is the number of groups that a tenant may have open.
+func (f *Feeder) maxOpenGroups(tenant string) int {
 	weight := f.Weight(tenant)
 	if weight <= 0 {
 		weight = 1
 	}
-	return max(1, int(math.Round(groupsOpen*weight)))
+	return max(1, int(math.Round(openGroupsPerTenant*weight)))
 }
 
-// openGroups counts the groups of a batch that have items to run.
-func (f *Feeder) openGroups(fed *feeding) int {
+// countOpenGroups counts the groups of a batch that have items to run.
+func (f *Feeder) countOpenGroups(fed *fedBatch) int {
 	open := 0
 	for number := range fed.next {
 		if entry := f.entry(fed, number); entry != nil && !entry.Done() {
@@ -240,52 +240,52 @@
 	return open
 }
 
-func (f *Feeder) entry(fed *feeding, number int) *jobs.Entry {
+func (f *Feeder) entry(fed *fedBatch, number int) *jobs.Entry {
 	if _, done := fed.done[number]; done {
 		return nil
 	}
 	return f.Service.Work.View.Get(groupID(fed.batch.ID, number))
 }
 
-// finish makes the results of groups that are done permanent, and ends the
+// finishGroups makes the results of groups that are done permanent, and ends the
 // batch after the last one.
-func (f *Feeder) finish(ctx context.Context, fed *feeding) {
+func (f *Feeder) finishGroups(ctx context.Context, fed *fedBatch) {
 	for number := range fed.batch.Groups() {
 		entry := f.entry(fed, number)
 		if entry == nil || !entry.Done() {
 			continue
 		}
-		callCtx, cancel := context.WithTimeout(ctx, feedTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		err := f.Service.finishGroup(callCtx, fed.batch, number, entry)
 		cancel()
 		fed.finishErr = err
 		if err != nil {
 			f.Log.Info().Str("batch", fed.batch.ID).Int("group", number).Err(err).Msg("group not finished yet")
-			f.reload(ctx, fed)
+			f.reloadDone(ctx, fed)
 			continue
 		}
-		fed.done[number] = groupOf(entry)
+		fed.done[number] = groupCounts(entry)
 	}
-	f.recover(ctx, fed)
+	f.resubmitLost(ctx, fed)
 	if len(fed.done) == fed.batch.Groups() {
-		f.end(ctx, fed)
+		f.complete(ctx, fed)
 	}
 }
 
-// recover looks after groups that were begun and are neither open nor known to
+// resubmitLost looks after groups that were begun and are neither open nor known to
 // be done: another feeder has finished them, or they must be begun again.
-func (f *Feeder) recover(ctx context.Context, fed *feeding) {
-	if len(f.lost(fed)) == 0 {
+func (f *Feeder) resubmitLost(ctx context.Context, fed *fedBatch) {
+	if len(f.lostGroups(fed)) == 0 {
 		return
 	}
-	f.reload(ctx, fed)
-	if lost := f.lost(fed); len(lost) > 0 {
+	f.reloadDone(ctx, fed)
+	if lost := f.lostGroups(fed); len(lost) > 0 {
 		// The guard of the submission keeps out what is done after all.
 		fed.next = lost[0]
 	}
 }
 
-func (f *Feeder) lost(fed *feeding) []int {
+func (f *Feeder) lostGroups(fed *fedBatch) []int {
 	var lost []int
 	for number := range fed.next {
 		if _, done := fed.done[number]; !done && f.entry(fed, number) == nil {
@@ -295,8 +295,8 @@
 	return lost
 }
 
-// groupOf counts the results of a group.
-func groupOf(entry *jobs.Entry) Group {
+// groupCounts counts the results of a group.
+func groupCounts(entry *jobs.Entry) Group {
 	var group Group
 	for _, listed := range entry.Progress.Listed {
 		if listed.Dead {
@@ -308,32 +308,32 @@
 	return group
 }
 
-// reload reads what is done after a step that failed: another feeder may have
+// reloadDone reads what is done after a step that failed: another feeder may have
 // been faster.
-func (f *Feeder) reload(ctx context.Context, fed *feeding) {
-	callCtx, cancel := context.WithTimeout(ctx, feedTimeout)
+func (f *Feeder) reloadDone(ctx context.Context, fed *fedBatch) {
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if done, err := f.Service.groups(callCtx, fed.batch.ID); err == nil {
+	if done, err := f.Service.doneGroups(callCtx, fed.batch.ID); err == nil {
 		fed.done = done
 	}
 }
 
-// begin hands the next group over. It reports whether it did.
-func (f *Feeder) begin(ctx context.Context, fed *feeding) bool {
+// submitNext hands the next group over. It reports whether it did.
+func (f *Feeder) submitNext(ctx context.Context, fed *fedBatch) bool {
 	for ; fed.next < fed.batch.Groups(); fed.next++ {
 		if _, done := fed.done[fed.next]; done || f.entry(fed, fed.next) != nil {
 			continue
 		}
-		callCtx, cancel := context.WithTimeout(ctx, feedTimeout)
-		err := f.submit(callCtx, fed)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		err := f.submitGroup(callCtx, fed)
 		cancel()
-		failing := fed.beginErr != nil
-		fed.beginErr = err
+		failedBefore := fed.submitErr != nil
+		fed.submitErr = err
 		if errors.Is(err, jobs.ErrSuperseded) {
-			f.reload(ctx, fed)
+			f.reloadDone(ctx, fed)
 			return false
 		}
-		if err != nil && failing {
+		if err != nil && failedBefore {
 			// It is in the account, and in the log again once it is overdue.
 			return false
 		}
@@ -347,54 +347,54 @@
 	return false
 }
 
-func (f *Feeder) submit(ctx context.Context, fed *feeding) error {
-	submitted, err := f.Service.submission(ctx, fed.batch, fed.next)
+func (f *Feeder) submitGroup(ctx context.Context, fed *fedBatch) error {
+	submission, err := f.Service.newSubmission(ctx, fed.batch, fed.next)
 	if err != nil {
 		return err
 	}
-	if fed.inDanger(time.Now()) {
-		submitted.Advance = dangerAdvance
+	if fed.atRisk(time.Now()) {
+		submission.Advance = atRiskAdvance
 	}
-	return f.Service.Work.Submit(ctx, submitted)
+	return f.Service.Work.Submit(ctx, submission)
 }
 
-// inDanger reports whether a batch may miss its deadline at its present rate.
-func (fed *feeding) inDanger(now time.Time) bool {
-	completed, failed, _ := count(fed.done)
-	finished := completed + failed - fed.first
-	elapsed := now.Sub(fed.began).Seconds()
+// atRisk reports whether a batch may miss its deadline at its present rate.
+func (fed *fedBatch) atRisk(now time.Time) bool {
+	completed, failed, _ := sumGroups(fed.done)
+	finished := completed + failed - fed.initialResults
+	elapsed := now.Sub(fed.startedAt).Seconds()
 	if finished <= 0 || elapsed <= 0 {
 		return false
 	}
 	remaining := float64(fed.batch.Lines - completed - failed)
-	needed := remaining * elapsed / float64(finished) * dangerMargin
+	needed := remaining * elapsed / float64(finished) * atRiskFactor
 	return fed.batch.Deadline.Sub(now).Seconds() < needed
 }
 
-// end writes the final state of a batch.
-func (f *Feeder) end(ctx context.Context, fed *feeding) {
-	callCtx, cancel := context.WithTimeout(ctx, feedTimeout)
+// complete writes the final state of a batch.
+func (f *Feeder) complete(ctx context.Context, fed *fedBatch) {
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	current, err := f.Service.job(callCtx, fed.batch.ID)
+	current, err := f.Service.getJob(callCtx, fed.batch.ID)
 	if err != nil || current.State.Final() {
 		return
 	}
-	done, err := f.Service.groups(callCtx, fed.batch.ID)
+	done, err := f.Service.doneGroups(callCtx, fed.batch.ID)
 	if err != nil || len(done) < current.Groups() {
 		return
 	}
 	var expired int
-	current.Completed, current.Failed, expired = count(done)
+	current.Completed, current.Failed, expired = sumGroups(done)
 	current.State = openai.BatchCompleted
 	if expired > 0 {
 		current.State = openai.BatchExpired
 	}
 	current.EndedAt = time.Now().UTC()
-	err = f.Service.end(callCtx, current)
+	err = f.Service.commitFinal(callCtx, current)
 	if err != nil && !errors.Is(err, table.ErrConflict) {
 		return
 	}
-	delete(f.fed, fed.batch.ID)
+	delete(f.batches, fed.batch.ID)
 	f.Log.Info().Str("batch", current.ID).Int("completed", current.Completed).Int("failed", current.Failed).
 		Err(err).Msg("batch ended")
 }
--- a/internal/batch/feeder_test.go
+++ b/internal/batch/feeder_test.go
@@ -32,14 +32,14 @@
 	testModel  = "model"
 )
 
-// answeringBackend completes every item, or fails those whose body says so.
-type answeringBackend struct {
+// fakeBackend completes every item, or fails those whose body says so.
+type fakeBackend struct {
 	mu   sync.Mutex
 	runs map[string]int
 	hold chan struct{}
 }
 
-func (b *answeringBackend) Send(ctx context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
+func (b *fakeBackend) Send(ctx context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
 	b.mu.Lock()
 	b.runs[attempt.Request.ID]++
 	b.mu.Unlock()
@@ -56,48 +56,48 @@
 	return &forward.Answer{Status: http.StatusOK, Events: true, Body: io.NopCloser(strings.NewReader(text))}, nil
 }
 
-// aliveSessions are the live nodes of a test.
-type aliveSessions []string
+// fakeSessions are the live nodes of a test.
+type fakeSessions []string
 
-func (a aliveSessions) LookInterval() time.Duration   { return 10 * time.Millisecond }
-func (a aliveSessions) Live() []string                { return a }
-func (a aliveSessions) Preferred(string) string       { return a[0] }
-func (a aliveSessions) Nodes() []string               { return []string{lease.Node(a[0])} }
-func (a aliveSessions) Places() []place.Node          { return nil }
-func (a aliveSessions) Region(string) string          { return "" }
-func (a aliveSessions) Gone(node string) bool         { return node != lease.Node(a[0]) }
-func (a aliveSessions) Refresh(context.Context) error { return nil }
-func (a aliveSessions) Expired(session string) bool   { return session != a[0] }
+func (a fakeSessions) LookInterval() time.Duration   { return 10 * time.Millisecond }
+func (a fakeSessions) Live() []string                { return a }
+func (a fakeSessions) Preferred(string) string       { return a[0] }
+func (a fakeSessions) Nodes() []string               { return []string{lease.Node(a[0])} }
+func (a fakeSessions) Places() []place.Node          { return nil }
+func (a fakeSessions) Region(string) string          { return "" }
+func (a fakeSessions) Gone(node string) bool         { return node != lease.Node(a[0]) }
+func (a fakeSessions) Refresh(context.Context) error { return nil }
+func (a fakeSessions) Expired(session string) bool   { return session != a[0] }
 
-type quiet struct{}
+type discardEvents struct{}
 
-func (quiet) Accepted(*jobs.Job, time.Duration, bool)                       {}
-func (quiet) Refused(string, int64, int64, int64, error)                    {}
-func (quiet) Ended(string, error)                                           {}
-func (quiet) Claimed(*jobs.Entry, string, error)                            {}
-func (quiet) ItemSent(*jobs.Job, string, string, int)                       {}
-func (quiet) ItemFailed(*jobs.Job, string, string, error)                   {}
-func (quiet) ItemQuarantined(*jobs.Job, string, error)                      {}
-func (quiet) GaveWay(*jobs.Job, string, string, int, replica.Pressure)      {}
-func (quiet) ItemListed(*jobs.Job, string, int, jobs.Reason, time.Duration) {}
-func (quiet) Removed(*jobs.Job, error)                                      {}
-func (quiet) Asked(*jobs.Job, time.Duration, error)                         {}
-func (quiet) Homeless(*jobs.Job, place.Regions)                             {}
-func (quiet) Resolved(string, int, error)                                   {}
+func (discardEvents) Accepted(*jobs.Job, time.Duration, bool)                       {}
+func (discardEvents) Refused(string, int64, int64, int64, error)                    {}
+func (discardEvents) Ended(string, error)                                           {}
+func (discardEvents) Claimed(*jobs.Entry, string, error)                            {}
+func (discardEvents) ItemSent(*jobs.Job, string, string, int)                       {}
+func (discardEvents) ItemFailed(*jobs.Job, string, string, error)                   {}
+func (discardEvents) ItemQuarantined(*jobs.Job, string, error)                      {}
+func (discardEvents) GaveWay(*jobs.Job, string, string, int, replica.Pressure)      {}
+func (discardEvents) ItemListed(*jobs.Job, string, int, jobs.Reason, time.Duration) {}
+func (discardEvents) Removed(*jobs.Job, error)                                      {}
+func (discardEvents) Asked(*jobs.Job, time.Duration, error)                         {}
+func (discardEvents) Homeless(*jobs.Job, place.Regions)                             {}
+func (discardEvents) Resolved(string, int, error)                                   {}
 
-// member is a node that serves, feeds and runs batches until it is stopped.
-type member struct {
+// testNode is a node that serves, feeds and runs batches until it is stopped.
+type testNode struct {
 	*Service
 	stop   func()
 	feeder *Feeder
 }
 
-func startMember(t *testing.T, shared *tabletest.Table, objects object.Store, backend forward.Backend, session string) *member {
+func startNode(t *testing.T, shared *tabletest.Table, objects object.Store, backend forward.Backend, session string) *testNode {
 	t.Helper()
 	view := jobs.NewView()
 	watcher := table.NewWatcher(shared.Feed(jobs.Group), view.Apply)
 	work := &jobs.Service{
-		Table: shared, Objects: objects, View: view, Events: quiet{},
+		Table: shared, Objects: objects, View: view, Events: discardEvents{},
 		Session: func(context.Context) (string, error) { return session, nil },
 	}
 	replicas := replica.NewSet()
@@ -108,12 +108,12 @@
 	}}})
 	runner := jobs.NewRunner(jobs.RunnerOptions{
 		Service: work, Replicas: replicas, Backend: backend, Routes: func() *route.Table { return routes },
-		Owners:  aliveSessions{session},
+		Owners:  fakeSessions{session},
 		ViewAge: func() time.Duration { return 0 },
 	})
 	service := &Service{Table: shared, Objects: objects, Work: work}
 	feeder := &Feeder{
-		Service: service, Sessions: aliveSessions{session}, Self: session,
+		Service: service, Sessions: fakeSessions{session}, Self: session,
 		Weight: func(string) float64 { return 1 }, Log: zerolog.Nop(),
 	}
 	service.Accepted = feeder.Accept
@@ -131,7 +131,7 @@
 		running.Wait()
 	})
 	t.Cleanup(stop)
-	return &member{Service: service, stop: stop, feeder: feeder}
+	return &testNode{Service: service, stop: stop, feeder: feeder}
 }
 
 // submitLines uploads items, each with a body, and submits a batch over them.
@@ -206,10 +206,10 @@
 	return results
 }
 
-func TestFeeder_EveryItemHasOneResultAndNoRowStays(t *testing.T) {
+func TestFeeder_EveryItemHasOneResultAndNoRowsRemain(t *testing.T) {
 	shared := tabletest.New()
-	backend := &answeringBackend{runs: map[string]int{}}
-	node := startMember(t, shared, &objecttest.Store{}, backend, "a#1")
+	backend := &fakeBackend{runs: map[string]int{}}
+	node := startNode(t, shared, &objecttest.Store{}, backend, "a#1")
 	bodies := prompts(500)
 	bodies[7] = "invalid"
 	batch := submitLines(t, node.Service, bodies, time.Hour)
@@ -227,10 +227,10 @@
 	}
 }
 
-func TestFeeder_AnotherNodeGoesOn(t *testing.T) {
+func TestFeeder_AnotherNodeContinuesBatch(t *testing.T) {
 	shared, objects := tabletest.New(), &objecttest.Store{}
-	held := &answeringBackend{runs: map[string]int{}, hold: make(chan struct{})}
-	first := startMember(t, shared, objects, held, "a#1")
+	held := &fakeBackend{runs: map[string]int{}, hold: make(chan struct{})}
+	first := startNode(t, shared, objects, held, "a#1")
 	batch := submitLines(t, first.Service, prompts(300), time.Hour)
 	for deadline := time.Now().Add(10 * time.Second); len(first.Work.View.Open()) == 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -238,7 +238,7 @@
 		}
 	}
 	first.stop()
-	second := startMember(t, shared, objects, &answeringBackend{runs: map[string]int{}}, "b#1")
+	second := startNode(t, shared, objects, &fakeBackend{runs: map[string]int{}}, "b#1")
 	if ended := awaitFinal(t, second.Service, batch.ID); ended.Completed != 300 {
 		t.Fatalf("%d of 300 items completed", ended.Completed)
 	}
@@ -247,14 +247,14 @@
 	}
 }
 
-func TestFeeder_CancelledBatchStopsAndLeavesNothing(t *testing.T) {
+func TestFeeder_CancelledBatchLeavesNoGroups(t *testing.T) {
 	shared := tabletest.New()
-	backend := &answeringBackend{runs: map[string]int{}, hold: make(chan struct{})}
-	node := startMember(t, shared, &objecttest.Store{}, backend, "a#1")
+	backend := &fakeBackend{runs: map[string]int{}, hold: make(chan struct{})}
+	node := startNode(t, shared, &objecttest.Store{}, backend, "a#1")
 	batch := submitLines(t, node.Service, prompts(300), time.Hour)
 	time.Sleep(200 * time.Millisecond)
 	late := *batch
-	if err := node.findActive(t.Context(), &late); err != nil {
+	if err := node.loadActiveVersion(t.Context(), &late); err != nil {
 		t.Fatal(err)
 	}
 	cancelled, err := node.Cancel(t.Context(), testTenant, batch.ID)
@@ -267,14 +267,14 @@
 			t.Fatalf("%d groups of a cancelled batch are left", len(node.Work.View.All()))
 		}
 	}
-	if err := node.Work.Submit(t.Context(), mustSubmission(t, node.Service, &late)); err == nil {
+	if err := node.Work.Submit(t.Context(), testSubmission(t, node.Service, &late)); err == nil {
 		t.Fatal("a group of a cancelled batch was accepted")
 	}
 }
 
-func mustSubmission(t *testing.T, service *Service, batch *Job) *jobs.Submission {
+func testSubmission(t *testing.T, service *Service, batch *Job) *jobs.Submission {
 	t.Helper()
-	submitted, err := service.submission(t.Context(), batch, 0)
+	submitted, err := service.newSubmission(t.Context(), batch, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -282,8 +282,8 @@
 }
 
 func TestFeeder_ItemsPastTheDeadlineExpire(t *testing.T) {
-	backend := &answeringBackend{runs: map[string]int{}, hold: make(chan struct{})}
-	node := startMember(t, tabletest.New(), &objecttest.Store{}, backend, "a#1")
+	backend := &fakeBackend{runs: map[string]int{}, hold: make(chan struct{})}
+	node := startNode(t, tabletest.New(), &objecttest.Store{}, backend, "a#1")
 	batch := submitLines(t, node.Service, prompts(200), 600*time.Millisecond)
 	time.AfterFunc(time.Second, func() { close(backend.hold) })
 	ended := awaitFinal(t, node.Service, batch.ID)
@@ -297,7 +297,7 @@
 	}
 }
 
-func TestGroupID_IsParsedBack(t *testing.T) {
+func TestGroupID_RoundTrip(t *testing.T) {
 	batch, number, ok := parseGroupID(groupID("batch-1f.x", 42))
 	if batch != "batch-1f.x" || number != 42 || !ok {
 		t.Fatalf("parsed %q, %d, %v", batch, number, ok)
@@ -312,7 +312,7 @@
 func TestFeeder_GroupsFinishedByAnotherFeederCount(t *testing.T) {
 	shared := tabletest.New()
 	view := jobs.NewView()
-	service := &Service{Table: shared, Objects: &objecttest.Store{}, Work: &jobs.Service{Table: shared, View: view, Events: quiet{}}}
+	service := &Service{Table: shared, Objects: &objecttest.Store{}, Work: &jobs.Service{Table: shared, View: view, Events: discardEvents{}}}
 	batch := submitLines(t, service, prompts(40), time.Hour)
 	for number := range batch.Groups() {
 		first, end := batch.groupRange(number)
@@ -326,8 +326,8 @@
 		}
 	}
 	feeder := &Feeder{
-		Service: service, Sessions: aliveSessions{"a#1"}, Self: "a#1", Weight: func(string) float64 { return 1 }, Log: zerolog.Nop(),
-		fed: map[string]*feeding{batch.ID: {batch: batch, done: map[int]Group{}, next: batch.Groups(), began: time.Now()}},
+		Service: service, Sessions: fakeSessions{"a#1"}, Self: "a#1", Weight: func(string) float64 { return 1 }, Log: zerolog.Nop(),
+		batches: map[string]*fedBatch{batch.ID: {batch: batch, done: map[int]Group{}, next: batch.Groups(), startedAt: time.Now()}},
 	}
 	feeder.step(t.Context())
 	feeder.step(t.Context())
--- a/internal/batch/group.go
+++ b/internal/batch/group.go
@@ -17,22 +17,22 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// submission builds the job of a group from the lines of the input file.
-func (s *Service) submission(ctx context.Context, batch *Job, number int) (*jobs.Submission, error) {
-	if batch.active == table.Absent {
+// newSubmission builds the job of a group from the lines of the input file.
+func (s *Service) newSubmission(ctx context.Context, batch *Job, number int) (*jobs.Submission, error) {
+	if batch.activeVersion == table.Absent {
 		return nil, Error.New("batch %s is not known to be active", batch.ID)
 	}
-	lines, err := s.lines(ctx, batch, number)
+	lines, err := s.readLines(ctx, batch, number)
 	if err != nil {
 		return nil, err
 	}
 	first, _ := batch.groupRange(number)
-	submitted := &jobs.Submission{
+	submission := &jobs.Submission{
 		ID: groupID(batch.ID, number), Route: RouteOf(batch.Model), Host: RouteOf(batch.Model),
 		Completion: time.Until(batch.Deadline), Retention: time.Until(batch.Deadline), Turns: true,
 		// Neither a batch that has ended nor a group that is done is begun again.
 		Guards: []table.Write{
-			{Key: activeKey(batch.ID), Expect: batch.active},
+			{Key: activeKey(batch.ID), Expect: batch.activeVersion},
 			{Key: groupKey(batch.ID, number), Expect: table.Absent},
 		},
 	}
@@ -42,13 +42,13 @@
 			return nil, Error.New("line %d of %s: %s", first+i+1, batch.File, problem.Message)
 		}
 		request, _ := openai.ParseCompletion(item.Body)
-		submitted.Items = append(submitted.Items, jobs.Item{
+		submission.Items = append(submission.Items, jobs.Item{
 			ID: fmt.Sprintf("%s-%d", batch.ID, first+i), Path: item.URL, Body: item.Body,
 			Tokens: int64(len(item.Body)/bytesPerToken + request.Limit()),
 			Once:   item.NotRepeatable, Label: item.CustomID,
 		})
 	}
-	return submitted, nil
+	return submission, nil
 }
 
 // bytesPerToken is the usual length of a token, for estimates of sizes.
@@ -57,8 +57,8 @@
 // RouteOf names the route that a model's batches take.
 func RouteOf(model string) string { return "batch/" + model }
 
-// lines reads the lines of a group from the segments of the input file.
-func (s *Service) lines(ctx context.Context, batch *Job, number int) ([][]byte, error) {
+// readLines reads the readLines of a group from the segments of the input file.
+func (s *Service) readLines(ctx context.Context, batch *Job, number int) ([][]byte, error) {
 	first, end := batch.groupRange(number)
 	var lines [][]byte
 	for segment := first / SegmentLines; segment*SegmentLines < end; segment++ {
@@ -66,7 +66,7 @@
 		if err != nil {
 			return nil, Error.Wrap(err)
 		}
-		lines = append(lines, linesBetween(body, segment*SegmentLines, first, end)...)
+		lines = append(lines, linesInRange(body, segment*SegmentLines, first, end)...)
 	}
 	if len(lines) != end-first {
 		return nil, Error.New("group %d of %s has %d lines, not %d", number, batch.ID, len(lines), end-first)
@@ -74,18 +74,18 @@
 	return lines, nil
 }
 
-// linesBetween returns the lines of a segment, which begins at a line of the
+// linesInRange returns the lines of a segment, which begins at a line of the
 // file, that lie in a range of the file.
-func linesBetween(segment []byte, line, first, end int) [][]byte {
+func linesInRange(segment []byte, lineNumber, first, end int) [][]byte {
 	var lines [][]byte
 	reader := bufio.NewReaderSize(bytes.NewReader(segment), 64<<10)
-	for ; ; line++ {
-		source, _, err := readLine(reader)
-		if len(source) == 0 && errors.Is(err, io.EOF) {
+	for ; ; lineNumber++ {
+		line, _, err := readLine(reader)
+		if len(line) == 0 && errors.Is(err, io.EOF) {
 			return lines
 		}
-		if line >= first && line < end {
-			lines = append(lines, bytes.Clone(source))
+		if lineNumber >= first && lineNumber < end {
+			lines = append(lines, bytes.Clone(line))
 		}
 		if err != nil {
 			return lines
@@ -114,7 +114,7 @@
 	}
 	return s.Work.Remove(ctx, entry,
 		table.Write{Key: groupKey(batch.ID, number), Expect: table.Absent, Body: body},
-		table.Write{Key: activeKey(batch.ID), Kind: table.Check, Expect: batch.active})
+		table.Write{Key: activeKey(batch.ID), Kind: table.Check, Expect: batch.activeVersion})
 }
 
 // itemResults reads all results of a group that is done, with its items.
@@ -129,14 +129,14 @@
 	}
 	var results []itemResult
 	for len(results) < len(items) {
-		reading, err := s.Work.Read(ctx, entry.Job.ID, len(results), 0)
+		page, err := s.Work.Read(ctx, entry.Job.ID, len(results), 0)
 		if err != nil {
 			return nil, Error.Wrap(err)
 		}
-		if len(reading.Results) == 0 {
+		if len(page.Results) == 0 {
 			return nil, Error.New("group %s has %d of %d results", entry.Job.ID, len(results), len(items))
 		}
-		for _, result := range reading.Results {
+		for _, result := range page.Results {
 			results = append(results, itemResult{item: byID[result.Item], result: result})
 		}
 	}
@@ -152,8 +152,8 @@
 // render builds the lines of the output and the error object.
 func render(results []itemResult) (outputs, failures []byte, group Group) {
 	var outputBuffer, failureBuffer bytes.Buffer
-	for _, one := range results {
-		line, failed := one.line()
+	for _, item := range results {
+		line, failed := item.line()
 		target := &outputBuffer
 		if failed {
 			target = &failureBuffer
@@ -161,7 +161,7 @@
 		} else {
 			group.Completed++
 		}
-		if one.result.Reason == jobs.Expired {
+		if item.result.Reason == jobs.Expired {
 			group.Expired++
 		}
 		target.Write(line)
@@ -181,7 +181,7 @@
 			return marshal(rendered), false
 		}
 	}
-	rendered.Error = failureOf(r.result.Reason)
+	rendered.Error = itemError(r.result.Reason)
 	return marshal(rendered), true
 }
 
@@ -194,8 +194,8 @@
 	return line
 }
 
-// failureOf tells the caller why an item has no answer.
-func failureOf(reason jobs.Reason) *openai.BatchItemError {
+// itemError tells the caller why an item has no answer.
+func itemError(reason jobs.Reason) *openai.BatchItemError {
 	switch reason {
 	case jobs.Expired:
 		return &openai.BatchItemError{Code: openai.CodeBatchExpired, Message: "the deadline passed before the item ran"}
--- a/internal/batch/record.go
+++ b/internal/batch/record.go
@@ -50,11 +50,11 @@
 
 const (
 	// SegmentLines is the number of lines in one stored part of an input file.
-	SegmentLines = 256
-	minGroup     = 16
-	maxGroup     = jobs.MaxItems
-	// groupsWanted spreads small batches over nodes.
-	groupsWanted = 16
+	SegmentLines  = 256
+	minGroupLines = 16
+	maxGroupLines = jobs.MaxItems
+	// targetGroups spreads small batches over nodes.
+	targetGroups = 16
 	// DefaultWindow is the time to the deadline when a job names none.
 	DefaultWindow = 24 * time.Hour
 )
@@ -104,8 +104,8 @@
 
 	// Version is the version of the row this record was read from.
 	Version uint64 `cbor:"-"`
-	// active is the version of the row on the list of active batches.
-	active uint64
+	// activeVersion is the version of the row on the list of activeVersion batches.
+	activeVersion uint64
 }
 
 // Groups returns the number of groups.
@@ -120,8 +120,8 @@
 // groupLines chooses the group size of a batch: small ones are spread over
 // nodes, large ones cost few writes.
 func groupLines(lines int) int {
-	size := (lines + groupsWanted - 1) / groupsWanted
-	return min(max(size, minGroup), maxGroup)
+	size := (lines + targetGroups - 1) / targetGroups
+	return min(max(size, minGroupLines), maxGroupLines)
 }
 
 // Group is the record of a group that is done.
@@ -232,13 +232,13 @@
 // ErrorFileID names the file of a job's failed items.
 func ErrorFileID(job string) string { return errorFilePrefix + job }
 
-// unreadable reports an error about a row that cannot be read, and returns it.
-func (s *Service) unreadable(err error) error {
+// reportUnreadable reports an error about a row that cannot be read, and returns it.
+func (s *Service) reportUnreadable(err error) error {
 	s.Unreadable.Report(err)
 	return Error.Wrap(err)
 }
 
-func notFound(err error) error {
+func wrapNotFound(err error) error {
 	if errors.Is(err, table.ErrNotFound) {
 		return Error.Wrap(ErrNotFound)
 	}
--- a/internal/batch/service.go
+++ b/internal/batch/service.go
@@ -58,11 +58,11 @@
 func (s *Service) File(ctx context.Context, tenant, id string) (*FileRecord, error) {
 	row, err := s.Table.Get(ctx, fileKey(id))
 	if err != nil {
-		return nil, notFound(err)
+		return nil, wrapNotFound(err)
 	}
 	record := &FileRecord{}
 	if err := row.Decode(record); err != nil {
-		return nil, s.unreadable(err)
+		return nil, s.reportUnreadable(err)
 	}
 	if record.Tenant != tenant {
 		return nil, Error.Wrap(ErrNotFound)
@@ -96,10 +96,10 @@
 	err = table.CommitSettled(ctx, s.Table, table.NewOperation(), writes...)
 	switch {
 	case err == nil:
-		s.accepted(ctx, job)
+		s.notifyAccepted(ctx, job)
 		return job, nil
 	case errors.Is(err, table.ErrConflict):
-		return s.earlier(ctx, key)
+		return s.existingJob(ctx, key)
 	case outcome.Of(err) == outcome.NotDone:
 		return nil, Error.Wrap(fmt.Errorf("%w: %w", ErrNotAccepted, err))
 	default:
@@ -107,10 +107,10 @@
 	}
 }
 
-// accepted completes a batch that is durable with the version of its row, and
+// notifyAccepted completes a batch that is durable with the version of its row, and
 // has its first groups begun.
-func (s *Service) accepted(ctx context.Context, job *Job) {
-	if stored, err := s.job(ctx, job.ID); err == nil {
+func (s *Service) notifyAccepted(ctx context.Context, job *Job) {
+	if stored, err := s.getJob(ctx, job.ID); err == nil {
 		job.Version = stored.Version
 	}
 	if s.Accepted != nil {
@@ -118,13 +118,13 @@
 	}
 }
 
-// earlier returns the job that holds a fingerprint.
-func (s *Service) earlier(ctx context.Context, key table.Key) (*Job, error) {
+// existingJob returns the job that holds a fingerprint.
+func (s *Service) existingJob(ctx context.Context, key table.Key) (*Job, error) {
 	row, err := s.Table.Get(ctx, key)
 	if err != nil {
 		return nil, Error.Wrap(fmt.Errorf("%w: %w", ErrUndecided, err))
 	}
-	return s.job(ctx, string(row.Body))
+	return s.getJob(ctx, string(row.Body))
 }
 
 func newJob(submission *Submission, file *FileRecord) *Job {
@@ -148,19 +148,19 @@
 	return job
 }
 
-func (s *Service) job(ctx context.Context, id string) (*Job, error) {
+func (s *Service) getJob(ctx context.Context, id string) (*Job, error) {
 	row, err := s.Table.Get(ctx, jobKey(id))
 	if err != nil {
-		return nil, notFound(err)
+		return nil, wrapNotFound(err)
 	}
 	job, err := decodeJob(row)
-	return job, s.unreadable(err)
+	return job, s.reportUnreadable(err)
 }
 
 // Job returns a job of a tenant with current counts. An empty tenant stands
 // for an operator, who sees all jobs.
 func (s *Service) Job(ctx context.Context, tenant, id string) (*Job, error) {
-	job, err := s.job(ctx, id)
+	job, err := s.getJob(ctx, id)
 	if err != nil {
 		return nil, err
 	}
@@ -168,17 +168,17 @@
 		return nil, Error.Wrap(ErrNotFound)
 	}
 	if job.State == openai.BatchInProgress {
-		groups, err := s.groups(ctx, job.ID)
+		groups, err := s.doneGroups(ctx, job.ID)
 		if err != nil {
 			return nil, err
 		}
-		job.Completed, job.Failed, _ = count(groups)
-		s.countOpen(job, groups)
+		job.Completed, job.Failed, _ = sumGroups(groups)
+		s.addOpenGroups(job, groups)
 	}
 	return job, nil
 }
 
-func count(groups map[int]Group) (completed, failed, expired int) {
+func sumGroups(groups map[int]Group) (completed, failed, expired int) {
 	for _, group := range groups {
 		completed += group.Completed
 		failed += group.Failed
@@ -187,8 +187,8 @@
 	return completed, failed, expired
 }
 
-// countOpen adds the results of groups that are not done yet.
-func (s *Service) countOpen(job *Job, done map[int]Group) {
+// addOpenGroups adds the results of groups that are not done yet.
+func (s *Service) addOpenGroups(job *Job, done map[int]Group) {
 	for _, entry := range s.Work.View.All() {
 		batch, number, ok := parseGroupID(entry.Job.ID)
 		if _, counted := done[number]; !ok || batch != job.ID || counted {
@@ -204,8 +204,8 @@
 	}
 }
 
-// groups reads the rows of all groups of a batch that are done.
-func (s *Service) groups(ctx context.Context, batch string) (map[int]Group, error) {
+// doneGroups reads the rows of all doneGroups of a batch that are done.
+func (s *Service) doneGroups(ctx context.Context, batch string) (map[int]Group, error) {
 	rows, err := table.ListAll(ctx, s.Table, partitionGroups+batch)
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -218,7 +218,7 @@
 		}
 		if groups[number], err = decodeGroup(row); err != nil {
 			// Nobody can tell what became of the group, so its batch rests.
-			return nil, s.unreadable(err)
+			return nil, s.reportUnreadable(err)
 		}
 	}
 	return groups, nil
@@ -236,7 +236,7 @@
 		job, err := decodeJob(row)
 		if err != nil {
 			// The others hold.
-			_ = s.unreadable(err)
+			_ = s.reportUnreadable(err)
 			continue
 		}
 		if tenant == "" || job.Tenant == tenant {
@@ -258,10 +258,10 @@
 		job, err := decodeJob(row)
 		if err != nil {
 			// The others hold.
-			_ = s.unreadable(err)
+			_ = s.reportUnreadable(err)
 			continue
 		}
-		job.active = row.Version
+		job.activeVersion = row.Version
 		jobs = append(jobs, job)
 	}
 	return jobs, nil
@@ -279,20 +279,20 @@
 	}
 	job.State = openai.BatchCancelled
 	job.EndedAt = time.Now().UTC()
-	err = s.end(ctx, job)
+	err = s.commitFinal(ctx, job)
 	if errors.Is(err, table.ErrConflict) {
 		return s.Job(ctx, tenant, id)
 	}
 	if err != nil {
 		return nil, err
 	}
-	s.endGroups(ctx, job.ID)
+	s.endLocalGroups(ctx, job.ID)
 	return job, nil
 }
 
-// endGroups stops the groups of a batch that this node knows. The feeders stop
+// endLocalGroups stops the groups of a batch that this node knows. The feeders stop
 // those it does not know.
-func (s *Service) endGroups(ctx context.Context, id string) {
+func (s *Service) endLocalGroups(ctx context.Context, id string) {
 	for _, entry := range s.Work.View.Open() {
 		if batch, _, ok := parseGroupID(entry.Job.ID); ok && batch == id {
 			// A feeder makes up for a failure.
@@ -301,18 +301,18 @@
 	}
 }
 
-// end writes a job's final state and takes it off the active list.
-func (s *Service) end(ctx context.Context, job *Job) error {
+// commitFinal writes a job's final state and takes it off the active list.
+func (s *Service) commitFinal(ctx context.Context, job *Job) error {
 	body, err := encode(job)
 	if err != nil {
 		return err
 	}
-	if err := s.findActive(ctx, job); err != nil {
+	if err := s.loadActiveVersion(ctx, job); err != nil {
 		return err
 	}
 	err = table.CommitSettled(ctx, s.Table, table.NewOperation(),
 		table.Write{Key: jobKey(job.ID), Expect: job.Version, Body: body},
-		table.Write{Key: activeKey(job.ID), Kind: table.Delete, Expect: job.active},
+		table.Write{Key: activeKey(job.ID), Kind: table.Delete, Expect: job.activeVersion},
 	)
 	if err != nil {
 		return Error.Wrap(err)
@@ -320,14 +320,14 @@
 	return nil
 }
 
-// findActive reads the version of a batch's row on the list of active ones. It
+// loadActiveVersion reads the version of a batch's row on the list of active ones. It
 // returns table.ErrConflict if the batch has ended.
-func (s *Service) findActive(ctx context.Context, job *Job) error {
+func (s *Service) loadActiveVersion(ctx context.Context, job *Job) error {
 	row, err := s.Table.Get(ctx, activeKey(job.ID))
 	if errors.Is(err, table.ErrNotFound) {
 		return Error.Wrap(outcome.Failed(table.ErrConflict))
 	}
-	job.active = row.Version
+	job.activeVersion = row.Version
 	return Error.Wrap(err)
 }
 
@@ -336,9 +336,9 @@
 func (s *Service) Content(ctx context.Context, tenant, id string, output io.Writer) error {
 	switch {
 	case strings.HasPrefix(id, outputFilePrefix):
-		return s.results(ctx, tenant, strings.TrimPrefix(id, outputFilePrefix), output, false)
+		return s.copyResults(ctx, tenant, strings.TrimPrefix(id, outputFilePrefix), output, false)
 	case strings.HasPrefix(id, errorFilePrefix):
-		return s.results(ctx, tenant, strings.TrimPrefix(id, errorFilePrefix), output, true)
+		return s.copyResults(ctx, tenant, strings.TrimPrefix(id, errorFilePrefix), output, true)
 	}
 	file, err := s.File(ctx, tenant, id)
 	if err != nil {
@@ -352,12 +352,12 @@
 	return nil
 }
 
-func (s *Service) results(ctx context.Context, tenant, id string, output io.Writer, errorsOnly bool) error {
+func (s *Service) copyResults(ctx context.Context, tenant, id string, output io.Writer, errorsOnly bool) error {
 	job, err := s.Job(ctx, tenant, id)
 	if err != nil {
 		return err
 	}
-	groups, err := s.groups(ctx, id)
+	groups, err := s.doneGroups(ctx, id)
 	if err != nil {
 		return err
 	}
--- a/internal/batch/unreadable_test.go
+++ b/internal/batch/unreadable_test.go
@@ -7,12 +7,12 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestService_ABatchThatCannotBeReadLeavesTheOthers damages the rows of one batch of three:
+// TestService_UnreadableRowsDoNotHideOtherBatches damages the rows of one batch of three:
 // the feeder and the operators still see the others.
-func TestService_ABatchThatCannotBeReadLeavesTheOthers(t *testing.T) {
+func TestService_UnreadableRowsDoNotHideOtherBatches(t *testing.T) {
 	shared := tabletest.New()
-	told := 0
-	service := &Service{Table: shared, Unreadable: &table.Unreadable{Tell: func(*table.UnreadableError) { told++ }}}
+	reported := 0
+	service := &Service{Table: shared, Unreadable: &table.Unreadable{Tell: func(*table.UnreadableError) { reported++ }}}
 	for _, id := range []string{"a", "b", "c"} {
 		body, err := encode(&Job{ID: id, Tenant: "t"})
 		if err != nil {
@@ -38,7 +38,7 @@
 			t.Error("the damaged one is read")
 		}
 	}
-	if told != 2 {
-		t.Errorf("told %d times, want once for each row", told)
+	if reported != 2 {
+		t.Errorf("told %d times, want once for each row", reported)
 	}
 }
--- a/internal/batch/upload.go
+++ b/internal/batch/upload.go
@@ -69,19 +69,19 @@
 // uploader reads a file once: it checks every line and stores the lines in
 // segments, so that no more than one segment is in memory.
 type uploader struct {
-	store   object.Store
-	record  *FileRecord
-	digest  hash.Hash
-	seen    map[uint64]bool
-	segment bytes.Buffer
-	stored  int
+	store          object.Store
+	record         *FileRecord
+	digest         hash.Hash
+	seenIDs        map[uint64]bool
+	segment        bytes.Buffer
+	storedSegments int
 }
 
 // Upload stores an input file and returns its record. Findings about lines do
 // not fail the upload; they fail a job over the file.
 func (s *Service) Upload(ctx context.Context, tenant, name string, content io.Reader) (*FileRecord, error) {
 	record := &FileRecord{ID: "file-" + table.NewOperation(), Tenant: tenant, Name: name, CreatedAt: time.Now().UTC()}
-	upload := &uploader{store: s.Objects, record: record, digest: sha256.New(), seen: map[uint64]bool{}}
+	upload := &uploader{store: s.Objects, record: record, digest: sha256.New(), seenIDs: map[uint64]bool{}}
 	if err := upload.readAll(ctx, content); err != nil {
 		return nil, err
 	}
@@ -106,18 +106,18 @@
 		if err != nil && !errors.Is(err, io.EOF) {
 			return Error.Wrap(outcome.Failed(err))
 		}
-		ended := err != nil
-		if len(line) > 0 || tooLong || !ended {
-			if err := u.take(ctx, line, tooLong); err != nil {
+		atEOF := err != nil
+		if len(line) > 0 || tooLong || !atEOF {
+			if err := u.addLine(ctx, line, tooLong); err != nil {
 				return err
 			}
 		}
-		if ended {
+		if atEOF {
 			break
 		}
 	}
 	if u.record.Lines == 0 {
-		u.find(0, openai.BatchError{Code: codeEmptyFile, Message: "the file has no items"})
+		u.addFinding(0, openai.BatchError{Code: codeEmptyFile, Message: "the file has no items"})
 	}
 	return u.flush(ctx)
 }
@@ -141,7 +141,7 @@
 	}
 }
 
-func (u *uploader) take(ctx context.Context, line []byte, tooLong bool) error {
+func (u *uploader) addLine(ctx context.Context, line []byte, tooLong bool) error {
 	if len(bytes.TrimSpace(line)) == 0 && !tooLong {
 		return nil
 	}
@@ -151,14 +151,14 @@
 	_, _ = u.digest.Write([]byte{'\n'})
 	switch {
 	case tooLong:
-		u.find(u.record.Lines, openai.BatchError{Code: codeLineTooLong, Message: "line is longer than 1 MiB"})
+		u.addFinding(u.record.Lines, openai.BatchError{Code: codeLineTooLong, Message: "line is longer than 1 MiB"})
 	case u.record.Lines > MaxLines:
 		if u.record.Lines == MaxLines+1 {
-			u.find(u.record.Lines, openai.BatchError{Code: codeTooManyItems, Message: "a file holds at most 270,000 items"})
+			u.addFinding(u.record.Lines, openai.BatchError{Code: codeTooManyItems, Message: "a file holds at most 270,000 items"})
 		}
 		return nil
 	default:
-		u.check(line)
+		u.checkLine(line)
 	}
 	u.segment.Write(line)
 	u.segment.WriteByte('\n')
@@ -168,17 +168,17 @@
 	return nil
 }
 
-func (u *uploader) check(line []byte) {
+func (u *uploader) checkLine(line []byte) {
 	item, problem := ParseItem(line)
 	if problem != nil {
-		u.find(u.record.Lines, *problem)
+		u.addFinding(u.record.Lines, *problem)
 		return
 	}
 	id := xxhash.Sum64String(item.CustomID)
-	if u.seen[id] {
-		u.find(u.record.Lines, openai.BatchError{Code: codeDuplicateID, Message: fmt.Sprintf("custom_id %q stands on an earlier line", item.CustomID)})
+	if u.seenIDs[id] {
+		u.addFinding(u.record.Lines, openai.BatchError{Code: codeDuplicateID, Message: fmt.Sprintf("custom_id %q stands on an earlier line", item.CustomID)})
 	}
-	u.seen[id] = true
+	u.seenIDs[id] = true
 	u.record.NotRepeatable = u.record.NotRepeatable || item.NotRepeatable
 	if u.record.Model == "" {
 		request, _ := openai.ParseCompletion(item.Body)
@@ -186,7 +186,7 @@
 	}
 }
 
-func (u *uploader) find(line int, problem openai.BatchError) {
+func (u *uploader) addFinding(line int, problem openai.BatchError) {
 	if len(u.record.Findings) < maxFindings {
 		problem.Line = line
 		u.record.Findings = append(u.record.Findings, problem)
@@ -197,11 +197,11 @@
 	if u.segment.Len() == 0 {
 		return nil
 	}
-	err := u.store.Put(ctx, segmentKey(u.record.ID, u.stored), bytes.Clone(u.segment.Bytes()))
+	err := u.store.Put(ctx, segmentKey(u.record.ID, u.storedSegments), bytes.Clone(u.segment.Bytes()))
 	if err != nil {
 		return Error.Wrap(fmt.Errorf("%w: %w", ErrNotAccepted, err))
 	}
-	u.stored++
+	u.storedSegments++
 	u.segment.Reset()
 	return nil
 }
--- /dev/null
+++ b/internal/batch/waiting_test.go
@@ -0,0 +1,85 @@
+package batch
+
+import (
+	"context"
+	"errors"
+	"io"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/wheelhoist/wheelhoist/internal/object/objecttest"
+	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
+)
+
+var errUnavailable = errors.New("objects are away")
+
+// failingObjects fails every call while it is away.
+type failingObjects struct {
+	objecttest.Store
+	failReads, failWrites atomic.Bool
+}
+
+func (s *failingObjects) Put(ctx context.Context, key string, body []byte) error {
+	if s.failWrites.Load() {
+		return errUnavailable
+	}
+	return s.Store.Put(ctx, key, body)
+}
+
+func (s *failingObjects) Get(ctx context.Context, key string) (io.ReadCloser, error) {
+	if s.failReads.Load() {
+		return nil, errUnavailable
+	}
+	return s.Store.Get(ctx, key)
+}
+
+// awaitGroups waits until so many groups wait for something, and returns one of them.
+func awaitGroups(t *testing.T, feeder *Feeder, reason WaitReason, count int) WaitingGroup {
+	t.Helper()
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		if feeder.WaitCounts(time.Now())[reason].Count == count {
+			for _, group := range feeder.Waiting() {
+				if group.Reason == reason {
+					return group
+				}
+			}
+		}
+	}
+	t.Fatalf("account is %+v, want %d groups that wait for %s", feeder.WaitCounts(time.Now()), count, reason)
+	return WaitingGroup{}
+}
+
+// A batch is followed from its first group to its end: each of its groups says what it waits
+// for, and why.
+func TestWaitCounts_ReportReasonAndCause(t *testing.T) {
+	objects := &failingObjects{}
+	backend := &fakeBackend{runs: map[string]int{}, hold: make(chan struct{})}
+	node := startNode(t, tabletest.New(), objects, backend, "a#1")
+	batch := submitLines(t, node.Service, prompts(16*minGroupLines), time.Hour)
+	awaitGroups(t, node.feeder, WaitItems, openGroupsPerTenant)
+	awaitGroups(t, node.feeder, WaitTurn, batch.Groups()-openGroupsPerTenant)
+	objects.failReads.Store(true)
+	objects.failWrites.Store(true)
+	close(backend.hold)
+	if group := awaitGroups(t, node.feeder, WaitResult, openGroupsPerTenant); !errors.Is(group.Cause, errUnavailable) {
+		t.Fatalf("group waits for its result because of %v", group.Cause)
+	}
+	if group := awaitGroups(t, node.feeder, WaitSubmit, 1); !errors.Is(group.Cause, errUnavailable) {
+		t.Fatalf("group waits to be begun because of %v", group.Cause)
+	}
+	if overdue := node.feeder.Overdue(time.Now()); len(overdue) != 0 {
+		t.Fatalf("%d groups are overdue at once", len(overdue))
+	}
+	if overdue := node.feeder.Overdue(time.Now().Add(groupOverdueAfter)); len(overdue) != openGroupsPerTenant+1 {
+		t.Fatalf("%d groups are overdue, want those that wait for the objects alone", len(overdue))
+	}
+	objects.failReads.Store(false)
+	objects.failWrites.Store(false)
+	awaitFinal(t, node.Service, batch.ID)
+	for deadline := time.Now().Add(5 * time.Second); len(node.feeder.Waiting()) > 0; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("groups of an ended batch wait: %+v", node.feeder.Waiting())
+		}
+	}
+}
--- a/internal/node/batchwaits.go
+++ b/internal/node/batchwaits.go
@@ -34,8 +34,8 @@
 // Collect implements prometheus.Collector.
 func (c *groupCollector) Collect(metrics chan<- prometheus.Metric) {
 	for _, one := range c.account(c.now()) {
-		metrics <- prometheus.MustNewConstMetric(groupsWaiting, prometheus.GaugeValue, float64(one.Count), one.For.String())
-		metrics <- prometheus.MustNewConstMetric(groupsOldest, prometheus.GaugeValue, one.Oldest.Seconds(), one.For.String())
+		metrics <- prometheus.MustNewConstMetric(groupsWaiting, prometheus.GaugeValue, float64(one.Count), one.Reason.String())
+		metrics <- prometheus.MustNewConstMetric(groupsOldest, prometheus.GaugeValue, one.Oldest.Seconds(), one.Reason.String())
 	}
 }
 
@@ -45,8 +45,8 @@
 	for retry.Sleep(ctx, waitLook) {
 		overdue := n.feeder.Overdue(clock.Now())
 		for _, one := range overdue[:min(len(overdue), waitLines)] {
-			n.log.Warn().Str("batch", one.Batch).Int("group", one.Group).Str("waits_for", one.For.String()).
-				Dur("for_ms", clock.Since(one.Begun)).Dur("bound_ms", one.For.Bound()).Int("overdue", len(overdue)).
+			n.log.Warn().Str("batch", one.Batch).Int("group", one.Group).Str("waits_for", one.Reason.String()).
+				Dur("for_ms", clock.Since(one.Since)).Dur("bound_ms", one.Reason.OverdueAfter()).Int("overdue", len(overdue)).
 				AnErr("cause", one.Cause).Msg("group of a batch does not come on")
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -206,7 +206,7 @@
 func (n *Node) buildServer() error {
 	n.metrics.registerViews(n.core)
 	n.metrics.registerPools(n.core)
-	n.metrics.registry.MustRegister(&groupCollector{account: n.feeder.Account, now: clock.Now})
+	n.metrics.registry.MustRegister(&groupCollector{account: n.feeder.WaitCounts, now: clock.Now})
 	n.metrics.registerTraffic(&n.control)
 	claims := idempotency.NewStore(n.table)
 	claims.Unreadable = &n.unreadable
