--- a/internal/batch/feeder.go
+++ b/internal/batch/feeder.go
@@ -17,82 +17,79 @@
 )
 
 const (
-	// stepDelay is the time between two looks at the groups under way.
+	// stepDelay delays a step after a change, so that one step handles a burst of results.
 	stepDelay = 100 * time.Millisecond
-	// minListInterval and activePerSession are the time between two readings of
-	// the list of active batches; it grows with the fleet, so that the table's
-	// load does not.
+	// minListInterval and listIntervalPerSession give the time between two reads of the list of
+	// active batches. It grows with the fleet, so that the load on the table does not.
 	minListInterval        = 500 * time.Millisecond
 	listIntervalPerSession = 10 * time.Millisecond
-	// openGroupsPerTenant is the number of groups that a tenant of weight 1 has open at a
-	// time: enough to keep all places filled while groups end and begin.
+	// openGroupsPerTenant is the number of groups that a tenant of weight 1 may have open: enough to
+	// keep all slots busy while groups end and others are submitted.
 	openGroupsPerTenant = 8
-	// atRiskFactor is how much longer than estimated the rest of a batch may
-	// take before its groups go before the others'.
+	// atRiskFactor scales the estimated time for the rest of a batch. A batch whose deadline is
+	// closer than that is at risk, and its groups take precedence.
 	atRiskFactor = 2.0
-	// atRiskAdvance is how much earlier these count as accepted.
+	// atRiskAdvance is how much earlier the groups of a batch at risk count as accepted.
 	atRiskAdvance = time.Hour
 	callTimeout   = 5 * time.Second
 )
 
-// Sessions tells which nodes live.
+// Sessions provides the sessions of the live nodes.
 type Sessions interface {
 	// Live returns the sessions of the live nodes.
 	Live() []string
-	// Preferred returns the live session that should do a piece of work that
-	// any could do.
+	// Preferred returns the live session that should do a piece of work that any node can do.
 	Preferred(work string) string
 }
 
-// Feeder hands the groups of active batches over to package jobs and makes the
-// results of those that are done permanent. Each batch is fed by the node that
-// Sessions prefers; two feeders for a moment are harmless, for every step is
-// conditional on rows that only one of them can change.
+// Feeder submits the groups of active batches to package jobs and makes the results of completed
+// groups permanent. Each batch is fed by the node that Sessions prefers. Two feeders of one batch
+// are harmless, because every write is conditional on rows that only one of them can change.
 type Feeder struct {
 	Service  *Service
 	Sessions Sessions
 	// Self is this node's session.
 	Self string
-	// Weight is a tenant's share under contention.
+	// Weight returns a tenant's share under contention.
 	Weight func(tenant string) float64
 	Log    zerolog.Logger
 
 	mu sync.Mutex
-	// batches are the batches that this node feeds.
+	// batches holds the batches that this node feeds, by ID.
 	batches map[string]*fedBatch
-	// accepted are batches that were accepted here since the last look.
+	// accepted holds the batches that this node accepted since the last step.
 	accepted []*Job
-	// waiting is what the groups waited for after the last look.
+	// waiting holds the waiting groups as of the last step.
 	waiting []WaitingGroup
 }
 
 // fedBatch is the state of a batch that this node feeds.
 type fedBatch struct {
 	batch *Job
-	// done are the groups that have their result.
+	// done holds the groups whose result is permanent, by number.
 	done map[int]Group
-	// next is the first group that may not have been begun yet.
+	// next is the first group that may not have been submitted yet.
 	next int
-	// startedAt is when this node took the batch up, first how many items were done
-	// then; they tell the rate.
+	// startedAt is when this node began to feed the batch, initialResults the number of items done
+	// by then. atRisk measures the rate of the batch from there.
 	startedAt      time.Time
 	initialResults int
-	// waits is what its groups wait for; beginErr is why the next one could not be begun,
-	// finishErr why results could not be made permanent; nil if the last try succeeded.
+	// waits holds the waiting groups by number. submitErr and finishErr are the errors of the last
+	// attempts to submit a group and to make results permanent; nil after a success.
 	waits     map[int]WaitingGroup
 	submitErr error
 	finishErr error
 }
 
-// Accept takes a batch that was accepted at this node, so that its first groups
-// need not wait for a look at the list.
+// Accept passes a batch that this node accepted to the feeder, so that its first groups need not
+// wait for the next read of the list of active batches. It does not block.
 func (f *Feeder) Accept(batch *Job) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.accepted = append(f.accepted, batch)
 }
 
-// Run feeds until the context ends.
+// Run feeds batches until the context is done.
 func (f *Feeder) Run(ctx context.Context) {
 	f.batches = map[string]*fedBatch{}
 	var refreshedAt time.Time
@@ -107,7 +104,7 @@
 		select {
 		case <-ctx.Done():
 		case <-changed:
-			// Results come in bursts; one look serves many.
+			// Results arrive in bursts; one step handles many.
 			retry.Sleep(ctx, stepDelay)
 		case <-time.After(f.listInterval()):
 		}
@@ -128,13 +125,13 @@
 	}
 }
 
-// refresh reads the list of active batches and takes up those that this node
-// should feed. Groups of batches that are not on it are stopped.
+// refresh reads the list of active batches and starts to feed those that this node should feed. It
+// stops the groups of batches that are not on the list.
 func (f *Feeder) refresh(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	// The groups are looked at before the list: a group of a batch that the
-	// later list lacks belongs to one that has ended.
+	// The groups are read before the list: a batch that has a group and is missing from the later
+	// list has ended.
 	known := f.Service.Work.View.All()
 	active, err := f.Service.Active(callCtx)
 	if err != nil {
@@ -155,7 +152,7 @@
 	f.stopEnded(callCtx, known, listed)
 }
 
-// start begins to feed a batch.
+// start begins to feed a batch, unless it has ended.
 func (f *Feeder) start(ctx context.Context, batch *Job) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -181,13 +178,13 @@
 			continue
 		}
 		if ended := f.Service.Work.View.Get(entry.Job.ID); ended != nil {
-			// What could not be removed is tried again at the next look.
+			// The next refresh retries a failed removal.
 			_ = f.Service.Work.Remove(ctx, ended)
 		}
 	}
 }
 
-// step finishes the groups that are done and begins others.
+// step finishes the completed groups and submits others.
 func (f *Feeder) step(ctx context.Context) {
 	open := map[string]int{}
 	for _, fed := range f.byDeadline() {
@@ -204,7 +201,7 @@
 	f.updateWaiting(time.Now())
 }
 
-// byDeadline returns the batches, the earliest deadline first.
+// byDeadline returns the batches in the order of their deadlines, the earliest first.
 func (f *Feeder) byDeadline() []*fedBatch {
 	sorted := make([]*fedBatch, 0, len(f.batches))
 	for _, fed := range f.batches {
@@ -220,7 +217,7 @@
 	return sorted
 }
 
-// maxOpenGroups is the number of groups that a tenant may have open.
+// maxOpenGroups returns the number of groups that a tenant may have open.
 func (f *Feeder) maxOpenGroups(tenant string) int {
 	weight := f.Weight(tenant)
 	if weight <= 0 {
@@ -229,7 +226,7 @@
 	return max(1, int(math.Round(openGroupsPerTenant*weight)))
 }
 
-// countOpenGroups counts the groups of a batch that have items to run.
+// countOpenGroups returns the number of submitted groups of a batch with unfinished items.
 func (f *Feeder) countOpenGroups(fed *fedBatch) int {
 	open := 0
 	for number := range fed.next {
@@ -240,6 +237,7 @@
 	return open
 }
 
+// entry returns a group's entry in the jobs view, or nil if the group is done or has no entry.
 func (f *Feeder) entry(fed *fedBatch, number int) *jobs.Entry {
 	if _, done := fed.done[number]; done {
 		return nil
@@ -247,8 +245,8 @@
 	return f.Service.Work.View.Get(groupID(fed.batch.ID, number))
 }
 
-// finishGroups makes the results of groups that are done permanent, and ends the
-// batch after the last one.
+// finishGroups makes the results of completed groups permanent, and completes the batch after the
+// last one.
 func (f *Feeder) finishGroups(ctx context.Context, fed *fedBatch) {
 	for number := range fed.batch.Groups() {
 		entry := f.entry(fed, number)
@@ -260,31 +258,32 @@
 		cancel()
 		fed.finishErr = err
 		if err != nil {
-			f.Log.Info().Str("batch", fed.batch.ID).Int("group", number).Err(err).Msg("group not finished yet")
+			f.Log.Info().Str("batch", fed.batch.ID).Int("group", number).Err(err).Msg("failed to store batch group results, will retry")
 			f.reloadDone(ctx, fed)
 			continue
 		}
 		fed.done[number] = groupCounts(entry)
 	}
-	f.resubmitLost(ctx, fed)
+	f.recover(ctx, fed)
 	if len(fed.done) == fed.batch.Groups() {
 		f.complete(ctx, fed)
 	}
 }
 
-// resubmitLost looks after groups that were begun and are neither open nor known to
-// be done: another feeder has finished them, or they must be begun again.
-func (f *Feeder) resubmitLost(ctx context.Context, fed *fedBatch) {
+// recover handles submitted groups that are neither open nor known to be done: either another
+// feeder has finished them, or they are submitted again.
+func (f *Feeder) recover(ctx context.Context, fed *fedBatch) {
 	if len(f.lostGroups(fed)) == 0 {
 		return
 	}
 	f.reloadDone(ctx, fed)
 	if lost := f.lostGroups(fed); len(lost) > 0 {
-		// The guard of the submission keeps out what is done after all.
+		// The guards of the submission reject a group that is done after all.
 		fed.next = lost[0]
 	}
 }
 
+// lostGroups returns the submitted groups that are neither done nor in the jobs view.
 func (f *Feeder) lostGroups(fed *fedBatch) []int {
 	var lost []int
 	for number := range fed.next {
@@ -295,7 +294,7 @@
 	return lost
 }
 
-// groupCounts counts the results of a group.
+// groupCounts returns the counts of a group's listed results.
 func groupCounts(entry *jobs.Entry) Group {
 	var group Group
 	for _, listed := range entry.Progress.Listed {
@@ -308,8 +307,8 @@
 	return group
 }
 
-// reloadDone reads what is done after a step that failed: another feeder may have
-// been faster.
+// reloadDone reads the completed groups again after a failed write: another feeder may have written
+// them first.
 func (f *Feeder) reloadDone(ctx context.Context, fed *fedBatch) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -318,7 +317,7 @@
 	}
 }
 
-// submitNext hands the next group over. It reports whether it did.
+// submitNext submits the next group of a batch and reports whether it did.
 func (f *Feeder) submitNext(ctx context.Context, fed *fedBatch) bool {
 	for ; fed.next < fed.batch.Groups(); fed.next++ {
 		if _, done := fed.done[fed.next]; done || f.entry(fed, fed.next) != nil {
@@ -334,11 +333,11 @@
 			return false
 		}
 		if err != nil && failedBefore {
-			// It is in the account, and in the log again once it is overdue.
+			// Logged before. WaitCounts reports the group, and it is logged again once overdue.
 			return false
 		}
 		if err != nil {
-			f.Log.Warn().Str("batch", fed.batch.ID).Int("group", fed.next).Err(err).Msg("group not handed over yet")
+			f.Log.Warn().Str("batch", fed.batch.ID).Int("group", fed.next).Err(err).Msg("failed to submit batch group, will retry")
 			return false
 		}
 		fed.next++
@@ -358,7 +357,7 @@
 	return f.Service.Work.Submit(ctx, submission)
 }
 
-// atRisk reports whether a batch may miss its deadline at its present rate.
+// atRisk reports whether a batch may miss its deadline at its current rate.
 func (fed *fedBatch) atRisk(now time.Time) bool {
 	completed, failed, _ := sumGroups(fed.done)
 	finished := completed + failed - fed.initialResults
@@ -371,7 +370,7 @@
 	return fed.batch.Deadline.Sub(now).Seconds() < needed
 }
 
-// complete writes the final state of a batch.
+// complete writes the final state of a batch whose groups are all done.
 func (f *Feeder) complete(ctx context.Context, fed *fedBatch) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/batch/feeder_test.go
+++ b/internal/batch/feeder_test.go
@@ -32,7 +32,8 @@
 	testModel  = "model"
 )
 
-// fakeBackend completes every item, or fails those whose body says so.
+// fakeBackend completes every item, except those whose body contains "invalid". It counts the runs of
+// each item and, if hold is set, answers only once hold is closed.
 type fakeBackend struct {
 	mu   sync.Mutex
 	runs map[string]int
@@ -56,7 +57,7 @@
 	return &forward.Answer{Status: http.StatusOK, Events: true, Body: io.NopCloser(strings.NewReader(text))}, nil
 }
 
-// fakeSessions are the live nodes of a test.
+// fakeSessions lists the live sessions. The first is preferred for all work.
 type fakeSessions []string
 
 func (a fakeSessions) LookInterval() time.Duration   { return 10 * time.Millisecond }
@@ -85,7 +86,7 @@
 func (discardEvents) Homeless(*jobs.Job, place.Regions)                             {}
 func (discardEvents) Resolved(string, int, error)                                   {}
 
-// testNode is a node that serves, feeds and runs batches until it is stopped.
+// testNode is a node that serves, feeds and runs batches until stop is called.
 type testNode struct {
 	*Service
 	stop   func()
@@ -134,7 +135,7 @@
 	return &testNode{Service: service, stop: stop, feeder: feeder}
 }
 
-// submitLines uploads items, each with a body, and submits a batch over them.
+// submitLines uploads an input file with one item for each prompt, and submits a batch over it.
 func submitLines(t *testing.T, service *Service, bodies []string, window time.Duration) *Job {
 	t.Helper()
 	var file bytes.Buffer
@@ -178,11 +179,11 @@
 			return job
 		}
 	}
-	t.Fatalf("batch %s does not end", id)
+	t.Fatalf("batch %s did not end", id)
 	return nil
 }
 
-// resultsOf reads a file and returns its lines by custom id.
+// resultsOf returns the results in a file by custom ID.
 func resultsOf(t *testing.T, service *Service, file string) map[string]openai.BatchResult {
 	t.Helper()
 	var content bytes.Buffer
@@ -234,7 +235,7 @@
 	batch := submitLines(t, first.Service, prompts(300), time.Hour)
 	for deadline := time.Now().Add(10 * time.Second); len(first.Work.View.Open()) == 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("no group was begun")
+			t.Fatal("no group was submitted")
 		}
 	}
 	first.stop()
@@ -243,7 +244,7 @@
 		t.Fatalf("%d of 300 items completed", ended.Completed)
 	}
 	if outputs := resultsOf(t, second.Service, OutputFileID(batch.ID)); len(outputs) != 300 {
-		t.Fatalf("%d outputs", len(outputs))
+		t.Fatalf("%d outputs, want 300", len(outputs))
 	}
 }
 
@@ -264,7 +265,7 @@
 	close(backend.hold)
 	for deadline := time.Now().Add(10 * time.Second); len(node.Work.View.All()) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d groups of a cancelled batch are left", len(node.Work.View.All()))
+			t.Fatalf("%d groups of a cancelled batch remain", len(node.Work.View.All()))
 		}
 	}
 	if err := node.Work.Submit(t.Context(), testSubmission(t, node.Service, &late)); err == nil {
@@ -303,12 +304,13 @@
 		t.Fatalf("parsed %q, %d, %v", batch, number, ok)
 	}
 	if _, _, ok := parseGroupID("d8247dce020e9319"); ok {
-		t.Fatal("another job's id is taken for a group's")
+		t.Fatal("the ID of another job was parsed as that of a group")
 	}
 }
 
-// A finding (lab batch-kill-after-ack, seed 51): a group that another feeder had
-// finished was neither done nor open for this one, and the batch never ended.
+// TestFeeder_GroupsFinishedByAnotherFeederCount guards against a batch that never ends because its
+// feeder sees a group that another feeder finished as neither done nor open (lab scenario
+// batch-kill-after-ack, seed 51).
 func TestFeeder_GroupsFinishedByAnotherFeederCount(t *testing.T) {
 	shared := tabletest.New()
 	view := jobs.NewView()
--- a/internal/batch/group.go
+++ b/internal/batch/group.go
@@ -17,7 +17,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// newSubmission builds the job of a group from the lines of the input file.
+// newSubmission builds the job that runs a group from the lines of the input file.
 func (s *Service) newSubmission(ctx context.Context, batch *Job, number int) (*jobs.Submission, error) {
 	if batch.activeVersion == table.Absent {
 		return nil, Error.New("batch %s is not known to be active", batch.ID)
@@ -30,7 +30,7 @@
 	submission := &jobs.Submission{
 		ID: groupID(batch.ID, number), Route: RouteOf(batch.Model), Host: RouteOf(batch.Model),
 		Completion: time.Until(batch.Deadline), Retention: time.Until(batch.Deadline), Turns: true,
-		// Neither a batch that has ended nor a group that is done is begun again.
+		// Groups of ended batches and groups that are done are not submitted again.
 		Guards: []table.Write{
 			{Key: activeKey(batch.ID), Expect: batch.activeVersion},
 			{Key: groupKey(batch.ID, number), Expect: table.Absent},
@@ -51,10 +51,10 @@
 	return submission, nil
 }
 
-// bytesPerToken is the usual length of a token, for estimates of sizes.
+// bytesPerToken is the typical length of a token, used to estimate the size of prompts.
 const bytesPerToken = 4
 
-// RouteOf names the route that a model's batches take.
+// RouteOf returns the name of the route for the batches of a model.
 func RouteOf(model string) string { return "batch/" + model }
 
 // readLines reads the readLines of a group from the segments of the input file.
@@ -74,8 +74,8 @@
 	return lines, nil
 }
 
-// linesInRange returns the lines of a segment, which begins at a line of the
-// file, that lie in a range of the file.
+// linesInRange returns the lines of a segment whose numbers in the file are in [first, end).
+// lineNumber is the number of the segment's first line.
 func linesInRange(segment []byte, lineNumber, first, end int) [][]byte {
 	var lines [][]byte
 	reader := bufio.NewReaderSize(bytes.NewReader(segment), 64<<10)
@@ -93,7 +93,8 @@
 	}
 }
 
-// finishGroup makes the listed results of a group its result for good.
+// finishGroup makes the listed results of a group permanent. It stores them as objects, then in one
+// transaction writes the group's record and removes its job, if the batch is still active.
 func (s *Service) finishGroup(ctx context.Context, batch *Job, number int, entry *jobs.Entry) error {
 	results, err := s.itemResults(ctx, entry)
 	if err != nil {
@@ -117,7 +118,7 @@
 		table.Write{Key: activeKey(batch.ID), Kind: table.Check, Expect: batch.activeVersion})
 }
 
-// itemResults reads all results of a group that is done, with its items.
+// itemResults returns the results of a completed group, each with its item.
 func (s *Service) itemResults(ctx context.Context, entry *jobs.Entry) ([]itemResult, error) {
 	items, err := s.Work.Items(ctx, entry.Job)
 	if err != nil {
@@ -143,13 +144,13 @@
 	return results, nil
 }
 
-// itemResult is a listed result with its item.
+// itemResult is a listed result and the item it belongs to.
 type itemResult struct {
 	item   *jobs.Item
 	result jobs.Result
 }
 
-// render builds the lines of the output and the error object.
+// render returns the contents of the output object and the error object, and the group's counts.
 func render(results []itemResult) (outputs, failures []byte, group Group) {
 	var outputBuffer, failureBuffer bytes.Buffer
 	for _, item := range results {
@@ -171,7 +172,7 @@
 	return outputBuffer.Bytes(), failureBuffer.Bytes(), group
 }
 
-// line renders a result as a line of a file. It reports whether the item failed.
+// line returns the result as a line of the output or error file, and whether the item failed.
 func (r *itemResult) line() ([]byte, bool) {
 	rendered := openai.BatchResult{ID: "batch_req_" + r.item.ID, CustomID: r.item.Label}
 	if !r.result.Dead {
@@ -188,13 +189,13 @@
 func marshal(rendered openai.BatchResult) []byte {
 	line, err := json.Marshal(rendered)
 	if err != nil {
-		// Its parts are strings and JSON that has been made here.
+		// The parts are strings and JSON that this package encoded, so this cannot happen.
 		panic(err)
 	}
 	return line
 }
 
-// itemError tells the caller why an item has no answer.
+// itemError returns the error that the caller receives for an item without an answer.
 func itemError(reason jobs.Reason) *openai.BatchItemError {
 	switch reason {
 	case jobs.Expired:
--- a/internal/batch/jsonl_test.go
+++ b/internal/batch/jsonl_test.go
@@ -10,7 +10,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// memoryObjects is a store in memory.
+// memoryObjects is an object store in memory.
 type memoryObjects struct{ objects map[string]string }
 
 func (m *memoryObjects) Put(_ context.Context, key string, body []byte) error {
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// acceptingTable accepts every commit and holds nothing.
+// acceptingTable accepts every commit and stores nothing.
 type acceptingTable struct{}
 
 func (acceptingTable) Get(context.Context, table.Key) (table.Row, error) {
@@ -82,7 +82,7 @@
 	f.Fuzz(func(t *testing.T, line []byte) {
 		item, problem := ParseItem(line)
 		if problem == nil && (item.CustomID == "" || len(item.Body) == 0) {
-			t.Fatalf("accepted an item without id or body: %q", line)
+			t.Fatalf("accepted an item without custom_id or body: %q", line)
 		}
 	})
 }
--- a/internal/batch/record.go
+++ b/internal/batch/record.go
@@ -1,12 +1,11 @@
-// Package batch serves batch jobs over files in the form of the OpenAI API:
-// each accepted item completes exactly once, with a result that stays readable.
+// Package batch implements the batch jobs of the OpenAI API over uploaded files. Each accepted item
+// completes exactly once, and its result stays readable.
 //
-// A batch is cut into groups of lines. The Feeder hands groups over to package
-// jobs, a few at a time, so the state that every node follows stays small
-// however long a batch is. When all results of a group are listed they become
-// one object of answers and one of errors, and one transaction makes these the
-// group's result and takes the group off the table; it requires that the batch
-// is still active.
+// A batch is split into groups of lines. The Feeder submits groups to package jobs a few at a time,
+// so that the state that every node follows stays small regardless of the length of a batch. When
+// all results of a group are listed, they are stored as one object of answers and one of errors. One
+// transaction then records these as the group's result and removes the group's job from the table,
+// on the condition that the batch is still active.
 package batch
 
 import (
@@ -30,12 +29,12 @@
 var (
 	// ErrNotFound reports an unknown job or file.
 	ErrNotFound = errors.New("batch object not found")
-	// ErrFinal reports that a job has reached another final state before.
+	// ErrFinal reports that a job is already in another final state.
 	ErrFinal = errors.New("batch job has ended already")
 	// ErrNotAccepted reports that a submission was not accepted; it did not run.
 	ErrNotAccepted = errors.New("batch store unavailable, nothing was accepted")
 	// ErrUndecided reports that a submission may or may not have been accepted.
-	// Sending it again is safe: it meets the same job.
+	// Sending it again is safe: the retry finds the same job.
 	ErrUndecided = errors.New("batch submission undecided, send it again")
 )
 
@@ -49,17 +48,17 @@
 )
 
 const (
-	// SegmentLines is the number of lines in one stored part of an input file.
+	// SegmentLines is the number of lines in one stored segment of an input file.
 	SegmentLines  = 256
 	minGroupLines = 16
 	maxGroupLines = jobs.MaxItems
-	// targetGroups spreads small batches over nodes.
+	// targetGroups is the number of groups that a small batch is split into, to spread it over nodes.
 	targetGroups = 16
-	// DefaultWindow is the time to the deadline when a job names none.
+	// DefaultWindow is the time to the deadline of a job that specifies none.
 	DefaultWindow = 24 * time.Hour
 )
 
-// FileRecord describes an uploaded input file. It is written once.
+// FileRecord is the stored record of an uploaded input file. It is written once.
 type FileRecord struct {
 	ID        string
 	Tenant    string
@@ -70,9 +69,9 @@
 	CreatedAt time.Time
 	// Model is the model of the first item.
 	Model string
-	// Findings are what is wrong with the lines; a job over them is refused.
+	// Findings lists the invalid lines. A job over a file with findings fails.
 	Findings []openai.BatchError
-	// NotRepeatable tells whether any item may run at most once.
+	// NotRepeatable is set if any item may run at most once.
 	NotRepeatable bool
 }
 
@@ -82,7 +81,7 @@
 	return fmt.Sprintf("files/%s/%06d.jsonl", file, segment)
 }
 
-// Job is the record of a batch job. Its row changes only when its state does.
+// Job is the stored record of a batch job. Its row is rewritten only when State changes.
 type Job struct {
 	ID          string
 	Tenant      string
@@ -102,46 +101,46 @@
 	Metadata    map[string]string
 	Fingerprint string
 
-	// Version is the version of the row this record was read from.
+	// Version is the version of the row that the record was read from.
 	Version uint64 `cbor:"-"`
-	// activeVersion is the version of the row on the list of activeVersion batches.
+	// activeVersion is the version of the job's row in the list of active batches.
 	activeVersion uint64
 }
 
-// Groups returns the number of groups.
+// Groups returns the number of groups that the job is split into.
 func (j *Job) Groups() int { return (j.Lines + j.GroupLines - 1) / j.GroupLines }
 
-// groupRange returns the first line of a group and the line after its last.
+// groupRange returns the range [first, end) of a group's lines, counted from 0.
 func (j *Job) groupRange(number int) (first, end int) {
 	first = number * j.GroupLines
 	return first, min(first+j.GroupLines, j.Lines)
 }
 
-// groupLines chooses the group size of a batch: small ones are spread over
-// nodes, large ones cost few writes.
+// groupLines returns the number of lines in each group of a batch. Small groups spread small batches
+// over nodes; large groups keep the number of writes of large batches low.
 func groupLines(lines int) int {
 	size := (lines + targetGroups - 1) / targetGroups
 	return min(max(size, minGroupLines), maxGroupLines)
 }
 
-// Group is the record of a group that is done.
+// Group is the stored record of a completed group.
 type Group struct {
 	Completed int
 	Failed    int
 	Expired   int
-	// Errors tells whether there is an error object beside the result object.
+	// Errors is set if the group has an error object besides the result object.
 	Errors bool
 }
 
-// groupSeparator parts a batch's id from the number of a group.
+// groupSeparator separates a batch's ID from the number of a group.
 const groupSeparator = "."
 
-// groupID names a group among the jobs of all batches.
+// groupID returns the ID of the job that runs a group.
 func groupID(batch string, number int) string {
 	return fmt.Sprintf("%s%s%05d", batch, groupSeparator, number)
 }
 
-// parseGroupID is the inverse of groupID.
+// parseGroupID is the inverse of groupID. ok is false if the ID is not that of a group.
 func parseGroupID(id string) (batch string, number int, ok bool) {
 	cut := strings.LastIndex(id, groupSeparator)
 	if cut < 0 {
@@ -151,7 +150,7 @@
 	return id[:cut], number, err == nil
 }
 
-// BatchOf returns the batch that a job is a group of; empty if it is none.
+// BatchOf returns the ID of the batch whose group a job runs, or "" if the job runs no group.
 func BatchOf(job string) string {
 	batch, _, ok := parseGroupID(job)
 	if !ok {
@@ -196,7 +195,7 @@
 	return group, Error.Wrap(err)
 }
 
-// API returns the job in the form of the OpenAI API.
+// API returns the job as a batch object of the OpenAI API.
 func (j *Job) API() *openai.Batch {
 	batch := &openai.Batch{
 		ID: j.ID, Object: "batch", Endpoint: j.Endpoint, InputFileID: j.File,
@@ -226,18 +225,19 @@
 	errorFilePrefix  = "file-err-"
 )
 
-// OutputFileID names the file of a job's answers.
+// OutputFileID returns the ID of the file with a job's answers.
 func OutputFileID(job string) string { return outputFilePrefix + job }
 
-// ErrorFileID names the file of a job's failed items.
+// ErrorFileID returns the ID of the file with the errors of a job's failed items.
 func ErrorFileID(job string) string { return errorFilePrefix + job }
 
-// reportUnreadable reports an error about a row that cannot be read, and returns it.
+// reportUnreadable reports a decoding error to Unreadable and returns it wrapped. err may be nil.
 func (s *Service) reportUnreadable(err error) error {
 	s.Unreadable.Report(err)
 	return Error.Wrap(err)
 }
 
+// wrapNotFound wraps an error of the table, replacing table.ErrNotFound by ErrNotFound.
 func wrapNotFound(err error) error {
 	if errors.Is(err, table.ErrNotFound) {
 		return Error.Wrap(ErrNotFound)
--- a/internal/batch/service.go
+++ b/internal/batch/service.go
@@ -20,19 +20,19 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// Service accepts, describes and cancels batches and reads their results. All
-// its state is in the platform, so any node answers for any batch.
+// Service accepts, describes and cancels batches and reads their results. All its state is in the
+// table and the object store, so that any node can serve any batch.
 type Service struct {
 	Table   table.Service
 	Objects object.Store
 	Work    *jobs.Service
-	// Accepted is told of each accepted batch; it does not block. It may be nil.
+	// Accepted, if set, is called with each accepted batch. It must not block.
 	Accepted func(*Job)
-	// Unreadable, if set, is told of rows that cannot be read.
+	// Unreadable, if set, receives reports of rows that cannot be decoded.
 	Unreadable *table.Unreadable
 }
 
-// Submission asks for a job.
+// Submission is a request to create a job. Key is the caller's idempotency key and may be empty.
 type Submission struct {
 	Tenant   string
 	Request  openai.BatchRequest
@@ -40,8 +40,9 @@
 	Deadline time.Duration
 }
 
-// fingerprint identifies a submission: the caller's key if there is one, else
-// everything that makes the job what it is. A resent job meets the first one.
+// fingerprint returns a hash that identifies a submission: of the idempotency key if there is one,
+// otherwise of the job's parameters and the file's content. A retried submission has the same
+// fingerprint and so finds the job of the first.
 func (s *Submission) fingerprint(file *FileRecord) string {
 	digest := sha256.New()
 	if s.Key != "" {
@@ -54,7 +55,7 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// File returns the record of an uploaded file of a tenant.
+// File returns the record of a file that a tenant uploaded.
 func (s *Service) File(ctx context.Context, tenant, id string) (*FileRecord, error) {
 	row, err := s.Table.Get(ctx, fileKey(id))
 	if err != nil {
@@ -70,8 +71,9 @@
 	return record, nil
 }
 
-// Submit accepts a job. It returns only once the job is durable, or with
-// ErrNotAccepted or ErrUndecided.
+// Submit creates a job and returns it once it is durable. A submission with the fingerprint of an
+// earlier one returns the earlier job. Errors include ErrNotFound for an unknown file,
+// ErrNotAccepted and ErrUndecided.
 func (s *Service) Submit(ctx context.Context, submission Submission) (*Job, error) {
 	file, err := s.File(ctx, submission.Tenant, submission.Request.InputFileID)
 	if err != nil {
@@ -107,8 +109,8 @@
 	}
 }
 
-// notifyAccepted completes a batch that is durable with the version of its row, and
-// has its first groups begun.
+// notifyAccepted sets the version of a durable job's row and calls Accepted, so that its first
+// groups are submitted.
 func (s *Service) notifyAccepted(ctx context.Context, job *Job) {
 	if stored, err := s.getJob(ctx, job.ID); err == nil {
 		job.Version = stored.Version
@@ -118,7 +120,7 @@
 	}
 }
 
-// existingJob returns the job that holds a fingerprint.
+// existingJob returns the job that was created under a fingerprint's key.
 func (s *Service) existingJob(ctx context.Context, key table.Key) (*Job, error) {
 	row, err := s.Table.Get(ctx, key)
 	if err != nil {
@@ -157,8 +159,8 @@
 	return job, s.reportUnreadable(err)
 }
 
-// Job returns a job of a tenant with current counts. An empty tenant stands
-// for an operator, who sees all jobs.
+// Job returns a job of a tenant with current counts. An empty tenant stands for an operator, who may
+// see all jobs.
 func (s *Service) Job(ctx context.Context, tenant, id string) (*Job, error) {
 	job, err := s.getJob(ctx, id)
 	if err != nil {
@@ -178,6 +180,7 @@
 	return job, nil
 }
 
+// sumGroups returns the total counts of completed groups.
 func sumGroups(groups map[int]Group) (completed, failed, expired int) {
 	for _, group := range groups {
 		completed += group.Completed
@@ -187,7 +190,7 @@
 	return completed, failed, expired
 }
 
-// addOpenGroups adds the results of groups that are not done yet.
+// addOpenGroups adds the listed results of groups that are not done yet to the job's counts.
 func (s *Service) addOpenGroups(job *Job, done map[int]Group) {
 	for _, entry := range s.Work.View.All() {
 		batch, number, ok := parseGroupID(entry.Job.ID)
@@ -204,7 +207,7 @@
 	}
 }
 
-// doneGroups reads the rows of all doneGroups of a batch that are done.
+// doneGroups reads the records of the completed groups of a batch, by group number.
 func (s *Service) doneGroups(ctx context.Context, batch string) (map[int]Group, error) {
 	rows, err := table.ListAll(ctx, s.Table, partitionGroups+batch)
 	if err != nil {
@@ -217,15 +220,15 @@
 			return nil, Error.Wrap(err)
 		}
 		if groups[number], err = decodeGroup(row); err != nil {
-			// Nobody can tell what became of the group, so its batch rests.
+			// The result of the group is unknown, so its batch cannot progress.
 			return nil, s.reportUnreadable(err)
 		}
 	}
 	return groups, nil
 }
 
-// Jobs returns the jobs of a tenant, the newest first; an empty tenant stands
-// for all.
+// Jobs returns at most limit jobs of a tenant, the newest first. An empty tenant stands for all
+// tenants. Unreadable jobs are reported and skipped.
 func (s *Service) Jobs(ctx context.Context, tenant string, limit int) ([]*Job, error) {
 	rows, err := table.ListAll(ctx, s.Table, partitionJobs)
 	if err != nil {
@@ -235,7 +238,7 @@
 	for _, row := range rows {
 		job, err := decodeJob(row)
 		if err != nil {
-			// The others hold.
+			// One unreadable row must not hide the others.
 			_ = s.reportUnreadable(err)
 			continue
 		}
@@ -247,7 +250,7 @@
 	return jobs[:min(len(jobs), limit)], nil
 }
 
-// Active returns the jobs that are not final.
+// Active returns the jobs that are not in a final state. Unreadable ones are reported and skipped.
 func (s *Service) Active(ctx context.Context) ([]*Job, error) {
 	rows, err := table.ListAll(ctx, s.Table, partitionActive)
 	if err != nil {
@@ -257,7 +260,7 @@
 	for _, row := range rows {
 		job, err := decodeJob(row)
 		if err != nil {
-			// The others hold.
+			// One unreadable row must not hide the others.
 			_ = s.reportUnreadable(err)
 			continue
 		}
@@ -267,8 +270,8 @@
 	return jobs, nil
 }
 
-// Cancel ends a job. Results committed before stay readable; none is
-// committed afterwards.
+// Cancel ends a job and returns it; a job that has ended is returned unchanged. Results committed
+// before stay readable, and none are committed afterwards.
 func (s *Service) Cancel(ctx context.Context, tenant, id string) (*Job, error) {
 	job, err := s.Job(ctx, tenant, id)
 	if err != nil {
@@ -290,18 +293,19 @@
 	return job, nil
 }
 
-// endLocalGroups stops the groups of a batch that this node knows. The feeders stop
-// those it does not know.
+// endLocalGroups stops the groups of a batch that are in this node's view. The feeder stops those
+// that are not.
 func (s *Service) endLocalGroups(ctx context.Context, id string) {
 	for _, entry := range s.Work.View.Open() {
 		if batch, _, ok := parseGroupID(entry.Job.ID); ok && batch == id {
-			// A feeder makes up for a failure.
+			// The feeder retries what fails here.
 			_ = s.Work.End(ctx, entry.Job.ID)
 		}
 	}
 }
 
-// commitFinal writes a job's final state and takes it off the active list.
+// commitFinal writes a job's final state and removes the job from the list of active batches. The
+// error is table.ErrConflict if the job has ended or its row has changed.
 func (s *Service) commitFinal(ctx context.Context, job *Job) error {
 	body, err := encode(job)
 	if err != nil {
@@ -320,8 +324,8 @@
 	return nil
 }
 
-// loadActiveVersion reads the version of a batch's row on the list of active ones. It
-// returns table.ErrConflict if the batch has ended.
+// loadActiveVersion sets the version of a job's row in the list of active batches. The error is
+// table.ErrConflict if the job has ended.
 func (s *Service) loadActiveVersion(ctx context.Context, job *Job) error {
 	row, err := s.Table.Get(ctx, activeKey(job.ID))
 	if errors.Is(err, table.ErrNotFound) {
@@ -331,8 +335,8 @@
 	return Error.Wrap(err)
 }
 
-// Content opens a file: an uploaded input, or the results or errors of a job
-// as far as they are committed.
+// Content writes the content of a file to output: an uploaded input file, or the answers or errors
+// of a job that are committed so far.
 func (s *Service) Content(ctx context.Context, tenant, id string, output io.Writer) error {
 	switch {
 	case strings.HasPrefix(id, outputFilePrefix):
@@ -352,6 +356,7 @@
 	return nil
 }
 
+// copyResults writes the committed answers of a job, or its committed errors if errorsOnly is set.
 func (s *Service) copyResults(ctx context.Context, tenant, id string, output io.Writer, errorsOnly bool) error {
 	job, err := s.Job(ctx, tenant, id)
 	if err != nil {
--- a/internal/batch/unreadable_test.go
+++ b/internal/batch/unreadable_test.go
@@ -7,8 +7,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestService_UnreadableRowsDoNotHideOtherBatches damages the rows of one batch of three:
-// the feeder and the operators still see the others.
+// TestService_UnreadableRowsDoNotHideOtherBatches checks that the feeder and operators still see two
+// batches when the rows of a third cannot be decoded.
 func TestService_UnreadableRowsDoNotHideOtherBatches(t *testing.T) {
 	shared := tabletest.New()
 	reported := 0
@@ -29,16 +29,16 @@
 	}
 	for range 2 {
 		if active, err := service.Active(t.Context()); err != nil || len(active) != 2 {
-			t.Errorf("%d are active, %v", len(active), err)
+			t.Errorf("Active returned %d jobs, %v, want 2", len(active), err)
 		}
 		if listed, err := service.Jobs(t.Context(), "t", 10); err != nil || len(listed) != 2 {
-			t.Errorf("%d are listed, %v", len(listed), err)
+			t.Errorf("Jobs returned %d jobs, %v, want 2", len(listed), err)
 		}
 		if _, err := service.Job(t.Context(), "t", "b"); err == nil {
-			t.Error("the damaged one is read")
+			t.Error("Job returned an unreadable job without an error")
 		}
 	}
 	if reported != 2 {
-		t.Errorf("told %d times, want once for each row", reported)
+		t.Errorf("%d reports, want one for each of 2 unreadable rows", reported)
 	}
 }
--- a/internal/batch/upload.go
+++ b/internal/batch/upload.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	// MaxLineBytes bounds one line of an input file.
+	// MaxLineBytes is the maximum length of a line of an input file.
 	MaxLineBytes = 1 << 20
-	// MaxLines bounds the items of one job.
+	// MaxLines is the maximum number of items in one input file.
 	MaxLines = 270_000
-	// maxFindings bounds the findings kept about one file.
+	// maxFindings is the maximum number of findings stored for one file.
 	maxFindings = 100
 )
 
-// Findings about input lines.
+// Codes of the findings about input files.
 const (
 	codeInvalidJSON  = "invalid_json_line"
 	codeInvalidItem  = "invalid_item"
@@ -40,7 +40,7 @@
 	codeEmptyFile    = "empty_file"
 )
 
-// ParseItem decodes and checks one line of an input file.
+// ParseItem decodes and validates one line of an input file.
 func ParseItem(line []byte) (openai.BatchItem, *openai.BatchError) {
 	var item openai.BatchItem
 	if err := json.Unmarshal(line, &item); err != nil {
@@ -66,8 +66,8 @@
 	return item, nil
 }
 
-// uploader reads a file once: it checks every line and stores the lines in
-// segments, so that no more than one segment is in memory.
+// uploader validates the lines of a file as they arrive and stores them in segments, so that at most
+// one segment is in memory.
 type uploader struct {
 	store          object.Store
 	record         *FileRecord
@@ -77,8 +77,8 @@
 	storedSegments int
 }
 
-// Upload stores an input file and returns its record. Findings about lines do
-// not fail the upload; they fail a job over the file.
+// Upload stores an input file and returns its record. Findings do not fail the upload, but a job over
+// the file.
 func (s *Service) Upload(ctx context.Context, tenant, name string, content io.Reader) (*FileRecord, error) {
 	record := &FileRecord{ID: "file-" + table.NewOperation(), Tenant: tenant, Name: name, CreatedAt: time.Now().UTC()}
 	upload := &uploader{store: s.Objects, record: record, digest: sha256.New(), seenIDs: map[uint64]bool{}}
@@ -93,7 +93,7 @@
 	err = table.CommitSettled(ctx, s.Table, table.NewOperation(),
 		table.Write{Key: fileKey(record.ID), Expect: table.Absent, Body: body})
 	if err != nil {
-		// Nobody knows the file's id, so an undecided upload is as good as none.
+		// No caller has received the file's ID, so an undecided upload counts as not accepted.
 		return nil, Error.Wrap(fmt.Errorf("%w: %w", ErrNotAccepted, err))
 	}
 	return record, nil
@@ -122,8 +122,8 @@
 	return u.flush(ctx)
 }
 
-// readLine returns the next line without its newline. A line over the limit is
-// skipped and reported as too long.
+// readLine returns the next line without its line ending. For a line longer than MaxLineBytes,
+// tooLong is true and the line is empty or cut.
 func readLine(reader *bufio.Reader) (line []byte, tooLong bool, err error) {
 	for {
 		part, err := reader.ReadSlice('\n')
@@ -141,6 +141,7 @@
 	}
 }
 
+// addLine counts, validates and stores a line. Blank lines are ignored.
 func (u *uploader) addLine(ctx context.Context, line []byte, tooLong bool) error {
 	if len(bytes.TrimSpace(line)) == 0 && !tooLong {
 		return nil
@@ -168,6 +169,7 @@
 	return nil
 }
 
+// checkLine validates a line and records its findings.
 func (u *uploader) checkLine(line []byte) {
 	item, problem := ParseItem(line)
 	if problem != nil {
@@ -186,6 +188,7 @@
 	}
 }
 
+// addFinding records a finding about a line, counted from 1; 0 stands for the whole file.
 func (u *uploader) addFinding(line int, problem openai.BatchError) {
 	if len(u.record.Findings) < maxFindings {
 		problem.Line = line
@@ -193,6 +196,7 @@
 	}
 }
 
+// flush stores the buffered lines as the next segment.
 func (u *uploader) flush(ctx context.Context) error {
 	if u.segment.Len() == 0 {
 		return nil
--- a/internal/batch/waiting.go
+++ b/internal/batch/waiting.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// WaitReason says what a group of an active batch waits for that has no result for good.
+// WaitReason is what a group of an active batch without a permanent result waits for.
 type WaitReason uint8
 
 const (
-	// WaitTurn groups have not been begun, for as many of their tenant are open as may be.
+	// WaitTurn groups have not been submitted, because their tenant has its maximum of open groups.
 	WaitTurn WaitReason = iota
-	// WaitSubmit groups are to be handed over to package jobs, which has not succeeded yet.
+	// WaitSubmit groups are due for submission to package jobs, which has not succeeded yet.
 	WaitSubmit
-	// WaitItems groups have items that are not listed; package jobs accounts for these.
+	// WaitItems groups have items that are not listed; package jobs reports what these wait for.
 	WaitItems
-	// WaitResult groups have all items listed and wait for their results to be permanent.
+	// WaitResult groups have all items listed; their results are not permanent yet.
 	WaitResult
 	waitReasons
 )
@@ -29,12 +29,12 @@
 	return names[w]
 }
 
-// groupOverdueAfter is how long a group usually waits at most to be begun once it is its turn, or for
-// its results to be permanent: a few calls to the store and as many looks.
+// groupOverdueAfter bounds the usual wait of a group for its submission or for permanent results:
+// a few calls to the store and as many steps of the feeder.
 const groupOverdueAfter = 10 * time.Second
 
-// OverdueAfter is how long a group usually waits for the same at most; 0 where that depends on the
-// work before it.
+// OverdueAfter returns how long a group may wait for this reason before it is overdue. It returns 0
+// if the wait depends on other work and is never overdue.
 func (w WaitReason) OverdueAfter() time.Duration {
 	if w == WaitSubmit || w == WaitResult {
 		return groupOverdueAfter
@@ -42,33 +42,33 @@
 	return 0
 }
 
-// WaitingGroup is what one group waits for.
+// WaitingGroup describes the wait of one group.
 type WaitingGroup struct {
 	Batch  string
 	Group  int
 	Reason WaitReason
-	// Since is since when it waits for this.
+	// Since is when the group began to wait for Reason.
 	Since time.Time
-	// Cause is what kept it from coming on; nil if the wait says all.
+	// Cause is the last error that kept the group from progressing; nil if there was none.
 	Cause error
 }
 
-// GroupCount counts the groups fed by this node that wait for the same.
+// GroupCount counts the groups fed by this node that wait for the same reason.
 type GroupCount struct {
 	Reason WaitReason
 	Count  int
 	Oldest time.Duration
 }
 
-// Waiting returns what the groups fed by this node wait for, those first that have waited
-// longest, as of its last look.
+// Waiting returns the waiting groups fed by this node as of the feeder's last step, the longest wait
+// first.
 func (f *Feeder) Waiting() []WaitingGroup {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.waiting)
 }
 
-// WaitCounts counts the groups fed by this node by what they wait for, in the order of GroupWait.
+// WaitCounts returns one count for each WaitReason, in their order, of the groups fed by this node.
 func (f *Feeder) WaitCounts(now time.Time) []GroupCount {
 	counts := make([]GroupCount, waitReasons)
 	for i := range counts {
@@ -82,14 +82,14 @@
 	return counts
 }
 
-// Overdue returns the groups that have waited for longer than they should.
+// Overdue returns the groups that have waited at least as long as OverdueAfter allows.
 func (f *Feeder) Overdue(now time.Time) []WaitingGroup {
 	return slices.DeleteFunc(f.Waiting(), func(group WaitingGroup) bool {
 		return group.Reason.OverdueAfter() == 0 || now.Sub(group.Since) < group.Reason.OverdueAfter()
 	})
 }
 
-// updateWaiting notes what the groups wait for after a look.
+// updateWaiting records what all groups wait for at the end of a step.
 func (f *Feeder) updateWaiting(now time.Time) {
 	var all []WaitingGroup
 	for _, fed := range f.batches {
@@ -101,7 +101,7 @@
 	f.waiting = all
 }
 
-// waitingGroups returns what the groups of a batch wait for.
+// waitingGroups returns the waiting groups of a batch. Since changes only with the reason.
 func (f *Feeder) waitingGroups(fed *fedBatch, now time.Time) []WaitingGroup {
 	if fed.waits == nil {
 		fed.waits = map[int]WaitingGroup{}
@@ -124,7 +124,7 @@
 	return waiting
 }
 
-// waitReason returns what a group waits for that has no result, and what kept it from coming on.
+// waitReason returns what a group without a result waits for, and the error that holds it up.
 func (f *Feeder) waitReason(fed *fedBatch, number int) (WaitReason, error) {
 	entry := f.entry(fed, number)
 	switch {
--- a/internal/batch/waiting_test.go
+++ b/internal/batch/waiting_test.go
@@ -12,9 +12,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-var errUnavailable = errors.New("objects are away")
+var errUnavailable = errors.New("object store unavailable")
 
-// failingObjects fails every call while it is away.
+// failingObjects fails reads or writes while failReads or failWrites is set.
 type failingObjects struct {
 	objecttest.Store
 	failReads, failWrites atomic.Bool
@@ -34,7 +34,7 @@
 	return s.Store.Get(ctx, key)
 }
 
-// awaitGroups waits until so many groups wait for something, and returns one of them.
+// awaitGroups waits until count groups wait for a reason, and returns one of them.
 func awaitGroups(t *testing.T, feeder *Feeder, reason WaitReason, count int) WaitingGroup {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
@@ -46,12 +46,12 @@
 			}
 		}
 	}
-	t.Fatalf("account is %+v, want %d groups that wait for %s", feeder.WaitCounts(time.Now()), count, reason)
+	t.Fatalf("wait counts are %+v, want %d groups that wait for %s", feeder.WaitCounts(time.Now()), count, reason)
 	return WaitingGroup{}
 }
 
-// A batch is followed from its first group to its end: each of its groups says what it waits
-// for, and why.
+// TestWaitCounts_ReportReasonAndCause follows a batch from its first group to its end and checks the
+// reported wait reason and cause of its groups.
 func TestWaitCounts_ReportReasonAndCause(t *testing.T) {
 	objects := &failingObjects{}
 	backend := &fakeBackend{runs: map[string]int{}, hold: make(chan struct{})}
@@ -63,23 +63,23 @@
 	objects.failWrites.Store(true)
 	close(backend.hold)
 	if group := awaitGroups(t, node.feeder, WaitResult, openGroupsPerTenant); !errors.Is(group.Cause, errUnavailable) {
-		t.Fatalf("group waits for its result because of %v", group.Cause)
+		t.Fatalf("cause of a wait for results: %v, want %v", group.Cause, errUnavailable)
 	}
 	if group := awaitGroups(t, node.feeder, WaitSubmit, 1); !errors.Is(group.Cause, errUnavailable) {
-		t.Fatalf("group waits to be begun because of %v", group.Cause)
+		t.Fatalf("cause of a wait for submission: %v, want %v", group.Cause, errUnavailable)
 	}
 	if overdue := node.feeder.Overdue(time.Now()); len(overdue) != 0 {
-		t.Fatalf("%d groups are overdue at once", len(overdue))
+		t.Fatalf("%d groups are overdue immediately", len(overdue))
 	}
 	if overdue := node.feeder.Overdue(time.Now().Add(groupOverdueAfter)); len(overdue) != openGroupsPerTenant+1 {
-		t.Fatalf("%d groups are overdue, want those that wait for the objects alone", len(overdue))
+		t.Fatalf("%d groups are overdue, want only those that wait for the object store", len(overdue))
 	}
 	objects.failReads.Store(false)
 	objects.failWrites.Store(false)
 	awaitFinal(t, node.Service, batch.ID)
 	for deadline := time.Now().Add(5 * time.Second); len(node.feeder.Waiting()) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("groups of an ended batch wait: %+v", node.feeder.Waiting())
+			t.Fatalf("groups of an ended batch still wait: %+v", node.feeder.Waiting())
 		}
 	}
 }
