--- a/internal/batch/waiting_test.go
+++ b/internal/batch/waiting_test.go
@@ -63,10 +63,10 @@
 	objects.failWrites.Store(true)
 	close(backend.hold)
 	if group := awaitGroups(t, node.feeder, WaitResult, openGroupsPerTenant); !errors.Is(group.Cause, errUnavailable) {
-		t.Fatalf("cause of a wait for results: %v, want %v", group.Cause, errUnavailable)
+		t.Fatalf("cause of a wait for results is %v, want errUnavailable", group.Cause)
 	}
 	if group := awaitGroups(t, node.feeder, WaitSubmit, 1); !errors.Is(group.Cause, errUnavailable) {
-		t.Fatalf("cause of a wait for submission: %v, want %v", group.Cause, errUnavailable)
+		t.Fatalf("cause of a wait for submission is %v, want errUnavailable", group.Cause)
 	}
 	if overdue := node.feeder.Overdue(time.Now()); len(overdue) != 0 {
 		t.Fatalf("%d groups are overdue immediately", len(overdue))
