--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -94,7 +94,7 @@
 	for _, one := range status.Tenants {
 		content.rows = append(content.rows, []string{
 			"tenant", one.Name, "", "",
-			fmt.Sprintf("limit %g/s, burst %g; here %.1f/s, part %.2f told %.1f s ago", one.Rate, one.Burst, one.Demand, one.Part, one.ToldAge),
+			fmt.Sprintf("limit %g/s, burst %g; here %.1f/s, part %.2f told %.1f s ago", one.Rate, one.Burst, one.Demand, one.Share, one.GrantAge),
 		})
 	}
 	return content
--- a/internal/node/gatewayquota.go
+++ b/internal/node/gatewayquota.go
@@ -70,14 +70,14 @@
 }
 
 // tenantUses returns the use that tenants make of their limits, by name.
-func (g *Gateway) tenantUses() []server.TenantUse {
-	var uses []server.TenantUse
+func (g *Gateway) tenantUses() []server.TenantUsage {
+	var uses []server.TenantUsage
 	for _, one := range g.quota.Limiter.Usage(clock.Now()) {
-		uses = append(uses, server.TenantUse{
+		uses = append(uses, server.TenantUsage{
 			Name: one.Tenant, Rate: one.Limit.Rate, Burst: one.Limit.Burst, Demand: one.Demand,
-			Admitted: one.Admitted, Part: one.Share, ToldAge: one.GrantAge.Seconds(),
+			Admitted: one.Admitted, Share: one.Share, GrantAge: one.GrantAge.Seconds(),
 		})
 	}
-	slices.SortFunc(uses, func(a, b server.TenantUse) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(uses, func(a, b server.TenantUsage) int { return strings.Compare(a.Name, b.Name) })
 	return uses
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -33,7 +33,7 @@
 
 // status describes the other nodes and the replicas as this one sees them.
 func (c *core) status() server.NodeStatus {
-	status := server.NodeStatus{Members: []server.MemberStatus{}, Replicas: []server.ReplicaView{}}
+	status := server.NodeStatus{Members: []server.MemberStatus{}, Replicas: []server.ReplicaStatus{}}
 	for _, session := range c.owners.Sessions() {
 		state := server.MemberAlive
 		if session.Expired {
@@ -42,7 +42,7 @@
 		status.Members = append(status.Members, server.MemberStatus{ID: session.Node(), Zone: c.zoneOf(session.Node()), Status: state})
 	}
 	for _, known := range c.replicas.List(clock.Now()) {
-		status.Replicas = append(status.Replicas, server.ReplicaView{
+		status.Replicas = append(status.Replicas, server.ReplicaStatus{
 			ID: known.ID, Zone: known.Zone, Pool: known.Pool, Version: known.Version,
 			State: replicaState(&known), Open: known.Open, Batch: known.Batch, Ejected: known.Ejected,
 			ColdLeft: known.Cold.Left.Seconds(), ColdRate: known.Cold.Rate,
--- a/internal/server/answer.go
+++ b/internal/server/answer.go
@@ -20,10 +20,10 @@
 
 // fail answers with an error in the form of the OpenAI API.
 func fail(ctx iris.Context, status int, kind openai.ErrorType, message string) {
-	failWith(ctx, status, openai.ErrorDetail{Message: message, Type: kind})
+	failWithDetail(ctx, status, openai.ErrorDetail{Message: message, Type: kind})
 }
 
-func failWith(ctx iris.Context, status int, detail openai.ErrorDetail) {
+func failWithDetail(ctx iris.Context, status int, detail openai.ErrorDetail) {
 	ctx.StatusCode(status)
 	_ = ctx.JSON(openai.ErrorAnswer{Error: detail})
 }
--- a/internal/server/auth.go
+++ b/internal/server/auth.go
@@ -67,7 +67,7 @@
 	return table
 }
 
-func bearer(header http.Header) string {
+func bearerToken(header http.Header) string {
 	key, ok := strings.CutPrefix(header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return ""
@@ -78,25 +78,25 @@
 // IsOperator reports whether a call holds the operators' key, by its hash in the settings;
 // nobody does if these name none.
 func IsOperator(header http.Header, keySHA256 string) bool {
-	return subtle.ConstantTimeCompare([]byte(v1.HashKey(bearer(header))), []byte(keySHA256)) == 1
+	return subtle.ConstantTimeCompare([]byte(v1.HashKey(bearerToken(header))), []byte(keySHA256)) == 1
 }
 
-const tenantValue = "tenant"
+const tenantContextKey = "tenant"
 
-// identify finds the calling tenant.
-func (s *Server) identify(ctx iris.Context) {
+// authenticate finds the calling tenant.
+func (s *Server) authenticate(ctx iris.Context) {
 	ctx.Header(HeaderNode, s.options.NodeID)
-	found, ok := s.tenants.find(bearer(ctx.Request().Header))
+	found, ok := s.tenants.find(bearerToken(ctx.Request().Header))
 	if !ok {
 		refuse(ctx, iris.StatusUnauthorized, openai.TypeAuthentication, "the key is not known", 0)
 		return
 	}
-	ctx.Values().Set(tenantValue, found)
+	ctx.Values().Set(tenantContextKey, found)
 	ctx.Next()
 }
 
-func caller(ctx iris.Context) tenant {
-	found, _ := ctx.Values().Get(tenantValue).(tenant)
+func callingTenant(ctx iris.Context) tenant {
+	found, _ := ctx.Values().Get(tenantContextKey).(tenant)
 	return found
 }
 
--- a/internal/server/batches.go
+++ b/internal/server/batches.go
@@ -24,7 +24,7 @@
 // uploadFile takes a multipart upload and stores it as it comes in.
 func (s *Server) uploadFile(ctx iris.Context) {
 	if s.draining.Load() {
-		refuse(ctx, iris.StatusServiceUnavailable, openai.TypeOverloaded, "this node takes no new work", fencedRetryAfter)
+		refuse(ctx, iris.StatusServiceUnavailable, openai.TypeOverloaded, "this node takes no new work", notServingRetryAfter)
 		return
 	}
 	ctx.Request().Body = http.MaxBytesReader(ctx.ResponseWriter(), ctx.Request().Body, maxFileBytes)
@@ -56,7 +56,7 @@
 }
 
 func (s *Server) storeFile(ctx iris.Context, part *multipart.Part, purpose string) {
-	record, err := s.options.Batch.Upload(ctx.Request().Context(), caller(ctx).name, part.FileName(), part)
+	record, err := s.options.Batch.Upload(ctx.Request().Context(), callingTenant(ctx).name, part.FileName(), part)
 	if err != nil {
 		failBatch(ctx, err)
 		return
@@ -64,10 +64,10 @@
 	if purpose == "" {
 		purpose = "batch"
 	}
-	_ = ctx.JSON(fileAnswer(record, purpose))
+	_ = ctx.JSON(fileObject(record, purpose))
 }
 
-func fileAnswer(record *batch.FileRecord, purpose string) openai.File {
+func fileObject(record *batch.FileRecord, purpose string) openai.File {
 	return openai.File{
 		ID: record.ID, Object: "file", Bytes: record.Bytes, CreatedAt: record.CreatedAt.Unix(),
 		Filename: record.Name, Purpose: purpose,
@@ -80,12 +80,12 @@
 		_ = ctx.JSON(openai.File{ID: id, Object: "file", Filename: id + ".jsonl", Purpose: "batch_output"})
 		return
 	}
-	record, err := s.options.Batch.File(ctx.Request().Context(), caller(ctx).name, id)
+	record, err := s.options.Batch.File(ctx.Request().Context(), callingTenant(ctx).name, id)
 	if err != nil {
 		failBatch(ctx, err)
 		return
 	}
-	_ = ctx.JSON(fileAnswer(record, "batch"))
+	_ = ctx.JSON(fileObject(record, "batch"))
 }
 
 // fileContent streams a file. An error after the first byte breaks the
@@ -93,7 +93,7 @@
 func (s *Server) fileContent(ctx iris.Context) {
 	output := &countingWriter{writer: ctx.ResponseWriter()}
 	ctx.ContentType("application/jsonl")
-	err := s.options.Batch.Content(ctx.Request().Context(), caller(ctx).name, ctx.Params().Get("id"), output)
+	err := s.options.Batch.Content(ctx.Request().Context(), callingTenant(ctx).name, ctx.Params().Get("id"), output)
 	if err == nil {
 		return
 	}
@@ -117,7 +117,7 @@
 
 func (s *Server) createBatch(ctx iris.Context) {
 	if !s.serving() {
-		refuse(ctx, iris.StatusServiceUnavailable, openai.TypeOverloaded, "this node takes no new work", fencedRetryAfter)
+		refuse(ctx, iris.StatusServiceUnavailable, openai.TypeOverloaded, "this node takes no new work", notServingRetryAfter)
 		return
 	}
 	var request openai.BatchRequest
@@ -131,7 +131,7 @@
 		return
 	}
 	job, err := s.options.Batch.Submit(ctx.Request().Context(), batch.Submission{
-		Tenant: caller(ctx).name, Request: request, Deadline: window,
+		Tenant: callingTenant(ctx).name, Request: request, Deadline: window,
 		Key: ctx.GetHeader(HeaderIdempotencyKey),
 	})
 	if err != nil {
@@ -149,7 +149,7 @@
 }
 
 func (s *Server) getBatch(ctx iris.Context) {
-	job, err := s.options.Batch.Job(ctx.Request().Context(), caller(ctx).name, ctx.Params().Get("id"))
+	job, err := s.options.Batch.Job(ctx.Request().Context(), callingTenant(ctx).name, ctx.Params().Get("id"))
 	if err != nil {
 		failBatch(ctx, err)
 		return
@@ -159,7 +159,7 @@
 
 func (s *Server) listBatches(ctx iris.Context) {
 	limit := ctx.URLParamIntDefault("limit", maxListed)
-	jobs, err := s.options.Batch.Jobs(ctx.Request().Context(), caller(ctx).name, min(max(limit, 1), maxListed))
+	jobs, err := s.options.Batch.Jobs(ctx.Request().Context(), callingTenant(ctx).name, min(max(limit, 1), maxListed))
 	if err != nil {
 		failBatch(ctx, err)
 		return
@@ -172,7 +172,7 @@
 }
 
 func (s *Server) cancelBatch(ctx iris.Context) {
-	job, err := s.options.Batch.Cancel(ctx.Request().Context(), caller(ctx).name, ctx.Params().Get("id"))
+	job, err := s.options.Batch.Cancel(ctx.Request().Context(), callingTenant(ctx).name, ctx.Params().Get("id"))
 	if err != nil {
 		failBatch(ctx, err)
 		return
--- a/internal/server/batchjobs.go
+++ b/internal/server/batchjobs.go
@@ -53,11 +53,11 @@
 		failBatch(ctx, err)
 		return
 	}
-	found := jobResource(job)
+	resource := jobResource(job)
 	if s.options.BatchWaits != nil && !job.State.Final() {
-		found.Status.Batch.Waiting = s.options.BatchWaits(job.ID)
+		resource.Status.Batch.Waiting = s.options.BatchWaits(job.ID)
 	}
-	_ = ctx.JSON(found)
+	_ = ctx.JSON(resource)
 }
 
 // putBatchJob submits a job; its name is the idempotency key, so applying the
--- a/internal/server/completion.go
+++ b/internal/server/completion.go
@@ -25,8 +25,8 @@
 const (
 	// maxBodyBytes bounds a completion request.
 	maxBodyBytes = 4 << 20
-	// fencedRetryAfter is what a caller of a node that is out of step waits.
-	fencedRetryAfter = time.Second
+	// notServingRetryAfter is what a caller of a node that is out of step waits.
+	notServingRetryAfter = time.Second
 	// overloadRetryAfter is what a caller waits when no replica can take it.
 	overloadRetryAfter = time.Second
 	// assumedTokens is charged to a token rate when a request names no limit.
@@ -36,7 +36,7 @@
 // complete serves chat and text completions.
 func (s *Server) complete(ctx iris.Context) {
 	if !s.serving() {
-		refuse(ctx, iris.StatusServiceUnavailable, openai.TypeOverloaded, "this node takes no new work", fencedRetryAfter)
+		refuse(ctx, iris.StatusServiceUnavailable, openai.TypeOverloaded, "this node takes no new work", notServingRetryAfter)
 		return
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(ctx.ResponseWriter(), ctx.Request().Body, maxBodyBytes))
@@ -71,7 +71,7 @@
 		refuse(ctx, iris.StatusNotFound, openai.TypeNotFound, "the model is not served here", 0)
 		return
 	}
-	s.answer(ctx, target, newRequest(ctx, body, &parsed), parsed.Stream)
+	s.dispatch(ctx, target, newRequest(ctx, body, &parsed), parsed.Stream)
 }
 
 func refuseBody(ctx iris.Context, err error) {
@@ -84,12 +84,12 @@
 }
 
 func (s *Server) admit(ctx iris.Context, parsed *openai.CompletionRequest) (*admission.Ticket, error) {
-	who := caller(ctx)
+	caller := callingTenant(ctx)
 	tokens := parsed.Limit()
 	if tokens == 0 {
 		tokens = assumedTokens
 	}
-	return s.options.Admission.Admit(who.name, who.limits, tokens, clock.Now())
+	return s.options.Admission.Admit(caller.name, caller.limits, tokens, clock.Now())
 }
 
 func (s *Server) refuseAdmission(ctx iris.Context, err error) {
@@ -114,14 +114,14 @@
 	}
 	return &forward.Request{
 		ID: id, Method: http.MethodPost, Target: ctx.Path(), Host: parsed.Model, Body: body,
-		Header: http.Header{}, Received: clock.Now(), Prompt: promptOf(parsed),
+		Header: http.Header{}, Received: clock.Now(), Prompt: describePrompt(parsed),
 		Once: ctx.GetHeader(HeaderRepeatable) == "no",
 	}
 }
 
-// promptOf describes a prompt by the parts that others may share: its blocks up
+// describePrompt describes a prompt by the parts that others may share: its blocks up
 // to sharedBlocks, and the rest.
-func promptOf(parsed *openai.CompletionRequest) route.Prompt {
+func describePrompt(parsed *openai.CompletionRequest) route.Prompt {
 	text := parsed.PromptText()
 	words := len(strings.Fields(text))
 	prompt := route.Prompt{Model: parsed.Model, Tokens: words, MaxOutput: parsed.Limit()}
@@ -129,27 +129,27 @@
 	if len(blocks) == 0 {
 		return prompt
 	}
-	shared := min(len(blocks), sharedBlocks)
+	shared := min(len(blocks), maxSharedBlocks)
 	tokens := shared * engine.PrefixBlockWords
 	prompt.Parts = []route.Part{{Key: blocks[shared-1], Tokens: tokens}, {Tokens: words - tokens}}
 	return prompt
 }
 
-// sharedBlocks is the number of leading blocks by which prompts that share a
+// maxSharedBlocks is the number of leading blocks by which prompts that share a
 // prefix meet at a replica: long enough to tell system prompts apart, short
 // enough that the questions after them do not.
-const sharedBlocks = 4
+const maxSharedBlocks = 4
 
-// answer runs a request, through a claim if it may run only once and has a key.
-func (s *Server) answer(ctx iris.Context, target *route.Route, request *forward.Request, stream bool) {
+// dispatch runs a request, through a claim if it may run only once and has a key.
+func (s *Server) dispatch(ctx iris.Context, target *route.Route, request *forward.Request, stream bool) {
 	ctx.Header(engine.HeaderRequestID, request.ID)
 	key := ctx.GetHeader(HeaderIdempotencyKey)
 	if !request.Once || key == "" {
-		s.run(ctx, target, request, stream)
+		s.forward(ctx, target, request, stream)
 		return
 	}
-	who := caller(ctx)
-	claim, err := s.options.Claims.Begin(ctx.Request().Context(), who.name, key, request.Body)
+	caller := callingTenant(ctx)
+	claim, err := s.options.Claims.Begin(ctx.Request().Context(), caller.name, key, request.Body)
 	if err != nil {
 		refuseClaim(ctx, err)
 		return
@@ -159,19 +159,19 @@
 		_, _ = ctx.Write(claim.Body)
 		return
 	}
-	recording, err := s.run(ctx, target, request, stream)
-	s.settle(claim, recording, err)
+	recorded, err := s.forward(ctx, target, request, stream)
+	s.settleClaim(claim, recorded, err)
 }
 
-// settle records how a claimed request ended.
-func (s *Server) settle(claim *idempotency.Claim, recording *recording, err error) {
+// settleClaim records how a claimed request ended.
+func (s *Server) settleClaim(claim *idempotency.Claim, recorded *recordedAnswer, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
 	switch {
-	case err == nil && recording.refused:
+	case err == nil && recorded.refused:
 		err = s.options.Claims.Release(ctx, claim)
 	case err == nil:
-		err = s.options.Claims.RecordAnswer(ctx, claim, recording.contentType, recording.body())
+		err = s.options.Claims.RecordAnswer(ctx, claim, recorded.contentType, recorded.body())
 	case outcome.Of(err) == outcome.NotDone:
 		err = s.options.Claims.Release(ctx, claim)
 	default:
@@ -196,15 +196,15 @@
 	}
 }
 
-// run forwards a request and writes its answer or its error.
-func (s *Server) run(ctx iris.Context, target *route.Route, request *forward.Request, stream bool) (*recording, error) {
-	if err := s.shed(ctx, target, request); err != nil {
+// forward forwards a request and writes its answer or its error.
+func (s *Server) forward(ctx iris.Context, target *route.Route, request *forward.Request, stream bool) (*recordedAnswer, error) {
+	if err := s.checkOverload(ctx, target, request); err != nil {
 		s.refuseAdmission(ctx, err)
 		return nil, outcome.Failed(err)
 	}
-	var sink answerSink = &wholeSink{ctx: ctx, path: request.Target}
+	var sink responseSink = &bufferedSink{ctx: ctx, path: request.Target}
 	if stream {
-		sink = &streamSink{ctx: ctx, keep: request.Once}
+		sink = &streamSink{ctx: ctx, record: request.Once}
 	}
 	result, err := s.options.Forward(ctx.Request().Context(), target, request, sink)
 	s.metrics.observe(result, err, clock.Since(request.Received))
@@ -215,15 +215,15 @@
 	return sink.finish(), nil
 }
 
-// shed refuses a request that no replica is predicted to begin in time.
-func (s *Server) shed(ctx iris.Context, target *route.Route, request *forward.Request) error {
+// checkOverload refuses a request that no replica is predicted to begin in time.
+func (s *Server) checkOverload(ctx iris.Context, target *route.Route, request *forward.Request) error {
 	now := clock.Now()
 	predicted, err := s.options.Predict(target, request, now)
 	if err != nil {
 		// The forwarder waits for a replica, and answers with its own error.
 		return nil
 	}
-	return s.options.Admission.CheckOverload(caller(ctx).name, predicted, target.MaxWait, now)
+	return s.options.Admission.CheckOverload(callingTenant(ctx).name, predicted, target.MaxWait, now)
 }
 
 // reconnect continues an answer whose caller lost its node. The attempt is
@@ -235,24 +235,24 @@
 		refuse(ctx, iris.StatusBadRequest, openai.TypeInvalidRequest, "Last-Event-ID must be a number", 0)
 		return
 	}
-	address, reborn, stop, listed := s.options.Replicas.Follow(replicaID)
+	address, restarted, stopFollowing, listed := s.options.Replicas.Follow(replicaID)
 	if !listed {
 		ctx.Header(HeaderExecuted, outcome.Unknown.String())
 		fail(ctx, iris.StatusNotFound, openai.TypeNotFound, "the replica is gone")
 		return
 	}
-	defer stop()
+	defer stopFollowing()
 	// An engine that has started again does not have the answer.
-	following, leave := context.WithCancel(ctx.Request().Context())
-	defer leave()
+	streamCtx, cancel := context.WithCancel(ctx.Request().Context())
+	defer cancel()
 	go func() {
 		select {
-		case <-reborn:
-			leave()
-		case <-following.Done():
+		case <-restarted:
+			cancel()
+		case <-streamCtx.Done():
 		}
 	}()
-	stream, err := s.options.Engines.Resume(following, address, attempt, ctx.Path(), after)
+	stream, err := s.options.Engines.Resume(streamCtx, address, attempt, ctx.Path(), after)
 	if err != nil {
 		ctx.Header(HeaderExecuted, outcome.Unknown.String())
 		fail(ctx, iris.StatusNotFound, openai.TypeNotFound, "the answer is no longer held: "+err.Error())
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -41,12 +41,12 @@
 	return m
 }
 
-func (m *metrics) observe(result forward.Result, err error, took time.Duration) {
+func (m *metrics) observe(result forward.Result, err error, elapsed time.Duration) {
 	label := "done"
 	if err != nil {
 		label = "failed_executed_" + outcome.Of(err).String()
 	}
 	m.requests.WithLabelValues(label).Inc()
 	m.tokens.Add(float64(result.Events))
-	m.duration.Observe(took.Seconds())
+	m.duration.Observe(elapsed.Seconds())
 }
--- a/internal/server/quarantine.go
+++ b/internal/server/quarantine.go
@@ -26,15 +26,15 @@
 // those who may.
 func QuarantineHandler(quarantine Quarantine, mayRelease func(*http.Request) bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		_, work, one := strings.Cut(r.URL.Path, PathQuarantine+"/")
+		_, work, single := strings.Cut(r.URL.Path, PathQuarantine+"/")
 		switch {
-		case r.Method == http.MethodGet && !one:
+		case r.Method == http.MethodGet && !single:
 			writeJSON(w, http.StatusOK, quarantine.Suspects())
 		case r.Method == http.MethodGet:
 			showSuspect(w, quarantine, work)
-		case r.Method == http.MethodDelete && one && !mayRelease(r):
+		case r.Method == http.MethodDelete && single && !mayRelease(r):
 			writeError(w, http.StatusForbidden, openai.TypePermission, "this needs the operators' key")
-		case r.Method == http.MethodDelete && one:
+		case r.Method == http.MethodDelete && single:
 			releaseSuspect(w, quarantine, work)
 		default:
 			writeError(w, http.StatusMethodNotAllowed, openai.TypeInvalidRequest, "GET the list or a work, DELETE a work to release it")
@@ -42,8 +42,8 @@
 	})
 }
 
-// mayReleaseAny is for handlers that only operators reach.
-func mayReleaseAny(*http.Request) bool { return true }
+// allowAll is for handlers that only operators reach.
+func allowAll(*http.Request) bool { return true }
 
 func showSuspect(w http.ResponseWriter, quarantine Quarantine, work string) {
 	for _, suspect := range quarantine.Suspects().Items {
@@ -56,8 +56,8 @@
 }
 
 func releaseSuspect(w http.ResponseWriter, quarantine Quarantine, work string) {
-	suspect, known := quarantine.Release(work)
-	if !known {
+	suspect, found := quarantine.Release(work)
+	if !found {
 		writeUnknownSuspect(w)
 		return
 	}
--- a/internal/server/reconnect_test.go
+++ b/internal/server/reconnect_test.go
@@ -17,9 +17,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// TestReconnect_LeavesAnEngineThatHasStartedAgain: it does not have the answer, and the
+// TestReconnect_EndsWhenTheEngineRestarts: it does not have the answer, and the
 // connection to the one before may stay open without a word.
-func TestReconnect_LeavesAnEngineThatHasStartedAgain(t *testing.T) {
+func TestReconnect_EndsWhenTheEngineRestarts(t *testing.T) {
 	engineServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = fmt.Fprint(w, "id: 3\ndata: {}\n\n")
 		_ = http.NewResponseController(w).Flush()
@@ -35,22 +35,22 @@
 	if err := app.Build(); err != nil {
 		t.Fatal(err)
 	}
-	front := httptest.NewServer(app)
-	defer front.Close()
+	frontend := httptest.NewServer(app)
+	defer frontend.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, front.URL, http.NoBody)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, frontend.URL, http.NoBody)
 	if err != nil {
 		t.Fatal(err)
 	}
 	request.Header.Set(engine.HeaderAttempt, "a@r")
 	request.Header.Set(engine.HeaderLastEventID, "2")
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	body := bufio.NewReader(answer.Body)
+	defer func() { _ = response.Body.Close() }()
+	body := bufio.NewReader(response.Body)
 	if line, err := body.ReadString('\n'); err != nil || line != "id: 3\n" {
 		t.Fatalf("the caller got %q, %v", line, err)
 	}
--- a/internal/server/resources.go
+++ b/internal/server/resources.go
@@ -31,18 +31,18 @@
 	ctx.StatusCode(iris.StatusAccepted)
 }
 
-// current reports whether this node's view may be shown; a node that is out of
+// requireCurrent reports whether this node's view may be shown; a node that is out of
 // step would show a past that others have left behind.
-func (s *Server) current(ctx iris.Context) bool {
+func (s *Server) requireCurrent(ctx iris.Context) bool {
 	if s.options.Current() {
 		return true
 	}
-	refuse(ctx, iris.StatusServiceUnavailable, openai.TypeOverloaded, "this node is out of step", fencedRetryAfter)
+	refuse(ctx, iris.StatusServiceUnavailable, openai.TypeOverloaded, "this node is out of step", notServingRetryAfter)
 	return false
 }
 
-// kindOf returns the kind named in the path, or answers 404.
-func kindOf(ctx iris.Context) (v1.Kind, bool) {
+// kindParam returns the kind named in the path, or answers 404.
+func kindParam(ctx iris.Context) (v1.Kind, bool) {
 	kind := v1.Kind(ctx.Params().Get("kind"))
 	if !kind.Known() {
 		refuse(ctx, iris.StatusNotFound, openai.TypeNotFound, "no such kind", 0)
@@ -52,7 +52,7 @@
 }
 
 func (s *Server) listResources(ctx iris.Context) {
-	kind, ok := kindOf(ctx)
+	kind, ok := kindParam(ctx)
 	if !ok {
 		return
 	}
@@ -60,7 +60,7 @@
 		s.listBatchJobs(ctx)
 		return
 	}
-	if !s.current(ctx) {
+	if !s.requireCurrent(ctx) {
 		return
 	}
 	snapshot := s.options.Store.Snapshot()
@@ -72,7 +72,7 @@
 }
 
 func (s *Server) getResource(ctx iris.Context) {
-	kind, ok := kindOf(ctx)
+	kind, ok := kindParam(ctx)
 	if !ok {
 		return
 	}
@@ -80,7 +80,7 @@
 		s.getBatchJob(ctx)
 		return
 	}
-	if !s.current(ctx) {
+	if !s.requireCurrent(ctx) {
 		return
 	}
 	entry, ok := s.options.Store.Snapshot().Get(kind, ctx.Params().Get("name"))
@@ -117,7 +117,7 @@
 }
 
 func (s *Server) putResource(ctx iris.Context) {
-	kind, ok := kindOf(ctx)
+	kind, ok := kindParam(ctx)
 	if !ok {
 		return
 	}
@@ -158,7 +158,7 @@
 }
 
 func (s *Server) deleteResource(ctx iris.Context) {
-	kind, ok := kindOf(ctx)
+	kind, ok := kindParam(ctx)
 	if !ok {
 		return
 	}
@@ -186,14 +186,14 @@
 	if !status.Accepted() {
 		ctx.StatusCode(iris.StatusAccepted)
 	}
-	answer := v1.Resource{
+	written := v1.Resource{
 		APIVersion: v1.APIVersion, Kind: committed.Kind, Spec: committed.Spec, Status: &status,
 		Metadata: v1.Metadata{Name: committed.Name, ResourceVersion: committed.Revision},
 	}
 	if committed.Deleted {
-		answer.Spec = json.RawMessage("{}")
+		written.Spec = json.RawMessage("{}")
 	}
-	_ = ctx.JSON(answer)
+	_ = ctx.JSON(written)
 }
 
 // watch streams changes after a revision as JSON lines. It ends with a TOO_OLD
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -58,13 +58,13 @@
 	Open     int64  `json:"openRequests"`
 	// ConfigAge is the time, in seconds, since the table last answered about
 	// the configuration.
-	ConfigAge float64        `json:"configAgeSeconds"`
-	Members   []MemberStatus `json:"members"`
-	Replicas  []ReplicaView  `json:"replicas"`
+	ConfigAge float64         `json:"configAgeSeconds"`
+	Members   []MemberStatus  `json:"members"`
+	Replicas  []ReplicaStatus `json:"replicas"`
 	// Zones are those that are declared, evacuated, or hold nodes or replicas.
 	Zones []ZoneStatus `json:"zones"`
 	// Tenants are those with a limit that called here of late.
-	Tenants []TenantUse `json:"tenants,omitempty"`
+	Tenants []TenantUsage `json:"tenants,omitempty"`
 	// Items are the batch items that the node is to run and that are not listed, by what
 	// they wait for.
 	Items []ItemWait `json:"items,omitempty"`
@@ -78,8 +78,8 @@
 	Oldest float64 `json:"oldestSeconds"`
 }
 
-// TenantUse is a tenant's use of its limit of requests as this node sees it.
-type TenantUse struct {
+// TenantUsage is a tenant's use of its limit of requests as this node sees it.
+type TenantUsage struct {
 	Name string `json:"name"`
 	// Rate is in requests a second, Burst in requests, over all nodes.
 	Rate  float64 `json:"rate"`
@@ -88,10 +88,10 @@
 	// since the node's start. Both are this node's.
 	Demand   float64 `json:"demand"`
 	Admitted int64   `json:"admitted"`
-	// Part is this node's part of the demand as the tenant's owner told it, ToldAge how
+	// Share is this node's part of the demand as the tenant's owner told it, ToldAge how
 	// many seconds ago; negative if it never did.
-	Part    float64 `json:"part"`
-	ToldAge float64 `json:"toldAgeSeconds"`
+	Share    float64 `json:"part"`
+	GrantAge float64 `json:"toldAgeSeconds"`
 }
 
 // States of a member.
@@ -126,8 +126,8 @@
 	EvacuatedVersion uint64  `json:"evacuatedVersion,omitempty"`
 }
 
-// ReplicaView is a replica as this node sees it.
-type ReplicaView struct {
+// ReplicaStatus is a replica as this node sees it.
+type ReplicaStatus struct {
 	ID      string       `json:"id"`
 	Zone    string       `json:"zone"`
 	Pool    string       `json:"pool"`
@@ -181,8 +181,8 @@
 	options Options
 	app     *iris.Application
 	tenants *tenantIndex
-	// unready fails readiness; draining refuses new requests as well.
-	unready  atomic.Bool
+	// notReady fails readiness; draining refuses new requests as well.
+	notReady atomic.Bool
 	draining atomic.Bool
 	open     atomic.Int64
 	metrics  *metrics
@@ -206,7 +206,7 @@
 }
 
 func (s *Server) routes() {
-	callers := s.app.Party("/", s.identify)
+	callers := s.app.Party("/", s.authenticate)
 	callers.Post(openai.PathChatCompletions, s.complete)
 	callers.Post(openai.PathCompletions, s.complete)
 	callers.Get(openai.PathModels, s.listModels)
@@ -222,7 +222,7 @@
 	operators.Get("/status", s.nodeStatus)
 	operators.Post("/drain", s.drain)
 	operators.Get("/watch", s.watch)
-	quarantine := iris.FromStd(QuarantineHandler(s.options.Quarantine, mayReleaseAny))
+	quarantine := iris.FromStd(QuarantineHandler(s.options.Quarantine, allowAll))
 	operators.Get("/quarantine", quarantine)
 	operators.Get("/quarantine/{work}", quarantine)
 	operators.Delete("/quarantine/{work}", quarantine)
@@ -243,7 +243,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.app.ServeHTTP(w, r) }
 
 // FailReadiness makes readiness fail, so that callers go elsewhere.
-func (s *Server) FailReadiness() { s.unready.Store(true) }
+func (s *Server) FailReadiness() { s.notReady.Store(true) }
 
 // StartDraining refuses new requests from now on.
 func (s *Server) StartDraining() { s.draining.Store(true) }
@@ -260,7 +260,7 @@
 }
 
 func (s *Server) ready(ctx iris.Context) {
-	if s.unready.Load() || !s.serving() {
+	if s.notReady.Load() || !s.serving() {
 		ctx.StatusCode(iris.StatusServiceUnavailable)
 		_, _ = ctx.WriteString("not ready\n")
 		return
--- a/internal/server/sink.go
+++ b/internal/server/sink.go
@@ -19,8 +19,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/sse"
 )
 
-// recording is an answer kept for later sendings of the same request.
-type recording struct {
+// recordedAnswer is an answer kept for later sendings of the same request.
+type recordedAnswer struct {
 	contentType string
 	// refused answers are refusals that no replica would decide otherwise; the
 	// request did not run.
@@ -28,21 +28,21 @@
 	buffer  bytes.Buffer
 }
 
-func (r *recording) body() []byte { return r.buffer.Bytes() }
+func (r *recordedAnswer) body() []byte { return r.buffer.Bytes() }
 
-// answerSink writes an answer to the caller in one of its forms.
-type answerSink interface {
+// responseSink writes an answer to the caller in one of its forms.
+type responseSink interface {
 	forward.Sink
 	// fail writes an error, as far as the answer's form still allows.
 	fail(error)
 	// finish ends the answer and returns it if it was kept.
-	finish() *recording
+	finish() *recordedAnswer
 }
 
 const eventStream = "text/event-stream"
 
-// passHeader passes on the headers of an answer.
-func passHeader(ctx iris.Context, header http.Header) {
+// copyHeader passes on the headers of an answer.
+func copyHeader(ctx iris.Context, header http.Header) {
 	for name, values := range header {
 		for _, value := range values {
 			ctx.Header(name, value)
@@ -52,19 +52,19 @@
 
 // streamSink passes events on as they come.
 type streamSink struct {
-	ctx     iris.Context
-	keep    bool
-	started bool
-	kept    recording
+	ctx      iris.Context
+	record   bool
+	started  bool
+	recorded recordedAnswer
 }
 
 // Head implements forward.Sink.
 func (s *streamSink) Head(status int, header http.Header) error {
 	s.started = true
-	s.kept.contentType = header.Get("Content-Type")
-	passHeader(s.ctx, header)
+	s.recorded.contentType = header.Get("Content-Type")
+	copyHeader(s.ctx, header)
 	if status != http.StatusOK {
-		s.kept.refused = true
+		s.recorded.refused = true
 		s.ctx.Header(HeaderExecuted, outcome.NotDone.String())
 	}
 	s.ctx.StatusCode(status)
@@ -73,8 +73,8 @@
 
 // Write implements forward.Sink.
 func (s *streamSink) Write(piece []byte, more bool) error {
-	if s.keep {
-		s.kept.buffer.Write(piece)
+	if s.record {
+		s.recorded.buffer.Write(piece)
 	}
 	if _, err := s.ctx.ResponseWriter().Write(piece); err != nil {
 		return err
@@ -101,10 +101,10 @@
 	s.ctx.ResponseWriter().Flush()
 }
 
-func (s *streamSink) finish() *recording { return &s.kept }
+func (s *streamSink) finish() *recordedAnswer { return &s.recorded }
 
-// wholeSink collects an answer and writes it in one piece.
-type wholeSink struct {
+// bufferedSink collects an answer and writes it in one piece.
+type bufferedSink struct {
 	ctx    iris.Context
 	path   string
 	status int
@@ -113,38 +113,38 @@
 }
 
 // Head implements forward.Sink.
-func (s *wholeSink) Head(status int, header http.Header) error {
+func (s *bufferedSink) Head(status int, header http.Header) error {
 	s.status, s.header = status, header
 	return nil
 }
 
 // Write implements forward.Sink.
-func (s *wholeSink) Write(piece []byte, _ bool) error {
+func (s *bufferedSink) Write(piece []byte, _ bool) error {
 	s.events.Write(piece)
 	return s.ctx.Request().Context().Err()
 }
 
-func (s *wholeSink) fail(err error) { failForward(s.ctx, err) }
+func (s *bufferedSink) fail(err error) { failForward(s.ctx, err) }
 
-func (s *wholeSink) finish() *recording {
-	kept := &recording{contentType: "application/json"}
+func (s *bufferedSink) finish() *recordedAnswer {
+	recorded := &recordedAnswer{contentType: "application/json"}
 	if s.status != http.StatusOK {
 		s.ctx.Header(HeaderExecuted, outcome.NotDone.String())
 		s.ctx.StatusCode(s.status)
-		kept.refused = true
-		kept.buffer = s.events
+		recorded.refused = true
+		recorded.buffer = s.events
 	} else {
-		passHeader(s.ctx, http.Header{engine.HeaderAttempt: s.header[engine.HeaderAttempt]})
-		answer := s.join()
-		_ = json.NewEncoder(&kept.buffer).Encode(answer)
+		copyHeader(s.ctx, http.Header{engine.HeaderAttempt: s.header[engine.HeaderAttempt]})
+		answer := s.assemble()
+		_ = json.NewEncoder(&recorded.buffer).Encode(answer)
 	}
-	s.ctx.ContentType(kept.contentType)
-	_, _ = s.ctx.Write(kept.body())
-	return kept
+	s.ctx.ContentType(recorded.contentType)
+	_, _ = s.ctx.Write(recorded.body())
+	return recorded
 }
 
-// join makes one answer of the chunks of a stream.
-func (s *wholeSink) join() openai.Completion {
+// assemble makes one answer of the chunks of a stream.
+func (s *bufferedSink) assemble() openai.Completion {
 	var text strings.Builder
 	var last openai.Completion
 	reader := sse.NewReader(&s.events)
@@ -172,18 +172,18 @@
 	case errors.As(err, new(*quarantine.RefusedError)):
 		// It is the request: clients try again after a status of 5xx, in vain.
 		ctx.Header(HeaderExecuted, outcome.NotDone.String())
-		failWith(ctx, iris.StatusUnprocessableEntity, openai.ErrorDetail{
+		failWithDetail(ctx, iris.StatusUnprocessableEntity, openai.ErrorDetail{
 			Message: err.Error(), Type: openai.TypeInvalidRequest, Code: openai.CodeQuarantined,
 		})
 	default:
-		refuse(ctx, iris.StatusServiceUnavailable, openai.TypeOverloaded, err.Error(), comeBack(err))
+		refuse(ctx, iris.StatusServiceUnavailable, openai.TypeOverloaded, err.Error(), retryDelay(err))
 	}
 }
 
-// comeBack is how long a caller whose request did not run should wait.
-func comeBack(err error) time.Duration {
-	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) && none.Lasts() {
-		return none.ComeBack()
+// retryDelay is how long a caller whose request did not run should wait.
+func retryDelay(err error) time.Duration {
+	if noReplica := (*replica.NoReplicaError)(nil); errors.As(err, &noReplica) && noReplica.Lasts() {
+		return noReplica.ComeBack()
 	}
 	return overloadRetryAfter
 }
--- a/internal/server/sink_test.go
+++ b/internal/server/sink_test.go
@@ -29,10 +29,10 @@
 		if err := app.Build(); err != nil {
 			t.Fatal(err)
 		}
-		answer := httptest.NewRecorder()
-		app.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/", http.NoBody))
+		recorder := httptest.NewRecorder()
+		app.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/", http.NoBody))
 		var body openai.ErrorAnswer
-		if err := json.Unmarshal(answer.Body.Bytes(), &body); err != nil {
+		if err := json.Unmarshal(recorder.Body.Bytes(), &body); err != nil {
 			t.Fatal(err)
 		}
 		status, executed := http.StatusUnprocessableEntity, "no"
@@ -40,8 +40,8 @@
 			// An attempt of this very request may have run.
 			status, executed = http.StatusBadGateway, "unknown"
 		}
-		if answer.Code != status || answer.Header().Get(HeaderExecuted) != executed || answer.Header().Get("Retry-After") != "" {
-			t.Errorf("ran %v: %d, %v", ran, answer.Code, answer.Header())
+		if recorder.Code != status || recorder.Header().Get(HeaderExecuted) != executed || recorder.Header().Get("Retry-After") != "" {
+			t.Errorf("ran %v: %d, %v", ran, recorder.Code, recorder.Header())
 		}
 		if !ran && body.Error.Code != openai.CodeQuarantined {
 			t.Errorf("error %+v", body.Error)
