--- a/internal/server/answer.go
+++ b/internal/server/answer.go
@@ -15,10 +15,10 @@
 	"github.com/wheelhoist/wheelhoist/internal/resource"
 )
 
-// storeRetryAfter is what a caller is told to wait while the store is down.
+// storeRetryAfter is the Retry-After of requests refused because the store is unavailable.
 const storeRetryAfter = 2 * time.Second
 
-// fail answers with an error in the form of the OpenAI API.
+// fail writes an error response in the format of the OpenAI API.
 func fail(ctx iris.Context, status int, kind openai.ErrorType, message string) {
 	failWithDetail(ctx, status, openai.ErrorDetail{Message: message, Type: kind})
 }
@@ -28,7 +28,8 @@
 	_ = ctx.JSON(openai.ErrorAnswer{Error: detail})
 }
 
-// refuse answers a request that did not run.
+// refuse writes the error response of a request that did not run. A retryAfter of 0 sends no
+// Retry-After header.
 func refuse(ctx iris.Context, status int, kind openai.ErrorType, message string, retryAfter time.Duration) {
 	ctx.Header(HeaderExecuted, outcome.NotDone.String())
 	if retryAfter > 0 {
@@ -37,7 +38,7 @@
 	fail(ctx, status, kind, message)
 }
 
-// failFindings answers with everything that is wrong with an input.
+// failFindings writes an error response that lists all findings about an input.
 func failFindings(ctx iris.Context, found []findings.Finding) {
 	list := &findings.Error{Findings: found}
 	ctx.StatusCode(iris.StatusBadRequest)
@@ -50,7 +51,7 @@
 	})
 }
 
-// failBatch answers an error of the batch service.
+// failBatch writes the response for an error of the batch service.
 func failBatch(ctx iris.Context, err error) {
 	switch {
 	case errors.Is(err, batch.ErrNotFound):
@@ -63,7 +64,7 @@
 	}
 }
 
-// failResource answers an error of a configuration write.
+// failResource writes the response for an error of a configuration write.
 func failResource(ctx iris.Context, err error) {
 	switch {
 	case errors.Is(err, resource.ErrVersionMismatch):
--- a/internal/server/auth.go
+++ b/internal/server/auth.go
@@ -14,19 +14,20 @@
 	"github.com/wheelhoist/wheelhoist/internal/resource"
 )
 
-// tenant is a caller as found by its key.
+// tenant is an authenticated caller and its limits.
 type tenant struct {
 	name   string
 	limits admission.Limits
 }
 
-// tenantIndex finds tenants by the hash of their key. It is rebuilt when the
-// configuration changes.
+// tenantIndex finds tenants by the hash of their key. find rebuilds the index after a change of the
+// configuration.
 type tenantIndex struct {
 	store   *resource.Store
 	current atomic.Pointer[tenantTable]
 }
 
+// tenantTable is the index at one revision of the configuration.
 type tenantTable struct {
 	revision uint64
 	byKey    map[string]tenant
@@ -67,6 +68,7 @@
 	return table
 }
 
+// bearerToken returns the token of the Authorization header, or "" if there is none.
 func bearerToken(header http.Header) string {
 	key, ok := strings.CutPrefix(header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -75,15 +77,15 @@
 	return strings.TrimSpace(key)
 }
 
-// IsOperator reports whether a call holds the operators' key, by its hash in the settings;
-// nobody does if these name none.
+// IsOperator reports whether the request header holds the operators' key. keySHA256 is the hash of
+// that key in the settings; if it is empty, the result is always false.
 func IsOperator(header http.Header, keySHA256 string) bool {
 	return subtle.ConstantTimeCompare([]byte(v1.HashKey(bearerToken(header))), []byte(keySHA256)) == 1
 }
 
 const tenantContextKey = "tenant"
 
-// authenticate finds the calling tenant.
+// authenticate is the middleware that finds the calling tenant by its key and refuses unknown keys.
 func (s *Server) authenticate(ctx iris.Context) {
 	ctx.Header(HeaderNode, s.options.NodeID)
 	found, ok := s.tenants.find(bearerToken(ctx.Request().Header))
@@ -95,12 +97,13 @@
 	ctx.Next()
 }
 
+// callingTenant returns the tenant that authenticate found.
 func callingTenant(ctx iris.Context) tenant {
 	found, _ := ctx.Values().Get(tenantContextKey).(tenant)
 	return found
 }
 
-// requireOperator lets only the operators' key through.
+// requireOperator is the middleware that refuses requests without the operators' key.
 func (s *Server) requireOperator(ctx iris.Context) {
 	ctx.Header(HeaderNode, s.options.NodeID)
 	if !IsOperator(ctx.Request().Header, s.options.OperatorKeySHA256) {
--- a/internal/server/batches.go
+++ b/internal/server/batches.go
@@ -16,12 +16,13 @@
 )
 
 const (
-	// maxFileBytes bounds an uploaded file.
+	// maxFileBytes is the maximum size of an uploaded file.
 	maxFileBytes = 512 << 20
-	maxListed    = 100
+	// maxListed is the maximum number of batches in a list response.
+	maxListed = 100
 )
 
-// uploadFile takes a multipart upload and stores it as it comes in.
+// uploadFile stores the file of a multipart upload as it arrives.
 func (s *Server) uploadFile(ctx iris.Context) {
 	if s.draining.Load() {
 		refuse(ctx, iris.StatusServiceUnavailable, openai.TypeOverloaded, "this node takes no new work", notServingRetryAfter)
@@ -88,8 +89,8 @@
 	_ = ctx.JSON(fileObject(record, "batch"))
 }
 
-// fileContent streams a file. An error after the first byte breaks the
-// connection, so that a cut answer cannot be taken for a whole one.
+// fileContent streams a file. An error after the first byte aborts the connection, so that the
+// caller does not mistake a truncated response for a complete one.
 func (s *Server) fileContent(ctx iris.Context) {
 	output := &countingWriter{writer: ctx.ResponseWriter()}
 	ctx.ContentType("application/jsonl")
@@ -103,6 +104,7 @@
 	failBatch(ctx, err)
 }
 
+// countingWriter counts the bytes written to writer.
 type countingWriter struct {
 	writer  io.Writer
 	written int64
--- a/internal/server/batchjobs.go
+++ b/internal/server/batchjobs.go
@@ -11,12 +11,13 @@
 	"github.com/wheelhoist/wheelhoist/internal/batch"
 )
 
-// Batch jobs are resources too, but they live with the batch service: their
-// number and the rate of their changes are not those of the configuration.
+// Batch jobs are resources of the API but are stored by the batch service, not as configuration,
+// because they are far more numerous and change more often.
 
-// allTenants is the tenant by which an operator sees all jobs.
+// allTenants is passed as the tenant for operators, who may see all jobs.
 const allTenants = ""
 
+// jobResource returns a batch job as a resource.
 func jobResource(job *batch.Job) v1.Resource {
 	spec, err := json.Marshal(v1.BatchJobSpec{
 		Tenant: job.Tenant, InputFileID: job.File, Endpoint: job.Endpoint,
@@ -60,8 +61,8 @@
 	_ = ctx.JSON(resource)
 }
 
-// putBatchJob submits a job; its name is the idempotency key, so applying the
-// same manifest again meets the same job.
+// putBatchJob submits a job. The resource's name is the idempotency key, so that applying the same
+// manifest again returns the same job.
 func (s *Server) putBatchJob(ctx iris.Context, declared *v1.Resource, spec *v1.BatchJobSpec) {
 	window := time.Duration(spec.Window)
 	if window == 0 {
--- a/internal/server/completion.go
+++ b/internal/server/completion.go
@@ -23,13 +23,14 @@
 )
 
 const (
-	// maxBodyBytes bounds a completion request.
+	// maxBodyBytes is the maximum size of a completion request.
 	maxBodyBytes = 4 << 20
-	// notServingRetryAfter is what a caller of a node that is out of step waits.
+	// notServingRetryAfter is the Retry-After of requests that a draining node or a node with an
+	// outdated view refuses.
 	notServingRetryAfter = time.Second
-	// overloadRetryAfter is what a caller waits when no replica can take it.
+	// overloadRetryAfter is the Retry-After of requests that no replica has capacity for.
 	overloadRetryAfter = time.Second
-	// assumedTokens is charged to a token rate when a request names no limit.
+	// assumedTokens is the number of tokens charged for a request without a token limit.
 	assumedTokens = 64
 )
 
@@ -119,8 +120,8 @@
 	}
 }
 
-// describePrompt describes a prompt by the parts that others may share: its blocks up
-// to sharedBlocks, and the rest.
+// describePrompt splits a prompt into the part that other prompts may share, its first
+// maxSharedBlocks blocks, and the rest. Token counts are estimated by the number of words.
 func describePrompt(parsed *openai.CompletionRequest) route.Prompt {
 	text := parsed.PromptText()
 	words := len(strings.Fields(text))
@@ -135,12 +136,13 @@
 	return prompt
 }
 
-// maxSharedBlocks is the number of leading blocks by which prompts that share a
-// prefix meet at a replica: long enough to tell system prompts apart, short
-// enough that the questions after them do not.
+// maxSharedBlocks is the number of leading blocks that are hashed to route prompts with a common
+// prefix to the same replica: enough to distinguish system prompts, few enough to leave out the
+// user messages after them.
 const maxSharedBlocks = 4
 
-// dispatch runs a request, through a claim if it may run only once and has a key.
+// dispatch runs a request. A request that may run only once and has an idempotency key runs under a
+// claim on the key, and a retry of an answered one gets the recorded answer.
 func (s *Server) dispatch(ctx iris.Context, target *route.Route, request *forward.Request, stream bool) {
 	ctx.Header(engine.HeaderRequestID, request.ID)
 	key := ctx.GetHeader(HeaderIdempotencyKey)
@@ -163,7 +165,8 @@
 	s.settleClaim(claim, recorded, err)
 }
 
-// settleClaim records how a claimed request ended.
+// settleClaim records the answer of a claimed request, or releases the claim if the request did not
+// run. If it may have run, the claim is kept.
 func (s *Server) settleClaim(claim *idempotency.Claim, recorded *recordedAnswer, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
@@ -178,10 +181,11 @@
 		return
 	}
 	if err != nil {
-		s.options.Log.Warn().Err(err).Msg("claim not settled, resends will be refused")
+		s.options.Log.Warn().Err(err).Msg("failed to settle idempotency claim, retries will be refused")
 	}
 }
 
+// claimTimeout bounds the write that settles a claim; it does not depend on the caller's context.
 const claimTimeout = 5 * time.Second
 
 func refuseClaim(ctx iris.Context, err error) {
@@ -196,7 +200,7 @@
 	}
 }
 
-// forward forwards a request and writes its answer or its error.
+// forward forwards a request to a replica and writes the answer or the error response.
 func (s *Server) forward(ctx iris.Context, target *route.Route, request *forward.Request, stream bool) (*recordedAnswer, error) {
 	if err := s.checkOverload(ctx, target, request); err != nil {
 		s.refuseAdmission(ctx, err)
@@ -215,19 +219,19 @@
 	return sink.finish(), nil
 }
 
-// checkOverload refuses a request that no replica is predicted to begin in time.
+// checkOverload returns an error for a request that no replica is predicted to start in time.
 func (s *Server) checkOverload(ctx iris.Context, target *route.Route, request *forward.Request) error {
 	now := clock.Now()
 	predicted, err := s.options.Predict(target, request, now)
 	if err != nil {
-		// The forwarder waits for a replica, and answers with its own error.
+		// The forwarder waits for a replica and returns its own error.
 		return nil
 	}
 	return s.options.Admission.CheckOverload(callingTenant(ctx).name, predicted, target.MaxWait, now)
 }
 
-// reconnect continues an answer whose caller lost its node. The attempt is
-// named by the header that began the answer.
+// reconnect resumes a streamed answer after the caller lost its connection. HeaderAttempt of the
+// original response identifies the attempt and the replica, Last-Event-ID the last event received.
 func (s *Server) reconnect(ctx iris.Context) {
 	attempt, replicaID, _ := strings.Cut(ctx.GetHeader(engine.HeaderAttempt), "@")
 	after, err := strconv.Atoi(ctx.GetHeader(engine.HeaderLastEventID))
@@ -242,7 +246,8 @@
 		return
 	}
 	defer stopFollowing()
-	// An engine that has started again does not have the answer.
+	// An engine that has restarted no longer has the answer, and the connection to the old process
+	// may stay open in silence.
 	streamCtx, cancel := context.WithCancel(ctx.Request().Context())
 	defer cancel()
 	go func() {
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/outcome"
 )
 
-// metrics are the request metrics, named by the Prometheus conventions.
+// metrics holds the Prometheus metrics of online requests.
 type metrics struct {
 	requests *prometheus.CounterVec
 	refused  *prometheus.CounterVec
@@ -18,6 +18,7 @@
 	tokens   prometheus.Counter
 }
 
+// newMetrics registers the metrics. open is the number of requests in progress.
 func newMetrics(registry *prometheus.Registry, open *atomic.Int64) *metrics {
 	m := &metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -41,6 +42,7 @@
 	return m
 }
 
+// observe records the outcome and duration of a forwarded request.
 func (m *metrics) observe(result forward.Result, err error, elapsed time.Duration) {
 	label := "done"
 	if err != nil {
--- a/internal/server/quarantine.go
+++ b/internal/server/quarantine.go
@@ -9,21 +9,21 @@
 	v1 "github.com/wheelhoist/wheelhoist/api/v1"
 )
 
-// PathQuarantine is where a node shows suspects; a gateway does at its metrics address.
+// PathQuarantine is the path of the quarantine API. A gateway serves it at its metrics address.
 const PathQuarantine = "/apis/wheelhoist/v1/quarantine"
 
-// Quarantine is what operators see and undo of work that ended replicas. It is safe for
+// Quarantine lists and releases work that is suspected of crashing replicas. It is safe for
 // concurrent use.
 type Quarantine interface {
 	// Suspects returns all suspects.
 	Suspects() v1.SuspectList
-	// Release has nothing of the past count against a work, at all nodes. It returns what
-	// counted, and whether anything did.
+	// Release clears all recorded crashes of a work at all nodes. It returns the suspect as it was,
+	// or false if the work was not suspected.
 	Release(work string) (v1.Suspect, bool)
 }
 
-// QuarantineHandler serves the list of suspects, one of them, and the release of one to
-// those who may.
+// QuarantineHandler serves the list of suspects, a single suspect, and the release of a suspect if
+// mayRelease allows the request.
 func QuarantineHandler(quarantine Quarantine, mayRelease func(*http.Request) bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, work, single := strings.Cut(r.URL.Path, PathQuarantine+"/")
@@ -42,7 +42,7 @@
 	})
 }
 
-// allowAll is for handlers that only operators reach.
+// allowAll allows every request. It is for handlers that only operators can reach.
 func allowAll(*http.Request) bool { return true }
 
 func showSuspect(w http.ResponseWriter, quarantine Quarantine, work string) {
@@ -75,6 +75,6 @@
 func writeJSON(w http.ResponseWriter, status int, answer any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A caller that has left cannot be told.
+	// An encoding error means that the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(answer)
 }
--- a/internal/server/reconnect_test.go
+++ b/internal/server/reconnect_test.go
@@ -17,8 +17,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// TestReconnect_EndsWhenTheEngineRestarts: it does not have the answer, and the
-// connection to the one before may stay open without a word.
+// TestReconnect_EndsWhenTheEngineRestarts guards against a resumed stream that hangs after a restart
+// of the engine: the new process has no answer, and the old connection may stay open in silence.
 func TestReconnect_EndsWhenTheEngineRestarts(t *testing.T) {
 	engineServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = fmt.Fprint(w, "id: 3\ndata: {}\n\n")
--- a/internal/server/resources.go
+++ b/internal/server/resources.go
@@ -19,8 +19,9 @@
 )
 
 const (
+	// maxResourceBytes is the maximum size of a resource in a request.
 	maxResourceBytes = 256 << 10
-	// watchHeartbeat is the longest silence of a watch.
+	// watchHeartbeat is how long a watch without changes waits before it checks for a drain.
 	watchHeartbeat = 10 * time.Second
 )
 
@@ -31,8 +32,8 @@
 	ctx.StatusCode(iris.StatusAccepted)
 }
 
-// requireCurrent reports whether this node's view may be shown; a node that is out of
-// step would show a past that others have left behind.
+// requireCurrent reports whether this node's view of the configuration is current, and refuses the
+// request if not, because the node would return outdated resources.
 func (s *Server) requireCurrent(ctx iris.Context) bool {
 	if s.options.Current() {
 		return true
@@ -41,7 +42,7 @@
 	return false
 }
 
-// kindParam returns the kind named in the path, or answers 404.
+// kindParam returns the kind in the path. For an unknown kind it refuses the request with 404.
 func kindParam(ctx iris.Context) (v1.Kind, bool) {
 	kind := v1.Kind(ctx.Params().Get("kind"))
 	if !kind.Known() {
@@ -99,7 +100,8 @@
 	_ = ctx.JSON(found)
 }
 
-// precondition reads If-Match, or the version in the body, or If-None-Match: *.
+// precondition returns the precondition of a write: If-None-Match: *, else If-Match, else the version
+// in the body. It refuses the request if If-Match is not a version.
 func precondition(ctx iris.Context, bodyVersion uint64) (resource.Precondition, bool) {
 	if ctx.GetHeader("If-None-Match") == "*" {
 		return resource.Precondition{Set: true}, true
@@ -175,8 +177,8 @@
 	s.write(ctx, change, condition)
 }
 
-// write commits a change: 200 when it is in force on all nodes, 202 when it is
-// committed and some nodes are still out of step.
+// write commits a change. The status is 200 if the change is in force on all nodes, 202 if it is
+// committed but some nodes have not applied it yet.
 func (s *Server) write(ctx iris.Context, change resource.Change, condition resource.Precondition) {
 	committed, status, err := s.options.Resources.Write(ctx.Request().Context(), change, condition)
 	if err != nil {
@@ -196,8 +198,8 @@
 	_ = ctx.JSON(written)
 }
 
-// watch streams changes after a revision as JSON lines. It ends with a TOO_OLD
-// event when changes have been dropped that the watcher has not seen.
+// watch streams the changes after a revision as JSON lines. It ends with a TOO_OLD event if changes
+// that the watcher has not received were dropped from the history.
 func (s *Server) watch(ctx iris.Context) {
 	after, err := strconv.ParseUint(ctx.URLParamDefault("resourceVersion", "0"), 10, 64)
 	if err != nil {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,5 +1,5 @@
-// Package server serves callers and operators over HTTP. Its handlers decode,
-// check and encode; the decisions are made elsewhere.
+// Package server serves callers and operators over HTTP. Its handlers decode, validate and encode;
+// admission, routing and storage are implemented by other packages.
 package server
 
 import (
@@ -25,30 +25,30 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// HTTP headers towards callers. A failed request tells by HeaderExecuted
-// whether it ran, and a begun answer by engine.HeaderAttempt how to go on with it.
+// HTTP headers of requests and responses. A streamed answer also has engine.HeaderAttempt, with which
+// a caller can resume it.
 const (
-	// HeaderExecuted tells of a failed request whether it ran: yes, no or unknown.
+	// HeaderExecuted says whether a failed request ran: yes, no or unknown.
 	HeaderExecuted = "X-Wheelhoist-Executed"
 	// HeaderRepeatable set to "no" marks a request that may run at most once.
 	HeaderRepeatable = "X-Wheelhoist-Repeatable"
-	// HeaderIdempotencyKey names a request over all its sendings.
+	// HeaderIdempotencyKey identifies a request across retries.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderNode names the node that answered.
+	// HeaderNode is the ID of the node that sent the response.
 	HeaderNode = "X-Wheelhoist-Node"
 )
 
-// Resources is the resource API's view of the configuration.
+// Resources writes the configuration and reports the nodes on which a revision is in force.
 type Resources interface {
 	Write(ctx context.Context, change resource.Change, precondition resource.Precondition) (resource.Change, v1.Status, error)
 	Status(revision uint64) v1.Status
 	Refresh(ctx context.Context)
 }
 
-// PathStatus is where a gateway serves its NodeStatus, at its metrics address.
+// PathStatus is the path at which a gateway serves its NodeStatus, at its metrics address.
 const PathStatus = "/status"
 
-// NodeStatus describes a node and what it sees of the others.
+// NodeStatus describes a node and its view of the other nodes, replicas and zones.
 type NodeStatus struct {
 	Node     string `json:"node"`
 	Zone     string `json:"zone"`
@@ -56,77 +56,75 @@
 	Serving  bool   `json:"serving"`
 	Draining bool   `json:"draining"`
 	Open     int64  `json:"openRequests"`
-	// ConfigAge is the time, in seconds, since the table last answered about
-	// the configuration.
+	// ConfigAge is the time in seconds since the configuration was last read from the table.
 	ConfigAge float64         `json:"configAgeSeconds"`
 	Members   []MemberStatus  `json:"members"`
 	Replicas  []ReplicaStatus `json:"replicas"`
-	// Zones are those that are declared, evacuated, or hold nodes or replicas.
+	// Zones lists the zones that are declared or evacuated, or have nodes or replicas.
 	Zones []ZoneStatus `json:"zones"`
-	// Tenants are those with a limit that called here of late.
+	// Tenants lists the tenants with a limit that sent requests to this node recently.
 	Tenants []TenantUsage `json:"tenants,omitempty"`
-	// Items are the batch items that the node is to run and that are not listed, by what
-	// they wait for.
+	// Items counts the unlisted batch items that this node is responsible for, by what they wait for.
 	Items []ItemWait `json:"items,omitempty"`
 }
 
-// ItemWait counts batch items that wait for the same.
+// ItemWait counts the batch items that wait for the same reason.
 type ItemWait struct {
 	Reason string `json:"reason"`
 	Items  int    `json:"items"`
-	// Oldest is the longest time, in seconds, for which one of them has not come on.
+	// Oldest is the longest time in seconds for which one of them has made no progress.
 	Oldest float64 `json:"oldestSeconds"`
 }
 
-// TenantUsage is a tenant's use of its limit of requests as this node sees it.
+// TenantUsage is a tenant's use of its request limit as this node sees it.
 type TenantUsage struct {
 	Name string `json:"name"`
-	// Rate is in requests a second, Burst in requests, over all nodes.
+	// Rate, in requests per second, and Burst, in requests, are the limit across all nodes.
 	Rate  float64 `json:"rate"`
 	Burst float64 `json:"burst"`
-	// Demand is in requests a second, refused ones included; Admitted counts requests
-	// since the node's start. Both are this node's.
+	// Demand is the rate of requests to this node per second, refused ones included. Admitted counts
+	// the requests that this node admitted since it started.
 	Demand   float64 `json:"demand"`
 	Admitted int64   `json:"admitted"`
-	// Share is this node's part of the demand as the tenant's owner told it, ToldAge how
-	// many seconds ago; negative if it never did.
+	// Share is this node's share of the demand in the last grant of the tenant's owner. GrantAge is
+	// the age of that grant in seconds, negative if there was none.
 	Share    float64 `json:"part"`
 	GrantAge float64 `json:"toldAgeSeconds"`
 }
 
-// States of a member.
+// Values of MemberStatus.Status.
 const (
-	// MemberAlive members renew their session.
+	// MemberAlive means that the member renews its session.
 	MemberAlive = "alive"
-	// MemberExpired members have not renewed it for its time to live.
+	// MemberExpired means that the member did not renew its session within its time to live.
 	MemberExpired = "expired"
 )
 
-// MemberStatus is a member as this node sees it.
+// MemberStatus is the state of a member as this node sees it.
 type MemberStatus struct {
 	ID     string `json:"id"`
 	Zone   string `json:"zone,omitempty"`
 	Status string `json:"status"`
 }
 
-// ZoneStatus sums up a zone as this node sees it.
+// ZoneStatus summarizes a zone as this node sees it.
 type ZoneStatus struct {
 	Zone string `json:"zone"`
-	// Region is empty if the node's settings do not tell it.
+	// Region is empty if the node's settings do not assign the zone to a region.
 	Region string `json:"region,omitempty"`
-	// Nodes counts the nodes that are there, Replicas the listed replicas.
+	// Nodes and Replicas count the nodes and the listed replicas in the zone.
 	Nodes    int `json:"nodes"`
 	Replicas int `json:"replicas"`
-	// Open counts what this node has open at replicas there.
+	// Open counts the requests that this node has open at replicas in the zone.
 	Open int `json:"open"`
-	// Evacuated zones take nothing new. EvacuatedSeconds is how long this node has known
-	// of it, EvacuatedVersion the version of the row that declares it.
+	// Evacuated zones receive no new requests. EvacuatedSeconds is the time since this node learned
+	// of the evacuation, EvacuatedVersion the version of the row that declares it.
 	Evacuated        bool    `json:"evacuated"`
 	EvacuatedSeconds float64 `json:"evacuatedSeconds,omitempty"`
 	EvacuatedVersion uint64  `json:"evacuatedVersion,omitempty"`
 }
 
-// ReplicaStatus is a replica as this node sees it.
+// ReplicaStatus is the state of a replica as this node sees it.
 type ReplicaStatus struct {
 	ID      string       `json:"id"`
 	Zone    string       `json:"zone"`
@@ -134,61 +132,62 @@
 	State   engine.State `json:"state"`
 	Role    engine.Role  `json:"role"`
 	Version string       `json:"version"`
-	// Open and Batch count what this node has open there, and the items among it.
+	// Open counts the requests that this node has open at the replica, Batch the batch items among
+	// them.
 	Open    int  `json:"open"`
 	Batch   int  `json:"batch"`
 	Ejected bool `json:"ejected,omitempty"`
-	// ColdLeft is how long it is taken as cold yet, in seconds; ColdRate is what this
-	// node may send it meanwhile, in requests a second.
+	// ColdLeft is the time in seconds for which the replica still counts as cold. Until then this
+	// node may send it ColdRate requests per second.
 	ColdLeft float64 `json:"coldLeft,omitempty"`
 	ColdRate float64 `json:"coldRate,omitempty"`
 }
 
-// Options are the parts that the handlers use.
+// Options configures a Server.
 type Options struct {
 	NodeID    string
 	Log       zerolog.Logger
 	Store     *resource.Store
 	Resources Resources
-	// Current reports whether the view of the configuration is the present one.
+	// Current reports whether the node's view of the configuration is current.
 	Current func() bool
-	// Serving reports whether requests can be decided about.
+	// Serving reports whether the node can admit requests.
 	Serving func() bool
 	Routes  func() *route.Table
 	Forward func(context.Context, *route.Route, *forward.Request, forward.Sink) (forward.Result, error)
-	// Predict estimates the time to the first event of a request.
+	// Predict estimates the time to the first event of the answer to a request.
 	Predict   func(*route.Route, *forward.Request, time.Time) (time.Duration, error)
 	Replicas  *replica.Set
 	Engines   engine.Engines
 	Admission *admission.Controller
 	Claims    *idempotency.Store
 	Batch     *batch.Service
-	// BatchWaits, if set, tells what the items of a batch wait for.
+	// BatchWaits, if set, returns what the items of a batch wait for.
 	BatchWaits func(batch string) []v1.BatchWait
 	Status     func() NodeStatus
-	// Quarantine is what operators see of work that ended replicas.
 	Quarantine Quarantine
 	Metrics    *prometheus.Registry
-	// OperatorKeySHA256 is the hash of the operators' key.
+	// OperatorKeySHA256 is the hex SHA-256 of the operators' key.
 	OperatorKeySHA256 string
-	MaxStreams        int
-	// Drain starts a planned stop.
+	// MaxStreams is the maximum number of online requests open at this node.
+	MaxStreams int
+	// Drain starts a planned shutdown.
 	Drain func()
 }
 
-// Server holds the handlers. It is an http.Handler.
+// Server is the http.Handler of a node.
 type Server struct {
 	options Options
 	app     *iris.Application
 	tenants *tenantIndex
-	// notReady fails readiness; draining refuses new requests as well.
+	// notReady fails the readiness check. draining also refuses new requests.
 	notReady atomic.Bool
 	draining atomic.Bool
 	open     atomic.Int64
 	metrics  *metrics
 }
 
-// New builds the handlers.
+// New returns a Server and registers its metrics in options.Metrics.
 func New(options Options) (*Server, error) {
 	s := &Server{options: options, app: iris.New(), tenants: newTenantIndex(options.Store)}
 	s.metrics = newMetrics(options.Metrics, &s.open)
@@ -242,19 +241,19 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.app.ServeHTTP(w, r) }
 
-// FailReadiness makes readiness fail, so that callers go elsewhere.
+// FailReadiness makes the readiness check fail, so that load balancers use other nodes.
 func (s *Server) FailReadiness() { s.notReady.Store(true) }
 
-// StartDraining refuses new requests from now on.
+// StartDraining makes the server refuse new requests.
 func (s *Server) StartDraining() { s.draining.Store(true) }
 
-// Draining reports whether a planned stop has begun.
+// Draining reports whether StartDraining was called.
 func (s *Server) Draining() bool { return s.draining.Load() }
 
-// Open returns the number of online requests being answered.
+// Open returns the number of online requests in progress.
 func (s *Server) Open() int64 { return s.open.Load() }
 
-// serving reports whether new work may be admitted.
+// serving reports whether new requests may be admitted.
 func (s *Server) serving() bool {
 	return !s.draining.Load() && s.options.Serving()
 }
--- a/internal/server/sink.go
+++ b/internal/server/sink.go
@@ -19,29 +19,28 @@
 	"github.com/wheelhoist/wheelhoist/internal/sse"
 )
 
-// recordedAnswer is an answer kept for later sendings of the same request.
+// recordedAnswer is an answer recorded for retries of the same request.
 type recordedAnswer struct {
 	contentType string
-	// refused answers are refusals that no replica would decide otherwise; the
-	// request did not run.
+	// refused is set if the replica refused the request, as any other would. The request did not run.
 	refused bool
 	buffer  bytes.Buffer
 }
 
 func (r *recordedAnswer) body() []byte { return r.buffer.Bytes() }
 
-// responseSink writes an answer to the caller in one of its forms.
+// responseSink writes an answer to the caller, streamed or as a single response.
 type responseSink interface {
 	forward.Sink
-	// fail writes an error, as far as the answer's form still allows.
+	// fail writes an error, as far as the part of the response already sent allows.
 	fail(error)
-	// finish ends the answer and returns it if it was kept.
+	// finish completes the response and returns the recorded answer.
 	finish() *recordedAnswer
 }
 
 const eventStream = "text/event-stream"
 
-// copyHeader passes on the headers of an answer.
+// copyHeader copies header to the response.
 func copyHeader(ctx iris.Context, header http.Header) {
 	for name, values := range header {
 		for _, value := range values {
@@ -50,7 +49,7 @@
 	}
 }
 
-// streamSink passes events on as they come.
+// streamSink writes events to the caller as they arrive. It records them if record is set.
 type streamSink struct {
 	ctx      iris.Context
 	record   bool
@@ -90,8 +89,8 @@
 		failForward(s.ctx, err)
 		return
 	}
-	// The status is sent already; an error event without the closing marker
-	// tells the caller that the answer is not whole.
+	// The status is already sent. An error event without the closing marker shows the caller that
+	// the answer is incomplete.
 	detail := openai.ErrorDetail{Message: err.Error(), Type: openai.TypeServer, Code: "executed_" + outcome.Of(err).String()}
 	body, encodeErr := json.Marshal(openai.ErrorAnswer{Error: detail})
 	if encodeErr != nil {
@@ -103,7 +102,7 @@
 
 func (s *streamSink) finish() *recordedAnswer { return &s.recorded }
 
-// bufferedSink collects an answer and writes it in one piece.
+// bufferedSink collects the events of an answer and writes a single response.
 type bufferedSink struct {
 	ctx    iris.Context
 	path   string
@@ -143,7 +142,7 @@
 	return recorded
 }
 
-// assemble makes one answer of the chunks of a stream.
+// assemble builds a single answer from the chunks of a stream.
 func (s *bufferedSink) assemble() openai.Completion {
 	var text strings.Builder
 	var last openai.Completion
@@ -152,8 +151,8 @@
 		event, err := reader.Next()
 		var chunk openai.Completion
 		if err != nil || json.Unmarshal(event.Data, &chunk) != nil {
-			// The forwarder has passed on whole events only; what is no chunk is
-			// the marker at the end.
+			// The forwarder passes only complete events, so an event that is not a chunk is the
+			// closing marker.
 			return openai.WholeAnswer(last, text.String(), s.path)
 		}
 		text.WriteString(chunk.Text())
@@ -161,7 +160,7 @@
 	}
 }
 
-// failForward answers a request that could not be completed.
+// failForward writes the error response of a request that could not be completed.
 func failForward(ctx iris.Context, err error) {
 	switch {
 	case errors.Is(err, forward.ErrCallerLeft):
@@ -170,7 +169,7 @@
 		ctx.Header(HeaderExecuted, outcome.Unknown.String())
 		fail(ctx, iris.StatusBadGateway, openai.TypeServer, err.Error())
 	case errors.As(err, new(*quarantine.RefusedError)):
-		// It is the request: clients try again after a status of 5xx, in vain.
+		// The request itself is at fault. A 5xx status would make clients retry for nothing.
 		ctx.Header(HeaderExecuted, outcome.NotDone.String())
 		failWithDetail(ctx, iris.StatusUnprocessableEntity, openai.ErrorDetail{
 			Message: err.Error(), Type: openai.TypeInvalidRequest, Code: openai.CodeQuarantined,
@@ -180,7 +179,7 @@
 	}
 }
 
-// retryDelay is how long a caller whose request did not run should wait.
+// retryDelay returns how long the caller of a request that did not run should wait before a retry.
 func retryDelay(err error) time.Duration {
 	if noReplica := (*replica.NoReplicaError)(nil); errors.As(err, &noReplica) && noReplica.Lasts() {
 		return noReplica.ComeBack()
--- a/internal/server/sink_test.go
+++ b/internal/server/sink_test.go
@@ -13,8 +13,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/quarantine"
 )
 
-// TestFailForward_QuarantinedWork: the caller learns that it is the request, that it did not
-// run this time, and of no time to come back, which would be in vain.
+// TestFailForward_QuarantinedWork checks that a refusal of quarantined work blames the request, says
+// whether the request ran, and sends no Retry-After, since a retry would fail too.
 func TestFailForward_QuarantinedWork(t *testing.T) {
 	refused := &quarantine.RefusedError{Verdict: quarantine.Verdict{Replicas: []string{"a", "b", "c"}, Quarantined: true}}
 	for _, ran := range []bool{false, true} {
@@ -37,7 +37,7 @@
 		}
 		status, executed := http.StatusUnprocessableEntity, "no"
 		if ran {
-			// An attempt of this very request may have run.
+			// An earlier attempt of this request may have run.
 			status, executed = http.StatusBadGateway, "unknown"
 		}
 		if recorder.Code != status || recorder.Header().Get(HeaderExecuted) != executed || recorder.Header().Get("Retry-After") != "" {
