--- a/internal/settings/cold_test.go
+++ b/internal/settings/cold_test.go
@@ -7,10 +7,10 @@
 	"github.com/wheelhoist/wheelhoist/internal/findings"
 )
 
-func TestValidate_NamesWhatIsWrongWithTheColdTolerance(t *testing.T) {
-	for _, one := range []struct {
-		cold  Cold
-		place string
+func TestValidate_ColdTolerance(t *testing.T) {
+	for _, test := range []struct {
+		cold Cold
+		path string
 	}{
 		{Cold{}, ""},
 		{Cold{Over: 1.5, Slack: 5}, ""},
@@ -18,11 +18,11 @@
 		{Cold{Over: 1, Slack: -1}, "gateway.cold.slack"},
 	} {
 		var found findings.List
-		(&Gateway{Store: "10.0.0.1:80", Cold: one.cold}).validate(&found)
+		(&Gateway{Store: "10.0.0.1:80", Cold: test.cold}).validate(&found)
 		all := found.All()
-		wrong := slices.ContainsFunc(all, func(f findings.Finding) bool { return f.Path == one.place })
-		if one.place == "" && len(all) > 0 || one.place != "" && !wrong {
-			t.Errorf("%+v: %v", one.cold, all)
+		reported := slices.ContainsFunc(all, func(f findings.Finding) bool { return f.Path == test.path })
+		if test.path == "" && len(all) > 0 || test.path != "" && !reported {
+			t.Errorf("%+v: %v", test.cold, all)
 		}
 	}
 }
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -91,15 +91,15 @@
 func (g *Gateway) Enabled() bool { return g.Store != "" }
 
 func (g *Gateway) validate(found *findings.List) {
-	hostPortFinding(found, "gateway.store", g.Store)
+	checkHostPort(found, "gateway.store", g.Store)
 	if g.Readiness != "" {
-		addressFinding(found, "gateway.readiness", g.Readiness)
+		checkAddress(found, "gateway.readiness", g.Readiness)
 	}
 	if g.Metrics != "" {
-		addressFinding(found, "gateway.metrics", g.Metrics)
+		checkAddress(found, "gateway.metrics", g.Metrics)
 	}
 	if g.Peers != "" {
-		addressFinding(found, "gateway.peers", g.Peers)
+		checkAddress(found, "gateway.peers", g.Peers)
 	}
 	if g.BootstrapAfter < 0 {
 		found.Add("gateway.bootstrapAfter", "must not be negative")
@@ -145,7 +145,7 @@
 	}
 }
 
-func hostPortFinding(found *findings.List, path, address string) {
+func checkHostPort(found *findings.List, path, address string) {
 	if _, _, err := net.SplitHostPort(address); err != nil {
 		found.Add(path, "must be host:port")
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -128,10 +128,10 @@
 
 // ApplyDefaults fills in what may be left out.
 func (s *Settings) ApplyDefaults() {
-	fill(&s.Node.Region, DefaultRegion)
-	fill(&s.Platform.Table.Region, DefaultRegion)
-	fill(&s.Platform.Objects.Region, DefaultRegion)
-	fill(&s.Log.Level, DefaultLogLevel)
+	setDefault(&s.Node.Region, DefaultRegion)
+	setDefault(&s.Platform.Table.Region, DefaultRegion)
+	setDefault(&s.Platform.Objects.Region, DefaultRegion)
+	setDefault(&s.Log.Level, DefaultLogLevel)
 	if s.Gateway.BootstrapAfter == 0 {
 		s.Gateway.BootstrapAfter = DefaultBootstrapAfter
 	}
@@ -143,7 +143,7 @@
 	}
 }
 
-func fill(target *string, value string) {
+func setDefault(target *string, value string) {
 	if *target == "" {
 		*target = value
 	}
@@ -152,9 +152,9 @@
 // Validate reports everything that is wrong.
 func (s *Settings) Validate() []findings.Finding {
 	var found findings.List
-	requiredFinding(&found, "node.id", s.Node.ID)
-	requiredFinding(&found, "node.zone", s.Node.Zone)
-	addressFinding(&found, "node.listen", s.Node.Listen)
+	checkRequired(&found, "node.id", s.Node.ID)
+	checkRequired(&found, "node.zone", s.Node.Zone)
+	checkAddress(&found, "node.listen", s.Node.Listen)
 	s.Node.Zones.Validate(&found, "node.zones")
 	if region, ok := s.Node.Zones[s.Node.Zone]; ok && region != s.Node.Region {
 		found.Add("node.region", "zone %q lies in region %q by node.zones, not in %q", s.Node.Zone, region, s.Node.Region)
@@ -163,7 +163,7 @@
 	if s.Gateway.Enabled() {
 		s.Gateway.validate(&found)
 	} else {
-		s.validateServing(&found)
+		s.validatePlatform(&found)
 	}
 	levels := []string{"", "debug", "info", "warn", "error"}
 	if !contains(levels, s.Log.Level) {
@@ -172,23 +172,23 @@
 	return found.All()
 }
 
-// validateServing checks what a node with the product's own API needs.
-func (s *Settings) validateServing(found *findings.List) {
-	requiredFinding(found, "platform.table.table", s.Platform.Table.Table)
-	requiredFinding(found, "platform.objects.bucket", s.Platform.Objects.Bucket)
-	urlFinding(found, "platform.table.endpoint", s.Platform.Table.Endpoint)
-	urlFinding(found, "platform.objects.endpoint", s.Platform.Objects.Endpoint)
-	urlFinding(found, "platform.machines.url", s.Platform.Machines.URL)
+// validatePlatform checks what a node with the product's own API needs.
+func (s *Settings) validatePlatform(found *findings.List) {
+	checkRequired(found, "platform.table.table", s.Platform.Table.Table)
+	checkRequired(found, "platform.objects.bucket", s.Platform.Objects.Bucket)
+	checkURL(found, "platform.table.endpoint", s.Platform.Table.Endpoint)
+	checkURL(found, "platform.objects.endpoint", s.Platform.Objects.Endpoint)
+	checkURL(found, "platform.machines.url", s.Platform.Machines.URL)
 	if len(s.Operator.KeySHA256) != len(v1.HashKey("")) {
 		found.Add("operator.keySHA256", "must be 64 hex digits")
 	}
 	if s.Node.MaxStreams < 0 {
 		found.Add("node.maxStreams", "must not be negative")
 	}
-	tlsFindings(found, "tls.serve", s.TLS.Serve)
+	checkTLSFiles(found, "tls.serve", s.TLS.Serve)
 }
 
-func requiredFinding(found *findings.List, path, value string) {
+func checkRequired(found *findings.List, path, value string) {
 	if value == "" {
 		found.Add(path, "must be set")
 	}
@@ -203,7 +203,7 @@
 	return false
 }
 
-func addressFinding(found *findings.List, path, address string) {
+func checkAddress(found *findings.List, path, address string) {
 	host, _, err := net.SplitHostPort(address)
 	switch {
 	case err != nil:
@@ -213,14 +213,14 @@
 	}
 }
 
-func urlFinding(found *findings.List, path, value string) {
+func checkURL(found *findings.List, path, value string) {
 	parsed, err := url.Parse(value)
 	if err != nil || parsed.Host == "" || !strings.HasPrefix(parsed.Scheme, "http") {
 		found.Add(path, "must be an http or https URL")
 	}
 }
 
-func tlsFindings(found *findings.List, path string, files TLSFiles) {
+func checkTLSFiles(found *findings.List, path string, files TLSFiles) {
 	if !files.Set() {
 		return
 	}
--- a/internal/tlsfile/tlsfile.go
+++ b/internal/tlsfile/tlsfile.go
@@ -28,8 +28,8 @@
 	files Files
 
 	mu          sync.Mutex
-	checked     time.Time
-	modified    time.Time
+	checkedAt   time.Time
+	modifiedAt  time.Time
 	certificate *tls.Certificate
 }
 
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return loader, loader.read(modified)
+	return loader, loader.load(modified)
 }
 
 func (l *Loader) lastModified() (time.Time, error) {
@@ -60,13 +60,13 @@
 	return last, nil
 }
 
-// read loads the files. The caller holds mu, or is the only user.
-func (l *Loader) read(modified time.Time) error {
+// load loads the files. The caller holds mu, or is the only user.
+func (l *Loader) load(modified time.Time) error {
 	certificate, err := tls.LoadX509KeyPair(l.files.Certificate, l.files.Key)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	l.certificate, l.modified = &certificate, modified
+	l.certificate, l.modifiedAt = &certificate, modified
 	return nil
 }
 
@@ -75,10 +75,10 @@
 func (l *Loader) current() *tls.Certificate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now := time.Now(); now.Sub(l.checked) >= checkInterval {
-		l.checked = now
-		if modified, err := l.lastModified(); err == nil && !modified.Equal(l.modified) {
-			_ = l.read(modified)
+	if now := time.Now(); now.Sub(l.checkedAt) >= checkInterval {
+		l.checkedAt = now
+		if modified, err := l.lastModified(); err == nil && !modified.Equal(l.modifiedAt) {
+			_ = l.load(modified)
 		}
 	}
 	return l.certificate
