--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -15,8 +15,8 @@
 
 func applyCommand(std streams) *ffcli.Command {
 	flags := newFlags("wheelhoist apply", std)
-	var connect connection
-	connect.register(flags)
+	var conn connection
+	conn.register(flags)
 	var output format
 	registerFormat(flags, &output)
 	file := flags.String("f", "", "manifest file, - for standard input")
@@ -32,7 +32,7 @@
 			if err != nil {
 				return err
 			}
-			return applyAll(ctx, &connect, resources, output, std)
+			return applyAll(ctx, &conn, resources, output, std)
 		},
 	}
 }
@@ -70,13 +70,13 @@
 	return os.ReadFile(path)
 }
 
-func applyAll(ctx context.Context, connect *connection, resources []*v1.Resource, output format, std streams) error {
-	caller := connect.client()
+func applyAll(ctx context.Context, conn *connection, resources []*v1.Resource, output format, std streams) error {
+	api := conn.client()
 	var applied []v1.Resource
 	var failures error
 	pending := false
 	for _, resource := range resources {
-		answer, err := caller.Put(ctx, resource, nil)
+		answer, err := api.Put(ctx, resource, nil)
 		if err != nil {
 			failures = errors.Join(failures, fmt.Errorf("%s/%s: %w", resource.Kind, resource.Metadata.Name, err))
 			continue
--- a/internal/command/batch.go
+++ b/internal/command/batch.go
@@ -43,8 +43,8 @@
 
 func batchSubmit(std streams) *ffcli.Command {
 	flags := newFlags("wheelhoist batch submit", std)
-	var connect connection
-	connect.register(flags)
+	var conn connection
+	conn.register(flags)
 	var output format
 	registerFormat(flags, &output)
 	window := flags.String("window", "24h", "time to the deadline")
@@ -58,19 +58,19 @@
 			if len(arguments) != 1 {
 				return &usageError{"submit needs one FILE"}
 			}
-			caller := connect.client()
-			file, err := upload(ctx, caller, arguments[0])
+			api := conn.client()
+			file, err := upload(ctx, api, arguments[0])
 			if err != nil {
 				return err
 			}
-			batch, err := caller.CreateBatch(ctx, openai.BatchRequest{
+			batch, err := api.CreateBatch(ctx, openai.BatchRequest{
 				InputFileID: file.ID, Endpoint: *endpoint, CompletionWindow: *window,
 			}, *key)
 			if err != nil {
 				return err
 			}
 			if *wait {
-				if batch, err = awaitBatch(ctx, caller, batch.ID, std); err != nil {
+				if batch, err = awaitBatch(ctx, api, batch.ID, std); err != nil {
 					return err
 				}
 			}
@@ -95,21 +95,21 @@
 	return nil
 }
 
-func upload(ctx context.Context, caller *client.Client, path string) (*openai.File, error) {
+func upload(ctx context.Context, api *client.Client, path string) (*openai.File, error) {
 	content, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = content.Close() }()
-	return caller.Upload(ctx, filepath.Base(path), content)
+	return api.Upload(ctx, filepath.Base(path), content)
 }
 
-func awaitBatch(ctx context.Context, caller *client.Client, id string, std streams) (*openai.Batch, error) {
+func awaitBatch(ctx context.Context, api *client.Client, id string, std streams) (*openai.Batch, error) {
 	bar := progressbar.NewOptions(-1, progressbar.OptionSetWriter(std.err), progressbar.OptionSetDescription(id),
 		progressbar.OptionShowCount(), progressbar.OptionClearOnFinish())
 	defer func() { _ = bar.Finish() }()
 	for {
-		batch, err := caller.Batch(ctx, id)
+		batch, err := api.Batch(ctx, id)
 		if err != nil {
 			return nil, err
 		}
@@ -130,8 +130,8 @@
 
 func batchStatus(std streams) *ffcli.Command {
 	flags := newFlags("wheelhoist batch status", std)
-	var connect connection
-	connect.register(flags)
+	var conn connection
+	conn.register(flags)
 	var output format
 	registerFormat(flags, &output)
 	return &ffcli.Command{
@@ -139,13 +139,13 @@
 		ShortHelp: "show a job, or the tenant's jobs",
 		Exec: func(ctx context.Context, arguments []string) error {
 			if len(arguments) == 0 {
-				batches, err := connect.client().Batches(ctx)
+				batches, err := conn.client().Batches(ctx)
 				if err != nil {
 					return err
 				}
 				return output.write(std.out, batches, func() table { return batchTable(batches...) })
 			}
-			batch, err := connect.client().Batch(ctx, arguments[0])
+			batch, err := conn.client().Batch(ctx, arguments[0])
 			if err != nil {
 				return err
 			}
@@ -156,8 +156,8 @@
 
 func batchResults(std streams) *ffcli.Command {
 	flags := newFlags("wheelhoist batch results", std)
-	var connect connection
-	connect.register(flags)
+	var conn connection
+	conn.register(flags)
 	failures := flags.Bool("errors", false, "print the failed items instead")
 	return &ffcli.Command{
 		Name: "results", ShortUsage: "wheelhoist batch results [flags] ID", FlagSet: flags, Options: options(),
@@ -166,7 +166,7 @@
 			if len(arguments) != 1 {
 				return &usageError{"results needs one ID"}
 			}
-			batch, err := connect.client().Batch(ctx, arguments[0])
+			batch, err := conn.client().Batch(ctx, arguments[0])
 			if err != nil {
 				return err
 			}
@@ -177,15 +177,15 @@
 			if id == "" {
 				return fmt.Errorf("job %s has no results, it is %s", batch.ID, batch.Status)
 			}
-			return connect.client().Content(ctx, id, std.out)
+			return conn.client().Content(ctx, id, std.out)
 		},
 	}
 }
 
 func batchCancel(std streams) *ffcli.Command {
 	flags := newFlags("wheelhoist batch cancel", std)
-	var connect connection
-	connect.register(flags)
+	var conn connection
+	conn.register(flags)
 	var output format
 	registerFormat(flags, &output)
 	return &ffcli.Command{
@@ -195,7 +195,7 @@
 			if len(arguments) != 1 {
 				return &usageError{"cancel needs one ID"}
 			}
-			batch, err := connect.client().CancelBatch(ctx, arguments[0])
+			batch, err := conn.client().CancelBatch(ctx, arguments[0])
 			if err != nil {
 				return err
 			}
--- a/internal/command/delete.go
+++ b/internal/command/delete.go
@@ -10,8 +10,8 @@
 
 func deleteCommand(std streams) *ffcli.Command {
 	flags := newFlags("wheelhoist delete", std)
-	var connect connection
-	connect.register(flags)
+	var conn connection
+	conn.register(flags)
 	var output format
 	registerFormat(flags, &output)
 	return &ffcli.Command{
@@ -25,7 +25,7 @@
 			if len(arguments) != 2 {
 				return &usageError{"delete needs KIND and NAME"}
 			}
-			resource, err := connect.client().Delete(ctx, kind, arguments[1])
+			resource, err := conn.client().Delete(ctx, kind, arguments[1])
 			if err != nil {
 				return err
 			}
--- a/internal/command/evacuate.go
+++ b/internal/command/evacuate.go
@@ -16,8 +16,8 @@
 
 func evacuateCommand(std streams) *ffcli.Command {
 	flags := newFlags("wheelhoist evacuate", std)
-	var connect connection
-	connect.register(flags)
+	var conn connection
+	conn.register(flags)
 	var output format
 	registerFormat(flags, &output)
 	end := flags.Bool("end", false, "bring the zone back")
@@ -33,9 +33,9 @@
 			}
 			var changed *v1.Resource
 			if ending {
-				changed, err = endEvacuation(ctx, &connect, zone)
+				changed, err = endEvacuation(ctx, &conn, zone)
 			} else {
-				changed, err = beginEvacuation(ctx, &connect, zone, *note, std)
+				changed, err = beginEvacuation(ctx, &conn, zone, *note, std)
 			}
 			if err != nil {
 				return err
@@ -64,27 +64,27 @@
 
 // beginEvacuation declares the evacuation, and warns of a zone that the node asked does
 // not know: it may be misspelt.
-func beginEvacuation(ctx context.Context, connect *connection, zone, note string, std streams) (*v1.Resource, error) {
-	caller := connect.client()
+func beginEvacuation(ctx context.Context, conn *connection, zone, note string, std streams) (*v1.Resource, error) {
+	api := conn.client()
 	spec, err := json.Marshal(&v1.EvacuationSpec{Note: note})
 	if err != nil {
 		return nil, err
 	}
-	known, err := knowsZone(ctx, caller, zone)
+	known, err := isKnownZone(ctx, api, zone)
 	if err != nil {
 		return nil, err
 	}
 	if !known {
 		_, _ = fmt.Fprintf(std.err, "wheelhoist: the node knows no zone %q; replicas that come up in it will take nothing\n", zone)
 	}
-	return caller.Put(ctx, &v1.Resource{
+	return api.Put(ctx, &v1.Resource{
 		APIVersion: v1.APIVersion, Kind: v1.KindEvacuation, Metadata: v1.Metadata{Name: zone}, Spec: spec,
 	}, nil)
 }
 
-// knowsZone reports whether a node knows a zone, other than as one to evacuate.
-func knowsZone(ctx context.Context, caller *client.Client, zone string) (bool, error) {
-	body, err := caller.Status(ctx)
+// isKnownZone reports whether a node knows a zone, other than as one to evacuate.
+func isKnownZone(ctx context.Context, api *client.Client, zone string) (bool, error) {
+	body, err := api.Status(ctx)
 	if err != nil {
 		return false, err
 	}
@@ -92,17 +92,17 @@
 	if err := json.Unmarshal(body, &status); err != nil {
 		return false, err
 	}
-	for _, one := range status.Zones {
-		if one.Zone == zone {
-			return one.Region != "" || one.Nodes+one.Replicas > 0, nil
+	for _, known := range status.Zones {
+		if known.Zone == zone {
+			return known.Region != "" || known.Nodes+known.Replicas > 0, nil
 		}
 	}
 	return false, nil
 }
 
 // endEvacuation takes the declaration back.
-func endEvacuation(ctx context.Context, connect *connection, zone string) (*v1.Resource, error) {
-	changed, err := connect.client().Delete(ctx, v1.KindEvacuation, zone)
+func endEvacuation(ctx context.Context, conn *connection, zone string) (*v1.Resource, error) {
+	changed, err := conn.client().Delete(ctx, v1.KindEvacuation, zone)
 	var status *client.StatusError
 	if errors.As(err, &status) && status.Status == http.StatusNotFound {
 		return nil, fmt.Errorf("zone %q is not evacuated", zone)
--- a/internal/command/get.go
+++ b/internal/command/get.go
@@ -11,8 +11,8 @@
 
 func getCommand(std streams) *ffcli.Command {
 	flags := newFlags("wheelhoist get", std)
-	var connect connection
-	connect.register(flags)
+	var conn connection
+	conn.register(flags)
 	var output format
 	registerFormat(flags, &output)
 	return &ffcli.Command{
@@ -24,13 +24,13 @@
 				return err
 			}
 			if len(arguments) == 1 {
-				list, err := connect.client().List(ctx, kind)
+				list, err := conn.client().List(ctx, kind)
 				if err != nil {
 					return err
 				}
 				return output.write(std.out, list, func() table { return resourceTable(list.Items) })
 			}
-			resource, err := connect.client().Get(ctx, kind, arguments[1])
+			resource, err := conn.client().Get(ctx, kind, arguments[1])
 			if err != nil {
 				return err
 			}
--- a/internal/command/node.go
+++ b/internal/command/node.go
@@ -47,14 +47,14 @@
 
 func nodeCommand(std streams) *ffcli.Command {
 	flags := newFlags("wheelhoist node", std)
-	var given nodeFlags
-	given.register(flags)
+	var overrides nodeFlags
+	overrides.register(flags)
 	return &ffcli.Command{
 		Name: "node", ShortUsage: "wheelhoist node --settings FILE [flags]", FlagSet: flags, Options: options(),
 		ShortHelp: "run a node",
 		LongHelp:  "Runs a node until SIGTERM or SIGINT, then drains it: open answers end in full.\nFlags come before WHEELHOIST_* variables, these before the settings file.",
 		Exec: func(ctx context.Context, _ []string) error {
-			config, err := settings.Load(given.settings, given.override)
+			config, err := settings.Load(overrides.settings, overrides.override)
 			if err != nil {
 				return err
 			}
--- a/internal/command/output.go
+++ b/internal/command/output.go
@@ -85,13 +85,13 @@
 	for _, resource := range resources {
 		content.rows = append(content.rows, []string{
 			string(resource.Kind), resource.Metadata.Name, fmt.Sprint(resource.Metadata.ResourceVersion),
-			inForce(resource.Status), summary(resource.Spec),
+			formatStatus(resource.Status), truncateSpec(resource.Spec),
 		})
 	}
 	return content
 }
 
-func inForce(status *v1.Status) string {
+func formatStatus(status *v1.Status) string {
 	switch {
 	case status == nil:
 		return "-"
@@ -104,11 +104,11 @@
 	}
 }
 
-func summary(spec json.RawMessage) string {
-	const longest = 70
+func truncateSpec(spec json.RawMessage) string {
+	const maxLength = 70
 	text := string(spec)
-	if len(text) > longest {
-		return text[:longest] + "…"
+	if len(text) > maxLength {
+		return text[:maxLength] + "…"
 	}
 	return text
 }
--- a/internal/command/quarantine.go
+++ b/internal/command/quarantine.go
@@ -11,9 +11,9 @@
 	v1 "github.com/wheelhoist/wheelhoist/api/v1"
 )
 
-// quarantineCall is the flags of the commands about quarantined work.
-type quarantineCall struct {
-	connect connection
+// quarantineFlags is the flags of the commands about quarantined work.
+type quarantineFlags struct {
+	conn connection
 	output  format
 	gateway string
 }
@@ -33,10 +33,10 @@
 }
 
 // newQuarantineCommand returns a command with the flags that all of them have.
-func newQuarantineCommand(std streams, name, usage, help string, run func(context.Context, *quarantineCall, []string) error) *ffcli.Command {
+func newQuarantineCommand(std streams, name, usage, help string, run func(context.Context, *quarantineFlags, []string) error) *ffcli.Command {
 	flags := newFlags("wheelhoist quarantine "+name, std)
-	call := &quarantineCall{}
-	call.connect.register(flags)
+	call := &quarantineFlags{}
+	call.conn.register(flags)
 	registerFormat(flags, &call.output)
 	flags.StringVar(&call.gateway, "gateway", "", "host:port of a gateway's metrics address, instead of -server")
 	return &ffcli.Command{
@@ -47,7 +47,7 @@
 
 func quarantineListCommand(std streams) *ffcli.Command {
 	return newQuarantineCommand(std, "list", "list [flags]", "show all work that is suspected or quarantined",
-		func(ctx context.Context, call *quarantineCall, arguments []string) error {
+		func(ctx context.Context, call *quarantineFlags, arguments []string) error {
 			if len(arguments) > 0 {
 				return &usageError{"quarantine list takes no arguments"}
 			}
@@ -61,7 +61,7 @@
 
 func quarantineShowCommand(std streams) *ffcli.Command {
 	return newQuarantineCommand(std, "show", "show [flags] WORK", "show what counts against a work",
-		func(ctx context.Context, call *quarantineCall, arguments []string) error {
+		func(ctx context.Context, call *quarantineFlags, arguments []string) error {
 			work, err := workArgument(arguments)
 			if err != nil {
 				return err
@@ -76,7 +76,7 @@
 
 func quarantineReleaseCommand(std streams) *ffcli.Command {
 	return newQuarantineCommand(std, "release", "release [flags] WORK", "let a work run again, at all nodes",
-		func(ctx context.Context, call *quarantineCall, arguments []string) error {
+		func(ctx context.Context, call *quarantineFlags, arguments []string) error {
 			work, err := workArgument(arguments)
 			if err != nil {
 				return err
@@ -90,11 +90,11 @@
 }
 
 // client returns a client of the node, or of the gateway that is named.
-func (c *quarantineCall) client() *client.Client {
+func (c *quarantineFlags) client() *client.Client {
 	if c.gateway == "" {
-		return c.connect.client()
+		return c.conn.client()
 	}
-	return client.New("http://"+c.gateway, c.connect.key)
+	return client.New("http://"+c.gateway, c.conn.key)
 }
 
 func workArgument(arguments []string) (string, error) {
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -14,8 +14,8 @@
 
 func statusCommand(std streams) *ffcli.Command {
 	flags := newFlags("wheelhoist status", std)
-	var connect connection
-	connect.register(flags)
+	var conn connection
+	conn.register(flags)
 	var output format
 	registerFormat(flags, &output)
 	gateway := flags.String("gateway", "", "host:port of a gateway's metrics address, instead of -server")
@@ -23,7 +23,7 @@
 		Name: "status", ShortUsage: "wheelhoist status [flags]", FlagSet: flags, Options: options(),
 		ShortHelp: "show a node, its peers and the replicas as it sees them",
 		Exec: func(ctx context.Context, _ []string) error {
-			body, err := readStatus(ctx, &connect, *gateway)
+			body, err := readStatus(ctx, &conn, *gateway)
 			if err != nil {
 				return err
 			}
@@ -37,9 +37,9 @@
 }
 
 // readStatus asks a node, or a gateway where one is named.
-func readStatus(ctx context.Context, connect *connection, gateway string) ([]byte, error) {
+func readStatus(ctx context.Context, conn *connection, gateway string) ([]byte, error) {
 	if gateway == "" {
-		return connect.client().Status(ctx)
+		return conn.client().Status(ctx)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+gateway+server.PathStatus, nil)
 	if err != nil {
@@ -86,15 +86,15 @@
 			fmt.Sprintf("%s %s %s, %d open here, %d of them batch", replica.Pool, replica.Version, replica.Role, replica.Open, replica.Batch),
 		})
 	}
-	for _, one := range status.Items {
+	for _, items := range status.Items {
 		content.rows = append(content.rows, []string{
-			"items", one.Reason, "", "waiting", fmt.Sprintf("%d, the oldest for %.1f s", one.Items, one.Oldest),
+			"items", items.Reason, "", "waiting", fmt.Sprintf("%d, the oldest for %.1f s", items.Items, items.Oldest),
 		})
 	}
-	for _, one := range status.Tenants {
+	for _, tenant := range status.Tenants {
 		content.rows = append(content.rows, []string{
-			"tenant", one.Name, "", "",
-			fmt.Sprintf("limit %g/s, burst %g; here %.1f/s, part %.2f told %.1f s ago", one.Rate, one.Burst, one.Demand, one.Share, one.GrantAge),
+			"tenant", tenant.Name, "", "",
+			fmt.Sprintf("limit %g/s, burst %g; here %.1f/s, part %.2f told %.1f s ago", tenant.Rate, tenant.Burst, tenant.Demand, tenant.Share, tenant.GrantAge),
 		})
 	}
 	return content
@@ -103,14 +103,14 @@
 // zoneRows shows each zone: its region, and whether it takes requests.
 func zoneRows(zones []server.ZoneStatus) [][]string {
 	rows := make([][]string, 0, len(zones))
-	for _, one := range zones {
+	for _, zone := range zones {
 		state := "in use"
-		if one.Evacuated {
-			state = fmt.Sprintf("evacuated for %.0f s", one.EvacuatedSeconds)
+		if zone.Evacuated {
+			state = fmt.Sprintf("evacuated for %.0f s", zone.EvacuatedSeconds)
 		}
 		rows = append(rows, []string{
-			"zone", one.Zone, one.Zone, state,
-			fmt.Sprintf("region %s, %d nodes, %d replicas listed, %d open here", orDash(one.Region), one.Nodes, one.Replicas, one.Open),
+			"zone", zone.Zone, zone.Zone, state,
+			fmt.Sprintf("region %s, %d nodes, %d replicas listed, %d open here", orDash(zone.Region), zone.Nodes, zone.Replicas, zone.Open),
 		})
 	}
 	return rows
--- a/internal/command/watch.go
+++ b/internal/command/watch.go
@@ -12,8 +12,8 @@
 
 func watchCommand(std streams) *ffcli.Command {
 	flags := newFlags("wheelhoist watch", std)
-	var connect connection
-	connect.register(flags)
+	var conn connection
+	conn.register(flags)
 	after := flags.Uint64("from", 0, "resource version to start after")
 	return &ffcli.Command{
 		Name: "watch", ShortUsage: "wheelhoist watch [flags] [KIND]", FlagSet: flags, Options: options(),
@@ -27,7 +27,7 @@
 				}
 			}
 			encoder := json.NewEncoder(std.out)
-			err := connect.client().Watch(ctx, kind, *after, func(event v1.Event) error {
+			err := conn.client().Watch(ctx, kind, *after, func(event v1.Event) error {
 				return encoder.Encode(event)
 			})
 			if errors.Is(ctx.Err(), context.Canceled) {
