--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -8,82 +8,80 @@
 	"github.com/wheelhoist/wheelhoist/internal/findings"
 )
 
-// Gateway are the settings of a node that serves declared routes of opaque
-// requests, with all lasting state in the store of the platform it runs on.
+// Gateway holds the settings of a node that serves declared routes of opaque requests and keeps all
+// durable state in the platform's store.
 type Gateway struct {
-	// Store is host:port of the platform's store. Setting it makes the node a gateway.
+	// Store is the host:port of the platform's store. Setting it makes the node a gateway.
 	Store string `json:"store,omitempty"`
-	// Readiness is host:port where the platform asks whether callers should come.
+	// Readiness is the host:port at which the platform probes readiness.
 	Readiness string `json:"readiness,omitempty"`
-	// Metrics is host:port where metrics are served.
+	// Metrics is the host:port at which metrics are served.
 	Metrics string `json:"metrics,omitempty"`
 	// Grace is the time from SIGTERM until the process is killed; default 8s.
 	Grace v1.Duration `json:"grace,omitempty"`
-	// KeepJobs is how long after its acceptance a job that is done can be read;
-	// 0 keeps all jobs.
+	// KeepJobs is how long after its acceptance a completed job can be read; 0 keeps all jobs.
 	KeepJobs v1.Duration `json:"keepJobs,omitempty"`
-	// Settle is how long after a result of a job was read at any node all others show it, or
-	// answer 503; default 1s.
+	// Settle bounds how long the nodes disagree about a job's result: this long after a node returned
+	// it, all others return it too or answer 503. The default is 1s.
 	Settle v1.Duration `json:"settle,omitempty"`
 	// MemoryMegabytes is the memory that the process may use; 0 means unknown.
 	MemoryMegabytes int `json:"memoryMegabytes,omitempty"`
-	// Capacity is what the machine has beside its memory; zero means unknown.
+	// Capacity holds the machine's resources other than memory; zero means unknown.
 	Capacity Capacity `json:"capacity,omitempty"`
 	Routing  Routing  `json:"routing,omitempty"`
-	// Peers is host:port where other nodes reach this one, by datagrams. Without it the
-	// node keeps tenants' limits by an equal part of them.
+	// Peers is the host:port at which this node receives datagrams of other nodes. Without it, the
+	// node enforces an equal share of each tenant's limit.
 	Peers string `json:"peers,omitempty"`
 	Quota Quota  `json:"quota,omitempty"`
 	Cold  Cold   `json:"cold,omitempty"`
-	// BootstrapAfter is how long the store answers nothing until a node that starts asks
-	// another one for what that knows; default 700ms.
+	// BootstrapAfter is how long a starting node waits for an answer of the store before it reads the
+	// state of another node; default 700ms.
 	BootstrapAfter v1.Duration `json:"bootstrapAfter,omitempty"`
-	// MaxConfigAge bounds how long callers are told apart by a configuration whose
-	// source does not answer; 0 means no bound. Keys that were taken away meanwhile are
-	// served up to then.
+	// MaxConfigAge bounds how long callers are authenticated by a configuration whose source does not
+	// answer; 0 means no bound. Keys revoked in the meantime are accepted until then.
 	MaxConfigAge v1.Duration `json:"maxConfigAge,omitempty"`
 }
 
-// Capacity is what a machine has.
+// Capacity describes the resources of a machine.
 type Capacity struct {
-	// Cores is the share of a core that the process may use.
+	// Cores is the number of cores that the process may use; it may be a fraction.
 	Cores float64 `json:"cores,omitempty"`
 	// LinkMbps is the bandwidth of the machine's link in Mbit/s.
 	LinkMbps float64 `json:"linkMbps,omitempty"`
 }
 
-// Quota says how tenants' limits of requests are judged.
+// Quota configures how tenants' request limits are enforced.
 type Quota struct {
-	// Window is the length of the windows that count; default 5s.
+	// Window is the length of the window in which requests are counted; default 5s.
 	Window v1.Duration `json:"window,omitempty"`
-	// Over is the share of a limit, and Slack the number of requests, that may be let
-	// through beyond it in a window, for it is kept by many nodes.
+	// Over, a fraction of the limit, and Slack, a number of requests, may be admitted beyond the limit
+	// in a window, because many nodes enforce it together.
 	Over  float64 `json:"over,omitempty"`
 	Slack float64 `json:"slack,omitempty"`
 }
 
-// Cold says how cold replicas are judged: in any one second one may get the rate that it
-// bears x Over + Slack requests.
+// Cold configures the limit of requests to cold replicas. In any one second a cold replica may get
+// Over times the rate that it sustains, plus Slack requests.
 type Cold struct {
-	// Over is 1 at least; default 1.
+	// Over is at least 1; default 1.
 	Over float64 `json:"over,omitempty"`
-	// Slack is in requests.
+	// Slack is a number of requests.
 	Slack float64 `json:"slack,omitempty"`
 }
 
-// DefaultBootstrapAfter: a page of a first read takes some 50 ms on the users' platform, and
-// some hundreds when a whole fleet starts.
+// DefaultBootstrapAfter is the default of BootstrapAfter. It exceeds the time to read a page of the
+// initial state: about 50 ms, or several hundred when a whole fleet starts.
 const DefaultBootstrapAfter = v1.Duration(700 * time.Millisecond)
 
-// DefaultQuotaWindow is what the users' deployments state.
+// DefaultQuotaWindow is the default of Quota.Window.
 const DefaultQuotaWindow = v1.Duration(5 * time.Second)
 
-// Routing weighs what the choice of a replica gives up for what.
+// Routing weighs locality against waiting time in the choice of a replica.
 type Routing struct {
 	// CrossZone is how much longer a request may wait to stay in its zone.
 	CrossZone v1.Duration `json:"crossZone,omitempty"`
-	// CrossRegion is how much longer a request may wait to stay in its region; that
-	// of a zone if it is less.
+	// CrossRegion is how much longer a request may wait to stay in its region. CrossZone applies if
+	// it is larger.
 	CrossRegion v1.Duration `json:"crossRegion,omitempty"`
 }
 
@@ -145,6 +143,7 @@
 	}
 }
 
+// checkHostPort reports an address that is not host:port. The host may be a name.
 func checkHostPort(found *findings.List, path, address string) {
 	if _, _, err := net.SplitHostPort(address); err != nil {
 		found.Add(path, "must be host:port")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads and checks the settings of a node: a YAML file,
-// environment variables and flags. Flags come before the environment, the
-// environment before the file, the file before the defaults.
+// Package settings loads and validates the settings of a node from a YAML file. Flags override
+// environment variables, which override the file, which overrides the defaults.
 package settings
 
 import (
@@ -17,30 +16,29 @@
 
 // Settings are the settings of a node.
 type Settings struct {
-	Node     Node     `json:"node"`
-	Platform Platform `json:"platform,omitempty"`
-	Operator Operator `json:"operator,omitempty"`
-	Gateway  Gateway  `json:"gateway,omitempty"`
-	// Quarantine says when work is kept from replicas.
+	Node       Node       `json:"node"`
+	Platform   Platform   `json:"platform,omitempty"`
+	Operator   Operator   `json:"operator,omitempty"`
+	Gateway    Gateway    `json:"gateway,omitempty"`
 	Quarantine Quarantine `json:"quarantine,omitempty"`
 	TLS        TLS        `json:"tls,omitempty"`
 	Log        Log        `json:"log,omitempty"`
 }
 
-// Node says who this node is and where it listens.
+// Node identifies a node and configures its listener.
 type Node struct {
 	ID     string `json:"id"`
 	Zone   string `json:"zone"`
 	Region string `json:"region,omitempty"`
-	// Zones tells the region of each zone where nodes and replicas may stand.
+	// Zones maps each zone that may have nodes or replicas to its region.
 	Zones place.Map `json:"zones,omitempty"`
-	// Listen is host:port for callers and operators.
+	// Listen is the host:port for callers and operators.
 	Listen string `json:"listen"`
-	// MaxStreams bounds the online requests open at this node; default 2000.
+	// MaxStreams is the maximum number of online requests open at this node; default 2000.
 	MaxStreams int `json:"maxStreams,omitempty"`
 }
 
-// Platform says where the platform's services are.
+// Platform configures the services of the platform.
 type Platform struct {
 	Table    TableService `json:"table"`
 	Objects  ObjectStore  `json:"objects"`
@@ -65,7 +63,7 @@
 	SecretKey string `json:"secretKey,omitempty"`
 }
 
-// MachineList is the platform's list of machines.
+// MachineList is the service that lists the platform's machines.
 type MachineList struct {
 	URL string `json:"url"`
 }
@@ -76,35 +74,37 @@
 	KeySHA256 string `json:"keySHA256"`
 }
 
-// TLS names PEM files. They are read again when they change.
+// TLS configures TLS. Changed files are reloaded.
 type TLS struct {
-	// Serve secures the port for callers and operators.
+	// Serve holds the files for the listener for callers and operators.
 	Serve TLSFiles `json:"serve,omitempty"`
 }
 
-// TLSFiles names a certificate and its key.
+// TLSFiles holds the paths of the PEM files of a certificate and its key.
 type TLSFiles struct {
 	Certificate string `json:"certificate,omitempty"`
 	Key         string `json:"key,omitempty"`
 }
 
-// Set reports whether any file is named.
+// Set reports whether any path is set.
 func (t TLSFiles) Set() bool { return t.Certificate != "" || t.Key != "" }
 
-// Log configures the log.
+// Log configures logging.
 type Log struct {
 	// Level is debug, info, warn or error; default info.
 	Level string `json:"level,omitempty"`
 }
 
-// Quarantine says when work is kept from all replicas, for it ends those that run it. It
-// should be the same at all nodes.
+// Quarantine configures when work that crashes replicas is kept from all replicas. It should be the
+// same at all nodes.
 type Quarantine struct {
-	// Replicas is how many replicas a work may end within For; default 3, for two may end by
-	// themselves that a request and its one retry happened to run on.
+	// Replicas is the number of replicas that a work may crash within For before it is quarantined.
+	// The default is 3, because a request and its only retry may by chance run on two replicas that
+	// crash for other reasons.
 	Replicas int `json:"replicas,omitempty"`
-	// For is how long the end of a replica counts, and so how long a work is kept back after
-	// the first of these ends; default 1h. The work may end so many replicas an hour at most.
+	// For is how long a crash counts, and so how long a work stays quarantined after the first of the
+	// crashes; default 1h. Within that time the work crashes at most Replicas replicas, not counting
+	// trial runs.
 	For v1.Duration `json:"for,omitempty"`
 }
 
@@ -122,11 +122,11 @@
 	DefaultRegion     = "local"
 	DefaultLogLevel   = "info"
 	DefaultMaxStreams = 2000
-	// ShutdownTimeout bounds a planned stop; open streams end within it.
+	// ShutdownTimeout bounds a planned shutdown, including the time for open streams to complete.
 	ShutdownTimeout = 5 * time.Minute
 )
 
-// ApplyDefaults fills in what may be left out.
+// ApplyDefaults sets the optional settings that are unset to their defaults.
 func (s *Settings) ApplyDefaults() {
 	setDefault(&s.Node.Region, DefaultRegion)
 	setDefault(&s.Platform.Table.Region, DefaultRegion)
@@ -143,13 +143,14 @@
 	}
 }
 
+// setDefault sets an empty string to value.
 func setDefault(target *string, value string) {
 	if *target == "" {
 		*target = value
 	}
 }
 
-// Validate reports everything that is wrong.
+// Validate returns all findings about the settings.
 func (s *Settings) Validate() []findings.Finding {
 	var found findings.List
 	checkRequired(&found, "node.id", s.Node.ID)
@@ -172,7 +173,7 @@
 	return found.All()
 }
 
-// validatePlatform checks what a node with the product's own API needs.
+// validatePlatform checks the settings that a node needs unless it is a gateway.
 func (s *Settings) validatePlatform(found *findings.List) {
 	checkRequired(found, "platform.table.table", s.Platform.Table.Table)
 	checkRequired(found, "platform.objects.bucket", s.Platform.Objects.Bucket)
@@ -203,6 +204,7 @@
 	return false
 }
 
+// checkAddress reports an address that is not host:port with an IP address as the host.
 func checkAddress(found *findings.List, path, address string) {
 	host, _, err := net.SplitHostPort(address)
 	switch {
@@ -237,8 +239,8 @@
 	}
 }
 
-// Load reads a settings file and reports all findings with their place. An
-// empty path yields empty settings. Overrides are applied before the check.
+// Load reads a settings file, applies overrides and defaults, and validates the result. An empty path
+// stands for an empty file. A *findings.Error has all findings with their positions in the file.
 func Load(path string, overrides func(*Settings)) (*Settings, error) {
 	settings := &Settings{}
 	var found []findings.Finding
--- a/internal/tlsfile/tlsfile.go
+++ b/internal/tlsfile/tlsfile.go
@@ -1,5 +1,5 @@
-// Package tlsfile makes TLS configurations from PEM files and reads the files
-// again when they change, so that certificates are renewed without a restart.
+// Package tlsfile provides TLS configurations from PEM files and reloads changed files, so that
+// certificates can be renewed without a restart.
 package tlsfile
 
 import (
@@ -14,16 +14,16 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("tls")
 
-// checkInterval bounds how often the files' times are looked at.
+// checkInterval is the minimum time between two checks of the files' modification times.
 const checkInterval = time.Second
 
-// Files names the PEM files of a server.
+// Files holds the paths of a server's PEM files.
 type Files struct {
 	Certificate string
 	Key         string
 }
 
-// Loader holds the current content of the files. It is safe for concurrent use.
+// Loader holds the certificate loaded from the files. It is safe for concurrent use.
 type Loader struct {
 	files Files
 
@@ -33,7 +33,7 @@
 	certificate *tls.Certificate
 }
 
-// NewLoader reads the files for the first time.
+// NewLoader returns a Loader that has loaded the files.
 func NewLoader(files Files) (*Loader, error) {
 	loader := &Loader{files: files}
 	modified, err := loader.lastModified()
@@ -43,6 +43,7 @@
 	return loader, loader.load(modified)
 }
 
+// lastModified returns the latest modification time of the files.
 func (l *Loader) lastModified() (time.Time, error) {
 	var last time.Time
 	for _, path := range []string{l.files.Certificate, l.files.Key} {
@@ -60,7 +61,7 @@
 	return last, nil
 }
 
-// load loads the files. The caller holds mu, or is the only user.
+// load loads the certificate. The caller holds mu or has exclusive access to l.
 func (l *Loader) load(modified time.Time) error {
 	certificate, err := tls.LoadX509KeyPair(l.files.Certificate, l.files.Key)
 	if err != nil {
@@ -70,8 +71,8 @@
 	return nil
 }
 
-// current returns the content, read anew if the files have changed. Files that
-// are broken or half written leave the earlier content in use.
+// current returns the certificate, reloaded if the files have changed. If they are invalid or only
+// partly written, the previous certificate stays in use.
 func (l *Loader) current() *tls.Certificate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,7 +85,7 @@
 	return l.certificate
 }
 
-// Server returns the configuration of a server for callers.
+// Server returns a server configuration that always uses the current certificate.
 func (l *Loader) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
