--- a/cmd/wheelhoist-lab/main.go
+++ b/cmd/wheelhoist-lab/main.go
@@ -1,4 +1,4 @@
-// Command wheelhoist-lab runs emulated sites, load, faults and checks.
+// Command wheelhoist-lab runs emulated sites, applies load and faults, and checks the results.
 package main
 
 import (
--- a/cmd/wheelhoist/main_test.go
+++ b/cmd/wheelhoist/main_test.go
@@ -19,9 +19,9 @@
 	})
 }
 
-// untilDeadline returns a context that ends a little before the test's time is over, so
-// that a failure is told.
-func untilDeadline(t *testing.T) context.Context {
+// contextBeforeDeadline returns a context that ends shortly before the test's deadline, so that a
+// failure is reported before the test binary is killed.
+func contextBeforeDeadline(t *testing.T) context.Context {
 	t.Helper()
 	const margin = 30 * time.Second
 	deadline, ok := t.Deadline()
@@ -33,9 +33,9 @@
 	return ctx
 }
 
-// The scripts drive the command line against a running site.
+// TestScripts runs the command line scripts in testdata against a running site.
 func TestScripts(t *testing.T) {
-	running, err := site.Start(untilDeadline(t), site.Config{Profile: profile.Urnik, Nodes: 2, Listen: "127.0.0.1:0", Seed: 1})
+	running, err := site.Start(contextBeforeDeadline(t), site.Config{Profile: profile.Urnik, Nodes: 2, Listen: "127.0.0.1:0", Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// readManifest reads all documents and reports all their findings together.
+// readManifest reads the resources of a manifest. The error has the findings of all documents.
 func readManifest(path string, in io.Reader) ([]*v1.Resource, error) {
 	source, err := readSource(path, in)
 	if err != nil {
@@ -70,6 +70,8 @@
 	return os.ReadFile(path)
 }
 
+// applyAll writes the resources in order and prints them. It continues after failures and returns all
+// of them.
 func applyAll(ctx context.Context, conn *connection, resources []*v1.Resource, output format, std streams) error {
 	api := conn.client()
 	var applied []v1.Resource
--- a/internal/command/batch.go
+++ b/internal/command/batch.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// writeBatch prints a job and fails for a failed one, with its findings.
+// writeBatch prints a job and the findings about its input file. It returns an error if the job failed.
 func writeBatch(std streams, output format, batch *openai.Batch) error {
 	if err := output.write(std.out, batch, func() table { return batchTable(*batch) }); err != nil {
 		return err
@@ -104,6 +104,7 @@
 	return api.Upload(ctx, filepath.Base(path), content)
 }
 
+// awaitBatch polls a job until it is final and shows its progress on standard error.
 func awaitBatch(ctx context.Context, api *client.Client, id string, std streams) (*openai.Batch, error) {
 	bar := progressbar.NewOptions(-1, progressbar.OptionSetWriter(std.err), progressbar.OptionSetDescription(id),
 		progressbar.OptionShowCount(), progressbar.OptionClearOnFinish())
--- a/internal/command/evacuate.go
+++ b/internal/command/evacuate.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// evacuateArguments reads the zone, and --end also where it stands behind it.
+// evacuateArguments parses the arguments: a zone, optionally followed by --end, which package flag
+// does not parse after an argument.
 func evacuateArguments(arguments []string, end bool) (zone string, ending bool, err error) {
 	if len(arguments) == 2 && (arguments[1] == "--end" || arguments[1] == "-end") {
 		arguments, end = arguments[:1], true
@@ -62,8 +63,8 @@
 	return arguments[0], end, nil
 }
 
-// beginEvacuation declares the evacuation, and warns of a zone that the node asked does
-// not know: it may be misspelt.
+// beginEvacuation declares the evacuation of a zone. It warns if the node does not know the zone,
+// since the name may be misspelled.
 func beginEvacuation(ctx context.Context, conn *connection, zone, note string, std streams) (*v1.Resource, error) {
 	api := conn.client()
 	spec, err := json.Marshal(&v1.EvacuationSpec{Note: note})
@@ -82,7 +83,8 @@
 	}, nil)
 }
 
-// isKnownZone reports whether a node knows a zone, other than as one to evacuate.
+// isKnownZone reports whether a node knows a zone from its settings, nodes or replicas, not only from
+// an evacuation.
 func isKnownZone(ctx context.Context, api *client.Client, zone string) (bool, error) {
 	body, err := api.Status(ctx)
 	if err != nil {
@@ -100,7 +102,7 @@
 	return false, nil
 }
 
-// endEvacuation takes the declaration back.
+// endEvacuation deletes the evacuation of a zone.
 func endEvacuation(ctx context.Context, conn *connection, zone string) (*v1.Resource, error) {
 	changed, err := conn.client().Delete(ctx, v1.KindEvacuation, zone)
 	var status *client.StatusError
--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -13,11 +13,11 @@
 	"github.com/wheelhoist/wheelhoist/internal/settings"
 )
 
-// logBuffer is the number of log lines that wait for a slow output; beyond it
-// the oldest are dropped, and counted.
+// logBuffer is the number of log lines buffered for a slow output. When the buffer is full, the oldest
+// lines are dropped and counted.
 const logBuffer = 4096
 
-// runGateway runs a gateway until the context ends, then stops it.
+// runGateway runs a gateway until the context is done, then stops it. SIGHUP is logged and ignored.
 func runGateway(ctx context.Context, config *settings.Settings, std streams, level zerolog.Level) error {
 	var running *node.Gateway
 	output := diode.NewWriter(std.out, logBuffer, 0, func(missed int) {
@@ -37,7 +37,7 @@
 	for {
 		select {
 		case <-reload:
-			log.Info().Msg("reload asked for: settings are read at start only, nothing is cut")
+			log.Info().Msg("ignoring SIGHUP: settings are read only at startup")
 		case <-ctx.Done():
 			running.Stop()
 			return nil
--- a/internal/command/get.go
+++ b/internal/command/get.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// kindArgument checks the KIND argument.
+// kindArgument parses the KIND argument, the first.
 func kindArgument(arguments []string) (v1.Kind, error) {
 	if len(arguments) == 0 {
 		return "", &usageError{fmt.Sprintf("KIND is missing, one of %v", v1.Kinds)}
--- a/internal/command/node.go
+++ b/internal/command/node.go
@@ -12,7 +12,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/settings"
 )
 
-// nodeFlags are the settings that flags and environment may override.
+// nodeFlags holds the path of the settings file and the settings that flags and environment override.
 type nodeFlags struct {
 	settings string
 	id       string
@@ -31,7 +31,7 @@
 	flags.StringVar(&f.logLevel, "log-level", "", "debug, info, warn or error, overrides log.level")
 }
 
-// override applies the flags that are set.
+// override applies the flags that are set to config.
 func (f *nodeFlags) override(config *settings.Settings) {
 	set := func(target *string, value string) {
 		if value != "" {
@@ -63,6 +63,7 @@
 	}
 }
 
+// runNode runs a node until the context is done or a drain is requested, then drains it.
 func runNode(ctx context.Context, config *settings.Settings, std streams) error {
 	level, err := zerolog.ParseLevel(config.Log.Level)
 	if err != nil {
--- a/internal/command/output.go
+++ b/internal/command/output.go
@@ -41,13 +41,13 @@
 	flags.Var(target, "o", "output format: table, json or yaml")
 }
 
-// table is what a command prints as a table.
+// table is the content of a command's table output.
 type table struct {
 	header []string
 	rows   [][]string
 }
 
-// write prints a value in the chosen format.
+// write prints a value in the format f. It calls render only for table output.
 func (f format) write(out io.Writer, value any, render func() table) error {
 	switch f {
 	case formatJSON:
@@ -91,6 +91,8 @@
 	return content
 }
 
+// formatStatus returns the IN FORCE column: the nodes on which a resource is in force, or the progress
+// of a batch job.
 func formatStatus(status *v1.Status) string {
 	switch {
 	case status == nil:
@@ -104,6 +106,7 @@
 	}
 }
 
+// truncateSpec shortens a specification to fit a table row.
 func truncateSpec(spec json.RawMessage) string {
 	const maxLength = 70
 	text := string(spec)
--- a/internal/command/quarantine.go
+++ b/internal/command/quarantine.go
@@ -11,9 +11,9 @@
 	v1 "github.com/wheelhoist/wheelhoist/api/v1"
 )
 
-// quarantineFlags is the flags of the commands about quarantined work.
+// quarantineFlags holds the flags of the quarantine subcommands.
 type quarantineFlags struct {
-	conn connection
+	conn    connection
 	output  format
 	gateway string
 }
@@ -32,7 +32,7 @@
 	return command
 }
 
-// newQuarantineCommand returns a command with the flags that all of them have.
+// newQuarantineCommand returns a quarantine subcommand with the common flags.
 func newQuarantineCommand(std streams, name, usage, help string, run func(context.Context, *quarantineFlags, []string) error) *ffcli.Command {
 	flags := newFlags("wheelhoist quarantine "+name, std)
 	call := &quarantineFlags{}
@@ -89,7 +89,7 @@
 		})
 }
 
-// client returns a client of the node, or of the gateway that is named.
+// client returns a client of the node, or of the gateway if one is set.
 func (c *quarantineFlags) client() *client.Client {
 	if c.gateway == "" {
 		return c.conn.client()
--- a/internal/command/root.go
+++ b/internal/command/root.go
@@ -1,5 +1,4 @@
-// Package command implements the wheelhoist command line, one file a
-// subcommand.
+// Package command implements the wheelhoist command line, with one file for each subcommand.
 package command
 
 import (
@@ -22,27 +21,27 @@
 // Exit codes.
 const (
 	ExitOK = 0
-	// ExitFailed means that the command could not do its work.
+	// ExitFailed means that the command failed.
 	ExitFailed = 1
-	// ExitUsage means that the command line was wrong.
+	// ExitUsage means that the command line is invalid.
 	ExitUsage = 2
-	// ExitInvalid means that a file holds findings.
+	// ExitInvalid means that an input file has findings.
 	ExitInvalid = 3
-	// ExitPending means that a change is committed and not yet in force everywhere.
+	// ExitPending means that a change is committed but not yet in force on all nodes.
 	ExitPending = 4
 	// ExitConflict means that a resource has changed since it was read.
 	ExitConflict = 5
 )
 
-// EnvPrefix begins the environment variables that stand for flags.
+// EnvPrefix is the prefix of the environment variables that set flags.
 const EnvPrefix = "WHEELHOIST"
 
-// usageError is a wrong command line.
+// usageError reports an invalid command line.
 type usageError struct{ message string }
 
 func (e *usageError) Error() string { return e.message }
 
-// exitError carries an exit code for an outcome that is already reported.
+// exitError is an exit code without a message, for results that are already printed.
 type exitError struct{ code int }
 
 func (e *exitError) Error() string { return fmt.Sprintf("exit code %d", e.code) }
@@ -53,7 +52,7 @@
 	out, err io.Writer
 }
 
-// connection is the flags of every command that calls a node.
+// connection holds the flags of the commands that call a node.
 type connection struct {
 	server string
 	key    string
@@ -78,7 +77,7 @@
 	root := newRoot(std)
 	err := root.Parse(arguments)
 	if errors.Is(err, flag.ErrHelp) {
-		// It was asked for with --help, and printed.
+		// Parse has printed the help requested by --help.
 		return ExitOK
 	}
 	if err == nil {
@@ -101,7 +100,7 @@
 	return root
 }
 
-// helpExec is the action of a command that only holds subcommands.
+// helpExec returns the action of a command that only has subcommands.
 func helpExec(command *ffcli.Command) func(context.Context, []string) error {
 	return func(_ context.Context, arguments []string) error {
 		if len(arguments) > 0 {
@@ -118,8 +117,8 @@
 	return flags
 }
 
-// options are the parse options of every command: flags come before the
-// environment.
+// options returns the parse options of every command. Environment variables set flags that are not on
+// the command line.
 func options() []ff.Option { return []ff.Option{ff.WithEnvVarPrefix(EnvPrefix)} }
 
 // report prints an error and returns the exit code.
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// readStatus asks a node, or a gateway where one is named.
+// readStatus reads the status of a node, or of a gateway if its address is not empty.
 func readStatus(ctx context.Context, conn *connection, gateway string) ([]byte, error) {
 	if gateway == "" {
 		return conn.client().Status(ctx)
@@ -100,7 +100,7 @@
 	return content
 }
 
-// zoneRows shows each zone: its region, and whether it takes requests.
+// zoneRows returns a row for each zone with its state and region.
 func zoneRows(zones []server.ZoneStatus) [][]string {
 	rows := make([][]string, 0, len(zones))
 	for _, zone := range zones {
