--- a/api/client/client.go
+++ b/api/client/client.go
@@ -1,5 +1,5 @@
-// Package client is the client of the resource API and of the parts of the
-// OpenAI API that operators use from the command line.
+// Package client provides a client of the resource API and of the parts of the OpenAI API that the
+// command line uses.
 package client
 
 import (
@@ -24,10 +24,11 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("client")
 
-// StatusError is a refusal by the server.
+// StatusError is an error response of the server.
 type StatusError struct {
 	Status int
-	// Executed is the X-Wheelhoist-Executed header: yes, no, unknown or empty.
+	// Executed is the X-Wheelhoist-Executed header, which says whether the request ran: yes, no,
+	// unknown or empty.
 	Executed string
 	Message  string
 }
@@ -35,21 +36,23 @@
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Message) }
 
-// ErrTooOld reports that a watch asked for changes that are no longer held.
+// ErrTooOld reports that a watch asked for changes that the server no longer stores.
 var ErrTooOld = errors.New("resource version too old, list again")
 
-// Client calls one node.
+// Client calls the API of one node.
 type Client struct {
 	// Base is the node's base URL.
 	Base string
-	// Key is an operators' or a tenant's key.
+	// Key is the key of the operators or of a tenant.
 	Key  string
 	HTTP *http.Client
 }
 
-// New returns a client.
+// New returns a client of the node at a base URL that uses http.DefaultClient.
 func New(base, key string) *Client { return &Client{Base: base, Key: key, HTTP: http.DefaultClient} }
 
+// do sends a request. A status of 300 or more becomes a *StatusError. The caller closes the body of
+// the response.
 func (c *Client) do(ctx context.Context, method, path string, header http.Header, body io.Reader) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.Base+path, body)
 	if err != nil {
@@ -83,6 +86,8 @@
 	}
 }
 
+// call sends request as JSON, unless it is nil, and decodes the response into answer, unless it is
+// nil.
 func (c *Client) call(ctx context.Context, method, path string, header http.Header, request, answer any) error {
 	var body io.Reader
 	if request != nil {
@@ -113,8 +118,8 @@
 	return apiPath + string(kind) + "/" + url.PathEscape(name)
 }
 
-// Put declares a resource. ifMatch, unless nil, is the version it must have; 0
-// means that it must not exist.
+// Put creates or replaces a resource. ifMatch, unless nil, is the version that the resource must have;
+// 0 means that it must not exist.
 func (c *Client) Put(ctx context.Context, resource *v1.Resource, ifMatch *uint64) (*v1.Resource, error) {
 	header := http.Header{}
 	if ifMatch != nil {
@@ -139,14 +144,15 @@
 	return answer, err
 }
 
-// Delete removes a resource; for a batch job it cancels it.
+// Delete deletes a resource. A batch job is cancelled instead.
 func (c *Client) Delete(ctx context.Context, kind v1.Kind, name string) (*v1.Resource, error) {
 	answer := &v1.Resource{}
 	err := c.call(ctx, http.MethodDelete, resourcePath(kind, name), nil, nil, answer)
 	return answer, err
 }
 
-// Watch calls handle for each change after a version until the context ends.
+// Watch calls handle for each change after a version, until the context is done, handle fails or the
+// server ends the watch. An empty kind stands for all kinds.
 func (c *Client) Watch(ctx context.Context, kind v1.Kind, after uint64, handle func(v1.Event) error) error {
 	query := url.Values{"resourceVersion": {strconv.FormatUint(after, 10)}}
 	if kind != "" {
@@ -172,39 +178,40 @@
 	}
 }
 
-// Status returns a node's own view, as JSON.
+// Status returns the status of the node as JSON.
 func (c *Client) Status(ctx context.Context) (json.RawMessage, error) {
 	var answer json.RawMessage
 	err := c.call(ctx, http.MethodGet, apiPath+"status", nil, nil, &answer)
 	return answer, err
 }
 
-// Drain asks the node for a planned stop.
+// Drain starts a planned shutdown of the node.
 func (c *Client) Drain(ctx context.Context) error {
 	return c.call(ctx, http.MethodPost, apiPath+"drain", nil, nil, nil)
 }
 
 const quarantinePath = apiPath + "quarantine"
 
-// Suspects returns the work that the node suspects, or refuses, for it ended replicas.
+// Suspects returns the work that the node suspects of crashing replicas, quarantined work included.
 func (c *Client) Suspects(ctx context.Context) (*v1.SuspectList, error) {
 	answer := &v1.SuspectList{}
 	return answer, c.call(ctx, http.MethodGet, quarantinePath, nil, nil, answer)
 }
 
-// Suspect returns what counts against one work.
+// Suspect returns the recorded crashes of one work.
 func (c *Client) Suspect(ctx context.Context, work string) (*v1.Suspect, error) {
 	answer := &v1.Suspect{}
 	return answer, c.call(ctx, http.MethodGet, quarantinePath+"/"+url.PathEscape(work), nil, nil, answer)
 }
 
-// Release lets a work run again, at all nodes, and returns what counted against it.
+// Release clears the recorded crashes of a work at all nodes, so that it may run again, and returns
+// them.
 func (c *Client) Release(ctx context.Context, work string) (*v1.Suspect, error) {
 	answer := &v1.Suspect{}
 	return answer, c.call(ctx, http.MethodDelete, quarantinePath+"/"+url.PathEscape(work), nil, nil, answer)
 }
 
-// Upload stores an input file.
+// Upload uploads an input file for batch jobs.
 func (c *Client) Upload(ctx context.Context, name string, content io.Reader) (*openai.File, error) {
 	reader, writer := io.Pipe()
 	form := multipart.NewWriter(writer)
@@ -230,7 +237,8 @@
 	return file, Error.Wrap(json.NewDecoder(response.Body).Decode(file))
 }
 
-// CreateBatch submits a job. key, unless empty, names it over all sendings.
+// CreateBatch submits a batch job. key, unless empty, is an idempotency key that identifies the job
+// across retries.
 func (c *Client) CreateBatch(ctx context.Context, request openai.BatchRequest, key string) (*openai.Batch, error) {
 	header := http.Header{}
 	if key != "" {
@@ -241,28 +249,28 @@
 	return batch, err
 }
 
-// Batch returns a job.
+// Batch returns a batch job.
 func (c *Client) Batch(ctx context.Context, id string) (*openai.Batch, error) {
 	batch := &openai.Batch{}
 	err := c.call(ctx, http.MethodGet, openai.PathBatches+"/"+url.PathEscape(id), nil, nil, batch)
 	return batch, err
 }
 
-// Batches lists the tenant's jobs.
+// Batches returns the tenant's batch jobs, the newest first.
 func (c *Client) Batches(ctx context.Context) ([]openai.Batch, error) {
 	var listing openai.Listing[openai.Batch]
 	err := c.call(ctx, http.MethodGet, openai.PathBatches, nil, nil, &listing)
 	return listing.Data, err
 }
 
-// CancelBatch cancels a job.
+// CancelBatch cancels a batch job and returns it.
 func (c *Client) CancelBatch(ctx context.Context, id string) (*openai.Batch, error) {
 	batch := &openai.Batch{}
 	err := c.call(ctx, http.MethodPost, openai.PathBatches+"/"+url.PathEscape(id)+"/cancel", nil, nil, batch)
 	return batch, err
 }
 
-// Content copies a file to output.
+// Content writes the content of a file to output.
 func (c *Client) Content(ctx context.Context, id string, output io.Writer) error {
 	response, err := c.do(ctx, http.MethodGet, openai.PathFiles+"/"+url.PathEscape(id)+"/content", nil, nil)
 	if err != nil {
--- a/api/openai/batch.go
+++ b/api/openai/batch.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// File describes an uploaded or produced file.
+// File describes an input, output or error file.
 type File struct {
 	ID        string `json:"id"`
 	Object    string `json:"object"`
@@ -15,7 +15,7 @@
 // BatchStatus is the state of a batch job.
 type BatchStatus string
 
-// Batch states, with the meaning they have in the OpenAI API.
+// Batch states, as defined by the OpenAI API.
 const (
 	BatchValidating BatchStatus = "validating"
 	BatchInProgress BatchStatus = "in_progress"
@@ -25,12 +25,12 @@
 	BatchCancelled  BatchStatus = "cancelled"
 )
 
-// Final reports whether the state never changes again.
+// Final reports whether the state is final.
 func (s BatchStatus) Final() bool {
 	return s == BatchCompleted || s == BatchFailed || s == BatchExpired || s == BatchCancelled
 }
 
-// BatchRequest creates a batch job.
+// BatchRequest is a request to create a batch job.
 type BatchRequest struct {
 	InputFileID      string            `json:"input_file_id"`
 	Endpoint         string            `json:"endpoint"`
@@ -77,24 +77,24 @@
 	Metadata         map[string]string `json:"metadata,omitempty"`
 }
 
-// BatchItem is one line of an input file.
+// BatchItem is a request, one line of an input file.
 type BatchItem struct {
 	CustomID string          `json:"custom_id"`
 	Method   string          `json:"method"`
 	URL      string          `json:"url"`
 	Body     json.RawMessage `json:"body"`
-	// NotRepeatable marks an item that may run at most once (extension).
+	// NotRepeatable marks an item that may run at most once. It is an extension of the OpenAI API.
 	NotRepeatable bool `json:"not_repeatable,omitempty"`
 }
 
-// BatchItemResponse is the answer within an output line.
+// BatchItemResponse is the response in a line of an output file.
 type BatchItemResponse struct {
 	StatusCode int             `json:"status_code"`
 	RequestID  string          `json:"request_id"`
 	Body       json.RawMessage `json:"body"`
 }
 
-// BatchItemError says why an item has no answer.
+// BatchItemError is the reason why an item has no response.
 type BatchItemError struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
@@ -102,13 +102,13 @@
 
 // Codes of BatchItemError.
 const (
-	// CodeOutcomeUnknown marks a not repeatable item that may have run.
+	// CodeOutcomeUnknown marks a non-repeatable item that may have run.
 	CodeOutcomeUnknown = "outcome_unknown"
-	// CodeBatchExpired marks an item not run before the job's deadline.
+	// CodeBatchExpired marks an item that did not run before the job's deadline.
 	CodeBatchExpired = "batch_expired"
-	// CodeItemFailed marks an item that the engine refused.
+	// CodeItemFailed marks an item that the engine rejected or that failed at every attempt.
 	CodeItemFailed = "item_failed"
-	// CodeQuarantined marks an item, or a request, that ended the replicas which ran it.
+	// CodeQuarantined marks an item or request that crashed the replicas that ran it.
 	CodeQuarantined = "quarantined"
 )
 
@@ -128,7 +128,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// Listing is a page of a list call.
+// Listing is a page of a list response.
 type Listing[T any] struct {
 	Object  string `json:"object"`
 	Data    []T    `json:"data"`
--- a/api/openai/completion.go
+++ b/api/openai/completion.go
@@ -1,5 +1,5 @@
-// Package openai holds the parts of the OpenAI HTTP API that wheelhoist serves
-// and that engines speak (https://platform.openai.com/docs/api-reference).
+// Package openai defines the types of the OpenAI HTTP API that wheelhoist and the engines serve; see
+// https://platform.openai.com/docs/api-reference.
 package openai
 
 import (
@@ -55,8 +55,8 @@
 	Content Content `json:"content"`
 }
 
-// CompletionRequest is the part of a chat or text completion request that
-// decides where and how it runs. Other fields pass through untouched.
+// CompletionRequest holds the fields of a chat or text completion request that determine where and how
+// it runs. All other fields are forwarded unchanged.
 type CompletionRequest struct {
 	Model               string    `json:"model"`
 	Messages            []Message `json:"messages,omitempty"`
@@ -68,7 +68,7 @@
 	Priority            int       `json:"priority,omitempty"`
 }
 
-// ParseCompletion decodes and checks a request body.
+// ParseCompletion decodes and validates the body of a completion request.
 func ParseCompletion(body []byte) (CompletionRequest, error) {
 	var request CompletionRequest
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -87,7 +87,7 @@
 	return request, group.Err()
 }
 
-// Limit is the greatest number of tokens to generate; zero means the engine's default.
+// Limit returns the maximum number of tokens to generate; zero means the engine's default.
 func (r *CompletionRequest) Limit() int {
 	if r.MaxCompletionTokens != 0 {
 		return r.MaxCompletionTokens
@@ -95,7 +95,7 @@
 	return r.MaxTokens
 }
 
-// PromptText is the text that the engine computes a prompt from.
+// PromptText returns the text from which the engine builds the prompt.
 func (r *CompletionRequest) PromptText() string {
 	if len(r.Messages) == 0 {
 		return string(r.Prompt)
@@ -117,7 +117,7 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Choice is one answer of a chat or text completion.
+// Choice is one alternative answer of a chat or text completion.
 type Choice struct {
 	Index        int      `json:"index"`
 	Message      *Message `json:"message,omitempty"`
@@ -126,7 +126,7 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// Completion is a whole answer or one chunk of a streamed one.
+// Completion is a complete answer or one chunk of a streamed answer.
 type Completion struct {
 	ID                string   `json:"id"`
 	Object            string   `json:"object"`
@@ -137,7 +137,7 @@
 	Usage             *Usage   `json:"usage,omitempty"`
 }
 
-// Text returns the text of the first choice, whichever form it has.
+// Text returns the text of the first choice of a chat or text completion, streamed or not.
 func (c *Completion) Text() string {
 	if len(c.Choices) == 0 {
 		return ""
@@ -153,8 +153,8 @@
 	}
 }
 
-// WholeAnswer turns the last chunk of a streamed answer and its collected text
-// into the answer of a call that does not stream.
+// WholeAnswer returns the non-streamed form of a streamed answer, given its last chunk and complete
+// text. path is the path of the request.
 func WholeAnswer(last Completion, text, path string) Completion {
 	reason := "stop"
 	choice := Choice{FinishReason: &reason}
@@ -169,5 +169,5 @@
 	return last
 }
 
-// DoneMarker ends a streamed answer.
+// DoneMarker is the data of the event that ends a streamed answer.
 const DoneMarker = "[DONE]"
--- a/api/openai/error.go
+++ b/api/openai/error.go
@@ -1,6 +1,6 @@
 package openai
 
-// ErrorType is the type field of an error answer.
+// ErrorType is the type field of an error response.
 type ErrorType string
 
 // Error types.
@@ -15,7 +15,7 @@
 	TypeOverloaded     ErrorType = "overloaded_error"
 )
 
-// ErrorDetail says what went wrong.
+// ErrorDetail describes an error.
 type ErrorDetail struct {
 	Message string    `json:"message"`
 	Type    ErrorType `json:"type"`
@@ -23,7 +23,7 @@
 	Code    string    `json:"code,omitempty"`
 }
 
-// ErrorAnswer is the body of every refused call.
+// ErrorAnswer is the body of every error response.
 type ErrorAnswer struct {
 	Error ErrorDetail `json:"error"`
 }
--- a/api/v1/kinds.go
+++ b/api/v1/kinds.go
@@ -9,7 +9,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/findings"
 )
 
-// Duration is a time span written like "250ms" or "4h".
+// Duration is a time.Duration that is encoded as a string like "250ms" or "4h".
 type Duration time.Duration
 
 // MarshalJSON implements json.Marshaler.
@@ -26,17 +26,17 @@
 	return err
 }
 
-// ReplicaRange bounds the replicas of a pool.
+// ReplicaRange bounds the number of replicas of a pool.
 type ReplicaRange struct {
 	Min int `json:"min"`
 	Max int `json:"max"`
 }
 
-// BatchPolicy says how a pool's replicas take batch work.
+// BatchPolicy configures the batch work of a pool's replicas.
 type BatchPolicy struct {
-	// Headroom is the share of the pool's sequence slots, those of its fastest
-	// replicas, that is kept free of batch work, 0 to 1; 0 means 0.35. Engines run
-	// online requests first everywhere; the headroom keeps steps short for them.
+	// Headroom is the share of the pool's sequence slots, from 0 to 1, that is reserved for online
+	// requests, on the fastest replicas; 0 means 0.35. Engines schedule online requests first on
+	// all replicas; the headroom also keeps their steps short.
 	Headroom float64 `json:"headroom,omitempty"`
 }
 
@@ -46,9 +46,9 @@
 	Version  string       `json:"version"`
 	Adapters []string     `json:"adapters,omitempty"`
 	Replicas ReplicaRange `json:"replicas"`
-	// Generations lists the hardware generations allowed; empty means any.
+	// Generations lists the allowed hardware generations; empty means any.
 	Generations []string `json:"generations,omitempty"`
-	// MaxUnavailable bounds the replicas that load at the same time; default 1.
+	// MaxUnavailable is the maximum number of replicas that load a model at the same time; default 1.
 	MaxUnavailable int         `json:"maxUnavailable,omitempty"`
 	Batch          BatchPolicy `json:"batch,omitempty"`
 }
@@ -84,12 +84,12 @@
 	return false
 }
 
-// MachineRoleSpec gives machines of a pool a role.
+// MachineRoleSpec assigns a role to machines of a pool.
 type MachineRoleSpec struct {
 	Pool string `json:"pool"`
 	// Role is mixed, online or batch.
 	Role string `json:"role"`
-	// Machines, Generation and Zone select machines; empty selects all.
+	// Machines, Generation and Zone select machines. An empty field selects all.
 	Machines   []string `json:"machines,omitempty"`
 	Generation string   `json:"generation,omitempty"`
 	Zone       string   `json:"zone,omitempty"`
@@ -105,16 +105,16 @@
 	}
 }
 
-// TenantSpec declares a caller and its limits.
+// TenantSpec declares a tenant, its key and its limits.
 type TenantSpec struct {
-	// Key is the secret key; it is replaced by its hash before it is stored.
+	// Key is the tenant's secret key. The server stores only its hash, in KeySHA256.
 	Key string `json:"key,omitempty"`
 	// KeySHA256 is the hex SHA-256 of the key.
 	KeySHA256 string `json:"keySHA256,omitempty"`
 	// Weight is the tenant's share under contention; default 1.
 	Weight float64 `json:"weight,omitempty"`
-	// RequestsPerSecond, TokensPerSecond and Concurrency limit online use over
-	// all nodes; zero means no limit.
+	// RequestsPerSecond, TokensPerSecond and Concurrency limit online requests across all nodes; zero
+	// means no limit.
 	RequestsPerSecond float64 `json:"requestsPerSecond,omitempty"`
 	TokensPerSecond   float64 `json:"tokensPerSecond,omitempty"`
 	Concurrency       int     `json:"concurrency,omitempty"`
@@ -144,13 +144,13 @@
 	}
 }
 
-// HashKey returns the form in which a key is stored.
+// HashKey returns the hex SHA-256 of a key, the form in which keys are stored.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Seal replaces the key by its hash.
+// Seal replaces Key by KeySHA256, its hash.
 func (s *TenantSpec) Seal() {
 	if s.Key != "" {
 		s.KeySHA256 = HashKey(s.Key)
@@ -180,33 +180,33 @@
 	}
 }
 
-// BatchJobStatus tells how far a job has come.
+// BatchJobStatus is the state and progress of a batch job.
 type BatchJobStatus struct {
 	State     string `json:"state"`
 	Total     int    `json:"total"`
 	Completed int    `json:"completed"`
 	Failed    int    `json:"failed"`
-	// Waiting tells, of a batch that runs, who runs the items that are begun and not done,
-	// and what those of the node that was asked wait for.
+	// Waiting counts the submitted and unfinished items of a running batch, by the node that runs
+	// them. For the items of the node that sent the response it also has what they wait for.
 	Waiting []BatchWait `json:"waiting,omitempty"`
 }
 
-// BatchWait counts items of a batch that wait for the same at one node.
+// BatchWait counts the items of a batch that wait for the same reason at one node.
 type BatchWait struct {
 	Node string `json:"node,omitempty"`
-	// Reason is empty for those of other nodes than the one that was asked.
+	// Reason is empty for the items of nodes other than the one that sent the response.
 	Reason        string  `json:"reason,omitempty"`
 	Items         int     `json:"items"`
 	OldestSeconds float64 `json:"oldestSeconds,omitempty"`
 }
 
-// SitePolicySpec holds limits that apply to the whole site.
+// SitePolicySpec declares limits that apply to the whole site.
 type SitePolicySpec struct {
-	// QueueLimit bounds the online requests that wait at one node; default 256.
+	// QueueLimit is the maximum number of online requests that wait at one node; default 256.
 	QueueLimit int `json:"queueLimit,omitempty"`
-	// QueueTimeout bounds an online request's wait for a replica; default 2s.
+	// QueueTimeout is the maximum time that an online request waits for a replica; default 2s.
 	QueueTimeout Duration `json:"queueTimeout,omitempty"`
-	// RetryBudget is the share of requests that may be retried; default 0.1.
+	// RetryBudget is the fraction of requests that may be retried; default 0.1.
 	RetryBudget float64 `json:"retryBudget,omitempty"`
 	// Note is free text for operators.
 	Note string `json:"note,omitempty"`
@@ -225,13 +225,13 @@
 	}
 }
 
-// EvacuationSpec declares that nothing new is sent to the replicas of the zone that the
-// resource is named like, until the resource is deleted. What runs there runs on.
+// EvacuationSpec declares the evacuation of a zone, the one with the resource's name. Until the
+// resource is deleted, the zone's replicas receive no new requests. Running requests continue.
 type EvacuationSpec struct {
-	// Note is free text for operators: why, and by whom.
+	// Note is free text for operators, such as the reason and the author.
 	Note string `json:"note,omitempty"`
 }
 
-// Validate implements Spec. The name is checked with the envelope; whether a zone of that
-// name exists is no finding, for it may be emptied before it is built.
+// Validate implements Spec. Resource.Validate checks the name. A zone that does not exist is allowed,
+// because it may be evacuated before it is built.
 func (s *EvacuationSpec) Validate(*findings.List) {}
--- a/api/v1/quarantine.go
+++ b/api/v1/quarantine.go
@@ -1,21 +1,21 @@
 package v1
 
-// Suspect is work that ran on replicas which ended, as a node knows it.
+// Suspect is work that a node suspects of crashing the replicas that ran it.
 type Suspect struct {
-	// Work identifies it: 32 hexadecimal digits, a hash over caller, method, host, path and
-	// body. Log lines name it as "work".
+	// Work identifies the work by 32 hexadecimal digits, a hash of its caller, method, host, path and
+	// body. Log lines have it under the key "work".
 	Work string `json:"work"`
-	// Replicas are those whose ends count against it, the oldest first.
+	// Replicas lists the replicas whose crashes count against the work, the oldest first.
 	Replicas []string `json:"replicas"`
-	// Quarantined work is sent to no replica.
+	// Quarantined is set if the work is sent to no replica.
 	Quarantined bool `json:"quarantined"`
-	// SecondsLeft is the time until it may run again, 0 if it may.
+	// SecondsLeft is the time until the work may run again, 0 if it may run now.
 	SecondsLeft float64 `json:"secondsLeft,omitempty"`
-	// SecondsSinceEnd is the time since the newest of these ends.
+	// SecondsSinceEnd is the time since the latest of the crashes.
 	SecondsSinceEnd float64 `json:"secondsSinceEnd"`
 }
 
-// SuspectList is all suspects that a node knows, those that ended most replicas first.
+// SuspectList lists the suspects of a node, those with the most crashes first.
 type SuspectList struct {
 	Node  string    `json:"node"`
 	Items []Suspect `json:"items"`
--- a/api/v1/resource.go
+++ b/api/v1/resource.go
@@ -1,5 +1,5 @@
-// Package v1 holds the kinds of the resource API, version 1. Operators write
-// the state they want as resources and read back what is in force.
+// Package v1 defines the resource API, version 1. Operators declare the desired state as resources and
+// read back where it is in force.
 package v1
 
 import (
@@ -22,14 +22,14 @@
 	KindTenant      Kind = "Tenant"
 	KindBatchJob    Kind = "BatchJob"
 	KindSitePolicy  Kind = "SitePolicy"
-	// KindEvacuation is named like the zone that it empties.
+	// KindEvacuation resources have the name of the zone to evacuate.
 	KindEvacuation Kind = "Evacuation"
 )
 
 // Kinds lists all kinds.
 var Kinds = []Kind{KindModelPool, KindMachineRole, KindTenant, KindBatchJob, KindSitePolicy, KindEvacuation}
 
-// Known reports whether the kind exists.
+// Known reports whether k is one of Kinds.
 func (k Kind) Known() bool {
 	for _, kind := range Kinds {
 		if k == kind {
@@ -42,12 +42,12 @@
 // Metadata identifies a resource.
 type Metadata struct {
 	Name string `json:"name"`
-	// ResourceVersion is the configuration revision that last changed the
-	// resource. A write names it to make sure it changes what was read.
+	// ResourceVersion is the configuration revision that last changed the resource. A write that
+	// specifies it fails if the resource has changed since.
 	ResourceVersion uint64 `json:"resourceVersion,omitempty"`
 }
 
-// Resource is one declared object.
+// Resource is a declared object of any kind.
 type Resource struct {
 	APIVersion string          `json:"apiVersion"`
 	Kind       Kind            `json:"kind"`
@@ -56,32 +56,31 @@
 	Status     *Status         `json:"status,omitempty"`
 }
 
-// Status tells where a resource is in force.
+// Status reports on how many nodes a resource is in force.
 type Status struct {
-	// Revision is the configuration revision the counts are about.
+	// Revision is the configuration revision that the counts refer to.
 	Revision uint64 `json:"revision"`
-	// InForce counts the nodes that hold the revision; Expected those that must.
+	// InForce is the number of nodes that have applied the revision, Expected the number that must.
 	InForce  int `json:"inForce"`
 	Expected int `json:"expected"`
-	// Laggards names nodes that must hold the revision and do not yet.
+	// Laggards lists the nodes that must apply the revision and have not yet.
 	Laggards []string `json:"laggards,omitempty"`
-	// Batch is set for kind BatchJob.
+	// Batch is set for resources of kind BatchJob.
 	Batch *BatchJobStatus `json:"batch,omitempty"`
 }
 
-// Accepted reports whether every node that must hold the revision does.
+// Accepted reports whether every node that must apply the revision has done so.
 func (s *Status) Accepted() bool { return s.InForce >= s.Expected }
 
-// List is the answer of a list call.
+// List is the response of a list request.
 type List struct {
 	APIVersion string `json:"apiVersion"`
-	// ResourceVersion is the revision the list was read at; a watch that starts
-	// from it misses nothing.
+	// ResourceVersion is the revision of the list. A watch that starts from it misses no change.
 	ResourceVersion uint64     `json:"resourceVersion"`
 	Items           []Resource `json:"items"`
 }
 
-// EventType says what happened to a watched resource.
+// EventType is the kind of change that an Event reports.
 type EventType string
 
 // Event types of a watch.
@@ -91,16 +90,16 @@
 	EventTooOld  EventType = "TOO_OLD"
 )
 
-// Event is one line of a watch.
+// Event is one line of a watch response.
 type Event struct {
 	Type            EventType `json:"type"`
 	ResourceVersion uint64    `json:"resourceVersion"`
 	Resource        *Resource `json:"resource,omitempty"`
 }
 
-// Spec is the typed specification of a kind.
+// Spec is the typed specification of a resource.
 type Spec interface {
-	// Validate reports what is wrong, with paths below "spec".
+	// Validate adds findings about the specification to found, with paths below "spec".
 	Validate(found *findings.List)
 }
 
@@ -126,8 +125,8 @@
 	}
 }
 
-// Validate checks the envelope and the specification and returns the typed
-// specification. It reports all findings, with paths from the resource's root.
+// Validate checks the resource and returns its decoded specification and all findings, with paths from
+// the root of the resource. The specification is nil if the kind is unknown.
 func (r *Resource) Validate() (Spec, []findings.Finding) {
 	var found findings.List
 	if r.APIVersion != APIVersion {
