--- a/api/client/client.go
+++ b/api/client/client.go
@@ -198,14 +198,14 @@
 	return answer, c.call(ctx, http.MethodGet, quarantinePath, nil, nil, answer)
 }
 
-// Suspect returns the recorded crashes of one work.
+// Suspect returns what the node recorded against the work with an ID.
 func (c *Client) Suspect(ctx context.Context, work string) (*v1.Suspect, error) {
 	answer := &v1.Suspect{}
 	return answer, c.call(ctx, http.MethodGet, quarantinePath+"/"+url.PathEscape(work), nil, nil, answer)
 }
 
-// Release clears the recorded crashes of a work at all nodes, so that it may run again, and returns
-// them.
+// Release clears the recorded crashes of the work with an ID at all nodes, so that it may run again,
+// and returns what was recorded.
 func (c *Client) Release(ctx context.Context, work string) (*v1.Suspect, error) {
 	answer := &v1.Suspect{}
 	return answer, c.call(ctx, http.MethodDelete, quarantinePath+"/"+url.PathEscape(work), nil, nil, answer)
--- a/internal/batch/group.go
+++ b/internal/batch/group.go
@@ -57,7 +57,7 @@
 // RouteOf returns the name of the route for the batches of a model.
 func RouteOf(model string) string { return "batch/" + model }
 
-// readLines reads the readLines of a group from the segments of the input file.
+// readLines returns the lines of a group from the segments of the input file.
 func (s *Service) readLines(ctx context.Context, batch *Job, number int) ([][]byte, error) {
 	first, end := batch.groupRange(number)
 	var lines [][]byte
--- a/internal/server/quarantine.go
+++ b/internal/server/quarantine.go
@@ -17,8 +17,8 @@
 type Quarantine interface {
 	// Suspects returns all suspects.
 	Suspects() v1.SuspectList
-	// Release clears all recorded crashes of a work at all nodes. It returns the suspect as it was,
-	// or false if the work was not suspected.
+	// Release clears the recorded crashes of the work with an ID at all nodes. It returns the suspect
+	// as it was, or false if the work was not suspected.
 	Release(work string) (v1.Suspect, bool)
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -98,13 +98,13 @@
 // Quarantine configures when work that crashes replicas is kept from all replicas. It should be the
 // same at all nodes.
 type Quarantine struct {
-	// Replicas is the number of replicas that a work may crash within For before it is quarantined.
+	// Replicas is the number of replicas that work may crash within For before it is quarantined.
 	// The default is 3, because a request and its only retry may by chance run on two replicas that
 	// crash for other reasons.
 	Replicas int `json:"replicas,omitempty"`
-	// For is how long a crash counts, and so how long a work stays quarantined after the first of the
-	// crashes; default 1h. Within that time the work crashes at most Replicas replicas, not counting
-	// trial runs.
+	// For is how long a crash counts, and so how long work stays quarantined after the first of its
+	// crashes; default 1h. Within that time it crashes at most Replicas replicas, not counting trial
+	// runs.
 	For v1.Duration `json:"for,omitempty"`
 }
 
