--- a/internal/server/auth.go
+++ b/internal/server/auth.go
@@ -14,19 +14,20 @@
 	"github.com/wheelhoist/wheelhoist/internal/resource"
 )
 
-// tenant is a caller as found by its key.
+// tenant is an authenticated caller and its limits.
 type tenant struct {
 	name   string
 	limits admission.Limits
 }
 
-// tenantIndex finds tenants by the hash of their key. It is rebuilt when the
-// configuration changes.
+// tenantIndex finds tenants by the hash of their key. find rebuilds the index after a change of the
+// configuration.
 type tenantIndex struct {
 	store   *resource.Store
 	current atomic.Pointer[tenantTable]
 }
 
+// tenantTable is the index at one revision of the configuration.
 type tenantTable struct {
 	revision uint64
 	byKey    map[string]tenant
@@ -67,7 +68,8 @@
 	return table
 }
 
-func bearer(header http.Header) string {
+// bearerToken returns the token of the Authorization header, or "" if there is none.
+func bearerToken(header http.Header) string {
 	key, ok := strings.CutPrefix(header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return ""
@@ -75,32 +77,33 @@
 	return strings.TrimSpace(key)
 }
 
-// IsOperator reports whether a call holds the operators' key, by its hash in the settings;
-// nobody does if these name none.
+// IsOperator reports whether the request header holds the operators' key. keySHA256 is the hash of
+// that key in the settings; if it is empty, the result is always false.
 func IsOperator(header http.Header, keySHA256 string) bool {
-	return subtle.ConstantTimeCompare([]byte(v1.HashKey(bearer(header))), []byte(keySHA256)) == 1
+	return subtle.ConstantTimeCompare([]byte(v1.HashKey(bearerToken(header))), []byte(keySHA256)) == 1
 }
 
-const tenantValue = "tenant"
+const tenantContextKey = "tenant"
 
-// identify finds the calling tenant.
-func (s *Server) identify(ctx iris.Context) {
+// authenticate is the middleware that finds the calling tenant by its key and refuses unknown keys.
+func (s *Server) authenticate(ctx iris.Context) {
 	ctx.Header(HeaderNode, s.options.NodeID)
-	found, ok := s.tenants.find(bearer(ctx.Request().Header))
+	found, ok := s.tenants.find(bearerToken(ctx.Request().Header))
 	if !ok {
 		refuse(ctx, iris.StatusUnauthorized, openai.TypeAuthentication, "the key is not known", 0)
 		return
 	}
-	ctx.Values().Set(tenantValue, found)
+	ctx.Values().Set(tenantContextKey, found)
 	ctx.Next()
 }
 
-func caller(ctx iris.Context) tenant {
-	found, _ := ctx.Values().Get(tenantValue).(tenant)
+// callingTenant returns the tenant that authenticate found.
+func callingTenant(ctx iris.Context) tenant {
+	found, _ := ctx.Values().Get(tenantContextKey).(tenant)
 	return found
 }
 
-// requireOperator lets only the operators' key through.
+// requireOperator is the middleware that refuses requests without the operators' key.
 func (s *Server) requireOperator(ctx iris.Context) {
 	ctx.Header(HeaderNode, s.options.NodeID)
 	if !IsOperator(ctx.Request().Header, s.options.OperatorKeySHA256) {
--- a/internal/server/resources.go
+++ b/internal/server/resources.go
@@ -19,8 +19,9 @@
 )
 
 const (
+	// maxResourceBytes is the maximum size of a resource in a request.
 	maxResourceBytes = 256 << 10
-	// watchHeartbeat is the longest silence of a watch.
+	// watchHeartbeat is how long a watch without changes waits before it checks for a drain.
 	watchHeartbeat = 10 * time.Second
 )
 
@@ -31,18 +32,18 @@
 	ctx.StatusCode(iris.StatusAccepted)
 }
 
-// current reports whether this node's view may be shown; a node that is out of
-// step would show a past that others have left behind.
-func (s *Server) current(ctx iris.Context) bool {
+// requireCurrent reports whether this node's view of the configuration is current, and refuses the
+// request if not, because the node would return outdated resources.
+func (s *Server) requireCurrent(ctx iris.Context) bool {
 	if s.options.Current() {
 		return true
 	}
-	refuse(ctx, iris.StatusServiceUnavailable, openai.TypeOverloaded, "this node is out of step", fencedRetryAfter)
+	refuse(ctx, iris.StatusServiceUnavailable, openai.TypeOverloaded, "this node is out of step", notServingRetryAfter)
 	return false
 }
 
-// kindOf returns the kind named in the path, or answers 404.
-func kindOf(ctx iris.Context) (v1.Kind, bool) {
+// kindParam returns the kind in the path. For an unknown kind it refuses the request with 404.
+func kindParam(ctx iris.Context) (v1.Kind, bool) {
 	kind := v1.Kind(ctx.Params().Get("kind"))
 	if !kind.Known() {
 		refuse(ctx, iris.StatusNotFound, openai.TypeNotFound, "no such kind", 0)
@@ -52,7 +53,7 @@
 }
 
 func (s *Server) listResources(ctx iris.Context) {
-	kind, ok := kindOf(ctx)
+	kind, ok := kindParam(ctx)
 	if !ok {
 		return
 	}
@@ -60,7 +61,7 @@
 		s.listBatchJobs(ctx)
 		return
 	}
-	if !s.current(ctx) {
+	if !s.requireCurrent(ctx) {
 		return
 	}
 	snapshot := s.options.Store.Snapshot()
@@ -72,7 +73,7 @@
 }
 
 func (s *Server) getResource(ctx iris.Context) {
-	kind, ok := kindOf(ctx)
+	kind, ok := kindParam(ctx)
 	if !ok {
 		return
 	}
@@ -80,7 +81,7 @@
 		s.getBatchJob(ctx)
 		return
 	}
-	if !s.current(ctx) {
+	if !s.requireCurrent(ctx) {
 		return
 	}
 	entry, ok := s.options.Store.Snapshot().Get(kind, ctx.Params().Get("name"))
@@ -99,7 +100,8 @@
 	_ = ctx.JSON(found)
 }
 
-// precondition reads If-Match, or the version in the body, or If-None-Match: *.
+// precondition returns the precondition of a write: If-None-Match: *, else If-Match, else the version
+// in the body. It refuses the request if If-Match is not a version.
 func precondition(ctx iris.Context, bodyVersion uint64) (resource.Precondition, bool) {
 	if ctx.GetHeader("If-None-Match") == "*" {
 		return resource.Precondition{Set: true}, true
@@ -117,7 +119,7 @@
 }
 
 func (s *Server) putResource(ctx iris.Context) {
-	kind, ok := kindOf(ctx)
+	kind, ok := kindParam(ctx)
 	if !ok {
 		return
 	}
@@ -158,7 +160,7 @@
 }
 
 func (s *Server) deleteResource(ctx iris.Context) {
-	kind, ok := kindOf(ctx)
+	kind, ok := kindParam(ctx)
 	if !ok {
 		return
 	}
@@ -175,8 +177,8 @@
 	s.write(ctx, change, condition)
 }
 
-// write commits a change: 200 when it is in force on all nodes, 202 when it is
-// committed and some nodes are still out of step.
+// write commits a change. The status is 200 if the change is in force on all nodes, 202 if it is
+// committed but some nodes have not applied it yet.
 func (s *Server) write(ctx iris.Context, change resource.Change, condition resource.Precondition) {
 	committed, status, err := s.options.Resources.Write(ctx.Request().Context(), change, condition)
 	if err != nil {
@@ -186,18 +188,18 @@
 	if !status.Accepted() {
 		ctx.StatusCode(iris.StatusAccepted)
 	}
-	answer := v1.Resource{
+	written := v1.Resource{
 		APIVersion: v1.APIVersion, Kind: committed.Kind, Spec: committed.Spec, Status: &status,
 		Metadata: v1.Metadata{Name: committed.Name, ResourceVersion: committed.Revision},
 	}
 	if committed.Deleted {
-		answer.Spec = json.RawMessage("{}")
+		written.Spec = json.RawMessage("{}")
 	}
-	_ = ctx.JSON(answer)
+	_ = ctx.JSON(written)
 }
 
-// watch streams changes after a revision as JSON lines. It ends with a TOO_OLD
-// event when changes have been dropped that the watcher has not seen.
+// watch streams the changes after a revision as JSON lines. It ends with a TOO_OLD event if changes
+// that the watcher has not received were dropped from the history.
 func (s *Server) watch(ctx iris.Context) {
 	after, err := strconv.ParseUint(ctx.URLParamDefault("resourceVersion", "0"), 10, 64)
 	if err != nil {
--- a/internal/server/sink.go
+++ b/internal/server/sink.go
@@ -19,30 +19,29 @@
 	"github.com/wheelhoist/wheelhoist/internal/sse"
 )
 
-// recording is an answer kept for later sendings of the same request.
-type recording struct {
+// recordedAnswer is an answer recorded for retries of the same request.
+type recordedAnswer struct {
 	contentType string
-	// refused answers are refusals that no replica would decide otherwise; the
-	// request did not run.
+	// refused is set if the replica refused the request, as any other would. The request did not run.
 	refused bool
 	buffer  bytes.Buffer
 }
 
-func (r *recording) body() []byte { return r.buffer.Bytes() }
+func (r *recordedAnswer) body() []byte { return r.buffer.Bytes() }
 
-// answerSink writes an answer to the caller in one of its forms.
-type answerSink interface {
+// responseSink writes an answer to the caller, streamed or as a single response.
+type responseSink interface {
 	forward.Sink
-	// fail writes an error, as far as the answer's form still allows.
+	// fail writes an error, as far as the part of the response already sent allows.
 	fail(error)
-	// finish ends the answer and returns it if it was kept.
-	finish() *recording
+	// finish completes the response and returns the recorded answer.
+	finish() *recordedAnswer
 }
 
 const eventStream = "text/event-stream"
 
-// passHeader passes on the headers of an answer.
-func passHeader(ctx iris.Context, header http.Header) {
+// copyHeader copies header to the response.
+func copyHeader(ctx iris.Context, header http.Header) {
 	for name, values := range header {
 		for _, value := range values {
 			ctx.Header(name, value)
@@ -50,21 +49,21 @@
 	}
 }
 
-// streamSink passes events on as they come.
+// streamSink writes events to the caller as they arrive. It records them if record is set.
 type streamSink struct {
-	ctx     iris.Context
-	keep    bool
-	started bool
-	kept    recording
+	ctx      iris.Context
+	record   bool
+	started  bool
+	recorded recordedAnswer
 }
 
 // Head implements forward.Sink.
 func (s *streamSink) Head(status int, header http.Header) error {
 	s.started = true
-	s.kept.contentType = header.Get("Content-Type")
-	passHeader(s.ctx, header)
+	s.recorded.contentType = header.Get("Content-Type")
+	copyHeader(s.ctx, header)
 	if status != http.StatusOK {
-		s.kept.refused = true
+		s.recorded.refused = true
 		s.ctx.Header(HeaderExecuted, outcome.NotDone.String())
 	}
 	s.ctx.StatusCode(status)
@@ -73,8 +72,8 @@
 
 // Write implements forward.Sink.
 func (s *streamSink) Write(piece []byte, more bool) error {
-	if s.keep {
-		s.kept.buffer.Write(piece)
+	if s.record {
+		s.recorded.buffer.Write(piece)
 	}
 	if _, err := s.ctx.ResponseWriter().Write(piece); err != nil {
 		return err
@@ -90,8 +89,8 @@
 		failForward(s.ctx, err)
 		return
 	}
-	// The status is sent already; an error event without the closing marker
-	// tells the caller that the answer is not whole.
+	// The status is already sent. An error event without the closing marker shows the caller that
+	// the answer is incomplete.
 	detail := openai.ErrorDetail{Message: err.Error(), Type: openai.TypeServer, Code: "executed_" + outcome.Of(err).String()}
 	body, encodeErr := json.Marshal(openai.ErrorAnswer{Error: detail})
 	if encodeErr != nil {
@@ -101,10 +100,10 @@
 	s.ctx.ResponseWriter().Flush()
 }
 
-func (s *streamSink) finish() *recording { return &s.kept }
+func (s *streamSink) finish() *recordedAnswer { return &s.recorded }
 
-// wholeSink collects an answer and writes it in one piece.
-type wholeSink struct {
+// bufferedSink collects the events of an answer and writes a single response.
+type bufferedSink struct {
 	ctx    iris.Context
 	path   string
 	status int
@@ -113,38 +112,38 @@
 }
 
 // Head implements forward.Sink.
-func (s *wholeSink) Head(status int, header http.Header) error {
+func (s *bufferedSink) Head(status int, header http.Header) error {
 	s.status, s.header = status, header
 	return nil
 }
 
 // Write implements forward.Sink.
-func (s *wholeSink) Write(piece []byte, _ bool) error {
+func (s *bufferedSink) Write(piece []byte, _ bool) error {
 	s.events.Write(piece)
 	return s.ctx.Request().Context().Err()
 }
 
-func (s *wholeSink) fail(err error) { failForward(s.ctx, err) }
+func (s *bufferedSink) fail(err error) { failForward(s.ctx, err) }
 
-func (s *wholeSink) finish() *recording {
-	kept := &recording{contentType: "application/json"}
+func (s *bufferedSink) finish() *recordedAnswer {
+	recorded := &recordedAnswer{contentType: "application/json"}
 	if s.status != http.StatusOK {
 		s.ctx.Header(HeaderExecuted, outcome.NotDone.String())
 		s.ctx.StatusCode(s.status)
-		kept.refused = true
-		kept.buffer = s.events
+		recorded.refused = true
+		recorded.buffer = s.events
 	} else {
-		passHeader(s.ctx, http.Header{engine.HeaderAttempt: s.header[engine.HeaderAttempt]})
-		answer := s.join()
-		_ = json.NewEncoder(&kept.buffer).Encode(answer)
+		copyHeader(s.ctx, http.Header{engine.HeaderAttempt: s.header[engine.HeaderAttempt]})
+		answer := s.assemble()
+		_ = json.NewEncoder(&recorded.buffer).Encode(answer)
 	}
-	s.ctx.ContentType(kept.contentType)
-	_, _ = s.ctx.Write(kept.body())
-	return kept
+	s.ctx.ContentType(recorded.contentType)
+	_, _ = s.ctx.Write(recorded.body())
+	return recorded
 }
 
-// join makes one answer of the chunks of a stream.
-func (s *wholeSink) join() openai.Completion {
+// assemble builds a single answer from the chunks of a stream.
+func (s *bufferedSink) assemble() openai.Completion {
 	var text strings.Builder
 	var last openai.Completion
 	reader := sse.NewReader(&s.events)
@@ -152,8 +151,8 @@
 		event, err := reader.Next()
 		var chunk openai.Completion
 		if err != nil || json.Unmarshal(event.Data, &chunk) != nil {
-			// The forwarder has passed on whole events only; what is no chunk is
-			// the marker at the end.
+			// The forwarder passes only complete events, so an event that is not a chunk is the
+			// closing marker.
 			return openai.WholeAnswer(last, text.String(), s.path)
 		}
 		text.WriteString(chunk.Text())
@@ -161,7 +160,7 @@
 	}
 }
 
-// failForward answers a request that could not be completed.
+// failForward writes the error response of a request that could not be completed.
 func failForward(ctx iris.Context, err error) {
 	switch {
 	case errors.Is(err, forward.ErrCallerDisconnected):
@@ -170,20 +169,20 @@
 		ctx.Header(HeaderExecuted, outcome.Unknown.String())
 		fail(ctx, iris.StatusBadGateway, openai.TypeServer, err.Error())
 	case errors.As(err, new(*quarantine.RefusedError)):
-		// It is the request: clients try again after a status of 5xx, in vain.
+		// The request itself is at fault. A 5xx status would make clients retry for nothing.
 		ctx.Header(HeaderExecuted, outcome.NotDone.String())
-		failWith(ctx, iris.StatusUnprocessableEntity, openai.ErrorDetail{
+		failWithDetail(ctx, iris.StatusUnprocessableEntity, openai.ErrorDetail{
 			Message: err.Error(), Type: openai.TypeInvalidRequest, Code: openai.CodeQuarantined,
 		})
 	default:
-		refuse(ctx, iris.StatusServiceUnavailable, openai.TypeOverloaded, err.Error(), comeBack(err))
+		refuse(ctx, iris.StatusServiceUnavailable, openai.TypeOverloaded, err.Error(), retryDelay(err))
 	}
 }
 
-// comeBack is how long a caller whose request did not run should wait.
-func comeBack(err error) time.Duration {
-	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) && none.Persistent() {
-		return none.RetryAfter()
+// retryDelay returns how long the caller of a request that did not run should wait before a retry.
+func retryDelay(err error) time.Duration {
+	if noReplica := (*replica.NoReplicaError)(nil); errors.As(err, &noReplica) && noReplica.Persistent() {
+		return noReplica.RetryAfter()
 	}
 	return overloadRetryAfter
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads and checks the settings of a node: a YAML file,
-// environment variables and flags. Flags come before the environment, the
-// environment before the file, the file before the defaults.
+// Package settings loads and validates the settings of a node from a YAML file. Flags override
+// environment variables, which override the file, which overrides the defaults.
 package settings
 
 import (
@@ -17,30 +16,29 @@
 
 // Settings are the settings of a node.
 type Settings struct {
-	Node     Node     `json:"node"`
-	Platform Platform `json:"platform,omitempty"`
-	Operator Operator `json:"operator,omitempty"`
-	Gateway  Gateway  `json:"gateway,omitempty"`
-	// Quarantine says when work is kept from replicas.
+	Node       Node       `json:"node"`
+	Platform   Platform   `json:"platform,omitempty"`
+	Operator   Operator   `json:"operator,omitempty"`
+	Gateway    Gateway    `json:"gateway,omitempty"`
 	Quarantine Quarantine `json:"quarantine,omitempty"`
 	TLS        TLS        `json:"tls,omitempty"`
 	Log        Log        `json:"log,omitempty"`
 }
 
-// Node says who this node is and where it listens.
+// Node identifies a node and configures its listener.
 type Node struct {
 	ID     string `json:"id"`
 	Zone   string `json:"zone"`
 	Region string `json:"region,omitempty"`
-	// Zones tells the region of each zone where nodes and replicas may stand.
+	// Zones maps each zone that may have nodes or replicas to its region.
 	Zones place.Map `json:"zones,omitempty"`
-	// Listen is host:port for callers and operators.
+	// Listen is the host:port for callers and operators.
 	Listen string `json:"listen"`
-	// MaxStreams bounds the online requests open at this node; default 2000.
+	// MaxStreams is the maximum number of online requests open at this node; default 2000.
 	MaxStreams int `json:"maxStreams,omitempty"`
 }
 
-// Platform says where the platform's services are.
+// Platform configures the services of the platform.
 type Platform struct {
 	Table    TableService `json:"table"`
 	Objects  ObjectStore  `json:"objects"`
@@ -65,7 +63,7 @@
 	SecretKey string `json:"secretKey,omitempty"`
 }
 
-// MachineList is the platform's list of machines.
+// MachineList is the service that lists the platform's machines.
 type MachineList struct {
 	URL string `json:"url"`
 }
@@ -76,35 +74,37 @@
 	KeySHA256 string `json:"keySHA256"`
 }
 
-// TLS names PEM files. They are read again when they change.
+// TLS configures TLS. Changed files are reloaded.
 type TLS struct {
-	// Serve secures the port for callers and operators.
+	// Serve holds the files for the listener for callers and operators.
 	Serve TLSFiles `json:"serve,omitempty"`
 }
 
-// TLSFiles names a certificate and its key.
+// TLSFiles holds the paths of the PEM files of a certificate and its key.
 type TLSFiles struct {
 	Certificate string `json:"certificate,omitempty"`
 	Key         string `json:"key,omitempty"`
 }
 
-// Set reports whether any file is named.
+// Set reports whether any path is set.
 func (t TLSFiles) Set() bool { return t.Certificate != "" || t.Key != "" }
 
-// Log configures the log.
+// Log configures logging.
 type Log struct {
 	// Level is debug, info, warn or error; default info.
 	Level string `json:"level,omitempty"`
 }
 
-// Quarantine says when work is kept from all replicas, for it ends those that run it. It
-// should be the same at all nodes.
+// Quarantine configures when work that crashes replicas is kept from all replicas. It should be the
+// same at all nodes.
 type Quarantine struct {
-	// Replicas is how many replicas a work may end within For; default 3, for two may end by
-	// themselves that a request and its one retry happened to run on.
+	// Replicas is the number of replicas that work may crash within For before it is quarantined.
+	// The default is 3, because a request and its only retry may by chance run on two replicas that
+	// crash for other reasons.
 	Replicas int `json:"replicas,omitempty"`
-	// For is how long the end of a replica counts, and so how long a work is kept back after
-	// the first of these ends; default 1h. The work may end so many replicas an hour at most.
+	// For is how long a crash counts, and so how long work stays quarantined after the first of its
+	// crashes; default 1h. Within that time it crashes at most Replicas replicas, not counting trial
+	// runs.
 	For v1.Duration `json:"for,omitempty"`
 }
 
@@ -122,16 +122,16 @@
 	DefaultRegion     = "local"
 	DefaultLogLevel   = "info"
 	DefaultMaxStreams = 2000
-	// ShutdownTimeout bounds a planned stop; open streams end within it.
+	// ShutdownTimeout bounds a planned shutdown, including the time for open streams to complete.
 	ShutdownTimeout = 5 * time.Minute
 )
 
-// ApplyDefaults fills in what may be left out.
+// ApplyDefaults sets the optional settings that are unset to their defaults.
 func (s *Settings) ApplyDefaults() {
-	fill(&s.Node.Region, DefaultRegion)
-	fill(&s.Platform.Table.Region, DefaultRegion)
-	fill(&s.Platform.Objects.Region, DefaultRegion)
-	fill(&s.Log.Level, DefaultLogLevel)
+	setDefault(&s.Node.Region, DefaultRegion)
+	setDefault(&s.Platform.Table.Region, DefaultRegion)
+	setDefault(&s.Platform.Objects.Region, DefaultRegion)
+	setDefault(&s.Log.Level, DefaultLogLevel)
 	if s.Gateway.BootstrapAfter == 0 {
 		s.Gateway.BootstrapAfter = DefaultBootstrapAfter
 	}
@@ -143,18 +143,19 @@
 	}
 }
 
-func fill(target *string, value string) {
+// setDefault sets an empty string to value.
+func setDefault(target *string, value string) {
 	if *target == "" {
 		*target = value
 	}
 }
 
-// Validate reports everything that is wrong.
+// Validate returns all findings about the settings.
 func (s *Settings) Validate() []findings.Finding {
 	var found findings.List
-	requiredFinding(&found, "node.id", s.Node.ID)
-	requiredFinding(&found, "node.zone", s.Node.Zone)
-	addressFinding(&found, "node.listen", s.Node.Listen)
+	checkRequired(&found, "node.id", s.Node.ID)
+	checkRequired(&found, "node.zone", s.Node.Zone)
+	checkAddress(&found, "node.listen", s.Node.Listen)
 	s.Node.Zones.Validate(&found, "node.zones")
 	if region, ok := s.Node.Zones[s.Node.Zone]; ok && region != s.Node.Region {
 		found.Add("node.region", "zone %q lies in region %q by node.zones, not in %q", s.Node.Zone, region, s.Node.Region)
@@ -163,7 +164,7 @@
 	if s.Gateway.Enabled() {
 		s.Gateway.validate(&found)
 	} else {
-		s.validateServing(&found)
+		s.validatePlatform(&found)
 	}
 	levels := []string{"", "debug", "info", "warn", "error"}
 	if !contains(levels, s.Log.Level) {
@@ -172,23 +173,23 @@
 	return found.All()
 }
 
-// validateServing checks what a node with the product's own API needs.
-func (s *Settings) validateServing(found *findings.List) {
-	requiredFinding(found, "platform.table.table", s.Platform.Table.Table)
-	requiredFinding(found, "platform.objects.bucket", s.Platform.Objects.Bucket)
-	urlFinding(found, "platform.table.endpoint", s.Platform.Table.Endpoint)
-	urlFinding(found, "platform.objects.endpoint", s.Platform.Objects.Endpoint)
-	urlFinding(found, "platform.machines.url", s.Platform.Machines.URL)
+// validatePlatform checks the settings that a node needs unless it is a gateway.
+func (s *Settings) validatePlatform(found *findings.List) {
+	checkRequired(found, "platform.table.table", s.Platform.Table.Table)
+	checkRequired(found, "platform.objects.bucket", s.Platform.Objects.Bucket)
+	checkURL(found, "platform.table.endpoint", s.Platform.Table.Endpoint)
+	checkURL(found, "platform.objects.endpoint", s.Platform.Objects.Endpoint)
+	checkURL(found, "platform.machines.url", s.Platform.Machines.URL)
 	if len(s.Operator.KeySHA256) != len(v1.HashKey("")) {
 		found.Add("operator.keySHA256", "must be 64 hex digits")
 	}
 	if s.Node.MaxStreams < 0 {
 		found.Add("node.maxStreams", "must not be negative")
 	}
-	tlsFindings(found, "tls.serve", s.TLS.Serve)
+	checkTLSFiles(found, "tls.serve", s.TLS.Serve)
 }
 
-func requiredFinding(found *findings.List, path, value string) {
+func checkRequired(found *findings.List, path, value string) {
 	if value == "" {
 		found.Add(path, "must be set")
 	}
@@ -203,7 +204,8 @@
 	return false
 }
 
-func addressFinding(found *findings.List, path, address string) {
+// checkAddress reports an address that is not host:port with an IP address as the host.
+func checkAddress(found *findings.List, path, address string) {
 	host, _, err := net.SplitHostPort(address)
 	switch {
 	case err != nil:
@@ -213,14 +215,14 @@
 	}
 }
 
-func urlFinding(found *findings.List, path, value string) {
+func checkURL(found *findings.List, path, value string) {
 	parsed, err := url.Parse(value)
 	if err != nil || parsed.Host == "" || !strings.HasPrefix(parsed.Scheme, "http") {
 		found.Add(path, "must be an http or https URL")
 	}
 }
 
-func tlsFindings(found *findings.List, path string, files TLSFiles) {
+func checkTLSFiles(found *findings.List, path string, files TLSFiles) {
 	if !files.Set() {
 		return
 	}
@@ -237,8 +239,8 @@
 	}
 }
 
-// Load reads a settings file and reports all findings with their place. An
-// empty path yields empty settings. Overrides are applied before the check.
+// Load reads a settings file, applies overrides and defaults, and validates the result. An empty path
+// stands for an empty file. A *findings.Error has all findings with their positions in the file.
 func Load(path string, overrides func(*Settings)) (*Settings, error) {
 	settings := &Settings{}
 	var found []findings.Finding
