--- a/internal/lab/labcmd/soak.go
+++ b/internal/lab/labcmd/soak.go
@@ -47,7 +47,7 @@
 	length := flags.Duration("for", time.Minute, "time with faults")
 	nodes := flags.Int("nodes", 4, fmt.Sprintf("number of gateway processes, %d to %d", leastSoakNodes, mostSoakNodes))
 	regions := flags.Int("regions", 1, "regions of the three zones, 1 or 2")
-	servers := flags.Int("servers", soak.DefaultServers, fmt.Sprintf("number of stand-in servers, %d to %d", soak.LeastServers, mostSoakServers))
+	servers := flags.Int("servers", soak.DefaultServers, fmt.Sprintf("number of stand-in servers, %d to %d", soak.MinServers, mostSoakServers))
 	slots := flags.Int("slots", soak.DefaultSlots, fmt.Sprintf("slots of each server, 1 to %d", mostSoakSlots))
 	firstPlanOnly := flags.Bool("first-plan-only", false,
 		"leave out the second plan of faults: silent connections, servers that start again, rows of other writers, changes in series")
@@ -59,31 +59,31 @@
 		Exec: func(ctx context.Context, _ []string) error {
 			for _, one := range []bounded{
 				{"nodes", *nodes, leastSoakNodes, mostSoakNodes}, {"regions", *regions, leastSoakRegions, mostSoakRegions},
-				{"servers", *servers, soak.LeastServers, mostSoakServers}, {"slots", *slots, 1, mostSoakSlots},
+				{"servers", *servers, soak.MinServers, mostSoakServers}, {"slots", *slots, 1, mostSoakSlots},
 			} {
 				if err := one.check(); err != nil {
 					return err
 				}
 			}
 			report, err := soak.Run(ctx, soak.Options{
-				Seed: *seed, For: *length, Nodes: *nodes, Regions: *regions, Ready: soakReady,
+				Seed: *seed, Duration: *length, Nodes: *nodes, Regions: *regions, ReadyTimeout: soakReady,
 				Servers: *servers, Slots: *slots, FirstPlanOnly: *firstPlanOnly, Overcommit: *overcommit,
 				Progress: func(format string, arguments ...any) { _, _ = fmt.Fprintf(std.err, format+"\n", arguments...) },
 			})
 			if err != nil {
 				return err
 			}
-			for _, one := range report.Broken {
+			for _, one := range report.Violations {
 				_, _ = fmt.Fprintln(std.out, "broken:", one)
 			}
 			_, _ = fmt.Fprintf(std.out, "seed %d: %d faults, %d of %d requests whole, %d beyond limits, %d jobs, %d results, %d runs, %d evacuations, %d zones lost, %d sends to cold replicas, %d replicas ended by %d harmful requests, %d silences, %d replicas started again, %d foreign rows, %d promises checked, %d broken\n",
 				report.Seed, report.Faults, report.Whole, report.Requests, report.Limited, report.Jobs, report.Items, report.Runs,
-				report.Evacuations, report.Losses, report.ColdSends, report.HarmEnds, report.HarmSends,
+				report.Evacuations, report.Losses, report.ColdSends, report.HarmfulCrashes, report.HarmfulRequests,
 				report.Silences, report.ServerStarts, report.ForeignRows,
-				len(soak.Promises()), len(report.Broken))
-			if len(report.Broken) > 0 {
+				len(soak.Promises()), len(report.Violations))
+			if len(report.Violations) > 0 {
 				_, _ = fmt.Fprintln(std.out, "logs of the nodes:", report.Logs)
-				return fmt.Errorf("%w: %d", errViolations, len(report.Broken))
+				return fmt.Errorf("%w: %d", errViolations, len(report.Violations))
 			}
 			return nil
 		},
--- a/internal/lab/soak/callers.go
+++ b/internal/lab/soak/callers.go
@@ -13,151 +13,151 @@
 )
 
 const (
-	onlineWait  = 5 * time.Second
-	onlinePause = 60 * time.Millisecond
-	// beyondPause makes some 20 requests a second, five times limitRate.
-	beyondPause = 20 * time.Millisecond
-	// littlePause makes some 2 requests a second, half of limitRate.
-	littlePause = 300 * time.Millisecond
-	jobPause    = 700 * time.Millisecond
-	jobItems    = 12
-	// jobTries bounds the tries to hand a job in, each at another node.
-	jobTries = 12
+	onlineTimeout = 5 * time.Second
+	onlinePause   = 60 * time.Millisecond
+	// overLimitPause makes some 20 requests a second, five times limitRate.
+	overLimitPause = 20 * time.Millisecond
+	// underLimitPause makes some 2 requests a second, half of limitRate.
+	underLimitPause = 300 * time.Millisecond
+	jobPause        = 700 * time.Millisecond
+	jobItems        = 12
+	// submitAttempts bounds the tries to hand a job in, each at another node.
+	submitAttempts = 12
 	// endShare is the part of the jobs that are ended while they run.
-	endShare = 0.15
-	callWait = 4 * time.Second
-	// keptCallers keep connections open.
-	keptCallers = 3
+	endShare    = 0.15
+	callTimeout = 4 * time.Second
+	// keepAliveCallers keep connections open.
+	keepAliveCallers = 3
 )
 
-// random is the chance of one caller, from the run's seed.
-func (s *soak) random(caller int, kind uint64) *rand.Rand {
-	return rand.New(rand.NewPCG(s.Seed+uint64(caller), kind))
+// newRand is the chance of one caller, from the run's seed.
+func (s *soak) newRand(caller int, stream uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(s.Seed+uint64(caller), stream))
 }
 
 // callOnline asks for streams, one after the other, until the context ends.
 func (s *soak) callOnline(ctx context.Context, caller int) {
-	random := s.random(caller, 1)
+	random := s.newRand(caller, 1)
 	for number := 0; retry.Sleep(ctx, onlinePause); number++ {
-		s.ask(ctx, random, tenantMain, s.prefix(random), fmt.Sprintf("online-%d-%d", caller, number))
+		s.sendToAny(ctx, random, tenantMain, s.prefix(random), fmt.Sprintf("online-%d-%d", caller, number))
 	}
 }
 
-// callBeyond asks for far more than a tenant's limit allows, at all nodes, until the
+// callOverLimit asks for far more than a tenant's limit allows, at all nodes, until the
 // context ends.
-func (s *soak) callBeyond(ctx context.Context) {
-	random := s.random(0, 4)
-	for number := 0; retry.Sleep(ctx, beyondPause); number++ {
-		s.ask(ctx, random, tenantLimited, "resume", fmt.Sprintf("beyond-%d", number))
+func (s *soak) callOverLimit(ctx context.Context) {
+	random := s.newRand(0, 4)
+	for number := 0; retry.Sleep(ctx, overLimitPause); number++ {
+		s.sendToAny(ctx, random, tenantLimited, "resume", fmt.Sprintf("beyond-%d", number))
 	}
 }
 
-// callLittle asks at all nodes for half of what a tenant's limit allows, until the
+// callUnderLimit asks at all nodes for half of what a tenant's limit allows, until the
 // context ends.
-func (s *soak) callLittle(ctx context.Context) {
-	random := s.random(0, 5)
-	for number := 0; retry.Sleep(ctx, littlePause); number++ {
-		s.ask(ctx, random, tenantFlood, "resume", fmt.Sprintf("little-%d", number))
+func (s *soak) callUnderLimit(ctx context.Context) {
+	random := s.newRand(0, 5)
+	for number := 0; retry.Sleep(ctx, underLimitPause); number++ {
+		s.sendToAny(ctx, random, tenantFlood, "resume", fmt.Sprintf("little-%d", number))
 	}
 }
 
 // callFlood asks at one node for far more than the same tenant's limit allows.
 func (s *soak) callFlood(ctx context.Context, node *gateway, fault Fault, caller int) {
 	for number := 0; retry.Sleep(ctx, floodPause); number++ {
-		s.askAt(ctx, node, tenantFlood, "resume", fmt.Sprintf("flood-%d-%d-%d", fault.At.Milliseconds(), caller, number))
+		s.sendTo(ctx, node, tenantFlood, "resume", fmt.Sprintf("flood-%d-%d-%d", fault.After.Milliseconds(), caller, number))
 	}
 }
 
-// callKept asks over connections that are kept open, always at the same node until that
+// callKeepAlive asks over connections that are kept open, always at the same node until that
 // fails: also while it is told to stop, until its process is gone.
-func (s *soak) callKept(ctx context.Context, caller int) {
-	random := s.random(caller, 8)
+func (s *soak) callKeepAlive(ctx context.Context, caller int) {
+	random := s.newRand(caller, 8)
 	for number := 0; ctx.Err() == nil; number++ {
 		node := s.gateways[random.IntN(len(s.gateways))]
-		s.keepAsking(ctx, node, fmt.Sprintf("kept-%d-%d", caller, number), random)
+		s.sendUntilFailure(ctx, node, fmt.Sprintf("kept-%d-%d", caller, number), random)
 	}
 }
 
-// keepAsking asks a node over one connection until it gives no answer.
-func (s *soak) keepAsking(ctx context.Context, node *gateway, name string, random *rand.Rand) {
+// sendUntilFailure asks a node over one connection until it gives no answer.
+func (s *soak) sendUntilFailure(ctx context.Context, node *gateway, name string, random *rand.Rand) {
 	connections := &http.Transport{MaxConnsPerHost: 1}
 	defer connections.CloseIdleConnections()
 	for number := 0; retry.Sleep(ctx, onlinePause); number++ {
-		client := &standin.Client{Address: node.at(), Host: host, Key: keyOf(tenantMain), Connections: connections}
-		if s.askOver(ctx, client, node, tenantMain, s.prefix(random), fmt.Sprintf("%s-%d", name, number)).Status == 0 {
+		client := &standin.Client{Address: node.listenAddress(), Host: host, Key: apiKey(tenantMain), Connections: connections}
+		if s.sendOver(ctx, client, node, tenantMain, s.prefix(random), fmt.Sprintf("%s-%d", name, number)).Status == 0 {
 			return
 		}
 	}
 }
 
-// ask sends one request to a random node.
-func (s *soak) ask(ctx context.Context, random *rand.Rand, tenant, prefix, id string) {
-	s.askAt(ctx, s.gateways[random.IntN(len(s.gateways))], tenant, prefix, id)
+// sendToAny sends one request to a random node.
+func (s *soak) sendToAny(ctx context.Context, random *rand.Rand, tenant, prefix, id string) {
+	s.sendTo(ctx, s.gateways[random.IntN(len(s.gateways))], tenant, prefix, id)
 }
 
-func (s *soak) askAt(ctx context.Context, chosen *gateway, tenant, prefix, id string) {
-	client := &standin.Client{Address: chosen.at(), Host: host, Key: keyOf(tenant)}
-	s.askOver(ctx, client, chosen, tenant, prefix, id)
+func (s *soak) sendTo(ctx context.Context, node *gateway, tenant, prefix, id string) {
+	client := &standin.Client{Address: node.listenAddress(), Host: host, Key: apiKey(tenant)}
+	s.sendOver(ctx, client, node, tenant, prefix, id)
 }
 
-// askOver sends one request to a node with a client, and notes what came of it.
-func (s *soak) askOver(ctx context.Context, client *standin.Client, chosen *gateway, tenant, prefix, id string) *standin.Answer {
-	one := Request{
-		ID: id, Prefix: prefix, Once: strings.HasPrefix(prefix, "once"), Tenant: tenant,
-		Node: chosen.id, Life: chosen.lives(), Sent: time.Now(),
+// sendOver sends one request to a node with a client, and notes what came of it.
+func (s *soak) sendOver(ctx context.Context, client *standin.Client, node *gateway, tenant, prefix, id string) *standin.Answer {
+	req := Request{
+		ID: id, Prefix: prefix, AtMostOnce: strings.HasPrefix(prefix, "once"), Tenant: tenant,
+		Node: node.id, Process: node.processNumber(), Sent: time.Now(),
 	}
-	one.Answer = client.Stream(context.WithoutCancel(ctx), prefix, one.ID, onlineWait)
-	one.Ended = time.Now()
-	if chosen.lives() != one.Life {
+	req.Answer = client.Stream(context.WithoutCancel(ctx), prefix, req.ID, onlineTimeout)
+	req.Ended = time.Now()
+	if node.processNumber() != req.Process {
 		// The node was started again meanwhile; the answer is of one of two lives.
-		one.Life = -int(one.Ended.UnixNano())
+		req.Process = -int(req.Ended.UnixNano())
 	}
-	record(&s.History, &s.Requests, one)
-	return one.Answer
+	record(&s.History, &s.Requests, req)
+	return req.Answer
 }
 
 // callJobs hands jobs in, one after the other, until the context ends.
 func (s *soak) callJobs(ctx context.Context, caller int) {
-	random := s.random(caller, 2)
+	random := s.newRand(caller, 2)
 	for number := 0; retry.Sleep(ctx, jobPause); number++ {
-		one := Job{ID: fmt.Sprintf("job-%d-%d", caller, number), Tokens: itemTokens}
+		job := Job{ID: fmt.Sprintf("job-%d-%d", caller, number), Tokens: itemTokens}
 		for item := range 1 + random.IntN(jobItems) {
-			one.Items = append(one.Items, fmt.Sprintf("%s-item-%d", one.ID, item))
+			job.Items = append(job.Items, fmt.Sprintf("%s-item-%d", job.ID, item))
 		}
-		s.submit(context.WithoutCancel(ctx), &one, random)
-		if one.Accepted && random.Float64() < endShare {
+		s.submit(context.WithoutCancel(ctx), &job, random)
+		if job.Accepted && random.Float64() < endShare {
 			retry.Sleep(ctx, time.Second)
-			s.end(context.WithoutCancel(ctx), &one, random)
+			s.endJob(context.WithoutCancel(ctx), &job, random)
 		}
-		record(&s.History, &s.Jobs, one)
+		record(&s.History, &s.Jobs, job)
 	}
 }
 
 // submit tries until a job is accepted, at another node each time. Only if all
 // answers promise that nothing runs the job counts as refused.
-func (s *soak) submit(ctx context.Context, one *Job, random *rand.Rand) {
-	one.Refused = true
-	for range jobTries {
-		callCtx, cancel := context.WithTimeout(ctx, callWait)
-		answer := s.client(random.IntN(len(s.gateways))).Submit(callCtx, one.ID, one.Items, one.Tokens)
+func (s *soak) submit(ctx context.Context, job *Job, random *rand.Rand) {
+	job.Refused = true
+	for range submitAttempts {
+		attemptCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		answer := s.client(random.IntN(len(s.gateways))).Submit(attemptCtx, job.ID, job.Items, job.Tokens)
 		cancel()
 		if answer.Status == http.StatusAccepted {
-			one.Accepted, one.At = true, time.Now()
+			job.Accepted, job.At = true, time.Now()
 			return
 		}
 		// A refused connection was not read either.
-		one.Refused = one.Refused && answer.NotRun()
+		job.Refused = job.Refused && answer.NotRun()
 		retry.Sleep(ctx, 200*time.Millisecond)
 	}
 }
 
-func (s *soak) end(ctx context.Context, one *Job, random *rand.Rand) {
-	for range jobTries {
-		callCtx, cancel := context.WithTimeout(ctx, callWait)
-		ended := s.client(random.IntN(len(s.gateways))).End(callCtx, one.ID)
+func (s *soak) endJob(ctx context.Context, job *Job, random *rand.Rand) {
+	for range submitAttempts {
+		attemptCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		ended := s.client(random.IntN(len(s.gateways))).End(attemptCtx, job.ID)
 		cancel()
 		if ended {
-			one.EndedAt = time.Now()
+			job.EndedAt = time.Now()
 			return
 		}
 		retry.Sleep(ctx, 200*time.Millisecond)
--- a/internal/lab/soak/check.go
+++ b/internal/lab/soak/check.go
@@ -16,136 +16,136 @@
 
 // Promises.
 const (
-	OnePosition    Promise = "one-position-for-good"
-	WholeText      Promise = "whole-text"
-	JobFinishes    Promise = "accepted-job-finishes"
-	TrueDead       Promise = "dead-only-with-cause"
-	AtMostOnce     Promise = "at-most-once"
-	NotRunTrue     Promise = "not-run-is-true"
-	WholeAnswer    Promise = "whole-answer"
-	ConfigForward  Promise = "configuration-never-back"
-	Drained        Promise = "draining-gets-nothing"
-	EndStops       Promise = "ended-job-stops"
-	WithinQuota    Promise = "within-quota"
-	RefusedNotRun  Promise = "refused-job-never-runs"
-	ComeBackIsSaid Promise = "refusal-says-when-to-come-back"
-	TenantNotKey   Promise = "back-end-learns-tenant-never-key"
-	WithinLimit    Promise = "within-limit-in-any-window"
-	NodeLives      Promise = "node-ends-only-when-told"
-	ZoneEmpty      Promise = "evacuated-zone-gets-nothing"
-	ColdSpared     Promise = "cold-within-its-rate"
-	OthersServe    Promise = "lost-zone-others-serve"
-	LimitWhenCut   Promise = "limit-holds-when-cut"
-	HarmBounded    Promise = "harmful-work-ends-few-servers"
-	HarmlessServed Promise = "harmless-work-is-not-quarantined"
-	JobReadable    Promise = "accepted-job-can-be-read"
-	ListedInCalm   Promise = "item-listed-in-calm"
-	NoIdleWait     Promise = "no-item-waits-beside-free-slots"
-	ForeignUnused  Promise = "foreign-row-names-no-server"
-	ReadEverywhere Promise = "result-read-once-is-read-everywhere"
+	OnePosition           Promise = "one-position-for-good"
+	WholeText             Promise = "whole-text"
+	JobFinishes           Promise = "accepted-job-finishes"
+	DeadWithCause         Promise = "dead-only-with-cause"
+	AtMostOnce            Promise = "at-most-once"
+	NotRunIsTrue          Promise = "not-run-is-true"
+	WholeAnswer           Promise = "whole-answer"
+	ConfigNeverBack       Promise = "configuration-never-back"
+	DrainingUnused        Promise = "draining-gets-nothing"
+	EndedJobStops         Promise = "ended-job-stops"
+	WithinQuota           Promise = "within-quota"
+	RefusedNotRun         Promise = "refused-job-never-runs"
+	RetryAfterGiven       Promise = "refusal-says-when-to-come-back"
+	KeyNotForwarded       Promise = "back-end-learns-tenant-never-key"
+	WithinLimit           Promise = "within-limit-in-any-window"
+	NodeKeepsRunning      Promise = "node-ends-only-when-told"
+	EvacuatedUnused       Promise = "evacuated-zone-gets-nothing"
+	ColdWithinRate        Promise = "cold-within-its-rate"
+	OthersServe           Promise = "lost-zone-others-serve"
+	LimitWhenCutOff       Promise = "limit-holds-when-cut"
+	HarmBounded           Promise = "harmful-work-ends-few-servers"
+	HarmlessServed        Promise = "harmless-work-is-not-quarantined"
+	JobReadable           Promise = "accepted-job-can-be-read"
+	ItemListedInCalm      Promise = "item-listed-in-calm"
+	NoWaitBesideFreeSlots Promise = "no-item-waits-beside-free-slots"
+	ForeignUnused         Promise = "foreign-row-names-no-server"
+	ReadEverywhere        Promise = "result-read-once-is-read-everywhere"
 )
 
 // Bounds of the promises, those of the users' pages.
 const (
 	drainBound  = 2 * time.Second
 	cancelBound = 3 * time.Second
-	// quotaOver is the part by which the quota may be exceeded.
-	quotaOver = 0.1
-	// failuresToDie is the number of reported failures that end an item.
-	failuresToDie = 3
+	// quotaTolerance is the part by which the quota may be exceeded.
+	quotaTolerance = 0.1
+	// maxFailures is the number of reported failures that end an item.
+	maxFailures = 3
 )
 
 // Promises lists all promises that Check looks at.
 func Promises() []Promise {
 	return []Promise{
-		OnePosition, WholeText, JobFinishes, TrueDead, AtMostOnce, NotRunTrue, WholeAnswer, ConfigForward,
-		Drained, EndStops, WithinQuota, RefusedNotRun, ComeBackIsSaid,
-		TenantNotKey, WithinLimit, NodeLives, ZoneEmpty, ColdSpared, OthersServe, LimitWhenCut, HarmBounded, HarmlessServed,
-		JobReadable, ListedInCalm, NoIdleWait, ForeignUnused, ReadEverywhere,
+		OnePosition, WholeText, JobFinishes, DeadWithCause, AtMostOnce, NotRunIsTrue, WholeAnswer, ConfigNeverBack,
+		DrainingUnused, EndedJobStops, WithinQuota, RefusedNotRun, RetryAfterGiven,
+		KeyNotForwarded, WithinLimit, NodeKeepsRunning, EvacuatedUnused, ColdWithinRate, OthersServe, LimitWhenCutOff, HarmBounded, HarmlessServed,
+		JobReadable, ItemListedInCalm, NoWaitBesideFreeSlots, ForeignUnused, ReadEverywhere,
 	}
 }
 
-// Broken is a promise that was not kept.
-type Broken struct {
+// Violation is a promise that was not kept.
+type Violation struct {
 	Promise Promise
 	Detail  string
 }
 
-func (b Broken) String() string { return string(b.Promise) + ": " + b.Detail }
+func (v Violation) String() string { return string(v.Promise) + ": " + v.Detail }
 
-// check is the state of one check.
-type check struct {
+// checker is the state of one checker.
+type checker struct {
 	*History
-	runs  map[string][]ServerRun
-	found []Broken
+	runs       map[string][]ServerRun
+	violations []Violation
 }
 
 // Check returns the promises that a history shows broken.
-func Check(h *History) []Broken {
-	c := &check{History: h, runs: map[string][]ServerRun{}}
+func Check(h *History) []Violation {
+	c := &checker{History: h, runs: map[string][]ServerRun{}}
 	for _, run := range h.Runs {
 		c.runs[run.ID] = append(c.runs[run.ID], run)
 	}
-	c.positions()
-	c.jobsFinish()
-	c.requests()
-	c.configuration()
-	c.drains()
-	c.ends()
-	c.quota()
-	c.tenants()
-	c.limit(tenantLimited, WithinLimit)
-	c.limit(tenantFlood, LimitWhenCut)
-	c.evacuations()
-	c.coldSends()
-	c.losses()
-	c.harm()
-	c.listings()
-	c.waits()
-	c.foreign()
-	c.reads()
-	c.lives()
-	return c.found
+	c.checkPositions()
+	c.checkJobs()
+	c.checkRequests()
+	c.checkConfiguration()
+	c.checkDrains()
+	c.checkEndedJobs()
+	c.checkQuota()
+	c.checkTenants()
+	c.checkLimit(tenantLimited, WithinLimit)
+	c.checkLimit(tenantFlood, LimitWhenCutOff)
+	c.checkEvacuations()
+	c.checkColdSends()
+	c.checkLosses()
+	c.checkHarm()
+	c.checkListings()
+	c.checkWaits()
+	c.checkForeignRows()
+	c.checkReads()
+	c.checkNodeExits()
+	return c.violations
 }
 
-func (c *check) broken(promise Promise, format string, arguments ...any) {
-	c.found = append(c.found, Broken{promise, fmt.Sprintf(format, arguments...)})
+func (c *checker) addViolation(promise Promise, format string, arguments ...any) {
+	c.violations = append(c.violations, Violation{promise, fmt.Sprintf(format, arguments...)})
 }
 
-// positions: an item has one position and a position one result, for good.
-func (c *check) positions() {
-	type place struct {
+// checkPositions: an item has one position and a position one result, for good.
+func (c *checker) checkPositions() {
+	type jobPosition struct {
 		job      string
 		position int
 	}
-	at := map[place]standin.Listed{}
+	resultAt := map[jobPosition]standin.Listed{}
 	positionOf := map[string]int{}
-	for _, one := range c.Readings {
-		key := place{one.Job, one.Position}
-		if known, ok := at[key]; ok && known != one.Listed {
-			c.broken(OnePosition, "position %d of job %s was %q and is %q", one.Position, one.Job, known.Item, one.Item)
+	for _, obs := range c.Observations {
+		key := jobPosition{obs.Job, obs.Position}
+		if previous, ok := resultAt[key]; ok && previous != obs.Listed {
+			c.addViolation(OnePosition, "position %d of job %s was %q and is %q", obs.Position, obs.Job, previous.Item, obs.Item)
 		}
-		at[key] = one.Listed
-		if known, ok := positionOf[one.Item]; ok && known != one.Position {
-			c.broken(OnePosition, "item %s stands at %d and at %d", one.Item, known, one.Position)
+		resultAt[key] = obs.Listed
+		if previous, ok := positionOf[obs.Item]; ok && previous != obs.Position {
+			c.addViolation(OnePosition, "item %s stands at %d and at %d", obs.Item, previous, obs.Position)
 		}
-		positionOf[one.Item] = one.Position
+		positionOf[obs.Item] = obs.Position
 	}
-	for key, one := range at {
-		c.result(key.job, one)
+	for key, result := range resultAt {
+		c.checkResult(key.job, result)
 	}
 }
 
-// result checks one result's text, or that it has cause to be dead.
-func (c *check) result(job string, one standin.Listed) {
-	if !one.Dead {
-		if one.Text != c.wholeText() {
-			c.broken(WholeText, "item %s of job %s has the text %q", one.Item, job, one.Text)
+// checkResult checks one checkResult's text, or that it has cause to be dead.
+func (c *checker) checkResult(job string, result standin.Listed) {
+	if !result.Dead {
+		if result.Text != c.wholeText() {
+			c.addViolation(WholeText, "item %s of job %s has the text %q", result.Item, job, result.Text)
 		}
 		return
 	}
 	failed := 0
-	for _, run := range c.runs[one.Item] {
+	for _, run := range c.runs[result.Item] {
 		switch run.Did {
 		case standin.Invalid:
 			return
@@ -153,15 +153,15 @@
 			failed++
 		}
 	}
-	if failed < failuresToDie && c.Calm.IsZero() {
+	if failed < maxFailures && c.CalmFrom.IsZero() {
 		return
 	}
-	if failed < failuresToDie {
-		c.broken(TrueDead, "item %s of job %s is dead after %d failures", one.Item, job, failed)
+	if failed < maxFailures {
+		c.addViolation(DeadWithCause, "item %s of job %s is dead after %d failures", result.Item, job, failed)
 	}
 }
 
-func (c *check) wholeText() string {
+func (c *checker) wholeText() string {
 	var pieces []string
 	for id := 1; id <= c.Events; id++ {
 		pieces = append(pieces, standin.Event(id))
@@ -169,65 +169,65 @@
 	return strings.Join(pieces, "\n")
 }
 
-// jobsFinish: an accepted job can be read at the end, and has all its items listed.
-func (c *check) jobsFinish() {
+// checkJobs: an accepted job can be read at the end, and has all its items listed.
+func (c *checker) checkJobs() {
 	for _, job := range c.Jobs {
 		if !job.Accepted {
 			if job.Refused {
-				c.refused(job)
+				c.checkRefusedJob(job)
 			}
 			continue
 		}
 		final, read := c.Final[job.ID]
 		if !read {
-			c.broken(JobReadable, "job %s of %d items: no node answered with its list", job.ID, len(job.Items))
+			c.addViolation(JobReadable, "job %s of %d items: no node answered with its list", job.ID, len(job.Items))
 			continue
 		}
 		if !job.EndedAt.IsZero() {
 			continue
 		}
 		listed := map[string]bool{}
-		for _, one := range final {
-			listed[one.Item] = true
+		for _, result := range final {
+			listed[result.Item] = true
 		}
 		for _, item := range job.Items {
 			if !listed[item] {
-				c.broken(JobFinishes, "item %s of job %s is not listed", item, job.ID)
+				c.addViolation(JobFinishes, "item %s of job %s is not listed", item, job.ID)
 			}
 		}
 	}
 }
 
-func (c *check) refused(job Job) {
+func (c *checker) checkRefusedJob(job Job) {
 	for _, item := range job.Items {
 		if len(c.runs[item]) > 0 {
-			c.broken(RefusedNotRun, "item %s of refused job %s ran", item, job.ID)
+			c.addViolation(RefusedNotRun, "item %s of refused job %s ran", item, job.ID)
 		}
 	}
 }
 
-// requests: whole answers, at most one run, true refusals.
-func (c *check) requests() {
-	for _, one := range c.Requests {
-		ran := len(c.runs[one.ID])
-		if one.Once && ran > 1 {
-			c.broken(AtMostOnce, "request %s ran %d times", one.ID, ran)
+// checkRequests: whole answers, at most one run, true refusals.
+func (c *checker) checkRequests() {
+	for _, req := range c.Requests {
+		ran := len(c.runs[req.ID])
+		if req.AtMostOnce && ran > 1 {
+			c.addViolation(AtMostOnce, "request %s ran %d times", req.ID, ran)
 		}
-		if one.Answer.NotRun() {
-			if ran > 0 && one.Once {
-				c.broken(NotRunTrue, "request %s got %d and ran", one.ID, one.Answer.Status)
+		if req.Answer.NotRun() {
+			if ran > 0 && req.AtMostOnce {
+				c.addViolation(NotRunIsTrue, "request %s got %d and ran", req.ID, req.Answer.Status)
 			}
-			if one.Answer.Status == http.StatusServiceUnavailable && !one.Answer.ComeBack {
-				c.broken(ComeBackIsSaid, "request %s got 503 without a time", one.ID)
+			if req.Answer.Status == http.StatusServiceUnavailable && !req.Answer.ComeBack {
+				c.addViolation(RetryAfterGiven, "request %s got 503 without a time", req.ID)
 			}
 		}
-		if one.Answer.Status == http.StatusOK && one.Answer.Whole && !c.whole(one.Answer.Events()) {
-			c.broken(WholeAnswer, "request %s got %v", one.ID, one.Answer.Events())
+		if req.Answer.Status == http.StatusOK && req.Answer.Whole && !c.isWhole(req.Answer.Events()) {
+			c.addViolation(WholeAnswer, "request %s got %v", req.ID, req.Answer.Events())
 		}
 	}
 }
 
-func (c *check) whole(events []string) bool {
+func (c *checker) isWhole(events []string) bool {
 	if len(events) != c.Events {
 		return false
 	}
@@ -239,71 +239,71 @@
 	return true
 }
 
-// configuration: a process that has served a route does not lose it again. Routes
+// checkConfiguration: a process that has served a route does not lose it again. Routes
 // are only ever added.
-func (c *check) configuration() {
-	type process struct {
-		node   string
-		life   int
-		prefix string
+func (c *checker) checkConfiguration() {
+	type routeOfProcess struct {
+		node    string
+		process int
+		prefix  string
 	}
-	served := map[process]time.Time{}
+	servedSince := map[routeOfProcess]time.Time{}
 	ordered := slices.Clone(c.Requests)
 	sort.Slice(ordered, func(i, j int) bool { return ordered[i].Ended.Before(ordered[j].Ended) })
-	for _, one := range ordered {
-		key := process{one.Node, one.Life, one.Prefix}
-		switch one.Answer.Status {
+	for _, req := range ordered {
+		key := routeOfProcess{req.Node, req.Process, req.Prefix}
+		switch req.Answer.Status {
 		case http.StatusOK:
-			if served[key].IsZero() {
-				served[key] = one.Ended
+			if servedSince[key].IsZero() {
+				servedSince[key] = req.Ended
 			}
 		case http.StatusNotFound:
-			if since := served[key]; !since.IsZero() && one.Sent.After(since) {
-				c.broken(ConfigForward, "node %s served %s and then did not know it", one.Node, one.Prefix)
+			if since := servedSince[key]; !since.IsZero() && req.Sent.After(since) {
+				c.addViolation(ConfigNeverBack, "node %s served %s and then did not know it", req.Node, req.Prefix)
 			}
 		}
 	}
 }
 
-// drains: a draining server gets nothing new.
-func (c *check) drains() {
+// checkDrains: a draining server gets nothing new.
+func (c *checker) checkDrains() {
 	for _, drain := range c.Drains {
 		for _, run := range c.Runs {
 			if run.Server == drain.Server && run.At.After(drain.At.Add(drainBound)) {
-				c.broken(Drained, "server %s got %s %v after it was draining", drain.Server, run.ID, run.At.Sub(drain.At))
+				c.addViolation(DrainingUnused, "server %s got %s %v after it was draining", drain.Server, run.ID, run.At.Sub(drain.At))
 			}
 		}
 	}
 }
 
-// ends: an ended job's items stop. Faults may hold up who runs them, so only ends
+// checkEndedJobs: an ended job's items stop. Faults may hold up who runs them, so only checkEndedJobs
 // in calm count.
-func (c *check) ends() {
+func (c *checker) checkEndedJobs() {
 	for _, job := range c.Jobs {
-		if job.EndedAt.IsZero() || job.EndedAt.Before(c.Calm) {
+		if job.EndedAt.IsZero() || job.EndedAt.Before(c.CalmFrom) {
 			continue
 		}
 		for _, item := range job.Items {
 			for _, run := range c.runs[item] {
 				if run.At.After(job.EndedAt.Add(cancelBound)) {
-					c.broken(EndStops, "item %s began %v after the end of job %s", item, run.At.Sub(job.EndedAt), job.ID)
+					c.addViolation(EndedJobStops, "item %s began %v after the end of job %s", item, run.At.Sub(job.EndedAt), job.ID)
 				}
 			}
 		}
 	}
 }
 
-// quota: when a job is accepted, the tokens of items that no server has finished
-// stay within the quota.
-func (c *check) quota() {
+// checkQuota: when a job is accepted, the tokens of items that no server has finished
+// stay within the checkQuota.
+func (c *checker) checkQuota() {
 	if c.Quota == 0 {
 		return
 	}
-	finished := map[string]time.Time{}
+	firstRun := map[string]time.Time{}
 	for _, run := range c.Runs {
 		// A run has ended at the latest when the last event was due.
-		if known, ok := finished[run.ID]; !ok || run.At.Before(known) {
-			finished[run.ID] = run.At
+		if earliest, ok := firstRun[run.ID]; !ok || run.At.Before(earliest) {
+			firstRun[run.ID] = run.At
 		}
 	}
 	for _, job := range c.Jobs {
@@ -316,20 +316,20 @@
 				continue
 			}
 			for _, item := range other.Items {
-				if begun, ok := finished[item]; !ok || begun.After(job.At) {
+				if startedAt, ok := firstRun[item]; !ok || startedAt.After(job.At) {
 					waiting += other.Tokens
 				}
 			}
 		}
-		if float64(waiting) > float64(c.Quota)*(1+quotaOver) {
-			c.broken(WithinQuota, "with job %s %d tokens wait, %d may", job.ID, waiting, c.Quota)
+		if float64(waiting) > float64(c.Quota)*(1+quotaTolerance) {
+			c.addViolation(WithinQuota, "with job %s %d tokens wait, %d may", job.ID, waiting, c.Quota)
 		}
 	}
 }
 
-// lives: a node ends only when it is told to, and then without a failure.
-func (c *check) lives() {
-	for _, one := range c.Ended {
-		c.broken(NodeLives, "%s", one.Error())
+// checkNodeExits: a node ends only when it is told to, and then without a failure.
+func (c *checker) checkNodeExits() {
+	for _, exit := range c.Exits {
+		c.addViolation(NodeKeepsRunning, "%s", exit.Error())
 	}
 }
--- a/internal/lab/soak/checkreads_test.go
+++ b/internal/lab/soak/checkreads_test.go
@@ -13,25 +13,25 @@
 	readFirst = iota
 	readInTime
 	readLater
-	readUnsure
+	readUnavailable
 	readJobLater
 	readBodyLater
 )
 
-// keptReads adds to a sound history reads of its first job, which was accepted at 1 s, with all
+// addValidReads adds to a sound history reads of its first job, which was accepted at 1 s, with all
 // that is just allowed.
-func keptReads(h *History, at func(seconds float64) time.Time) {
-	result := []standin.Listed{h.Readings[0].Listed}
+func addValidReads(h *History, at func(seconds float64) time.Time) {
+	result := []standin.Listed{h.Observations[0].Listed}
 	read := func(node string, sent float64, status int, results []standin.Listed) Read {
 		return Read{Job: "j", Node: node, Sent: at(sent), Ended: at(sent + 0.1), Status: status, Results: results}
 	}
 	h.Reads = []Read{
-		readFirst:     read("n", 2.4, 200, result),
-		readInTime:    read("m", 3.4, 200, nil),
-		readLater:     read("m", 3.6, 200, result),
-		readUnsure:    read("m", 3.6, 503, nil),
-		readJobLater:  read("m", 1.9, 404, nil),
-		readBodyLater: read("m", 3.6, 404, nil),
+		readFirst:       read("n", 2.4, 200, result),
+		readInTime:      read("m", 3.4, 200, nil),
+		readLater:       read("m", 3.6, 200, result),
+		readUnavailable: read("m", 3.6, 503, nil),
+		readJobLater:    read("m", 1.9, 404, nil),
+		readBodyLater:   read("m", 3.6, 404, nil),
 	}
 	h.Reads[readBodyLater].Item = "j-0"
 }
@@ -43,28 +43,28 @@
 }
 
 // Each answer that lacks what it had to have is found, whichever that is.
-func TestCheck_FindsWhatReadsLack(t *testing.T) {
-	late := func(h *History, number int) { h.Reads[number].Sent = h.Reads[number].Sent.Add(200 * time.Millisecond) }
+func TestCheck_FindsStaleReads(t *testing.T) {
+	sendLater := func(h *History, number int) { h.Reads[number].Sent = h.Reads[number].Sent.Add(200 * time.Millisecond) }
 	cases := []struct {
 		name   string
 		change func(h *History)
-		says   string
+		want   string
 	}{
-		{"the result", func(h *History) { late(h, readInTime) }, "position 0 of job j, read as \"j-0\" at n first at 2.50 s"},
+		{"the result", func(h *History) { sendLater(h, readInTime) }, "position 0 of job j, read as \"j-0\" at n first at 2.50 s"},
 		{"the same result", func(h *History) { h.Reads[readLater].Results = []standin.Listed{{Item: "j-1", Dead: true}} }, "is \"j-1\" at m"},
-		{"the job", func(h *History) { late(h, readJobLater) }, "job j, accepted at 1.00 s"},
+		{"the job", func(h *History) { sendLater(h, readJobLater) }, "job j, accepted at 1.00 s"},
 		{"the content", func(h *History) {
 			h.Reads[readBodyLater].Ended = h.Reads[readFirst].Sent
 			h.Reads[readBodyLater].Sent = h.Reads[readBodyLater].Ended.Add(-10 * time.Millisecond)
 		}, "item j-0 of job j, accepted at 1.00 s"},
 	}
-	for _, one := range cases {
-		t.Run(one.name, func(t *testing.T) {
-			h := kept()
-			one.change(h)
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			h := validHistory()
+			test.change(h)
 			found := Check(h)
-			if len(found) != 1 || found[0].Promise != ReadEverywhere || !strings.Contains(found[0].Detail, one.says) {
-				t.Errorf("found %v, which should be one that says %q", found, one.says)
+			if len(found) != 1 || found[0].Promise != ReadEverywhere || !strings.Contains(found[0].Detail, test.want) {
+				t.Errorf("found %v, which should be one that says %q", found, test.want)
 			}
 		})
 	}
@@ -73,9 +73,9 @@
 // A node is excused by what befell it alone in the time before, and not by the store.
 func TestCheck_ReadsAtDisturbedNodesDoNotCount(t *testing.T) {
 	cases := []struct {
-		name    string
-		disturb Disturbance
-		broken  bool
+		name        string
+		disturbance Disturbance
+		broken      bool
 	}{
 		{"the node", Disturbance{Name: "m"}, false},
 		{"a restart of the node", Disturbance{Name: "m", Restart: true}, false},
@@ -83,15 +83,15 @@
 		{"another node", Disturbance{Name: "n"}, true},
 		{"the store", Disturbance{Name: AllNodes, Store: true}, true},
 	}
-	for _, one := range cases {
-		t.Run(one.name, func(t *testing.T) {
-			h := kept()
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			h := validHistory()
 			readMutations()[ReadEverywhere](h)
 			sent := h.Reads[readLater].Sent
-			one.disturb.From, one.disturb.To = sent.Add(-contactBound), sent.Add(time.Millisecond-contactBound)
-			h.Disturbances = []Disturbance{one.disturb}
-			if found := Check(h); (len(found) > 0) != one.broken {
-				t.Errorf("found %v, broken should be %v", found, one.broken)
+			test.disturbance.From, test.disturbance.To = sent.Add(-contactBound), sent.Add(time.Millisecond-contactBound)
+			h.Disturbances = []Disturbance{test.disturbance}
+			if found := Check(h); (len(found) > 0) != test.broken {
+				t.Errorf("found %v, broken should be %v", found, test.broken)
 			}
 			h.Disturbances[0].To = sent.Add(-contactBound - time.Millisecond)
 			h.Disturbances[0].From = h.Disturbances[0].To
@@ -104,7 +104,7 @@
 
 // The node of a zone that was lost is excused until a while after.
 func TestCheck_ReadsInLostZonesDoNotCount(t *testing.T) {
-	h := kept()
+	h := validHistory()
 	readMutations()[ReadEverywhere](h)
 	sent := h.Reads[readLater].Sent
 	h.Losses = append(h.Losses, Outage{Zone: "b", From: sent.Add(-2 * time.Second), To: sent.Add(-time.Second)})
@@ -114,18 +114,18 @@
 }
 
 // A line says whether the store had been stable.
-func TestCheck_ReadsTellOfTheStore(t *testing.T) {
-	for says, before := range map[string]time.Duration{
-		"the store was stable":                    storeStable,
+func TestCheck_StaleReadsReportStoreState(t *testing.T) {
+	for want, before := range map[string]time.Duration{
+		"the store was stable":                    minStoreStable,
 		"the store was disturbed until 1s before": time.Second,
 		"the store was disturbed then":            -time.Millisecond,
 	} {
-		h := kept()
+		h := validHistory()
 		readMutations()[ReadEverywhere](h)
 		until := h.Reads[readLater].Sent.Add(-before)
 		h.Disturbances = []Disturbance{{Name: AllNodes, Store: true, From: until.Add(-time.Second), To: until}}
-		if found := Check(h); len(found) != 1 || !strings.Contains(found[0].Detail, says) {
-			t.Errorf("found %v, which should say %q", found, says)
+		if found := Check(h); len(found) != 1 || !strings.Contains(found[0].Detail, want) {
+			t.Errorf("found %v, which should say %q", found, want)
 		}
 	}
 }
@@ -137,23 +137,23 @@
 		t.Skip("runs processes for some 40 s")
 	}
 	// With as many slots items are listed all along.
-	options := Options{Seed: 1, For: 17 * time.Second, Nodes: 8, Servers: 16, Slots: 8, Ready: remaining(t), Progress: t.Logf}
+	options := Options{Seed: 1, Duration: 17 * time.Second, Nodes: 8, Servers: 16, Slots: 8, ReadyTimeout: remainingTime(t), Progress: t.Logf}
 	var plan []Fault
 	for _, at := range []time.Duration{2 * time.Second, 9 * time.Second} {
-		plan = append(plan, Fault{At: at, For: 5 * time.Second, Kind: StoreLosesHistory, Share: silentLeast + silentMore/2})
+		plan = append(plan, Fault{After: at, Duration: 5 * time.Second, Kind: StoreLosesHistory, Share: minSilentShare + silentShareJitter/2})
 	}
 	report, err := runPlan(t.Context(), options, plan)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, broken := range report.Broken {
-		t.Error(broken)
+	for _, violation := range report.Violations {
+		t.Error(violation)
 	}
-	if report.HistoryLosses != len(plan) || report.Reads < leastReads {
+	if report.HistoryLosses != len(plan) || report.Reads < minReads {
 		t.Errorf("%d losses of the history, %d reads: nothing was proved", report.HistoryLosses, report.Reads)
 	}
 }
 
-// leastReads is how many reads a run must have made to tell something of them, a tenth of what
+// minReads is how many reads a run must have made to tell something of them, a tenth of what
 // an idle machine makes.
-const leastReads = 500
+const minReads = 500
--- a/internal/lab/soak/checkzones.go
+++ b/internal/lab/soak/checkzones.go
@@ -14,71 +14,71 @@
 	evacuationBound = 5 * time.Second
 	// contactBound is how long after a disturbance a node is in touch again (contactMs).
 	contactBound = 4 * time.Second
-	// coldOver and coldSlack are what a cold server may get in a second beyond coldRate
-	// (coldOver, coldSlack).
-	coldOver   = 1.5
+	// coldFactor and coldSlack are what a cold server may get in a second beyond coldRate
+	// (coldFactor, coldSlack).
+	coldFactor = 1.5
 	coldSlack  = 5.0
 	coldWindow = time.Second
-	// coldKnown is how long after a server turned cold in the midst of its work what it
+	// coldGrace is how long after a server turned cold in the midst of its work what it
 	// got before cannot be laid to the nodes: the second that is judged.
-	coldKnown = time.Second
-	// lossKnown is how long the rest has to leave a lost zone's servers out: until their
+	coldGrace = time.Second
+	// lossGrace is how long the rest has to leave a lost zone's servers out: until their
 	// rows lapse, and a second.
-	lossKnown = lapse + time.Second
-	// leastServed is the part of requests that the rest serves meanwhile.
-	leastServed = 0.5
-	// leastAsked is how many requests tell something about a part of them.
-	leastAsked = 10
+	lossGrace = rowTTL + time.Second
+	// minServedShare is the part of requests that the rest serves meanwhile.
+	minServedShare = 0.5
+	// minRequests is how many requests tell something about a part of them.
+	minRequests = 10
 )
 
 // disturbed reports whether a node or server was disturbed in some part of a time, in some
 // way or, without restarts, in another than by a restart.
-func (c *check) disturbed(name string, from, to time.Time, restarts bool) bool {
-	for _, one := range c.Disturbances {
-		concerns := (one.Name == name || one.Name == AllNodes) && (restarts || !one.Restart)
-		if concerns && one.From.Before(to) && one.To.After(from) {
+func (c *checker) disturbed(id string, from, to time.Time, restarts bool) bool {
+	for _, d := range c.Disturbances {
+		applies := (d.Name == id || d.Name == AllNodes) && (restarts || !d.Restart)
+		if applies && d.From.Before(to) && d.To.After(from) {
 			return true
 		}
 	}
 	return false
 }
 
-// senders returns the nodes that may have sent a run: the one that was asked for a
+// possibleSenders returns the nodes that may have sent a run: the one that was asked for a
 // request, any for an item.
-func (c *check) senders(nodeOf map[string]string, run ServerRun) []string {
+func (c *checker) possibleSenders(nodeOf map[string]string, run ServerRun) []string {
 	if node, ok := nodeOf[run.ID]; ok {
 		return []string{node}
 	}
 	return slices.Collect(maps.Keys(c.NodeZones))
 }
 
-// evacuations: an emptied zone's servers get nothing from nodes in touch.
-func (c *check) evacuations() {
+// checkEvacuations: an emptied zone's servers get nothing from nodes in touch.
+func (c *checker) checkEvacuations() {
 	nodeOf := map[string]string{}
-	for _, one := range c.Requests {
-		nodeOf[one.ID] = one.Node
+	for _, req := range c.Requests {
+		nodeOf[req.ID] = req.Node
 	}
-	for _, one := range c.Evacuations {
+	for _, evacuation := range c.Evacuations {
 		var late []ServerRun
 		for _, run := range c.Runs {
-			inTime := !run.At.After(one.From.Add(evacuationBound)) || !run.At.Before(one.To)
-			if !inTime && c.ServerZones[run.Server] == one.Zone && c.inTouch(nodeOf, run) {
+			allowed := !run.At.After(evacuation.From.Add(evacuationBound)) || !run.At.Before(evacuation.To)
+			if !allowed && c.ServerZones[run.Server] == evacuation.Zone && c.fromConnectedNode(nodeOf, run) {
 				late = append(late, run)
 			}
 		}
 		if len(late) > 0 {
 			last := late[len(late)-1]
-			c.broken(ZoneEmpty, "%d runs in %s too late, one of them %s at %s %v after it was evacuated",
-				len(late), one.Zone, last.ID, last.Server, last.At.Sub(one.From))
+			c.addViolation(EvacuatedUnused, "%d runs in %s too late, one of them %s at %s %v after it was evacuated",
+				len(late), evacuation.Zone, last.ID, last.Server, last.At.Sub(evacuation.From))
 		}
 	}
 }
 
-// inTouch reports whether a run came from a node in touch, over a server's connections
+// fromConnectedNode reports whether a run came from a node in touch, over a server's connections
 // that held nothing up. A node that was started again is in touch once it is ready.
-func (c *check) inTouch(nodeOf map[string]string, run ServerRun) bool {
+func (c *checker) fromConnectedNode(nodeOf map[string]string, run ServerRun) bool {
 	from := run.At.Add(-contactBound)
-	for _, name := range append(c.senders(nodeOf, run), run.Server) {
+	for _, name := range append(c.possibleSenders(nodeOf, run), run.Server) {
 		if c.disturbed(name, from, run.At, false) {
 			return false
 		}
@@ -86,58 +86,58 @@
 	return true
 }
 
-// coldSends: a cold server gets no more in any second than it bears, over all nodes.
-func (c *check) coldSends() {
+// checkColdSends: a cold server gets no more in any second than it bears, over all nodes.
+func (c *checker) checkColdSends() {
 	sent := map[string][]time.Time{}
-	for _, one := range c.ColdSends {
-		if one.At.Sub(one.Since) >= coldKnown && c.couldSay(one) {
-			sent[one.Server] = append(sent[one.Server], one.At)
+	for _, send := range c.ColdSends {
+		if send.At.Sub(send.Since) >= coldGrace && c.couldAdvertiseCold(send) {
+			sent[send.Server] = append(sent[send.Server], send.At)
 		}
 	}
-	allowed := coldRate*coldOver + coldSlack
-	for server, moments := range sent {
-		if count, from := most(moments, coldWindow); float64(count) > allowed {
-			c.broken(ColdSpared, "cold server %s got %d requests in %v from %s on, %.1f are allowed",
-				server, count, coldWindow, c.moment(from), allowed)
+	allowed := coldRate*coldFactor + coldSlack
+	for server, times := range sent {
+		if count, from := maxInWindow(times, coldWindow); float64(count) > allowed {
+			c.addViolation(ColdWithinRate, "cold server %s got %d requests in %v from %s on, %.1f are allowed",
+				server, count, coldWindow, c.timestamp(from), allowed)
 		}
 	}
 }
 
-// couldSay reports whether a server that got a request while it was cold could have said so
+// couldAdvertiseCold reports whether a server that got a request while it was cold could have said so
 // in its row: while that is another writer's, and for a moment after, nobody can know. What
 // it gets then is judged by foreign.
-func (c *check) couldSay(send ColdSend) bool {
-	for _, one := range c.Overwritten {
-		if one.Server == send.Server && send.At.After(one.From) && send.At.Before(one.To.Add(coldKnown)) {
+func (c *checker) couldAdvertiseCold(send ColdSend) bool {
+	for _, overwrite := range c.Overwritten {
+		if overwrite.Server == send.Server && send.At.After(overwrite.From) && send.At.Before(overwrite.To.Add(coldGrace)) {
 			return false
 		}
 	}
 	return true
 }
 
-// losses: while a zone is lost, nodes of the others that nothing disturbs serve.
-func (c *check) losses() {
+// checkLosses: while a zone is lost, nodes of the others that nothing disturbs serve.
+func (c *checker) checkLosses() {
 	for _, loss := range c.Losses {
-		from := loss.From.Add(lossKnown)
-		asked, whole := 0, 0
-		for _, one := range c.Requests {
-			if !one.Sent.After(from) || !one.Sent.Before(loss.To) || !c.owed(&one, loss.Zone) {
+		from := loss.From.Add(lossGrace)
+		sent, whole := 0, 0
+		for _, req := range c.Requests {
+			if !req.Sent.After(from) || !req.Sent.Before(loss.To) || !c.expectsAnswer(&req, loss.Zone) {
 				continue
 			}
-			asked++
-			if one.Answer.Status == http.StatusOK && one.Answer.Whole {
+			sent++
+			if req.Answer.Status == http.StatusOK && req.Answer.Whole {
 				whole++
 			}
 		}
-		if asked >= leastAsked && float64(whole) < leastServed*float64(asked) {
-			c.broken(OthersServe, "while %s was lost others served %d of %d requests", loss.Zone, whole, asked)
+		if sent >= minRequests && float64(whole) < minServedShare*float64(sent) {
+			c.addViolation(OthersServe, "while %s was lost others served %d of %d requests", loss.Zone, whole, sent)
 		}
 	}
 }
 
-// owed reports whether a request is owed an answer while a zone is lost. A route that
+// expectsAnswer reports whether a request is expectsAnswer an answer while a zone is lost. A route that
 // was just added may not be known yet.
-func (c *check) owed(one *Request, lost string) bool {
-	return one.Tenant == tenantMain && c.NodeZones[one.Node] != lost && one.Answer.Status != http.StatusNotFound &&
-		!c.disturbed(one.Node, one.Sent.Add(-contactBound), one.Ended, true)
+func (c *checker) expectsAnswer(req *Request, lost string) bool {
+	return req.Tenant == tenantMain && c.NodeZones[req.Node] != lost && req.Answer.Status != http.StatusNotFound &&
+		!c.disturbed(req.Node, req.Sent.Add(-contactBound), req.Ended, true)
 }
--- a/internal/lab/soak/checkzones_test.go
+++ b/internal/lab/soak/checkzones_test.go
@@ -12,29 +12,29 @@
 // Moments of the outages in a sound history, in seconds after its beginning.
 const (
 	evacuatedAt, takenBackAt = 20.0, 30.0
-	lostAt, backAt           = 40.0, 48.0
+	lostAt, recoveredAt      = 40.0, 48.0
 	chilledAt                = 60.0
 )
 
-// keptZones adds to a sound history a zone that is emptied, one that is lost and a server
+// addValidZones adds to a sound history a zone that is emptied, one that is lost and a server
 // that is cold, with all that is just allowed.
-func keptZones(h *History, at func(seconds float64) time.Time) {
+func addValidZones(h *History, at func(seconds float64) time.Time) {
 	h.Evacuations = []Outage{{Zone: "b", From: at(evacuatedAt), To: at(takenBackAt)}}
-	h.Losses = []Outage{{Zone: "b", From: at(lostAt), To: at(backAt)}}
+	h.Losses = []Outage{{Zone: "b", From: at(lostAt), To: at(recoveredAt)}}
 	evacuatedRun := func(id string, after float64) ServerRun {
 		run := standin.Run{ID: id, At: at(evacuatedAt + after), Header: http.Header{"Tenant": {tenantMain}}}
 		return ServerRun{Server: "s2", Run: run}
 	}
 	h.Runs = append(h.Runs, evacuatedRun("in time", 4.9), evacuatedRun("taken back", 10.1))
-	for number := range 2 * leastAsked {
-		one := Request{
-			ID: fmt.Sprintf("lost-%d", number), Tenant: tenantMain, Prefix: "resume", Node: "n", Life: 1,
+	for i := range 2 * minRequests {
+		req := Request{
+			ID: fmt.Sprintf("lost-%d", i), Tenant: tenantMain, Prefix: "resume", Node: "n", Process: 1,
 			Sent: at(lostAt + 3), Ended: at(lostAt + 3.2), Answer: &standin.Answer{Status: 503, ComeBack: true},
 		}
-		if number%2 == 0 {
-			one.Answer = &standin.Answer{Status: 200, Whole: true, Body: wholeBody()}
+		if i%2 == 0 {
+			req.Answer = &standin.Answer{Status: 200, Whole: true, Body: wholeBody()}
 		}
-		h.Requests = append(h.Requests, one)
+		h.Requests = append(h.Requests, req)
 	}
 	for number := range 16 {
 		send := standin.ColdSend{At: at(chilledAt + 1 + 0.14*float64(number)), Since: at(chilledAt)}
@@ -42,8 +42,8 @@
 	}
 }
 
-// late returns a run in the evacuated zone that is too late, of a request to a node.
-func late(h *History, node string) ServerRun {
+// addLateRequest returns a run in the evacuated zone that is too addLateRequest, of a request to a node.
+func addLateRequest(h *History, node string) ServerRun {
 	when := h.Evacuations[0].From.Add(7 * time.Second)
 	h.Requests = append(h.Requests, Request{ID: "late", Tenant: tenantMain, Node: node, Answer: &standin.Answer{}})
 	return ServerRun{Server: "s2", Run: standin.Run{ID: "late", At: when, Header: http.Header{"Tenant": {tenantMain}}}}
@@ -52,12 +52,12 @@
 // zoneMutations are changes of a sound history, each of which breaks one promise.
 func zoneMutations() map[Promise]func(h *History) {
 	return map[Promise]func(h *History){
-		ZoneEmpty: func(h *History) { h.Runs = append(h.Runs, late(h, "n")) },
-		ColdSpared: func(h *History) {
+		EvacuatedUnused: func(h *History) { h.Runs = append(h.Runs, addLateRequest(h, "n")) },
+		ColdWithinRate: func(h *History) {
 			h.ColdSends = append(h.ColdSends, h.ColdSends[5])
 		},
 		OthersServe: func(h *History) { h.Requests[len(h.Requests)-2].Answer = &standin.Answer{} },
-		LimitWhenCut: func(h *History) {
+		LimitWhenCutOff: func(h *History) {
 			for number := range 50 {
 				id := fmt.Sprintf("flood-%d", number)
 				h.Requests = append(h.Requests, Request{ID: id, Tenant: tenantFlood, Answer: &standin.Answer{}})
@@ -71,10 +71,10 @@
 // was asked for a request, to any for an item.
 func TestCheck_LateRunsOfNodesInTouchCount(t *testing.T) {
 	cases := []struct {
-		name    string
-		item    bool
-		disturb Disturbance
-		broken  bool
+		name        string
+		item        bool
+		disturbance Disturbance
+		broken      bool
 	}{
 		{"of the node that was asked", false, Disturbance{Name: "n"}, false},
 		{"of another node", false, Disturbance{Name: "m"}, true},
@@ -85,19 +85,19 @@
 		{"of a node that may run items", true, Disturbance{Name: "m"}, false},
 		{"of another server beside an item", true, Disturbance{Name: "s0"}, true},
 	}
-	for _, one := range cases {
-		t.Run(one.name, func(t *testing.T) {
-			h := kept()
-			run := late(h, "n")
-			if one.item {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			h := validHistory()
+			run := addLateRequest(h, "n")
+			if test.item {
 				run.ID = "item"
 			}
 			h.Runs = append(h.Runs, run)
-			one.disturb.From, one.disturb.To = run.At.Add(-5*time.Second), run.At.Add(-time.Second)
-			h.Disturbances = []Disturbance{one.disturb}
+			test.disturbance.From, test.disturbance.To = run.At.Add(-5*time.Second), run.At.Add(-time.Second)
+			h.Disturbances = []Disturbance{test.disturbance}
 			found := Check(h)
-			if broken := len(found) == 1 && found[0].Promise == ZoneEmpty; broken != one.broken {
-				t.Errorf("found %v, broken should be %v", found, one.broken)
+			if broken := len(found) == 1 && found[0].Promise == EvacuatedUnused; broken != test.broken {
+				t.Errorf("found %v, broken should be %v", found, test.broken)
 			}
 			h.Disturbances[0].To = run.At.Add(-contactBound - time.Millisecond)
 			if found := Check(h); len(found) != 1 {
@@ -109,19 +109,19 @@
 
 // Answers that are not owed while a zone is lost do not count.
 func TestCheck_LossesCountWhatIsOwed(t *testing.T) {
-	changes := map[string]func(h *History, one *Request){
-		"at a node of the lost zone": func(_ *History, one *Request) { one.Node = "m" },
-		"at a node that was started again": func(h *History, one *Request) {
-			h.Disturbances = []Disturbance{{Name: "n", From: one.Sent.Add(-time.Second), To: one.Sent, Restart: true}}
+	changes := map[string]func(h *History, req *Request){
+		"at a node of the lost zone": func(_ *History, req *Request) { req.Node = "m" },
+		"at a node that was started again": func(h *History, req *Request) {
+			h.Disturbances = []Disturbance{{Name: "n", From: req.Sent.Add(-time.Second), To: req.Sent, Restart: true}}
 		},
-		"before the others can know": func(h *History, one *Request) { one.Sent = h.Losses[0].From.Add(time.Second) },
-		"after it is back":           func(h *History, one *Request) { one.Sent = h.Losses[0].To.Add(time.Second) },
-		"beyond a tenant's limit":    func(_ *History, one *Request) { one.Tenant = tenantLimited },
+		"before the others can know": func(h *History, req *Request) { req.Sent = h.Losses[0].From.Add(time.Second) },
+		"after it is back":           func(h *History, req *Request) { req.Sent = h.Losses[0].To.Add(time.Second) },
+		"beyond a tenant's limit":    func(_ *History, req *Request) { req.Tenant = tenantLimited },
 	}
 	for name, change := range changes {
 		t.Run(name, func(t *testing.T) {
-			h := kept()
-			for i := len(h.Requests) - 2*leastAsked; i < len(h.Requests); i++ {
+			h := validHistory()
+			for i := len(h.Requests) - 2*minRequests; i < len(h.Requests); i++ {
 				h.Requests[i].Answer = &standin.Answer{}
 				change(h, &h.Requests[i])
 			}
@@ -134,13 +134,13 @@
 
 // What a cold server gets does not count while its row is another writer's, nor in the
 // second after; before and later it does.
-func TestCheck_ColdServersThatCannotSaySo(t *testing.T) {
+func TestCheck_ColdServersWithOverwrittenRows(t *testing.T) {
 	for _, test := range []struct {
 		from, to float64
 		broken   bool
 	}{{0, 2, false}, {1.1, 1.9, false}, {-2, -1, true}, {4, 5, true}} {
-		h := kept()
-		zoneMutations()[ColdSpared](h)
+		h := validHistory()
+		zoneMutations()[ColdWithinRate](h)
 		chilled := h.ColdSends[0].Since
 		after := func(seconds float64) time.Time { return chilled.Add(time.Duration(seconds * float64(time.Second))) }
 		h.Overwritten = []ServerOutage{{Server: "s2", From: after(test.from), To: after(test.to)}}
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -11,132 +11,132 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// restartAfter is how long a node that ended stays away.
-const restartAfter = 400 * time.Millisecond
+// restartDelay is how long a node that ended stays away.
+const restartDelay = 400 * time.Millisecond
 
-// apply makes one fault and undoes it.
-func (s *soak) apply(ctx context.Context, fault Fault) {
+// inject makes one fault and undoes it.
+func (s *soak) inject(ctx context.Context, fault Fault) {
 	node := s.gateways[fault.Target%len(s.gateways)]
-	if one, ok := s.disturbs(fault, node); ok {
-		defer s.disturbed(one)
+	if d, ok := s.disturbance(fault, node); ok {
+		defer s.recordDisturbance(d)
 	}
 	switch fault.Kind {
 	case KillNode:
-		s.restart(ctx, node, syscall.SIGKILL, restartAfter)
+		s.restart(ctx, node, syscall.SIGKILL, restartDelay)
 	case StopNode:
-		s.restart(ctx, node, syscall.SIGTERM, restartAfter)
+		s.restart(ctx, node, syscall.SIGTERM, restartDelay)
 	case KillAll:
 		var all sync.WaitGroup
-		for _, one := range s.gateways {
-			all.Go(func() { s.restart(ctx, one, syscall.SIGKILL, restartAfter) })
+		for _, gateway := range s.gateways {
+			all.Go(func() { s.restart(ctx, gateway, syscall.SIGKILL, restartDelay) })
 		}
 		all.Wait()
 	case PauseNode:
 		node.signal(syscall.SIGSTOP)
-		retry.Sleep(ctx, fault.For)
+		retry.Sleep(ctx, fault.Duration)
 		node.signal(syscall.SIGCONT)
 	case CutStore:
-		node.store.set(fault.Harm)
-		retry.Sleep(ctx, fault.For)
-		node.store.set(Clear)
+		node.store.setFault(fault.Connection)
+		retry.Sleep(ctx, fault.Duration)
+		node.store.setFault(NoFault)
 	case StoreBusy, StoreLoses, StoreLate:
-		s.store.SetTrouble(s.trouble(fault))
-		retry.Sleep(ctx, fault.For)
+		s.store.SetTrouble(s.storeTrouble(fault))
+		retry.Sleep(ctx, fault.Duration)
 		s.store.SetTrouble(nil)
 	case StoreForget:
 		s.store.Forget()
 	case Configure:
 		s.configure()
 	case CutFlood:
-		s.flood(ctx, node, fault)
+		s.cutAndFlood(ctx, node, fault)
 	case EvacuateZone, ChillZone, LoseZone:
-		s.harmZone(ctx, fault)
+		s.injectZoneFault(ctx, fault)
 	case ServerCut, ServerBad, ServerFull, DrainServer:
-		s.harmServer(ctx, fault)
+		s.injectServerFault(ctx, fault)
 	default:
-		s.applySecond(ctx, fault)
+		s.injectSecond(ctx, fault)
 	}
 }
 
-// disturbs returns the disturbance that a fault is from now on; false if
+// disturbance returns the disturbance that a fault is from now on; false if
 // it keeps no node from its work and holds nothing up on the way to a server.
-func (s *soak) disturbs(fault Fault, node *gateway) (one Disturbance, ok bool) {
-	one.From = time.Now()
+func (s *soak) disturbance(fault Fault, node *gateway) (d Disturbance, ok bool) {
+	d.From = time.Now()
 	switch fault.Kind {
 	case KillNode, StopNode:
-		one.Name, one.Restart = node.id, true
+		d.Name, d.Restart = node.id, true
 	case PauseNode, CutStore, CutFlood:
-		one.Name = node.id
+		d.Name = node.id
 	case KillAll:
-		one.Name, one.Restart = AllNodes, true
+		d.Name, d.Restart = AllNodes, true
 	case StoreBusy, StoreLoses, StoreLate, StoreLosesHistory:
-		one.Name, one.Store = AllNodes, true
+		d.Name, d.Store = AllNodes, true
 	case ServerCut:
-		one.Name = s.target(fault).name
+		d.Name = s.targetServer(fault).name
 	default:
-		return one, false
+		return d, false
 	}
-	return one, true
+	return d, true
 }
 
 // restart ends a node's process and starts another one after a while.
-func (s *soak) restart(ctx context.Context, node *gateway, signal syscall.Signal, away time.Duration) {
+func (s *soak) restart(ctx context.Context, node *gateway, signal syscall.Signal, downtime time.Duration) {
 	node.restarting.Lock()
 	defer node.restarting.Unlock()
 	node.signal(syscall.SIGCONT)
 	node.stop(signal)
-	retry.Sleep(ctx, away)
+	retry.Sleep(ctx, downtime)
 	if err := node.start(); err != nil {
-		s.say("node %s does not start: %v", node.id, err)
+		s.progressf("node %s does not start: %v", node.id, err)
 	}
 }
 
-// trouble returns what befalls calls to the store.
-func (s *soak) trouble(fault Fault) func(string) standin.Trouble {
-	kind := map[Kind]standin.Trouble{StoreBusy: standin.Busy, StoreLoses: standin.AnswerLost, StoreLate: standin.AnswerLate}[fault.Kind]
+// storeTrouble returns what befalls calls to the store.
+func (s *soak) storeTrouble(fault Fault) func(string) standin.Trouble {
+	trouble := map[FaultKind]standin.Trouble{StoreBusy: standin.Busy, StoreLoses: standin.AnswerLost, StoreLate: standin.AnswerLate}[fault.Kind]
 	var mu sync.Mutex
-	random := rand.New(rand.NewPCG(s.Seed, uint64(fault.At)))
+	random := rand.New(rand.NewPCG(s.Seed, uint64(fault.After)))
 	return func(string) standin.Trouble {
 		mu.Lock()
 		defer mu.Unlock()
 		if random.Float64() < fault.Share {
-			return kind
+			return trouble
 		}
 		return standin.Calm
 	}
 }
 
-// target returns the server of a fault. The first one is left for the drain in calm.
-func (s *soak) target(fault Fault) *server { return s.servers[1+fault.Target%(len(s.servers)-1)] }
+// targetServer returns the server of a fault. The first one is left for the drain in calm.
+func (s *soak) targetServer(fault Fault) *server { return s.servers[1+fault.Target%(len(s.servers)-1)] }
 
-func (s *soak) harmServer(ctx context.Context, fault Fault) {
-	one := s.target(fault)
+func (s *soak) injectServerFault(ctx context.Context, fault Fault) {
+	target := s.targetServer(fault)
 	if fault.Kind != DrainServer {
-		defer s.serverOut(one)()
+		defer s.trackOutage(target)()
 	}
 	switch fault.Kind {
 	case ServerCut:
-		one.proxy.set(fault.Harm)
-		retry.Sleep(ctx, fault.For)
-		one.proxy.set(Clear)
+		target.proxy.setFault(fault.Connection)
+		retry.Sleep(ctx, fault.Duration)
+		target.proxy.setFault(NoFault)
 	case ServerBad:
-		one.Behave(s.misbehaviour(fault))
-		retry.Sleep(ctx, fault.For)
-		one.Behave(nil)
+		target.Behave(s.misbehaviour(fault))
+		retry.Sleep(ctx, fault.Duration)
+		target.Behave(nil)
 	case ServerFull:
-		one.Fill(true)
-		retry.Sleep(ctx, fault.For)
-		one.Fill(false)
+		target.Fill(true)
+		retry.Sleep(ctx, fault.Duration)
+		target.Fill(false)
 	case DrainServer:
-		s.drain(ctx, one, false)
+		s.drain(ctx, target, false)
 	}
 }
 
 func (s *soak) misbehaviour(fault Fault) func(int) standin.Behaviour {
-	random := rand.New(rand.NewPCG(s.Seed, uint64(fault.At)))
+	random := rand.New(rand.NewPCG(s.Seed, uint64(fault.After)))
 	return func(int) standin.Behaviour {
 		if random.Float64() < fault.Share {
-			return bad[random.IntN(len(bad))]
+			return misbehaviours[random.IntN(len(misbehaviours))]
 		}
 		return standin.Whole
 	}
--- a/internal/lab/soak/foreign.go
+++ b/internal/lab/soak/foreign.go
@@ -6,55 +6,55 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// foreignKnown is how long after a server's row was overwritten nodes in touch may still
+// foreignGrace is how long after a server's row was overwritten nodes in touch may still
 // send to it, as after any other news of a server (contactMs).
-const foreignKnown = contactBound
+const foreignGrace = contactBound
 
-// stranger is a server that no valid row names.
-type stranger struct {
+// foreignServer is a server that no valid row names.
+type foreignServer struct {
 	standin.Server
 	address string
 }
 
-// strangerName is the server's name in a history.
-const strangerName = "stranger"
+// foreignServerName is the server's name in a history.
+const foreignServerName = "stranger"
 
-// addStranger starts the server that only rows of other writers name.
-func (s *soak) addStranger() error {
-	s.stranger.ID, s.stranger.Events, s.stranger.EventTime = strangerName, answerSize, eventTime
+// addForeignServer starts the server that only rows of other writers name.
+func (s *soak) addForeignServer() error {
+	s.foreignServer.ID, s.foreignServer.Events, s.foreignServer.EventTime = foreignServerName, answerSize, eventTime
 	var err error
-	s.stranger.address, err = s.listen(&s.stranger.Server)
+	s.foreignServer.address, err = s.listen(&s.foreignServer.Server)
 	return err
 }
 
-// foreign: a row of another writer names no server to use.
-func (c *check) foreign() {
-	var strange []ServerRun
+// checkForeignRows: a row of another writer names no server to use.
+func (c *checker) checkForeignRows() {
+	var foreign []ServerRun
 	for _, run := range c.Runs {
-		if run.Server == strangerName {
-			strange = append(strange, run)
+		if run.Server == foreignServerName {
+			foreign = append(foreign, run)
 		}
 	}
-	if len(strange) > 0 {
-		c.broken(ForeignUnused, "%d runs reached a server that only rows of other writers name, the first of them %s at %s",
-			len(strange), strange[0].ID, c.moment(strange[0].At))
+	if len(foreign) > 0 {
+		c.addViolation(ForeignUnused, "%d runs reached a server that only rows of other writers name, the first of them %s at %s",
+			len(foreign), foreign[0].ID, c.timestamp(foreign[0].At))
 	}
 	nodeOf := map[string]string{}
-	for _, one := range c.Requests {
-		nodeOf[one.ID] = one.Node
+	for _, req := range c.Requests {
+		nodeOf[req.ID] = req.Node
 	}
-	for _, one := range c.Overwritten {
+	for _, overwrite := range c.Overwritten {
 		var late []ServerRun
 		for _, run := range c.Runs {
-			isLate := run.At.After(one.From.Add(foreignKnown)) && run.At.Before(one.To)
-			if run.Server == one.Server && isLate && c.inTouch(nodeOf, run) {
+			tooLate := run.At.After(overwrite.From.Add(foreignGrace)) && run.At.Before(overwrite.To)
+			if run.Server == overwrite.Server && tooLate && c.fromConnectedNode(nodeOf, run) {
 				late = append(late, run)
 			}
 		}
 		if len(late) > 0 {
 			last := late[len(late)-1]
-			c.broken(ForeignUnused, "server %s got %d runs too late after its row was overwritten at %s, the last of them %s %v after that",
-				one.Server, len(late), c.moment(one.From), last.ID, last.At.Sub(one.From).Round(time.Millisecond))
+			c.addViolation(ForeignUnused, "server %s got %d runs too late after its row was overwritten at %s, the last of them %s %v after that",
+				overwrite.Server, len(late), c.timestamp(overwrite.From), last.ID, last.At.Sub(overwrite.From).Round(time.Millisecond))
 		}
 	}
 }
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -15,16 +15,16 @@
 type Request struct {
 	ID     string
 	Prefix string
-	// Once requests may run once only.
-	Once bool
+	// AtMostOnce requests may run once only.
+	AtMostOnce bool
 	// Tenant is whose key it carried.
 	Tenant string
 	// Node is the gateway that was asked, Life counts its processes.
-	Node   string
-	Life   int
-	Sent   time.Time
-	Ended  time.Time
-	Answer *standin.Answer
+	Node    string
+	Process int
+	Sent    time.Time
+	Ended   time.Time
+	Answer  *standin.Answer
 }
 
 // Job is a job as its caller saw it.
@@ -41,8 +41,8 @@
 	EndedAt time.Time
 }
 
-// Reading is a result as one reading of a job's list showed it, at a moment.
-type Reading struct {
+// Observation is a result as one reading of a job's list showed it, at a moment.
+type Observation struct {
 	Job      string
 	Position int
 	At       time.Time
@@ -84,15 +84,15 @@
 	standin.ColdSend
 }
 
-// HarmSend is a request with work that ends the servers which run it.
-type HarmSend struct {
+// HarmfulRequest is a request with work that ends the servers which run it.
+type HarmfulRequest struct {
 	ID, Work, Node string
 	Sent           time.Time
 	Answer         *standin.Answer
 }
 
-// HarmEnd is the end of a server under a request.
-type HarmEnd struct {
+// HarmfulCrash is the end of a server under a request.
+type HarmfulCrash struct {
 	ID, Work, Server string
 	// Reached is when the request came to the server, At when the server ended.
 	Reached, At time.Time
@@ -127,13 +127,13 @@
 // History is all that callers and servers have seen. It is safe for concurrent
 // use while it is recorded.
 type History struct {
-	mu       sync.Mutex
-	Requests []Request
-	Jobs     []Job
-	Readings []Reading
-	Reads    []Read
-	Drains   []Drain
-	Runs     []ServerRun
+	mu           sync.Mutex
+	Requests     []Request
+	Jobs         []Job
+	Observations []Observation
+	Reads        []Read
+	Drains       []Drain
+	Runs         []ServerRun
 	// ColdSends are in no order.
 	ColdSends []ColdSend
 	// Evacuations are from the acknowledgement until just before they are taken back.
@@ -142,11 +142,11 @@
 	Disturbances []Disturbance
 	// NodeZones and ServerZones are the zones, by the names of those in them.
 	NodeZones, ServerZones map[string]string
-	// HarmSends are the requests with harmful work, HarmEnds the ends of servers under it.
-	HarmSends []HarmSend
-	HarmEnds  []HarmEnd
-	// Ended are the ends of nodes that nobody had asked for.
-	Ended []EndedError
+	// HarmfulRequests are the requests with harmful work, HarmEnds the ends of servers under it.
+	HarmfulRequests []HarmfulRequest
+	HarmfulCrashes  []HarmfulCrash
+	// Exits are the ends of nodes that nobody had asked for.
+	Exits []ExitError
 	// ServerOutages are in no order and may overlap.
 	ServerOutages []ServerOutage
 	// Overwritten are the times in which a server's row was another writer's.
@@ -154,10 +154,10 @@
 	// ServerSlots are the slots of servers, by their names.
 	ServerSlots map[string]int
 	// Silences, ServerStarts and ForeignRows are the faults of these kinds that were made.
-	Silences, ServerStarts, ForeignRows, HistoryLosses []Kind
-	// Began is when the load began, LoadOver when it was over. Calm tells when nothing was
+	Silences, ServerStarts, ForeignRows, HistoryLosses []FaultKind
+	// LoadStart is when the load began, LoadEnd when it was over. CalmFrom tells when nothing was
 	// disturbed any more, which is before that.
-	Began, Calm, LoadOver time.Time
+	LoadStart, CalmFrom, LoadEnd time.Time
 	// Backlog is the time that the servers need for what was not listed when the load was over.
 	Backlog time.Duration
 	// Events is the number of events of a whole answer.
@@ -169,46 +169,46 @@
 
 	// listed are the items that some reading has shown.
 	listed map[string]bool
-	// order are the results in the order in which readings have shown them.
-	order []resultPlace
+	// listOrder are the results in the listOrder in which readings have shown them.
+	listOrder []resultPosition
 }
 
 // record adds one to a list of a history.
-func record[T any](h *History, list *[]T, one T) {
+func record[T any](h *History, list *[]T, entry T) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	*list = append(*list, one)
+	*list = append(*list, entry)
 }
 
-func (h *History) reading(job string, from int, results []standin.Listed) {
+func (h *History) observe(job string, position int, results []standin.Listed) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	for i, one := range results {
-		h.Readings = append(h.Readings, Reading{Job: job, Position: from + i, At: now, Listed: one})
-		if !h.listed[one.Item] {
-			h.order = append(h.order, resultPlace{job, from + i})
+	for i, result := range results {
+		h.Observations = append(h.Observations, Observation{Job: job, Position: position + i, At: now, Listed: result})
+		if !h.listed[result.Item] {
+			h.listOrder = append(h.listOrder, resultPosition{job, position + i})
 		}
-		h.listed[one.Item] = true
+		h.listed[result.Item] = true
 	}
 }
 
-// latest returns the last results that readings have shown, up to some.
-func (h *History) latest(most int) []resultPlace {
+// latestListed returns the last results that readings have shown, up to some.
+func (h *History) latestListed(limit int) []resultPosition {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Clone(h.order[max(0, len(h.order)-most):])
+	return slices.Clone(h.listOrder[max(0, len(h.listOrder)-limit):])
 }
 
-// final notes a job's list as it was read at the end.
-func (h *History) final(job string, results []standin.Listed) {
+// recordFinal notes a job's list as it was read at the end.
+func (h *History) recordFinal(job string, results []standin.Listed) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.Final[job] = results
 }
 
-// unlisted returns how many of a job's items no reading has shown.
-func (h *History) unlisted(job *Job) int {
+// unlistedCount returns how many of a job's items no reading has shown.
+func (h *History) unlistedCount(job *Job) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	count := 0
@@ -220,10 +220,10 @@
 	return count
 }
 
-// disturbed notes a disturbance that ends now.
-func (h *History) disturbed(one Disturbance) {
-	one.To = time.Now()
-	record(h, &h.Disturbances, one)
+// recordDisturbance notes a disturbance that ends now.
+func (h *History) recordDisturbance(d Disturbance) {
+	d.To = time.Now()
+	record(h, &h.Disturbances, d)
 }
 
 // jobs returns the jobs so far.
--- a/internal/lab/soak/open_test.go
+++ b/internal/lab/soak/open_test.go
@@ -21,7 +21,7 @@
 		t.Skip("runs processes for over a minute")
 	}
 	t.Parallel()
-	for _, one := range []Options{
+	for _, options := range []Options{
 		// A cold server gets more than it bears.
 		{Seed: 3041, Nodes: 8, Regions: 2},
 		{Seed: 3005, Nodes: 8, Regions: 2},
@@ -29,26 +29,26 @@
 		// An item that gave way is not sent again.
 		{Seed: 3032, Nodes: 5, Regions: 1},
 		// Items wait beside servers that had been emptied.
-		{Seed: 1, Nodes: 3, For: 8 * time.Second},
+		{Seed: 1, Nodes: 3, Duration: 8 * time.Second},
 	} {
-		t.Run(fmt.Sprint(one.Seed), func(t *testing.T) {
-			one.For = cmp.Or(one.For, 35*time.Second)
-			one.FirstPlanOnly, one.Overcommit = true, true
-			play(t, one)
+		t.Run(fmt.Sprint(options.Seed), func(t *testing.T) {
+			options.Duration = cmp.Or(options.Duration, 35*time.Second)
+			options.FirstPlanOnly, options.Overcommit = true, true
+			runSeed(t, options)
 		})
 	}
 }
 
-// play plays a run and fails with each promise that it breaks.
-func play(t *testing.T, one Options) {
+// runSeed plays a run and fails with each promise that it breaks.
+func runSeed(t *testing.T, options Options) {
 	t.Helper()
-	one.Ready, one.Progress = remaining(t), t.Logf
-	report, err := Run(t.Context(), one)
+	options.ReadyTimeout, options.Progress = remainingTime(t), t.Logf
+	report, err := Run(t.Context(), options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, broken := range report.Broken {
-		t.Error(broken)
+	for _, violation := range report.Violations {
+		t.Error(violation)
 	}
 }
 
@@ -62,13 +62,13 @@
 		t.Skip("runs processes for over a minute")
 	}
 	t.Parallel()
-	for _, one := range []Options{
+	for _, options := range []Options{
 		{Seed: 6021, Nodes: 8, Regions: 2, Servers: 4, Slots: 1},
 		{Seed: 6005, Nodes: 8, Regions: 1},
 	} {
-		t.Run(fmt.Sprint(one.Seed), func(t *testing.T) {
-			one.For, one.Overcommit = 20*time.Second, true
-			play(t, one)
+		t.Run(fmt.Sprint(options.Seed), func(t *testing.T) {
+			options.Duration, options.Overcommit = 20*time.Second, true
+			runSeed(t, options)
 		})
 	}
 }
@@ -95,7 +95,7 @@
 		t.Skip("runs processes for over two minutes")
 	}
 	t.Parallel()
-	for _, one := range []Options{
+	for _, options := range []Options{
 		{Seed: 7215, Nodes: 8, Regions: 2},
 		{Seed: 7217, Nodes: 5, Regions: 2},
 		{Seed: 7218, Nodes: 6, Regions: 2},
@@ -105,9 +105,9 @@
 		// Cold servers got more than they bear.
 		{Seed: 7244, Nodes: 20, Regions: 2, Servers: 24, Slots: 4},
 	} {
-		t.Run(fmt.Sprint(one.Seed), func(t *testing.T) {
-			one.For = 20 * time.Second
-			play(t, one)
+		t.Run(fmt.Sprint(options.Seed), func(t *testing.T) {
+			options.Duration = 20 * time.Second
+			runSeed(t, options)
 		})
 	}
 }
@@ -124,5 +124,5 @@
 		t.Skip("runs processes for half a minute")
 	}
 	t.Parallel()
-	play(t, Options{Seed: 8050, Nodes: 6, Regions: 2, Servers: 12, Slots: 2, For: 15 * time.Second})
+	runSeed(t, Options{Seed: 8050, Nodes: 6, Regions: 2, Servers: 12, Slots: 2, Duration: 15 * time.Second})
 }
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -20,10 +20,10 @@
 const (
 	// processGrace is how long a node may take to stop.
 	processGrace = 5 * time.Second
-	// killAfter is how much longer than that one waits before it is killed.
-	killAfter = 3 * time.Second
-	// portChoices bounds the starts of one life on other ports.
-	portChoices = 5
+	// killMargin is how much longer than that one waits before it is killed.
+	killMargin = 3 * time.Second
+	// maxPortRetries bounds the starts of one life on other ports.
+	maxPortRetries = 5
 )
 
 // gateway is a node that runs as a process of its own, behind a proxy to the store.
@@ -39,36 +39,36 @@
 
 	mu      sync.Mutex
 	address string
-	current *life
-	life    int
-	ends    []EndedError
+	current *process
+	started int
+	exits   []ExitError
 }
 
-// life is one process of a node.
-type life struct {
+// process is one process of a node.
+type process struct {
 	command *exec.Cmd
-	// logFrom is the size of the node's log at its start.
-	logFrom int64
-	// choices counts the ports that were in use before this life's.
-	choices int
-	// told is set once it was sent a signal to end.
-	told bool
+	// logStart is the size of the node's log at its start.
+	logStart int64
+	// portRetries counts the ports that were in use before this life's.
+	portRetries int
+	// stopRequested is set once it was sent a signal to end.
+	stopRequested bool
 	// exited is closed when the process has ended and what follows from it is done.
 	exited chan struct{}
 }
 
 // newGateway chooses a node's ports and writes its settings.
 func newGateway(id, zone string, places place.Map, store, directory string) (*gateway, error) {
-	towards, err := startProxy(store)
+	storeProxy, err := startProxy(store)
 	if err != nil {
 		return nil, err
 	}
 	g := &gateway{
-		id: id, zone: zone, places: places, store: towards,
+		id: id, zone: zone, places: places, store: storeProxy,
 		settings: filepath.Join(directory, id+".yaml"), log: filepath.Join(directory, id+".log"),
 	}
 	if err := g.choosePorts(); err != nil {
-		towards.close()
+		storeProxy.close()
 		return nil, err
 	}
 	return g, nil
@@ -87,8 +87,8 @@
 		Node: settings.Node{ID: g.id, Zone: g.zone, Region: g.places.Region(g.zone), Zones: g.places, Listen: addresses[0]},
 		Gateway: settings.Gateway{
 			Store: g.store.address(), Readiness: addresses[1], Peers: addresses[2],
-			Quota: settings.Quota{Over: quotaOver, Slack: limitSlack},
-			Cold:  settings.Cold{Over: coldOver, Slack: coldSlack},
+			Quota: settings.Quota{Over: quotaTolerance, Slack: limitSlack},
+			Cold:  settings.Cold{Over: coldFactor, Slack: coldSlack},
 			Grace: v1.Duration(processGrace), KeepJobs: v1.Duration(10 * time.Minute),
 		},
 	}
@@ -111,27 +111,27 @@
 	return g.startLocked(0)
 }
 
-func (g *gateway) startLocked(choices int) error {
+func (g *gateway) startLocked(portRetries int) error {
 	executable, err := os.Executable()
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	output, err := os.OpenFile(g.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(g.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	defer func() { _ = output.Close() }()
-	before, err := output.Stat()
+	defer func() { _ = logFile.Close() }()
+	info, err := logFile.Stat()
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	command := exec.Command(executable, "node", "--settings", g.settings)
-	command.Stdout, command.Stderr = output, output
+	command.Stdout, command.Stderr = logFile, logFile
 	if err := command.Start(); err != nil {
 		return Error.Wrap(err)
 	}
-	g.current = &life{command: command, logFrom: before.Size(), choices: choices, exited: make(chan struct{})}
-	g.life++
+	g.current = &process{command: command, logStart: info.Size(), portRetries: portRetries, exited: make(chan struct{})}
+	g.started++
 	go g.supervise(g.current)
 	return nil
 }
@@ -153,32 +153,32 @@
 // stop ends the process with a signal and waits until it is gone.
 func (g *gateway) stop(signal syscall.Signal) {
 	g.mu.Lock()
-	ending := g.current
-	if ending == nil {
+	p := g.current
+	if p == nil {
 		g.mu.Unlock()
 		return
 	}
-	ending.told = true
+	p.stopRequested = true
 	g.signalLocked(signal)
 	g.mu.Unlock()
 	select {
-	case <-ending.exited:
-	case <-time.After(processGrace + killAfter):
+	case <-p.exited:
+	case <-time.After(processGrace + killMargin):
 		g.signal(syscall.SIGKILL)
-		<-ending.exited
+		<-p.exited
 	}
 }
 
-// at returns the node's present host:port for callers.
-func (g *gateway) at() string {
+// listenAddress returns the node's present host:port for callers.
+func (g *gateway) listenAddress() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.address
 }
 
-// lives returns the number of the present process.
-func (g *gateway) lives() int {
+// processNumber returns the number of the present process.
+func (g *gateway) processNumber() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.life
+	return g.started
 }
--- a/internal/lab/soak/process_test.go
+++ b/internal/lab/soak/process_test.go
@@ -15,9 +15,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/settings"
 )
 
-// remaining is the time that a test has, less what the report of a failure and the
+// remainingTime is the time that a test has, less what the report of a failure and the
 // ends of the processes take; 0 if it has no end.
-func remaining(t *testing.T) time.Duration {
+func remainingTime(t *testing.T) time.Duration {
 	t.Helper()
 	const margin = 30 * time.Second
 	deadline, ok := t.Deadline()
@@ -27,12 +27,12 @@
 	return max(time.Until(deadline)-margin, time.Second)
 }
 
-// newTrial returns a soak with a store, two servers and one node that is not started.
-func newTrial(t *testing.T) (*soak, *gateway) {
+// newTestSoak returns a soak with a store, two servers and one node that is not started.
+func newTestSoak(t *testing.T) (*soak, *gateway) {
 	t.Helper()
-	s := newSoak(Options{Nodes: 1, Ready: remaining(t), Progress: t.Logf})
+	s := newSoak(Options{Nodes: 1, ReadyTimeout: remainingTime(t), Progress: t.Logf})
 	t.Cleanup(s.close)
-	storeAt, err := s.listen(s.store)
+	storeAddress, err := s.listen(s.store)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 			t.Fatal(err)
 		}
 	}
-	node, err := newGateway("node-0", s.zones[0].name, places(s.zones), storeAt, t.TempDir())
+	node, err := newGateway("node-0", s.zones[0].name, places(s.zones), storeAddress, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,15 +81,15 @@
 // A finding (CI beside other work): "node node-2 does not serve". A port that somebody
 // took between its choice and the start of the node is chosen again.
 func TestGateway_PortTakenBeforeTheStart(t *testing.T) {
-	for _, one := range nodeAddresses {
-		t.Run(one.name, func(t *testing.T) {
-			s, node := newTrial(t)
+	for _, address := range nodeAddresses {
+		t.Run(address.name, func(t *testing.T) {
+			s, node := newTestSoak(t)
 			s.configure()
-			occupy(t, node, one.of, one.network)
+			occupy(t, node, address.of, address.network)
 			if err := node.start(); err != nil {
 				t.Fatal(err)
 			}
-			if err := s.ready(t.Context()); err != nil {
+			if err := s.awaitReady(t.Context()); err != nil {
 				t.Fatal(err)
 			}
 		})
@@ -97,13 +97,13 @@
 }
 
 // The same while a node is away between two of its lives.
-func TestGateway_PortTakenBeforeTheNextLife(t *testing.T) {
-	s, node := newTrial(t)
+func TestGateway_PortTakenBeforeTheRestart(t *testing.T) {
+	s, node := newTestSoak(t)
 	s.configure()
 	if err := node.start(); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.ready(t.Context()); err != nil {
+	if err := s.awaitReady(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	node.stop(syscall.SIGKILL)
@@ -111,32 +111,32 @@
 	if err := node.start(); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.ready(t.Context()); err != nil {
+	if err := s.awaitReady(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // A finding (CI): "does not serve" after 15 s told nothing of a process that had ended.
-func TestReady_NodeThatEnds(t *testing.T) {
-	s, node := newTrial(t)
+func TestAwaitReady_NodeThatExits(t *testing.T) {
+	s, node := newTestSoak(t)
 	if err := os.WriteFile(node.settings, []byte("node: {id: x, unheardOf: 1}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := node.start(); err != nil {
 		t.Fatal(err)
 	}
-	var ended *EndedError
-	if err := s.ready(t.Context()); !errors.As(err, &ended) {
+	var exitErr *ExitError
+	if err := s.awaitReady(t.Context()); !errors.As(err, &exitErr) {
 		t.Fatalf("got %v", err)
 	}
-	if ended.Node != node.id || ended.State != "exit status 3" || !strings.Contains(ended.Error(), "unheardOf") {
-		t.Fatalf("got %v", ended)
+	if exitErr.Node != node.id || exitErr.State != "exit status 3" || !strings.Contains(exitErr.Error(), "unheardOf") {
+		t.Fatalf("got %v", exitErr)
 	}
 }
 
 // A node that runs and is refused what it needs is told apart from one that has ended.
-func TestReady_NodeThatDoesNotServe(t *testing.T) {
-	s, node := newTrial(t)
+func TestAwaitReady_NodeThatDoesNotServe(t *testing.T) {
+	s, node := newTestSoak(t)
 	// There is no configuration, so there are no routes.
 	if err := node.start(); err != nil {
 		t.Fatal(err)
@@ -144,25 +144,25 @@
 	const started = "gateway started"
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		for ctx.Err() == nil && !strings.Contains(node.lastLines(), started) {
+		for ctx.Err() == nil && !strings.Contains(node.logTail(), started) {
 			time.Sleep(time.Millisecond)
 		}
 		cancel()
 	}()
-	err := s.ready(ctx)
-	var unready *UnreadyError
-	if !errors.As(err, &unready) || !errors.Is(err, context.Canceled) {
+	err := s.awaitReady(ctx)
+	var notReady *NotReadyError
+	if !errors.As(err, &notReady) || !errors.Is(err, context.Canceled) {
 		t.Fatalf("got %v", err)
 	}
-	if unready.Node != node.id || !strings.Contains(unready.Error(), started) {
-		t.Fatalf("got %v", unready)
+	if notReady.Node != node.id || !strings.Contains(notReady.Error(), started) {
+		t.Fatalf("got %v", notReady)
 	}
-	if ends := node.ended(); len(ends) > 0 {
-		t.Fatalf("it ended: %v", ends)
+	if exits := node.unexpectedExits(); len(exits) > 0 {
+		t.Fatalf("it ended: %v", exits)
 	}
 }
 
-func TestGateway_Ends(t *testing.T) {
+func TestGateway_UnexpectedExits(t *testing.T) {
 	tests := []struct {
 		name string
 		end  func(*gateway)
@@ -176,12 +176,12 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s, node := newTrial(t)
+			s, node := newTestSoak(t)
 			s.configure()
 			if err := node.start(); err != nil {
 				t.Fatal(err)
 			}
-			if err := s.ready(t.Context()); err != nil {
+			if err := s.awaitReady(t.Context()); err != nil {
 				t.Fatal(err)
 			}
 			node.mu.Lock()
@@ -189,12 +189,12 @@
 			node.mu.Unlock()
 			test.end(node)
 			<-exited
-			ends := node.ended()
-			if test.want == "" && len(ends) > 0 {
-				t.Fatalf("an end in order is noted: %v", ends)
+			exits := node.unexpectedExits()
+			if test.want == "" && len(exits) > 0 {
+				t.Fatalf("an end in order is noted: %v", exits)
 			}
-			if test.want != "" && (len(ends) != 1 || ends[0].State != test.want || ends[0].Life != 1) {
-				t.Fatalf("got %v, want %s", ends, test.want)
+			if test.want != "" && (len(exits) != 1 || exits[0].State != test.want || exits[0].Process != 1) {
+				t.Fatalf("got %v, want %s", exits, test.want)
 			}
 		})
 	}
@@ -202,20 +202,20 @@
 
 // A port that is in use again and again ends in an error that says so.
 func TestGateway_PortTakenEachTime(t *testing.T) {
-	s, node := newTrial(t)
+	s, node := newTestSoak(t)
 	s.configure()
 	occupy(t, node, nodeAddresses[0].of, nodeAddresses[0].network)
 	node.mu.Lock()
-	err := node.startLocked(portChoices)
+	err := node.startLocked(maxPortRetries)
 	node.mu.Unlock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var ended *EndedError
-	if err := s.ready(t.Context()); !errors.As(err, &ended) {
+	var exitErr *ExitError
+	if err := s.awaitReady(t.Context()); !errors.As(err, &exitErr) {
 		t.Fatalf("got %v", err)
 	}
-	if !strings.Contains(ended.State, errChoices.Error()) || !strings.Contains(ended.Log, syscall.EADDRINUSE.Error()) {
-		t.Fatalf("got %v", ended)
+	if !strings.Contains(exitErr.State, errPortRetries.Error()) || !strings.Contains(exitErr.Log, syscall.EADDRINUSE.Error()) {
+		t.Fatalf("got %v", exitErr)
 	}
 }
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Harm is what befalls the connections of a proxy.
-type Harm int
+// ConnectionFault is what befalls the connections of a proxy.
+type ConnectionFault int
 
 // Harms.
 const (
-	// Clear passes everything on.
-	Clear Harm = iota
-	// Slow delays each piece.
-	Slow
-	// Resets breaks connections, also those that are open.
-	Resets
-	// Deaf passes nothing on towards the upstream.
-	Deaf
-	// Mute passes nothing back.
-	Mute
+	// NoFault passes everything on.
+	NoFault ConnectionFault = iota
+	// Delay delays each piece.
+	Delay
+	// Reset breaks connections, also those that are open.
+	Reset
+	// StallToUpstream passes nothing on towards the upstream.
+	StallToUpstream
+	// StallToCaller passes nothing back.
+	StallToCaller
 )
 
-const slowBy = 150 * time.Millisecond
+const faultDelay = 150 * time.Millisecond
 
 // proxy passes TCP connections on over loopback, and harms them.
 type proxy struct {
@@ -33,25 +33,25 @@
 	mu sync.Mutex
 	// listener is nil while connections are refused; at is its address.
 	listener net.Listener
-	at       string
-	harm     Harm
-	open     map[net.Conn]bool
+	addr     string
+	fault    ConnectionFault
+	conns    map[net.Conn]bool
 	links    map[*link]bool
-	ended    bool
+	closed   bool
 }
 
 // link is a caller's connection and the one to the upstream that belongs to it.
 type link struct {
 	caller, upstream net.Conn
-	// silent is closed once the link passes nothing on any more, ended when nobody is left to
+	// silenced is closed once the link passes nothing on any more, closed when nobody is left to
 	// hear of it.
-	silent, ended chan struct{}
+	silenced, closed chan struct{}
 }
 
-// isSilent reports whether the link passes nothing on.
-func (l *link) isSilent() bool {
+// isSilenced reports whether the link passes nothing on.
+func (l *link) isSilenced() bool {
 	select {
-	case <-l.silent:
+	case <-l.silenced:
 		return true
 	default:
 		return false
@@ -64,12 +64,12 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	p := &proxy{listener: listener, at: listener.Addr().String(), upstream: upstream, open: map[net.Conn]bool{}, links: map[*link]bool{}}
+	p := &proxy{listener: listener, addr: listener.Addr().String(), upstream: upstream, conns: map[net.Conn]bool{}, links: map[*link]bool{}}
 	go p.accept(listener)
 	return p, nil
 }
 
-func (p *proxy) address() string { return p.at }
+func (p *proxy) address() string { return p.addr }
 
 // silence has all open connections pass nothing on for good, without a reset: neither side
 // hears anything of the other, not even its end. New connections are as they were.
@@ -77,11 +77,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for link := range p.links {
-		if !link.isSilent() {
-			close(link.silent)
+		if !link.isSilenced() {
+			close(link.silenced)
 		}
 		// A reset does not reach the caller any more.
-		delete(p.open, link.caller)
+		delete(p.conns, link.caller)
 	}
 }
 
@@ -90,24 +90,24 @@
 func (p *proxy) refuse() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.listener == nil || p.ended {
+	if p.listener == nil || p.closed {
 		return
 	}
 	_ = p.listener.Close()
 	p.listener = nil
-	for conn := range p.open {
+	for conn := range p.conns {
 		_ = conn.Close()
 	}
 }
 
-// accepts takes connections again after refuse.
-func (p *proxy) accepts() error {
+// acceptAgain takes connections again after refuse.
+func (p *proxy) acceptAgain() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.listener != nil || p.ended {
+	if p.listener != nil || p.closed {
 		return nil
 	}
-	listener, err := net.Listen("tcp", p.at)
+	listener, err := net.Listen("tcp", p.addr)
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -116,15 +116,15 @@
 	return nil
 }
 
-// set changes the harm. Resets breaks what is open.
-func (p *proxy) set(harm Harm) {
+// setFault changes the harm. Resets breaks what is open.
+func (p *proxy) setFault(fault ConnectionFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.harm = harm
-	if harm != Resets {
+	p.fault = fault
+	if fault != Reset {
 		return
 	}
-	for conn := range p.open {
+	for conn := range p.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
@@ -132,24 +132,24 @@
 	}
 }
 
-func (p *proxy) now() Harm {
+func (p *proxy) currentFault() ConnectionFault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.harm
+	return p.fault
 }
 
 func (p *proxy) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended = true
+	p.closed = true
 	if p.listener != nil {
 		_ = p.listener.Close()
 	}
 	for link := range p.links {
-		close(link.ended)
+		close(link.closed)
 		delete(p.links, link)
 	}
-	for conn := range p.open {
+	for conn := range p.conns {
 		_ = conn.Close()
 	}
 }
@@ -158,16 +158,16 @@
 func (p *proxy) track(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.ended {
-		p.open[conn] = true
+	if !p.closed {
+		p.conns[conn] = true
 	}
-	return !p.ended
+	return !p.closed
 }
 
 func (p *proxy) untrack(conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.open, conn)
+	delete(p.conns, conn)
 	_ = conn.Close()
 }
 
@@ -182,7 +182,7 @@
 }
 
 func (p *proxy) serve(caller net.Conn) {
-	if !p.track(caller) || p.now() == Resets {
+	if !p.track(caller) || p.currentFault() == Reset {
 		p.untrack(caller)
 		return
 	}
@@ -196,54 +196,54 @@
 		return
 	}
 	defer p.untrack(upstream)
-	pair := p.join(caller, upstream)
-	if pair == nil {
+	l := p.addLink(caller, upstream)
+	if l == nil {
 		return
 	}
-	defer p.part(pair)
+	defer p.removeLink(l)
 	var both sync.WaitGroup
-	both.Go(func() { p.copy(pair, upstream, caller, Deaf) })
-	both.Go(func() { p.copy(pair, caller, upstream, Mute) })
+	both.Go(func() { p.copy(l, upstream, caller, StallToUpstream) })
+	both.Go(func() { p.copy(l, caller, upstream, StallToCaller) })
 	both.Wait()
 }
 
-// join notes that two connections belong together; nil if the proxy has ended.
-func (p *proxy) join(caller, upstream net.Conn) *link {
+// addLink notes that two connections belong together; nil if the proxy has ended.
+func (p *proxy) addLink(caller, upstream net.Conn) *link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ended {
+	if p.closed {
 		return nil
 	}
-	pair := &link{caller: caller, upstream: upstream, silent: make(chan struct{}), ended: make(chan struct{})}
-	p.links[pair] = true
-	return pair
+	l := &link{caller: caller, upstream: upstream, silenced: make(chan struct{}), closed: make(chan struct{})}
+	p.links[l] = true
+	return l
 }
 
-func (p *proxy) part(pair *link) {
+func (p *proxy) removeLink(l *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.links, pair)
+	delete(p.links, l)
 }
 
 // copy passes pieces on, and holds them while the proxy has the harm.
-func (p *proxy) copy(pair *link, to, from net.Conn, holds Harm) {
-	const pieceBytes = 32 << 10
-	piece := make([]byte, pieceBytes)
+func (p *proxy) copy(l *link, to, from net.Conn, stall ConnectionFault) {
+	const bufferBytes = 32 << 10
+	buf := make([]byte, bufferBytes)
 	for {
-		n, err := from.Read(piece)
-		for p.now() == holds {
+		n, err := from.Read(buf)
+		for p.currentFault() == stall {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if p.now() == Slow {
-			time.Sleep(slowBy)
+		if p.currentFault() == Delay {
+			time.Sleep(faultDelay)
 		}
-		if pair.isSilent() {
+		if l.isSilenced() {
 			// Both connections stay open, so that neither side hears of the other.
-			<-pair.ended
+			<-l.closed
 			break
 		}
 		if n > 0 {
-			if _, writeErr := to.Write(piece[:n]); writeErr != nil {
+			if _, writeErr := to.Write(buf[:n]); writeErr != nil {
 				break
 			}
 		}
--- a/internal/lab/soak/proxy_test.go
+++ b/internal/lab/soak/proxy_test.go
@@ -28,13 +28,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, err := startProxy(address)
+	proxy, err := startProxy(address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(before.close)
-	ask := func() (net.Conn, *bufio.Scanner) {
-		conn, err := net.Dial("tcp", before.address())
+	t.Cleanup(proxy.close)
+	get := func() (net.Conn, *bufio.Scanner) {
+		conn, err := net.Dial("tcp", proxy.address())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,28 +47,28 @@
 		}
 		return conn, lines
 	}
-	silent, _ := ask()
-	before.silence()
+	silenced, _ := get()
+	proxy.silence()
 	close(more)
-	hearsNothing := func(when string) {
-		if err := silent.SetReadDeadline(time.Now().Add(200 * time.Millisecond)); err != nil {
+	expectNoData := func(when string) {
+		if err := silenced.SetReadDeadline(time.Now().Add(200 * time.Millisecond)); err != nil {
 			t.Fatal(err)
 		}
-		lines := bufio.NewScanner(silent)
+		lines := bufio.NewScanner(silenced)
 		if lines.Scan() || !errors.Is(lines.Err(), os.ErrDeadlineExceeded) {
 			t.Errorf("%s: read %q, error %v", when, lines.Text(), lines.Err())
 		}
 	}
-	hearsNothing("after the answer's end")
-	if _, lines := ask(); !lines.Scan() || lines.Text() != "second" {
+	expectNoData("after the answer's end")
+	if _, lines := get(); !lines.Scan() || lines.Text() != "second" {
 		t.Errorf("a new connection got %q", lines.Text())
 	}
-	before.refuse()
-	hearsNothing("after the server's crash")
-	if err := before.accepts(); err != nil {
+	proxy.refuse()
+	expectNoData("after the server's crash")
+	if err := proxy.acceptAgain(); err != nil {
 		t.Fatal(err)
 	}
-	if _, lines := ask(); !lines.Scan() || lines.Text() != "second" {
+	if _, lines := get(); !lines.Scan() || lines.Text() != "second" {
 		t.Errorf("a connection after the crash got %q", lines.Text())
 	}
 }
--- a/internal/lab/soak/secondfaults.go
+++ b/internal/lab/soak/secondfaults.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// rollMost is how many nodes are restarted one after the other at most.
-	rollMost = 5
-	// configurations follow each other by configurePause.
-	configurations = 4
+	// maxRolledNodes is how many nodes are restarted one after the other at most.
+	maxRolledNodes = 5
+	// configureCount follow each other by configurePause.
+	configureCount = 4
 	configurePause = 100 * time.Millisecond
-	// warmShare is the share of a fault up to which a server that starts again is warm.
-	warmShare = 0.3
-	// turnedBack is by how much the clock of a server has stepped back.
-	turnedBack = 10 * time.Minute
+	// maxWarmShare is the share of a fault up to which a server that starts again is warm.
+	maxWarmShare = 0.3
+	// clockStepBack is by how much the clock of a server has stepped back.
+	clockStepBack = 10 * time.Minute
 )
 
-// applySecond makes one fault of the second plan and undoes it.
-func (s *soak) applySecond(ctx context.Context, fault Fault) {
+// injectSecond makes one fault of the second plan and undoes it.
+func (s *soak) injectSecond(ctx context.Context, fault Fault) {
 	node := s.gateways[fault.Target%len(s.gateways)]
 	switch fault.Kind {
 	case SilentServer, SilentServers, SilentStore, SilentStores:
@@ -33,17 +33,17 @@
 	case RenewServer, ReturnServer, BlinkServer, TurnBackServer:
 		s.restartServer(ctx, fault)
 	case ForeignRow:
-		s.foreignRow(ctx, fault)
+		s.putForeignRow(ctx, fault)
 	case OverwriteRow:
-		s.overwriteRow(ctx, fault)
+		s.overwriteServerRow(ctx, fault)
 	case StoreLosesHistory:
-		s.loseHistory(ctx, fault)
+		s.loseStoreHistory(ctx, fault)
 	case ReloadNode:
 		node.signal(syscall.SIGHUP)
 	case RollNodes:
-		s.roll(ctx, fault)
+		s.rollNodes(ctx, fault)
 	case ConfigureMany:
-		for range configurations {
+		for range configureCount {
 			s.configure()
 			retry.Sleep(ctx, configurePause)
 		}
@@ -53,7 +53,7 @@
 // silence has open connections go silent. That counts as a disturbance of this moment, as a
 // reset does.
 func (s *soak) silence(fault Fault, node *gateway) {
-	servers, nodes := []*server{s.target(fault)}, []*gateway{node}
+	servers, nodes := []*server{s.targetServer(fault)}, []*gateway{node}
 	switch fault.Kind {
 	case SilentServer:
 		nodes = nil
@@ -64,21 +64,21 @@
 	case SilentStores:
 		servers, nodes = nil, s.gateways
 	}
-	for _, one := range servers {
-		one.proxy.silence()
-		s.disturbed(Disturbance{Name: one.name, From: time.Now()})
+	for _, srv := range servers {
+		srv.proxy.silence()
+		s.recordDisturbance(Disturbance{Name: srv.name, From: time.Now()})
 	}
-	for _, one := range nodes {
-		one.store.silence()
-		s.disturbed(Disturbance{Name: one.id, From: time.Now()})
+	for _, gateway := range nodes {
+		gateway.store.silence()
+		s.recordDisturbance(Disturbance{Name: gateway.id, From: time.Now()})
 	}
 	record(&s.History, &s.Silences, fault.Kind)
 }
 
-// loseHistory has the store leave a share of all calls without an answer, and drop its
+// loseStoreHistory has the store leave a share of all calls without an answer, and drop its
 // history in the midst of that.
-func (s *soak) loseHistory(ctx context.Context, fault Fault) {
-	random := rand.New(rand.NewPCG(s.Seed, uint64(fault.At)))
+func (s *soak) loseStoreHistory(ctx context.Context, fault Fault) {
+	random := rand.New(rand.NewPCG(s.Seed, uint64(fault.After)))
 	var mu sync.Mutex
 	s.store.SetSilent(func(string) bool {
 		mu.Lock()
@@ -86,18 +86,18 @@
 		return random.Float64() < fault.Share
 	})
 	defer s.store.SetSilent(nil)
-	retry.Sleep(ctx, fault.For/2)
+	retry.Sleep(ctx, fault.Duration/2)
 	s.store.Forget()
 	record(&s.History, &s.HistoryLosses, fault.Kind)
-	retry.Sleep(ctx, fault.For-fault.For/2)
+	retry.Sleep(ctx, fault.Duration-fault.Duration/2)
 }
 
-// firstOf returns the first server, from the fault's target on, that a function holds for;
+// firstServer returns the first server, from the fault's target on, that a function holds for;
 // nil if there is none.
-func (s *soak) firstOf(fault Fault, holds func(*server) bool) *server {
+func (s *soak) firstServer(fault Fault, match func(*server) bool) *server {
 	for range s.servers {
-		if one := s.target(fault); holds(one) {
-			return one
+		if srv := s.targetServer(fault); match(srv) {
+			return srv
 		}
 		fault.Target++
 	}
@@ -106,135 +106,135 @@
 
 // restartServer crashes a server that runs and starts it again, also one that has left.
 func (s *soak) restartServer(ctx context.Context, fault Fault) {
-	began := time.Now()
-	var gone incarnation
-	one := s.firstOf(fault, func(one *server) bool {
-		gone = one.present()
-		return one.crash(gone.key)
+	start := time.Now()
+	var previous incarnation
+	srv := s.firstServer(fault, func(srv *server) bool {
+		previous = srv.current()
+		return srv.crash(previous.key)
 	})
-	if one == nil {
-		s.say("        %s left out: no server runs", fault.Kind)
+	if srv == nil {
+		s.progressf("        %s left out: no server runs", fault.Kind)
 		return
 	}
-	defer s.disturbed(Disturbance{Name: one.name, From: began})
-	if fault.For > lapse {
-		retry.Sleep(ctx, lapse)
-		one.unlist(gone)
+	defer s.recordDisturbance(Disturbance{Name: srv.name, From: start})
+	if fault.Duration > rowTTL {
+		retry.Sleep(ctx, rowTTL)
+		srv.removeRow(previous)
 	}
-	retry.Sleep(ctx, time.Until(began.Add(fault.For)))
-	s.bringBack(one, fault)
-	s.cold.Go(func() { s.whileCold(ctx, one) })
+	retry.Sleep(ctx, time.Until(start.Add(fault.Duration)))
+	s.restartCrashed(srv, fault)
+	s.warming.Go(func() { s.awaitWarm(ctx, srv) })
 	// The row of the former id lapses, as that process writes it no more.
-	retry.Sleep(ctx, time.Until(began.Add(lapse)))
-	one.unlist(gone)
+	retry.Sleep(ctx, time.Until(start.Add(rowTTL)))
+	srv.removeRow(previous)
 }
 
-// bringBack starts a crashed server, unless its zone was lost meanwhile.
-func (s *soak) bringBack(one *server, fault Fault) {
-	if err := one.proxy.accepts(); err != nil {
-		s.say("server %s stays away: %v", one.name, err)
+// restartCrashed starts a crashed server, unless its zone was lost meanwhile.
+func (s *soak) restartCrashed(srv *server, fault Fault) {
+	if err := srv.proxy.acceptAgain(); err != nil {
+		s.progressf("server %s stays away: %v", srv.name, err)
 		return
 	}
-	one.mu.Lock()
-	one.crashed = false
-	if !one.lost {
-		one.leaves = false
-		key, born := one.next(fault.Kind)
-		one.bear(key, born, coldAfter(fault))
+	srv.mu.Lock()
+	srv.crashed = false
+	if !srv.lost {
+		srv.draining = false
+		key, startedAt := srv.nextIncarnation(fault.Kind)
+		srv.startIncarnationLocked(key, startedAt, coldTime(fault))
 		record(&s.History, &s.ServerStarts, fault.Kind)
 	}
-	one.mu.Unlock()
-	one.list()
+	srv.mu.Unlock()
+	srv.writeRow()
 }
 
-// next returns the key of a server's next start, and the moment of that by its own clock.
+// nextIncarnation returns the key of a server's nextIncarnation start, and the moment of that by its own clock.
 // The caller holds mu.
-func (one *server) next(kind Kind) (key string, born time.Time) {
+func (srv *server) nextIncarnation(kind FaultKind) (key string, startedAt time.Time) {
 	switch kind {
 	case RenewServer:
-		return fmt.Sprintf("%s-%d", one.name, one.starts+1), time.Now()
+		return fmt.Sprintf("%s-%d", srv.name, srv.starts+1), time.Now()
 	case TurnBackServer:
-		return one.key, one.born.Add(-turnedBack)
+		return srv.key, srv.startedAt.Add(-clockStepBack)
 	default:
-		return one.key, time.Now()
+		return srv.key, time.Now()
 	}
 }
 
-// coldAfter is how long a server is cold once it has started again.
-func coldAfter(fault Fault) time.Duration {
-	if fault.Share < warmShare {
+// coldTime is how long a server is cold once it has started again.
+func coldTime(fault Fault) time.Duration {
+	if fault.Share < maxWarmShare {
 		return 0
 	}
 	return coldStart
 }
 
-// roll restarts some nodes, one after the other.
-func (s *soak) roll(ctx context.Context, fault Fault) {
-	for number := range min(rollMost, len(s.gateways)-1) {
+// rollNodes restarts some nodes, one after the other.
+func (s *soak) rollNodes(ctx context.Context, fault Fault) {
+	for number := range min(maxRolledNodes, len(s.gateways)-1) {
 		node := s.gateways[(fault.Target+number)%len(s.gateways)]
 		from := time.Now()
-		s.restart(ctx, node, syscall.SIGTERM, restartAfter)
-		s.disturbed(Disturbance{Name: node.id, From: from, Restart: true})
+		s.restart(ctx, node, syscall.SIGTERM, restartDelay)
+		s.recordDisturbance(Disturbance{Name: node.id, From: from, Restart: true})
 		if ctx.Err() != nil {
 			return
 		}
 	}
 }
 
-// foreignRow has another writer leave a row of its own for a while. Its address is that of a
+// putForeignRow has another writer leave a row of its own for a while. Its address is that of a
 // server which nobody has declared.
-func (s *soak) foreignRow(ctx context.Context, fault Fault) {
-	rows := standin.ForeignRows(s.stranger.address, s.zoneOf(fault.Target).name)
-	key := fmt.Sprintf("foreign-%d", fault.At.Milliseconds())
+func (s *soak) putForeignRow(ctx context.Context, fault Fault) {
+	rows := standin.ForeignRows(s.foreignServer.address, s.zoneOf(fault.Target).name)
+	key := fmt.Sprintf("foreign-%d", fault.After.Milliseconds())
 	s.store.PutValue("servers", "", key, rows[fault.Target%len(rows)])
-	s.say("        %s: %q under %s", fault.Kind, rows[fault.Target%len(rows)], key)
+	s.progressf("        %s: %q under %s", fault.Kind, rows[fault.Target%len(rows)], key)
 	record(&s.History, &s.ForeignRows, fault.Kind)
-	retry.Sleep(ctx, fault.For)
+	retry.Sleep(ctx, fault.Duration)
 	s.store.Remove("servers", key)
 }
 
-// overwriteRow has another writer overwrite the row of a server, until that writes it again.
-func (s *soak) overwriteRow(ctx context.Context, fault Fault) {
+// overwriteServerRow has another writer overwrite the row of a server, until that writes it again.
+func (s *soak) overwriteServerRow(ctx context.Context, fault Fault) {
 	var since time.Time
 	var row []byte
-	one := s.firstOf(fault, func(one *server) bool {
-		rows := standin.ForeignRows(one.proxy.address(), one.zone)
+	srv := s.firstServer(fault, func(srv *server) bool {
+		rows := standin.ForeignRows(srv.proxy.address(), srv.zone)
 		row = rows[fault.Target%len(rows)]
-		since = one.overwrite(row)
+		since = srv.overwrite(row)
 		return !since.IsZero()
 	})
-	if one == nil {
-		s.say("        %s left out: no server has a row of its own", fault.Kind)
+	if srv == nil {
+		s.progressf("        %s left out: no server has a row of its own", fault.Kind)
 		return
 	}
-	s.say("        %s: %q for %s", fault.Kind, row, one.name)
+	s.progressf("        %s: %q for %s", fault.Kind, row, srv.name)
 	record(&s.History, &s.ForeignRows, fault.Kind)
-	retry.Sleep(ctx, fault.For)
-	one.rewrite(since)
+	retry.Sleep(ctx, fault.Duration)
+	srv.restoreRow(since)
 }
 
 // overwrite puts a value of another writer into the server's row. It returns when, or the
 // zero time if the server has no row of its own.
-func (one *server) overwrite(value []byte) time.Time {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	if one.leaves || one.lost || one.crashed || !one.foreignSince.IsZero() {
+func (srv *server) overwrite(value []byte) time.Time {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if srv.draining || srv.lost || srv.crashed || !srv.overwrittenSince.IsZero() {
 		return time.Time{}
 	}
-	one.store.PutValue("servers", "", one.key, value)
-	one.foreignSince = time.Now()
-	one.noteLocked()
-	return one.foreignSince
+	srv.store.PutValue("servers", "", srv.key, value)
+	srv.overwrittenSince = time.Now()
+	srv.updateOutageLocked()
+	return srv.overwrittenSince
 }
 
-// rewrite has the server write its row again that was overwritten at a moment.
-func (one *server) rewrite(since time.Time) {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	if one.foreignSince != since {
+// restoreRow has the server write its row again that was overwritten at a moment.
+func (srv *server) restoreRow(since time.Time) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if srv.overwrittenSince != since {
 		return
 	}
-	one.ownRowLocked()
-	one.listLocked()
-	one.noteLocked()
+	srv.endOverwriteLocked()
+	srv.writeRowLocked()
+	srv.updateOutageLocked()
 }
--- a/internal/lab/soak/secondplan.go
+++ b/internal/lab/soak/secondplan.go
@@ -14,33 +14,33 @@
 }
 
 const (
-	// secondFirst is when the second plan begins, secondPause the least time between two of its
+	// secondStart is when the second plan begins, secondPause the least time between two of its
 	// series, secondSpread by how much that varies.
-	secondFirst  = 1500 * time.Millisecond
+	secondStart  = 1500 * time.Millisecond
 	secondPause  = time.Second
-	secondSpread = 3 * time.Second
-	// seriesMost is how many faults a series has at most, seriesPause the time between two.
-	seriesMost  = 3
+	secondJitter = 3 * time.Second
+	// maxSeries is how many faults a series has at most, seriesPause the time between two.
+	maxSeries   = 3
 	seriesPause = 400 * time.Millisecond
-	// blinkLeast and blinkSpread bound how long a server is away whose row stays.
-	blinkLeast  = 50 * time.Millisecond
-	blinkSpread = 250 * time.Millisecond
+	// minBlink and blinkSpread bound how long a server is away whose row stays.
+	minBlink    = 50 * time.Millisecond
+	blinkJitter = 250 * time.Millisecond
 )
 
 const (
-	// historyFirst is when the store may lose its history and answers first, historyPause the
+	// historyStart is when the store may lose its history and answers first, historyPause the
 	// least time between two such faults, historySpread by how much both vary.
-	historyFirst  = 3 * time.Second
+	historyStart  = 3 * time.Second
 	historyPause  = 9 * time.Second
-	historySpread = 6 * time.Second
-	// historyLeast and historyMore bound how long one lasts: long enough that several tries of
+	historyJitter = 6 * time.Second
+	// minHistoryLoss and historyMore bound how long one lasts: long enough that several tries of
 	// one call meet it.
-	historyLeast = 3 * time.Second
-	historyMore  = 4 * time.Second
-	// silentLeast and silentMore bound the share of calls without an answer: enough that some
+	minHistoryLoss    = 3 * time.Second
+	historyLossJitter = 4 * time.Second
+	// minSilentShare and silentMore bound the share of calls without an answer: enough that some
 	// node loses several in a row, few enough that others go on.
-	silentLeast = 0.3
-	silentMore  = 0.3
+	minSilentShare    = 0.3
+	silentShareJitter = 0.3
 )
 
 // SecondPlan returns more faults of a seed, which Plan does not have: series of one to three
@@ -48,55 +48,55 @@
 // with those of Plan.
 func SecondPlan(seed uint64, length time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed^0xD1B54A32D192ED03, seed))
-	kinds := deck(secondWeights)
+	kinds := weightedKinds(secondWeights)
 	var plan []Fault
-	for at := secondFirst; at < length; at += secondPause + time.Duration(random.Int64N(int64(secondSpread))) {
+	for at := secondStart; at < length; at += secondPause + time.Duration(random.Int64N(int64(secondJitter))) {
 		plan = append(plan, series(random, kinds, at)...)
 	}
 	// They are drawn after all others, so that the series of a seed stay as they are.
-	plan = merge(plan, historyLosses(random, length))
-	return slices.DeleteFunc(plan, func(one Fault) bool { return one.At >= length })
+	plan = mergePlans(plan, historyLosses(random, length))
+	return slices.DeleteFunc(plan, func(fault Fault) bool { return fault.After >= length })
 }
 
 // historyLosses draws the losses of the store's history.
 func historyLosses(random *rand.Rand, length time.Duration) []Fault {
-	later := func(least, spread time.Duration) time.Duration {
-		return least + time.Duration(random.Int64N(int64(spread)))
+	randomDuration := func(minimum, jitter time.Duration) time.Duration {
+		return minimum + time.Duration(random.Int64N(int64(jitter)))
 	}
 	var plan []Fault
-	for at := later(historyFirst, historySpread); at < length; at += later(historyPause, historySpread) {
+	for at := randomDuration(historyStart, historyJitter); at < length; at += randomDuration(historyPause, historyJitter) {
 		plan = append(plan, Fault{
-			At: at, Kind: StoreLosesHistory, For: later(historyLeast, historyMore),
-			Share: silentLeast + silentMore*random.Float64(),
+			After: at, Kind: StoreLosesHistory, Duration: randomDuration(minHistoryLoss, historyLossJitter),
+			Share: minSilentShare + silentShareJitter*random.Float64(),
 		})
 	}
 	return plan
 }
 
 // series draws a series of faults of one kind.
-func series(random *rand.Rand, kinds []Kind, at time.Duration) []Fault {
+func series(random *rand.Rand, kinds []FaultKind, at time.Duration) []Fault {
 	kind, target, step := kinds[random.IntN(len(kinds))], random.IntN(1<<16), random.IntN(2)
 	var plan []Fault
-	for number := range 1 + random.IntN(seriesMost) {
+	for number := range 1 + random.IntN(maxSeries) {
 		fault := Fault{
-			At: at + time.Duration(number)*seriesPause, Kind: kind, Target: target + number*step,
-			For:   500*time.Millisecond + time.Duration(random.Int64N(int64(4*time.Second))),
-			Share: 0.1 + 0.4*random.Float64(),
+			After: at + time.Duration(number)*seriesPause, Kind: kind, Target: target + number*step,
+			Duration: 500*time.Millisecond + time.Duration(random.Int64N(int64(4*time.Second))),
+			Share:    0.1 + 0.4*random.Float64(),
 		}
 		switch kind {
 		case BlinkServer:
-			fault.For = blinkLeast + time.Duration(random.Int64N(int64(blinkSpread)))
+			fault.Duration = minBlink + time.Duration(random.Int64N(int64(blinkJitter)))
 		case OverwriteRow:
-			fault.For += foreignKnown
+			fault.Duration += foreignGrace
 		}
 		plan = append(plan, fault)
 	}
 	return plan
 }
 
-// merge returns the faults of two plans in the order of their moments.
-func merge(first, second []Fault) []Fault {
+// mergePlans returns the faults of two plans in the order of their moments.
+func mergePlans(first, second []Fault) []Fault {
 	plan := slices.Concat(first, second)
-	slices.SortStableFunc(plan, func(a, b Fault) int { return int(a.At - b.At) })
+	slices.SortStableFunc(plan, func(a, b Fault) int { return int(a.After - b.After) })
 	return plan
 }
--- a/internal/lab/soak/servers.go
+++ b/internal/lab/soak/servers.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// drainLife is how long a draining server lives on.
-	drainLife = 4 * time.Second
-	// lapse is how long the row of a server that is lost stays: three heartbeats.
-	lapse = time.Second
+	// drainTime is how long a draining server lives on.
+	drainTime = 4 * time.Second
+	// rowTTL is how long the row of a server that is lost stays: three heartbeats.
+	rowTTL = time.Second
 	// coldStart is how long a server is cold after a start, coldRate the requests a
 	// second that it bears meanwhile.
 	coldStart = 3 * time.Second
@@ -34,80 +34,80 @@
 	mu sync.Mutex
 	// key is that of its row, which a start keeps or changes; born is its start as the
 	// server's own clock has it.
-	key    string
-	born   time.Time
-	starts int
-	// leaves is set once the server was told to leave, lost while it does not run, crashed
+	key       string
+	startedAt time.Time
+	starts    int
+	// draining is set once the server was told to leave, lost while it does not run, crashed
 	// while its process has ended.
-	leaves, lost, crashed bool
-	// foreignSince is when its row was overwritten by another writer; zero once it has
+	draining, lost, crashed bool
+	// overwrittenSince is when its row was overwritten by another writer; zero once it has
 	// written the row again, or the row has gone.
-	foreignSince time.Time
-	foreign      []ServerOutage
-	// outSince is since when it cannot be used; zero while it can.
-	outSince time.Time
-	outages  []ServerOutage
+	overwrittenSince time.Time
+	overwritten      []ServerOutage
+	// unusableSince is since when it cannot be used; zero while it can.
+	unusableSince time.Time
+	outages       []ServerOutage
 }
 
-func (s *soak) addServer(name string, at *zone) error {
-	kept := s.Slots
+func (s *soak) addServer(name string, zone *zone) error {
+	slots := s.Slots
 	if s.Overcommit {
-		kept = 0
+		slots = 0
 	}
-	one := &server{
-		Server: &standin.Server{ID: name, Events: answerSize, EventTime: eventTime, Slots: kept},
-		name:   name, key: name, zone: at.name, slots: s.Slots, store: s.store, born: time.Now(),
+	srv := &server{
+		Server: &standin.Server{ID: name, Events: answerSize, EventTime: eventTime, Slots: slots},
+		name:   name, key: name, zone: zone.name, slots: s.Slots, store: s.store, startedAt: time.Now(),
 	}
-	address, err := s.listen(s.harmable(one))
+	address, err := s.listen(s.harmfulHandler(srv))
 	if err != nil {
 		return err
 	}
-	if one.proxy, err = startProxy(address); err != nil {
+	if srv.proxy, err = startProxy(address); err != nil {
 		return err
 	}
-	s.closers = append(s.closers, one.proxy.close)
-	s.servers = append(s.servers, one)
-	s.ServerZones[name], s.ServerSlots[name] = at.name, s.Slots
-	one.list()
+	s.closers = append(s.closers, srv.proxy.close)
+	s.servers = append(s.servers, srv)
+	s.ServerZones[name], s.ServerSlots[name] = zone.name, s.Slots
+	srv.writeRow()
 	return nil
 }
 
-// list writes the server's row as it is now, if it runs and stays. While its row is
+// writeRow writes the server's row as it is now, if it runs and stays. While its row is
 // another writer's it does not look at it.
-func (one *server) list() {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	if one.foreignSince.IsZero() {
-		one.listLocked()
+func (srv *server) writeRow() {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if srv.overwrittenSince.IsZero() {
+		srv.writeRowLocked()
 	}
 }
 
-func (one *server) listLocked() {
-	if !one.leaves && !one.lost && !one.crashed {
-		one.store.Put("servers", one.key, one.entry().Row())
+func (srv *server) writeRowLocked() {
+	if !srv.draining && !srv.lost && !srv.crashed {
+		srv.store.Put("servers", srv.key, srv.entry().Row())
 	}
 }
 
 // entry is what the server's row says. The caller holds mu.
-func (one *server) entry() standin.Entry {
+func (srv *server) entry() standin.Entry {
 	return standin.Entry{
-		Address: one.proxy.address(), Zone: one.zone, Slots: one.slots, Born: one.born,
-		Draining: one.leaves, Cold: !one.leaves, ColdLeft: one.ColdLeft(),
+		Address: srv.proxy.address(), Zone: srv.zone, Slots: srv.slots, Born: srv.startedAt,
+		Draining: srv.draining, Cold: !srv.draining, ColdLeft: srv.ColdLeft(),
 	}
 }
 
-// leave writes that the server drains. It reports whether it had not been told so before,
+// startDraining writes that the server drains. It reports whether it had not been told so before,
 // and runs.
-func (one *server) leave() bool {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	if one.leaves || one.lost || one.crashed {
+func (srv *server) startDraining() bool {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if srv.draining || srv.lost || srv.crashed {
 		return false
 	}
-	one.leaves = true
-	one.store.Put("servers", one.key, one.entry().Row())
-	one.ownRowLocked()
-	one.noteLocked()
+	srv.draining = true
+	srv.store.Put("servers", srv.key, srv.entry().Row())
+	srv.endOverwriteLocked()
+	srv.updateOutageLocked()
 	return true
 }
 
@@ -117,125 +117,125 @@
 	number int
 }
 
-// present returns the server's present incarnation.
-func (one *server) present() incarnation {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	return incarnation{one.key, one.starts}
+// current returns the server's current incarnation.
+func (srv *server) current() incarnation {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	return incarnation{srv.key, srv.starts}
 }
 
-// unlist drops the row of an incarnation, unless the server has started again under its key.
-func (one *server) unlist(gone incarnation) {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	if one.key == gone.key && one.starts != gone.number {
+// removeRow drops the row of an incarnation, unless the server has started again under its key.
+func (srv *server) removeRow(previous incarnation) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if srv.key == previous.key && srv.starts != previous.number {
 		return
 	}
-	one.store.Remove("servers", gone.key)
-	if one.key == gone.key {
-		one.ownRowLocked()
+	srv.store.Remove("servers", previous.key)
+	if srv.key == previous.key {
+		srv.endOverwriteLocked()
 	}
 }
 
-// ownRowLocked notes that the row under the server's key is no other writer's any more.
-func (one *server) ownRowLocked() {
-	if !one.foreignSince.IsZero() {
-		one.foreign = append(one.foreign, ServerOutage{Server: one.name, From: one.foreignSince, To: time.Now()})
-		one.foreignSince = time.Time{}
+// endOverwriteLocked notes that the row under the server's key is no other writer's any more.
+func (srv *server) endOverwriteLocked() {
+	if !srv.overwrittenSince.IsZero() {
+		srv.overwritten = append(srv.overwritten, ServerOutage{Server: srv.name, From: srv.overwrittenSince, To: time.Now()})
+		srv.overwrittenSince = time.Time{}
 	}
 }
 
-// noteLocked notes since when the server cannot be used, or that it can again.
-func (one *server) noteLocked() {
-	usable := !one.leaves && !one.lost && !one.crashed && one.foreignSince.IsZero()
+// updateOutageLocked notes since when the server cannot be used, or that it can again.
+func (srv *server) updateOutageLocked() {
+	usable := !srv.draining && !srv.lost && !srv.crashed && srv.overwrittenSince.IsZero()
 	switch {
-	case !usable && one.outSince.IsZero():
-		one.outSince = time.Now()
-	case usable && !one.outSince.IsZero():
-		one.outages = append(one.outages, ServerOutage{Server: one.name, From: one.outSince, To: time.Now()})
-		one.outSince = time.Time{}
+	case !usable && srv.unusableSince.IsZero():
+		srv.unusableSince = time.Now()
+	case usable && !srv.unusableSince.IsZero():
+		srv.outages = append(srv.outages, ServerOutage{Server: srv.name, From: srv.unusableSince, To: time.Now()})
+		srv.unusableSince = time.Time{}
 	}
 }
 
-// outs returns when the server could not be used, up to a moment.
-func (one *server) outs(until time.Time) []ServerOutage {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	outages := slices.Clone(one.outages)
-	if !one.outSince.IsZero() {
-		outages = append(outages, ServerOutage{Server: one.name, From: one.outSince, To: until})
+// outagesUntil returns when the server could not be used, up to a moment.
+func (srv *server) outagesUntil(until time.Time) []ServerOutage {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	outages := slices.Clone(srv.outages)
+	if !srv.unusableSince.IsZero() {
+		outages = append(outages, ServerOutage{Server: srv.name, From: srv.unusableSince, To: until})
 	}
 	return outages
 }
 
-// lose has the server answer nobody; its row lapses.
-func (one *server) lose(ctx context.Context) {
-	one.mu.Lock()
-	one.lost = true
-	one.noteLocked()
-	one.mu.Unlock()
-	gone := one.present()
-	one.proxy.set(Resets)
-	retry.Sleep(ctx, lapse)
-	one.unlist(gone)
+// takeDown has the server answer nobody; its row lapses.
+func (srv *server) takeDown(ctx context.Context) {
+	srv.mu.Lock()
+	srv.lost = true
+	srv.updateOutageLocked()
+	srv.mu.Unlock()
+	previous := srv.current()
+	srv.proxy.setFault(Reset)
+	retry.Sleep(ctx, rowTTL)
+	srv.removeRow(previous)
 }
 
-// start has a lost server be there again, as one that has just started.
-func (one *server) start() {
-	one.mu.Lock()
-	one.lost = false
-	one.bear(fmt.Sprintf("%s-%d", one.name, one.starts+1), time.Now(), coldStart)
-	one.mu.Unlock()
-	one.proxy.set(Clear)
-	one.list()
+// bringUp has a lost server be there again, as one that has just started.
+func (srv *server) bringUp() {
+	srv.mu.Lock()
+	srv.lost = false
+	srv.startIncarnationLocked(fmt.Sprintf("%s-%d", srv.name, srv.starts+1), time.Now(), coldStart)
+	srv.mu.Unlock()
+	srv.proxy.setFault(NoFault)
+	srv.writeRow()
 }
 
-// bear begins an incarnation under a key. The caller holds mu.
-func (one *server) bear(key string, born time.Time, cold time.Duration) {
-	one.starts++
-	one.key, one.born = key, born
-	one.Restart(key, cold)
-	one.ownRowLocked()
-	one.noteLocked()
+// startIncarnationLocked begins an incarnation under a key. The caller holds mu.
+func (srv *server) startIncarnationLocked(key string, startedAt time.Time, cold time.Duration) {
+	srv.starts++
+	srv.key, srv.startedAt = key, startedAt
+	srv.Restart(key, cold)
+	srv.endOverwriteLocked()
+	srv.updateOutageLocked()
 }
 
 // chill has a server turn cold, and say so, until it is warm again.
-func (s *soak) chill(ctx context.Context, one *server, length time.Duration) {
-	one.Chill(length)
-	one.list()
-	s.whileCold(ctx, one)
+func (s *soak) chill(ctx context.Context, srv *server, length time.Duration) {
+	srv.Chill(length)
+	srv.writeRow()
+	s.awaitWarm(ctx, srv)
 }
 
-// whileCold waits until a server is warm and has it say so.
-func (s *soak) whileCold(ctx context.Context, one *server) {
-	defer s.serverOut(one)()
-	for left := one.ColdLeft(); left > 0; left = one.ColdLeft() {
+// awaitWarm waits until a server is warm and has it say so.
+func (s *soak) awaitWarm(ctx context.Context, srv *server) {
+	defer s.trackOutage(srv)()
+	for left := srv.ColdLeft(); left > 0; left = srv.ColdLeft() {
 		retry.Sleep(ctx, left)
 		if ctx.Err() != nil {
 			return
 		}
 	}
-	one.list()
+	srv.writeRow()
 }
 
-// serverOut notes that a server may not be able to work from now on until the returned
+// trackOutage notes that a server may not be able to work from now on until the returned
 // function is called.
-func (s *soak) serverOut(one *server) func() {
+func (s *soak) trackOutage(srv *server) func() {
 	from := time.Now()
 	return func() {
-		record(&s.History, &s.ServerOutages, ServerOutage{Server: one.name, From: from, To: time.Now()})
+		record(&s.History, &s.ServerOutages, ServerOutage{Server: srv.name, From: from, To: time.Now()})
 	}
 }
 
 // drain lists a server as draining until it leaves. Only in calm the promise counts.
-func (s *soak) drain(ctx context.Context, one *server, calm bool) {
-	if !one.leave() {
+func (s *soak) drain(ctx context.Context, srv *server, calm bool) {
+	if !srv.startDraining() {
 		return
 	}
-	gone := one.present()
+	previous := srv.current()
 	if calm {
-		record(&s.History, &s.Drains, Drain{Server: one.name, At: time.Now()})
+		record(&s.History, &s.Drains, Drain{Server: srv.name, At: time.Now()})
 	}
-	retry.Sleep(ctx, drainLife)
-	one.unlist(gone)
+	retry.Sleep(ctx, drainTime)
+	srv.removeRow(previous)
 }
--- a/internal/lab/soak/servers_test.go
+++ b/internal/lab/soak/servers_test.go
@@ -10,8 +10,8 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// rowsOf returns the values of the servers' rows in a store, by their keys.
-func rowsOf(t *testing.T, store *standin.Store) map[string][]byte {
+// serverRows returns the values of the servers' rows in a store, by their keys.
+func serverRows(t *testing.T, store *standin.Store) map[string][]byte {
 	t.Helper()
 	answer := httptest.NewRecorder()
 	store.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/v1/rows-get?table=servers", nil))
@@ -28,8 +28,8 @@
 	return rows
 }
 
-// bornOf returns the start in a row, in Unix milliseconds.
-func bornOf(t *testing.T, row []byte) int64 {
+// startOf returns the start in a row, in Unix milliseconds.
+func startOf(t *testing.T, row []byte) int64 {
 	t.Helper()
 	var entry struct {
 		Born int64 `json:"born"`
@@ -55,32 +55,32 @@
 
 func TestRestartServer_KeepsOrChangesItsID(t *testing.T) {
 	for _, test := range []struct {
-		kind  Kind
-		away  time.Duration
-		key   string
-		later bool
+		kind     FaultKind
+		downtime time.Duration
+		key      string
+		later    bool
 	}{
 		{RenewServer, 10 * time.Millisecond, "server-1-1", true},
-		{ReturnServer, lapse + 100*time.Millisecond, "server-1", true},
+		{ReturnServer, rowTTL + 100*time.Millisecond, "server-1", true},
 		{BlinkServer, 10 * time.Millisecond, "server-1", true},
 		{TurnBackServer, 10 * time.Millisecond, "server-1", false},
 	} {
 		t.Run(string(test.kind), func(t *testing.T) {
 			t.Parallel()
-			s, one := newServers(t)
-			before := bornOf(t, rowsOf(t, s.store)["server-1"])
+			s, srv := newServers(t)
+			before := startOf(t, serverRows(t, s.store)["server-1"])
 			// Starts within one millisecond could not be told apart.
 			time.Sleep(2 * time.Millisecond)
-			s.restartServer(t.Context(), Fault{Kind: test.kind, For: test.away})
-			rows := rowsOf(t, s.store)
+			s.restartServer(t.Context(), Fault{Kind: test.kind, Duration: test.downtime})
+			rows := serverRows(t, s.store)
 			if len(rows) != len(s.servers) || rows[test.key] == nil {
 				t.Fatalf("rows %q", rows)
 			}
-			if born := bornOf(t, rows[test.key]); born > before != test.later {
-				t.Errorf("born at %d, before that at %d", born, before)
+			if started := startOf(t, rows[test.key]); started > before != test.later {
+				t.Errorf("born at %d, before that at %d", started, before)
 			}
-			if outs := one.outs(time.Now()); len(outs) != 1 || len(s.ServerStarts) != 1 {
-				t.Errorf("outages %v, starts %v", outs, s.ServerStarts)
+			if outages := srv.outagesUntil(time.Now()); len(outages) != 1 || len(s.ServerStarts) != 1 {
+				t.Errorf("outages %v, starts %v", outages, s.ServerStarts)
 			}
 		})
 	}
@@ -88,40 +88,40 @@
 
 // A server that has left may come back under its id, and what was to remove the row of its
 // former life does not remove that of the new one.
-func TestRestartServer_AfterItHasLeft(t *testing.T) {
-	s, one := newServers(t)
-	if !one.leave() {
+func TestRestartServer_AfterDraining(t *testing.T) {
+	s, srv := newServers(t)
+	if !srv.startDraining() {
 		t.Fatal("it does not leave")
 	}
-	gone := one.present()
+	previous := srv.current()
 	s.restartServer(t.Context(), Fault{Kind: BlinkServer})
-	one.unlist(gone)
-	if rows := rowsOf(t, s.store); rows["server-1"] == nil {
+	srv.removeRow(previous)
+	if rows := serverRows(t, s.store); rows["server-1"] == nil {
 		t.Fatalf("rows %q", rows)
 	}
-	if !one.leave() {
+	if !srv.startDraining() {
 		t.Error("it does not leave a second time")
 	}
 }
 
 func TestOverwriteRow_UntilItIsWrittenAgain(t *testing.T) {
-	s, one := newServers(t)
-	since := one.overwrite([]byte("not JSON"))
-	one.list()
-	if row := rowsOf(t, s.store)["server-1"]; string(row) != "not JSON" {
+	s, srv := newServers(t)
+	since := srv.overwrite([]byte("not JSON"))
+	srv.writeRow()
+	if row := serverRows(t, s.store)["server-1"]; string(row) != "not JSON" {
 		t.Fatalf("row %q while it is overwritten", row)
 	}
-	one.rewrite(since)
-	if born := bornOf(t, rowsOf(t, s.store)["server-1"]); born != one.born.UnixMilli() {
-		t.Errorf("born at %d, the server is of %d", born, one.born.UnixMilli())
+	srv.restoreRow(since)
+	if started := startOf(t, serverRows(t, s.store)["server-1"]); started != srv.startedAt.UnixMilli() {
+		t.Errorf("born at %d, the server is of %d", started, srv.startedAt.UnixMilli())
 	}
-	if len(one.foreign) != 1 || len(one.outs(time.Now())) != 1 {
-		t.Errorf("overwritten %v, outages %v", one.foreign, one.outs(time.Now()))
+	if len(srv.overwritten) != 1 || len(srv.outagesUntil(time.Now())) != 1 {
+		t.Errorf("overwritten %v, outages %v", srv.overwritten, srv.outagesUntil(time.Now()))
 	}
 	// What comes too late does not count for another time.
-	again := one.overwrite(nil)
-	one.rewrite(since)
-	if one.foreignSince != again {
+	again := srv.overwrite(nil)
+	srv.restoreRow(since)
+	if srv.overwrittenSince != again {
 		t.Error("an earlier fault ended a later one")
 	}
 }
--- a/internal/lab/soak/settle.go
+++ b/internal/lab/soak/settle.go
@@ -22,18 +22,18 @@
 // once all items had time beyond the bound of ListedInCalm.
 func (s *soak) settle(ctx context.Context) {
 	var accepted []Job
-	left := 0
+	unlisted := 0
 	for _, job := range s.jobs() {
 		if !job.Accepted {
 			continue
 		}
 		accepted = append(accepted, job)
 		if job.EndedAt.IsZero() {
-			left += s.unlisted(&job)
+			unlisted += s.unlistedCount(&job)
 		}
 	}
-	s.Backlog = s.backlog(left)
-	deadline := s.LoadOver.Add(listBound + s.Backlog + settleMargin + time.Duration(len(accepted))*settlePerJob)
+	s.Backlog = s.backlog(unlisted)
+	deadline := s.LoadEnd.Add(listBound + s.Backlog + settleMargin + time.Duration(len(accepted))*settlePerJob)
 	s.readAll(ctx, accepted, deadline)
 }
 
@@ -42,9 +42,9 @@
 func (s *soak) backlog(items int) time.Duration {
 	slots := 0
 	now := time.Now()
-	for _, one := range s.servers {
-		if outs := one.outs(now); len(outs) == 0 || outs[len(outs)-1].To != now {
-			slots += one.slots
+	for _, srv := range s.servers {
+		if outages := srv.outagesUntil(now); len(outages) == 0 || outages[len(outages)-1].To != now {
+			slots += srv.slots
 		}
 	}
 	return time.Duration(items) * answerSize * eventTime / time.Duration(max(slots, 1))
@@ -79,11 +79,11 @@
 // readOnce reads a job's list at the node of a turn. It reports whether it needs no other
 // reading.
 func (s *soak) readOnce(ctx context.Context, job *Job, reader int, deadline time.Time) bool {
-	results, done, err := s.readWhole(ctx, job, reader+int(time.Since(s.LoadOver)/settlePause))
+	results, complete, err := s.readWhole(ctx, job, reader+int(time.Since(s.LoadEnd)/settlePause))
 	if err == nil {
-		s.final(job.ID, results)
+		s.recordFinal(job.ID, results)
 	}
-	if done || !time.Now().Before(deadline) {
+	if complete || !time.Now().Before(deadline) {
 		return true
 	}
 	retry.Sleep(ctx, settlePause)
--- a/internal/lab/soak/site.go
+++ b/internal/lab/soak/site.go
@@ -15,13 +15,13 @@
 const (
 	// headerTime is how long the stand-ins wait for the header of a request.
 	headerTime = 15 * time.Second
-	// readyCall is how long one call waits for a node that is to serve, readyPause
+	// readyCallTimeout is how long one call waits for a node that is to serve, readyPause
 	// the time between two calls, some ten times what an idle machine takes for one.
-	readyCall  = time.Second
-	readyPause = 50 * time.Millisecond
-	// readySlow is when a node that does not serve yet is spoken of; the first soaks
+	readyCallTimeout = time.Second
+	readyPause       = 50 * time.Millisecond
+	// readyLogAfter is when a node that does not serve yet is spoken of; the first soaks
 	// gave up then. Nothing is decided by it.
-	readySlow = 15 * time.Second
+	readyLogAfter = 15 * time.Second
 )
 
 // listen serves a handler on a free loopback port.
@@ -30,19 +30,19 @@
 	if err != nil {
 		return "", Error.Wrap(err)
 	}
-	serving := &http.Server{Handler: handler, ReadHeaderTimeout: headerTime}
-	go func() { _ = serving.Serve(listener) }()
-	s.closers = append(s.closers, func() { _ = serving.Close() })
+	httpServer := &http.Server{Handler: handler, ReadHeaderTimeout: headerTime}
+	go func() { _ = httpServer.Serve(listener) }()
+	s.closers = append(s.closers, func() { _ = httpServer.Close() })
 	return listener.Addr().String(), nil
 }
 
 func (s *soak) start(ctx context.Context, directory string) error {
-	storeAt, err := s.listen(s.store)
+	storeAddress, err := s.listen(s.store)
 	if err != nil {
 		return err
 	}
 	s.configure()
-	if err := s.addStranger(); err != nil {
+	if err := s.addForeignServer(); err != nil {
 		return err
 	}
 	for i := range s.Servers {
@@ -51,17 +51,17 @@
 		}
 	}
 	for i := range s.Nodes {
-		one, err := newGateway(fmt.Sprintf("node-%d", i), s.zoneOf(i).name, places(s.zones), storeAt, directory)
+		node, err := newGateway(fmt.Sprintf("node-%d", i), s.zoneOf(i).name, places(s.zones), storeAddress, directory)
 		if err != nil {
 			return err
 		}
-		s.NodeZones[one.id] = one.zone
-		s.gateways = append(s.gateways, one)
-		if err := one.start(); err != nil {
+		s.NodeZones[node.id] = node.zone
+		s.gateways = append(s.gateways, node)
+		if err := node.start(); err != nil {
 			return err
 		}
 	}
-	return s.ready(ctx)
+	return s.awaitReady(ctx)
 }
 
 // configure puts the next version of the configuration in force.
@@ -83,53 +83,53 @@
 	return s.prefixes[random.IntN(len(s.prefixes))]
 }
 
-// ready waits until all nodes serve, one has ended or the time for it is over.
-func (s *soak) ready(ctx context.Context) error {
-	if s.Ready > 0 {
+// awaitReady waits until all nodes serve, one has ended or the time for it is over.
+func (s *soak) awaitReady(ctx context.Context) error {
+	if s.ReadyTimeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, s.Ready)
+		ctx, cancel = context.WithTimeout(ctx, s.ReadyTimeout)
 		defer cancel()
 	}
-	for _, one := range s.gateways {
-		if err := s.await(ctx, one); err != nil {
+	for _, node := range s.gateways {
+		if err := s.awaitNode(ctx, node); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// await waits until a node serves.
-func (s *soak) await(ctx context.Context, node *gateway) error {
-	began := time.Now()
-	said := false
+// awaitNode waits until a node serves.
+func (s *soak) awaitNode(ctx context.Context, node *gateway) error {
+	start := time.Now()
+	logged := false
 	for number := 0; ; number++ {
-		client := standin.Client{Address: node.at(), Host: host, Key: keyOf(tenantMain)}
-		status := client.Stream(ctx, "resume", fmt.Sprintf("%s-ready-%d", node.id, number), readyCall).Status
+		client := standin.Client{Address: node.listenAddress(), Host: host, Key: apiKey(tenantMain)}
+		status := client.Stream(ctx, "resume", fmt.Sprintf("%s-ready-%d", node.id, number), readyCallTimeout).Status
 		if status == http.StatusOK {
 			return nil
 		}
-		if err := s.firstEnd(); err != nil {
+		if err := s.firstExit(); err != nil {
 			return err
 		}
-		waited := time.Since(began)
+		waited := time.Since(start)
 		if ctx.Err() != nil {
-			return &UnreadyError{
-				Node: node.id, Waited: waited, Status: status, Log: node.lastLines(), Path: node.log, Cause: context.Cause(ctx),
+			return &NotReadyError{
+				Node: node.id, Waited: waited, Status: status, Log: node.logTail(), Path: node.log, Cause: context.Cause(ctx),
 			}
 		}
-		if waited > readySlow && !said {
-			said = true
-			s.say("node %s does not serve after %v, last status %d; its log ends in:\n%s", node.id, waited, status, node.lastLines())
+		if waited > readyLogAfter && !logged {
+			logged = true
+			s.progressf("node %s does not serve after %v, last status %d; its log ends in:\n%s", node.id, waited, status, node.logTail())
 		}
 		retry.Sleep(ctx, readyPause)
 	}
 }
 
-// firstEnd returns the first end of a node that nobody had asked for, or nil.
-func (s *soak) firstEnd() error {
-	for _, one := range s.gateways {
-		if ends := one.ended(); len(ends) > 0 {
-			return &ends[0]
+// firstExit returns the first end of a node that nobody had asked for, or nil.
+func (s *soak) firstExit() error {
+	for _, node := range s.gateways {
+		if exits := node.unexpectedExits(); len(exits) > 0 {
+			return &exits[0]
 		}
 	}
 	return nil
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -30,7 +30,7 @@
 const (
 	// DefaultServers and LeastServers are numbers of servers; one is left for what is done in calm.
 	DefaultServers = 8
-	LeastServers   = 3
+	MinServers     = 3
 	// DefaultSlots of a server are so few that requests often find no slot of their node
 	// free and ask for one elsewhere.
 	DefaultSlots = 2
@@ -39,10 +39,10 @@
 // Options are the choices of a soak.
 type Options struct {
 	Seed uint64
-	// For is the time with faults; the run takes some 20 s more, and up to listBound and the
+	// Duration is the time with faults; the run takes some 20 s more, and up to listBound and the
 	// time for the work that is left beside these where items are not listed.
-	For   time.Duration
-	Nodes int
+	Duration time.Duration
+	Nodes    int
 	// Servers is their number, Slots what each of them has; 0 means the defaults.
 	Servers, Slots int
 	// Overcommit has servers set every slot aside that they are asked for, run all that comes at
@@ -53,8 +53,8 @@
 	FirstPlanOnly bool
 	// Regions is in how many regions the zones lie, 1 or 2; default 1.
 	Regions int
-	// Ready is how long the nodes may take to serve; 0 means until the context ends.
-	Ready time.Duration
+	// ReadyTimeout is how long the nodes may take to serve; 0 means until the context ends.
+	ReadyTimeout time.Duration
 	// Progress is told of each fault; nil drops it.
 	Progress func(format string, arguments ...any)
 }
@@ -74,14 +74,14 @@
 	Runs  int
 	// Evacuations and Losses count zones, ColdSends what cold servers got.
 	Evacuations, Losses, ColdSends int
-	// HarmSends counts requests with harmful work, HarmEnds the servers that it ended.
-	HarmSends, HarmEnds int
+	// HarmfulRequests counts requests with harmful work, HarmfulCrashes the servers that it ended.
+	HarmfulRequests, HarmfulCrashes int
 	// Silences, ServerStarts and ForeignRows count the faults of the second plan that went
 	// silent, started servers again and left rows of other writers.
 	Silences, ServerStarts, ForeignRows int
 	// HistoryLosses counts the faults in which the store lost its history and answers.
 	HistoryLosses int
-	Broken        []Broken
+	Violations    []Violation
 	// Logs is the directory with the nodes' logs, kept if a promise was broken.
 	Logs string
 }
@@ -90,23 +90,23 @@
 type soak struct {
 	Options
 	History
-	store    *standin.Store
-	zones    []*zone
-	servers  []*server
-	stranger stranger
-	gateways []*gateway
-	closers  []func()
+	store         *standin.Store
+	zones         []*zone
+	servers       []*server
+	foreignServer foreignServer
+	gateways      []*gateway
+	closers       []func()
 	// version and prefixes are of the configuration; routes are only added.
 	configMu sync.Mutex
 	version  int
 	prefixes []string
 	faults   sync.WaitGroup
-	// cold are the servers that are to say that they are warm again, which may outlast
+	// warming are the servers that are to say that they are warm again, which may outlast
 	// the fault that chilled them.
-	cold sync.WaitGroup
-	// zoneOut is held while a zone is emptied or lost, none longer than until ends.
-	zoneOut sync.Mutex
-	ends    time.Time
+	warming sync.WaitGroup
+	// zoneOutage is held while a zone is emptied or lost, none longer than until ends.
+	zoneOutage     sync.Mutex
+	outageDeadline time.Time
 }
 
 // newSoak returns a soak without nodes and servers.
@@ -126,9 +126,9 @@
 // Run soaks the system and checks the promises. A node that ends while it is
 // waited for is an EndedError, one that runs and does not serve an UnreadyError.
 func Run(ctx context.Context, options Options) (*Report, error) {
-	plan := Plan(options.Seed, options.For)
+	plan := Plan(options.Seed, options.Duration)
 	if !options.FirstPlanOnly {
-		plan = merge(plan, SecondPlan(options.Seed, options.For))
+		plan = mergePlans(plan, SecondPlan(options.Seed, options.Duration))
 	}
 	return runPlan(ctx, options, plan)
 }
@@ -141,43 +141,43 @@
 	}
 	s := newSoak(options)
 	defer s.close()
-	defer s.cold.Wait()
+	defer s.warming.Wait()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	if err := s.start(ctx, directory); err != nil {
 		return nil, err
 	}
-	s.play(ctx, plan)
+	s.execute(ctx, plan)
 	s.collect()
 	report := s.report()
 	report.Faults = len(plan)
-	if len(report.Broken) > 0 {
+	if len(report.Violations) > 0 {
 		report.Logs = directory
 		return report, nil
 	}
 	if err := os.RemoveAll(directory); err != nil {
-		s.say("logs of the nodes stay: %v", err)
+		s.progressf("logs of the nodes stay: %v", err)
 	}
 	return report, nil
 }
 
 // collect takes in what servers and nodes have noted.
 func (s *soak) collect() {
-	for _, one := range s.servers {
-		for _, run := range one.Runs() {
-			s.Runs = append(s.Runs, ServerRun{Server: one.name, Run: run})
+	for _, srv := range s.servers {
+		for _, run := range srv.Runs() {
+			s.Runs = append(s.Runs, ServerRun{Server: srv.name, Run: run})
 		}
-		for _, send := range one.ColdSends() {
-			s.ColdSends = append(s.ColdSends, ColdSend{Server: one.name, ColdSend: send})
+		for _, send := range srv.ColdSends() {
+			s.ColdSends = append(s.ColdSends, ColdSend{Server: srv.name, ColdSend: send})
 		}
-		s.ServerOutages = append(s.ServerOutages, one.outs(time.Now())...)
-		s.Overwritten = append(s.Overwritten, one.foreign...)
+		s.ServerOutages = append(s.ServerOutages, srv.outagesUntil(time.Now())...)
+		s.Overwritten = append(s.Overwritten, srv.overwritten...)
 	}
-	for _, run := range s.stranger.Runs() {
-		s.Runs = append(s.Runs, ServerRun{Server: strangerName, Run: run})
+	for _, run := range s.foreignServer.Runs() {
+		s.Runs = append(s.Runs, ServerRun{Server: foreignServerName, Run: run})
 	}
-	for _, one := range s.gateways {
-		s.Ended = append(s.Ended, one.ended()...)
+	for _, node := range s.gateways {
+		s.Exits = append(s.Exits, node.unexpectedExits()...)
 	}
 }
 
@@ -186,43 +186,43 @@
 	report := &Report{
 		Seed: s.Seed, Requests: len(s.Requests), Jobs: len(s.Jobs), Reads: len(s.Reads), Runs: len(s.Runs),
 		Evacuations: len(s.Evacuations), Losses: len(s.Losses), ColdSends: len(s.ColdSends),
-		HarmSends: len(s.HarmSends), HarmEnds: len(s.HarmEnds),
+		HarmfulRequests: len(s.HarmfulRequests), HarmfulCrashes: len(s.HarmfulCrashes),
 		Silences: len(s.Silences), ServerStarts: len(s.ServerStarts), ForeignRows: len(s.ForeignRows),
 		HistoryLosses: len(s.HistoryLosses),
 	}
-	for _, one := range s.Requests {
+	for _, req := range s.Requests {
 		switch {
-		case one.Answer.Status == http.StatusOK && one.Answer.Whole:
+		case req.Answer.Status == http.StatusOK && req.Answer.Whole:
 			report.Whole++
-		case one.Answer.Status == http.StatusTooManyRequests:
+		case req.Answer.Status == http.StatusTooManyRequests:
 			report.Limited++
 		}
 	}
 	for _, results := range s.Final {
 		report.Items += len(results)
 	}
-	report.Broken = Check(&s.History)
+	report.Violations = Check(&s.History)
 	return report
 }
 
-func (s *soak) say(format string, arguments ...any) {
+func (s *soak) progressf(format string, arguments ...any) {
 	if s.Progress != nil {
 		s.Progress(format, arguments...)
 	}
 }
 
 func (s *soak) close() {
-	for _, one := range s.gateways {
-		one.stop(syscall.SIGKILL)
-		one.store.close()
+	for _, node := range s.gateways {
+		node.stop(syscall.SIGKILL)
+		node.store.close()
 	}
 	for _, closer := range s.closers {
 		closer()
 	}
 }
 
-// play runs load and faults, lets the system settle and reads everything.
-func (s *soak) play(ctx context.Context, plan []Fault) {
+// execute runs load and faults, lets the system settle and reads everything.
+func (s *soak) execute(ctx context.Context, plan []Fault) {
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	var load sync.WaitGroup
 	for caller := range 2 * s.Nodes {
@@ -231,50 +231,50 @@
 	for caller := range 3 {
 		load.Go(func() { s.callJobs(loadCtx, caller) })
 	}
-	load.Go(func() { s.callBeyond(loadCtx) })
-	load.Go(func() { s.callLittle(loadCtx) })
+	load.Go(func() { s.callOverLimit(loadCtx) })
+	load.Go(func() { s.callUnderLimit(loadCtx) })
 	load.Go(func() { s.readJobs(loadCtx) })
-	for caller := range keptCallers {
-		load.Go(func() { s.callKept(loadCtx, caller) })
+	for caller := range keepAliveCallers {
+		load.Go(func() { s.callKeepAlive(loadCtx, caller) })
 	}
 	for reader := range watchers {
 		load.Go(func() { s.watchJobs(loadCtx, reader) })
 	}
-	for reader := range edgeReaders {
-		load.Go(func() { s.readEdges(loadCtx, reader) })
+	for reader := range latestReaders {
+		load.Go(func() { s.readLatest(loadCtx, reader) })
 	}
-	began := time.Now()
-	s.Began = began
-	s.ends = began.Add(s.For + leastOut)
-	harmCtx, stopHarm := context.WithDeadline(ctx, began.Add(s.For))
+	start := time.Now()
+	s.LoadStart = start
+	s.outageDeadline = start.Add(s.Duration + minOutage)
+	harmCtx, stopHarm := context.WithDeadline(ctx, start.Add(s.Duration))
 	defer stopHarm()
-	load.Go(func() { s.callHarm(harmCtx) })
+	load.Go(func() { s.callHarmful(harmCtx) })
 	for _, fault := range plan {
-		if !retry.Sleep(ctx, time.Until(began.Add(fault.At))) {
+		if !retry.Sleep(ctx, time.Until(start.Add(fault.After))) {
 			break
 		}
-		s.say("%6.1f s  %s for %v", fault.At.Seconds(), fault.Kind, fault.For.Round(time.Millisecond))
-		s.faults.Go(func() { s.apply(ctx, fault) })
+		s.progressf("%6.1f s  %s for %v", fault.After.Seconds(), fault.Kind, fault.Duration.Round(time.Millisecond))
+		s.faults.Go(func() { s.inject(ctx, fault) })
 	}
-	retry.Sleep(ctx, time.Until(began.Add(s.For)))
+	retry.Sleep(ctx, time.Until(start.Add(s.Duration)))
 	s.faults.Wait()
 	s.store.SetTrouble(nil)
-	s.Calm = time.Now().Add(3 * time.Second)
+	s.CalmFrom = time.Now().Add(3 * time.Second)
 	// Load goes on in calm for a while, so that what is done there counts strictly.
-	s.disturbCalm(ctx)
-	retry.Sleep(ctx, time.Until(s.Calm.Add(calmLoad)))
+	s.injectCalmFaults(ctx)
+	retry.Sleep(ctx, time.Until(s.CalmFrom.Add(calmLoadTime)))
 	stopLoad()
 	load.Wait()
-	s.LoadOver = time.Now()
+	s.LoadEnd = time.Now()
 	s.settle(ctx)
 }
 
-// disturbCalm empties a zone, and then has another server turn cold and a third drain,
+// injectCalmFaults empties a zone, and then has another server turn cold and a third drain,
 // each of another zone.
-func (s *soak) disturbCalm(ctx context.Context) {
+func (s *soak) injectCalmFaults(ctx context.Context) {
 	var done sync.WaitGroup
-	done.Go(func() { s.evacuate(ctx, s.zones[1], calmEvacuation) })
-	retry.Sleep(ctx, time.Until(s.Calm))
+	done.Go(func() { s.evacuateZone(ctx, s.zones[1], calmEvacuation) })
+	retry.Sleep(ctx, time.Until(s.CalmFrom))
 	done.Go(func() { s.chill(ctx, s.servers[2], coldStart) })
 	s.drain(ctx, s.servers[0], true)
 	done.Wait()
@@ -282,5 +282,5 @@
 
 // client returns a caller of one of the nodes.
 func (s *soak) client(number int) *standin.Client {
-	return &standin.Client{Address: s.gateways[number%len(s.gateways)].at(), Host: host, Key: keyOf(tenantMain)}
+	return &standin.Client{Address: s.gateways[number%len(s.gateways)].listenAddress(), Host: host, Key: apiKey(tenantMain)}
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -28,12 +28,12 @@
 	if testing.Short() {
 		t.Skip("runs processes for some 20 s")
 	}
-	report, err := Run(t.Context(), Options{Seed: 1, For: 8 * time.Second, Nodes: 3, FirstPlanOnly: true, Ready: remaining(t), Progress: t.Logf})
+	report, err := Run(t.Context(), Options{Seed: 1, Duration: 8 * time.Second, Nodes: 3, FirstPlanOnly: true, ReadyTimeout: remainingTime(t), Progress: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, broken := range report.Broken {
-		t.Error(broken)
+	for _, violation := range report.Violations {
+		t.Error(violation)
 	}
 	if report.Whole == 0 || report.Items == 0 {
 		t.Errorf("%d whole answers, %d results: nothing was proved", report.Whole, report.Items)
@@ -41,8 +41,8 @@
 	if report.Evacuations == 0 || report.ColdSends == 0 {
 		t.Errorf("%d evacuations, %d sends to cold servers: nothing was proved of them", report.Evacuations, report.ColdSends)
 	}
-	if report.HarmEnds < harmFree || report.HarmSends < 20 {
-		t.Errorf("%d servers ended by %d harmful requests: nothing was proved of them", report.HarmEnds, report.HarmSends)
+	if report.HarmfulCrashes < harmThreshold || report.HarmfulRequests < 20 {
+		t.Errorf("%d servers ended by %d harmful requests: nothing was proved of them", report.HarmfulCrashes, report.HarmfulRequests)
 	}
 }
 
@@ -52,12 +52,12 @@
 	if testing.Short() {
 		t.Skip("runs processes for some 25 s")
 	}
-	report, err := Run(t.Context(), Options{Seed: 1677, For: 12 * time.Second, Nodes: 3, Ready: remaining(t), Progress: t.Logf})
+	report, err := Run(t.Context(), Options{Seed: 1677, Duration: 12 * time.Second, Nodes: 3, ReadyTimeout: remainingTime(t), Progress: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, broken := range report.Broken {
-		t.Error(broken)
+	for _, violation := range report.Violations {
+		t.Error(violation)
 	}
 	if report.Silences == 0 || report.ServerStarts == 0 || report.ForeignRows == 0 {
 		t.Errorf("%d silences, %d starts of servers, %d foreign rows: nothing was proved of them",
@@ -71,9 +71,9 @@
 	if len(first) < 20 || !slices.Equal(first, again) {
 		t.Fatalf("plans have %d and %d faults", len(first), len(again))
 	}
-	both := merge(Plan(7, time.Minute), first)
-	kinds := append(deck(secondWeights), StoreLosesHistory)
-	both = slices.DeleteFunc(both, func(one Fault) bool { return slices.Contains(kinds, one.Kind) })
+	both := mergePlans(Plan(7, time.Minute), first)
+	kinds := append(weightedKinds(secondWeights), StoreLosesHistory)
+	both = slices.DeleteFunc(both, func(fault Fault) bool { return slices.Contains(kinds, fault.Kind) })
 	if !slices.Equal(both, Plan(7, time.Minute)) {
 		t.Fatal("the first plan is another one beside the second")
 	}
@@ -87,7 +87,7 @@
 		sum    = "2fb99d6b5c5376e76f68d5f99c0ee326a577f79eb64ed22692a785e3abf2518b"
 	)
 	plan := SecondPlan(7, time.Minute)
-	series := slices.DeleteFunc(slices.Clone(plan), func(one Fault) bool { return one.Kind == StoreLosesHistory })
+	series := slices.DeleteFunc(slices.Clone(plan), func(fault Fault) bool { return fault.Kind == StoreLosesHistory })
 	if got := fmt.Sprintf("%x", sha256.Sum256([]byte(fmt.Sprint(series)))); len(series) != faults || got != sum {
 		t.Errorf("%d faults with the sum %s, these are others", len(series), got)
 	}
@@ -101,14 +101,14 @@
 	if len(first) < 20 || len(first) != len(again) {
 		t.Fatalf("plans have %d and %d faults", len(first), len(again))
 	}
-	same := len(first) == len(other)
+	samePlan := len(first) == len(other)
 	for i := range first {
 		if first[i] != again[i] {
 			t.Fatalf("fault %d is %+v and %+v", i, first[i], again[i])
 		}
-		same = same && first[i] == other[i]
+		samePlan = samePlan && first[i] == other[i]
 	}
-	if same {
+	if samePlan {
 		t.Fatal("two seeds have one plan")
 	}
 }
@@ -131,8 +131,8 @@
 	return []byte(body.String())
 }
 
-// kept is a history in which all promises are kept.
-func kept() *History {
+// validHistory is a history in which all promises are validHistory.
+func validHistory() *History {
 	began := time.Now()
 	at := func(seconds float64) time.Time { return began.Add(time.Duration(seconds * float64(time.Second))) }
 	listed := []standin.Listed{{Item: "j-0", Text: wholeText()}, {Item: "j-1", Dead: true}}
@@ -140,59 +140,59 @@
 		return ServerRun{Server: server, Run: standin.Run{ID: id, At: at(when), Did: did, Header: http.Header{"Tenant": {tenantMain}}}}
 	}
 	history := &History{
-		Events: testEvents, Quota: 1000, Calm: at(5),
+		Events: testEvents, Quota: 1000, CalmFrom: at(5),
 		Requests: []Request{
-			{ID: "whole", Tenant: tenantMain, Prefix: "once", Once: true, Node: "n", Life: 1, Sent: at(1), Ended: at(1.2), Answer: &standin.Answer{Status: 200, Whole: true, Body: wholeBody()}},
-			{ID: "shed", Tenant: tenantMain, Prefix: "once", Once: true, Node: "n", Life: 1, Sent: at(2), Ended: at(2.1), Answer: &standin.Answer{Status: 503, ComeBack: true}},
-			{ID: "early", Tenant: tenantMain, Prefix: "added", Node: "n", Life: 1, Sent: at(1), Ended: at(1.1), Answer: &standin.Answer{Status: 404}},
-			{ID: "added", Tenant: tenantMain, Prefix: "added", Node: "n", Life: 1, Sent: at(3), Ended: at(3.1), Answer: &standin.Answer{Status: 200, Whole: true, Body: wholeBody()}},
+			{ID: "whole", Tenant: tenantMain, Prefix: "once", AtMostOnce: true, Node: "n", Process: 1, Sent: at(1), Ended: at(1.2), Answer: &standin.Answer{Status: 200, Whole: true, Body: wholeBody()}},
+			{ID: "shed", Tenant: tenantMain, Prefix: "once", AtMostOnce: true, Node: "n", Process: 1, Sent: at(2), Ended: at(2.1), Answer: &standin.Answer{Status: 503, ComeBack: true}},
+			{ID: "early", Tenant: tenantMain, Prefix: "added", Node: "n", Process: 1, Sent: at(1), Ended: at(1.1), Answer: &standin.Answer{Status: 404}},
+			{ID: "added", Tenant: tenantMain, Prefix: "added", Node: "n", Process: 1, Sent: at(3), Ended: at(3.1), Answer: &standin.Answer{Status: 200, Whole: true, Body: wholeBody()}},
 		},
 		Jobs: []Job{
 			{ID: "j", Items: []string{"j-0", "j-1"}, Tokens: 400, Accepted: true, At: at(1)},
 			{ID: "ended", Items: []string{"e-0"}, Tokens: 400, Accepted: true, At: at(5.5), EndedAt: at(6)},
 			{ID: "refused", Items: []string{"r-0"}, Tokens: 400, Refused: true},
 		},
-		Readings: []Reading{{Job: "j", Position: 0, Listed: listed[0]}, {Job: "j", Position: 1, Listed: listed[1]}, {Job: "j", Position: 0, Listed: listed[0]}},
-		Final:    map[string][]standin.Listed{"j": listed, "ended": nil},
-		Drains:   []Drain{{Server: "s1", At: at(6)}},
+		Observations: []Observation{{Job: "j", Position: 0, Listed: listed[0]}, {Job: "j", Position: 1, Listed: listed[1]}, {Job: "j", Position: 0, Listed: listed[0]}},
+		Final:        map[string][]standin.Listed{"j": listed, "ended": nil},
+		Drains:       []Drain{{Server: "s1", At: at(6)}},
 		Runs: []ServerRun{
 			run("s0", "whole", 1, standin.Whole), run("s0", "added", 3, standin.Whole), run("s0", "j-0", 2, standin.Whole),
 			run("s0", "j-1", 2, standin.Invalid), run("s0", "e-0", 5.8, standin.Whole), run("s1", "other", 7, standin.Whole),
 		},
 		NodeZones: map[string]string{"n": "a", "m": "b"}, ServerZones: map[string]string{"s0": "a", "s1": "a", "s2": "b"},
 	}
-	keptZones(history, at)
-	keptHarm(history, at)
-	keptWaits(history, at)
-	keptReads(history, at)
+	addValidZones(history, at)
+	addValidHarm(history, at)
+	addValidWaits(history, at)
+	addValidReads(history, at)
 	return history
 }
 
 // The checker finds each promise broken in a history that differs from a sound
 // one in this alone.
 func TestCheck_FindsWhatIsBroken(t *testing.T) {
-	if broken := Check(kept()); len(broken) > 0 {
-		t.Fatalf("a sound history breaks %v", broken)
+	if violations := Check(validHistory()); len(violations) > 0 {
+		t.Fatalf("a sound history breaks %v", violations)
 	}
 	mutations := map[Promise]func(h *History){
 		OnePosition: func(h *History) {
-			h.Readings = append(h.Readings, Reading{Job: "j", Position: 2, Listed: standin.Listed{Item: "j-0", Text: wholeText()}})
+			h.Observations = append(h.Observations, Observation{Job: "j", Position: 2, Listed: standin.Listed{Item: "j-0", Text: wholeText()}})
 		},
-		WholeText:      func(h *History) { h.Readings[0].Text, h.Readings[2].Text = "piece 1", "piece 1" },
-		JobFinishes:    func(h *History) { h.Final["j"] = h.Final["j"][:1] },
-		TrueDead:       func(h *History) { h.Runs[3].Did = standin.Whole },
-		AtMostOnce:     func(h *History) { h.Runs = append(h.Runs, h.Runs[0]) },
-		NotRunTrue:     func(h *History) { h.Runs[0].ID = "shed" },
-		WholeAnswer:    func(h *History) { h.Requests[0].Answer.Body = h.Requests[0].Answer.Body[:10] },
-		ConfigForward:  func(h *History) { h.Requests[2].Sent, h.Requests[2].Ended = h.Calm, h.Calm },
-		Drained:        func(h *History) { h.Runs[5].At = h.Drains[0].At.Add(3 * time.Second) },
-		EndStops:       func(h *History) { h.Runs[4].At = h.Jobs[1].EndedAt.Add(4 * time.Second) },
-		WithinQuota:    func(h *History) { h.Jobs[0].Tokens = 600 },
-		RefusedNotRun:  func(h *History) { h.Runs[5].ID, h.Runs[5].Server = "r-0", "s0" },
-		ComeBackIsSaid: func(h *History) { h.Requests[1].Answer.ComeBack = false },
-		TenantNotKey:   func(h *History) { h.Runs[0].Header.Set("Authorization", "Bearer x") },
-		NodeLives: func(h *History) {
-			h.Ended = append(h.Ended, EndedError{Node: "n", Life: 1, State: "exit status 2", Log: "panic"})
+		WholeText:       func(h *History) { h.Observations[0].Text, h.Observations[2].Text = "piece 1", "piece 1" },
+		JobFinishes:     func(h *History) { h.Final["j"] = h.Final["j"][:1] },
+		DeadWithCause:   func(h *History) { h.Runs[3].Did = standin.Whole },
+		AtMostOnce:      func(h *History) { h.Runs = append(h.Runs, h.Runs[0]) },
+		NotRunIsTrue:    func(h *History) { h.Runs[0].ID = "shed" },
+		WholeAnswer:     func(h *History) { h.Requests[0].Answer.Body = h.Requests[0].Answer.Body[:10] },
+		ConfigNeverBack: func(h *History) { h.Requests[2].Sent, h.Requests[2].Ended = h.CalmFrom, h.CalmFrom },
+		DrainingUnused:  func(h *History) { h.Runs[5].At = h.Drains[0].At.Add(3 * time.Second) },
+		EndedJobStops:   func(h *History) { h.Runs[4].At = h.Jobs[1].EndedAt.Add(4 * time.Second) },
+		WithinQuota:     func(h *History) { h.Jobs[0].Tokens = 600 },
+		RefusedNotRun:   func(h *History) { h.Runs[5].ID, h.Runs[5].Server = "r-0", "s0" },
+		RetryAfterGiven: func(h *History) { h.Requests[1].Answer.ComeBack = false },
+		KeyNotForwarded: func(h *History) { h.Runs[0].Header.Set("Authorization", "Bearer x") },
+		NodeKeepsRunning: func(h *History) {
+			h.Exits = append(h.Exits, ExitError{Node: "n", Process: 1, State: "exit status 2", Log: "panic"})
 		},
 		WithinLimit: func(h *History) {
 			for number := range 50 {
@@ -212,7 +212,7 @@
 			t.Errorf("no history breaks %s", promise)
 			continue
 		}
-		history := kept()
+		history := validHistory()
 		mutate(history)
 		found := Check(history)
 		if len(found) == 0 || found[0].Promise != promise {
@@ -222,33 +222,33 @@
 }
 
 func TestProxy_Harms(t *testing.T) {
-	store := &soak{Options: Options{Nodes: 0}, store: standin.NewStore()}
-	t.Cleanup(store.close)
-	address, err := store.listen(store.store)
+	s := &soak{Options: Options{Nodes: 0}, store: standin.NewStore()}
+	t.Cleanup(s.close)
+	address, err := s.listen(s.store)
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, err := startProxy(address)
+	proxy, err := startProxy(address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(before.close)
-	asked := func() int {
-		client := standin.Client{Address: before.address(), Host: host}
+	t.Cleanup(proxy.close)
+	getStatus := func() int {
+		client := standin.Client{Address: proxy.address(), Host: host}
 		return client.Stream(t.Context(), "unknown", "id", 300*time.Millisecond).Status
 	}
 	const reached = 404
-	if status := asked(); status != reached {
+	if status := getStatus(); status != reached {
 		t.Fatalf("status through a clear proxy is %d", status)
 	}
-	for _, harm := range []Harm{Resets, Deaf, Mute} {
-		before.set(harm)
-		if status := asked(); status != 0 {
+	for _, harm := range []ConnectionFault{Reset, StallToUpstream, StallToCaller} {
+		proxy.setFault(harm)
+		if status := getStatus(); status != 0 {
 			t.Errorf("status under harm %d is %d", harm, status)
 		}
 	}
-	before.set(Clear)
-	if status := asked(); status != reached {
+	proxy.setFault(NoFault)
+	if status := getStatus(); status != reached {
 		t.Errorf("status after all harms is %d", status)
 	}
 }
--- a/internal/lab/soak/tenants.go
+++ b/internal/lab/soak/tenants.go
@@ -23,88 +23,88 @@
 	limitWindow = 5 * time.Second
 )
 
-// keyOf is a tenant's key.
-func keyOf(tenant string) string { return "key-of-" + tenant }
+// apiKey is a tenant's key.
+func apiKey(tenant string) string { return "key-of-" + tenant }
 
 func tenants() []standin.Tenant {
 	return []standin.Tenant{
-		{Name: tenantMain, Keys: []string{keyOf(tenantMain)}},
-		{Name: tenantLimited, Keys: []string{keyOf(tenantLimited)}, Rate: limitRate, Burst: limitBurst},
-		{Name: tenantFlood, Keys: []string{keyOf(tenantFlood)}, Rate: limitRate, Burst: limitBurst},
+		{Name: tenantMain, Keys: []string{apiKey(tenantMain)}},
+		{Name: tenantLimited, Keys: []string{apiKey(tenantLimited)}, Rate: limitRate, Burst: limitBurst},
+		{Name: tenantFlood, Keys: []string{apiKey(tenantFlood)}, Rate: limitRate, Burst: limitBurst},
 	}
 }
 
-// tenants: servers are told the tenant that asked and nobody's key. Items are the main
+// checkTenants: servers are told the tenant that asked and nobody's key. Items are the main
 // tenant's.
-func (c *check) tenants() {
-	of := map[string]string{}
+func (c *checker) checkTenants() {
+	tenantOf := map[string]string{}
 	for _, request := range c.Requests {
-		of[request.ID] = request.Tenant
+		tenantOf[request.ID] = request.Tenant
 	}
 	for _, run := range c.Runs {
-		want, online := of[run.ID]
+		want, online := tenantOf[run.ID]
 		if !online {
 			want = tenantMain
 		}
 		if got := run.Header.Get("Tenant"); got != want {
-			c.broken(TenantNotKey, "%s ran as tenant %q, it is of %q", run.ID, got, want)
+			c.addViolation(KeyNotForwarded, "%s ran as tenant %q, it is of %q", run.ID, got, want)
 		}
 		if run.Header.Get("Authorization") != "" {
-			c.broken(TenantNotKey, "%s ran with a key", run.ID)
+			c.addViolation(KeyNotForwarded, "%s ran with a key", run.ID)
 		}
 	}
 }
 
-// limit: in no window more of a limited tenant's requests run than its limit and the
+// checkLimit: in no window more of a limited tenant's requests run than its checkLimit and the
 // tolerance allow, whatever nodes are in touch.
-func (c *check) limit(tenant string, promise Promise) {
+func (c *checker) checkLimit(tenant string, promise Promise) {
 	seen := map[string]bool{}
-	var began []time.Time
+	var starts []time.Time
 	for _, run := range c.Runs {
 		if run.Header.Get("Tenant") == tenant && !seen[run.ID] {
 			seen[run.ID] = true
-			began = append(began, run.At)
+			starts = append(starts, run.At)
 		}
 	}
-	allowed := (limitRate*limitWindow.Seconds()+limitBurst)*(1+quotaOver) + limitSlack
-	if count, from := most(began, limitWindow); float64(count) > allowed {
-		c.broken(promise, "%d requests of tenant %s ran in %v from %s on, %.1f are allowed; %s",
-			count, tenant, limitWindow, from.Format(time.StampMilli), allowed, c.ranBy(tenant, from))
+	allowed := (limitRate*limitWindow.Seconds()+limitBurst)*(1+quotaTolerance) + limitSlack
+	if count, from := maxInWindow(starts, limitWindow); float64(count) > allowed {
+		c.addViolation(promise, "%d requests of tenant %s ran in %v from %s on, %.1f are allowed; %s",
+			count, tenant, limitWindow, from.Format(time.StampMilli), allowed, c.limitDetail(tenant, from))
 	}
 }
 
-// ranBy tells how many of a tenant's requests ran in the window from a moment on, by the
+// limitDetail tells how many of a tenant's requests ran in the window from a moment on, by the
 // node that was asked, and how the nodes were disturbed around it.
-func (c *check) ranBy(tenant string, from time.Time) string {
+func (c *checker) limitDetail(tenant string, from time.Time) string {
 	to := from.Add(limitWindow)
 	nodes := map[string]int{}
-	for _, one := range c.Requests {
-		for _, run := range c.runs[one.ID][:min(1, len(c.runs[one.ID]))] {
-			if one.Tenant == tenant && !run.At.Before(from) && !run.At.After(to) {
-				nodes[one.Node]++
+	for _, req := range c.Requests {
+		for _, run := range c.runs[req.ID][:min(1, len(c.runs[req.ID]))] {
+			if req.Tenant == tenant && !run.At.Before(from) && !run.At.After(to) {
+				nodes[req.Node]++
 			}
 		}
 	}
 	text := fmt.Sprint("by node ", nodes)
-	for _, one := range c.Disturbances {
-		if one.From.Before(to) && one.To.After(from.Add(-contactBound)) {
-			text += fmt.Sprintf("; %q disturbed %v to %v (restart: %t)", one.Name, one.From.Sub(from), one.To.Sub(from), one.Restart)
+	for _, d := range c.Disturbances {
+		if d.From.Before(to) && d.To.After(from.Add(-contactBound)) {
+			text += fmt.Sprintf("; %q disturbed %v to %v (restart: %t)", d.Name, d.From.Sub(from), d.To.Sub(from), d.Restart)
 		}
 	}
 	return text
 }
 
-// most returns the largest number of moments in any window of a length, and where that
+// maxInWindow returns the largest number of moments in any window of a length, and where that
 // begins.
-func most(moments []time.Time, window time.Duration) (count int, from time.Time) {
-	slices.SortFunc(moments, time.Time.Compare)
+func maxInWindow(times []time.Time, window time.Duration) (count int, from time.Time) {
+	slices.SortFunc(times, time.Time.Compare)
 	first := 0
-	for i, at := range moments {
-		for at.Sub(moments[first]) > window {
+	for i, at := range times {
+		for at.Sub(times[first]) > window {
 			first++
 		}
 		if i-first+1 > count {
-			count, from = i-first+1, moments[first]
+			count, from = i-first+1, times[first]
 		}
 	}
 	return count, from
--- a/internal/lab/soak/waits_test.go
+++ b/internal/lab/soak/waits_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// keptWaits adds to a sound history the slots of its servers, when its load was over and
+// addValidWaits adds to a sound history the slots of its servers, when its load was over and
 // when its items were seen listed.
-func keptWaits(h *History, at func(float64) time.Time) {
-	h.Began, h.LoadOver = at(0), at(70)
+func addValidWaits(h *History, at func(float64) time.Time) {
+	h.LoadStart, h.LoadEnd = at(0), at(70)
 	h.ServerSlots = map[string]int{"s0": 1, "s1": 1}
 	for i := range h.Runs {
 		h.Runs[i].Ended = h.Runs[i].At.Add(200 * time.Millisecond)
 	}
-	for i := range h.Readings {
-		h.Readings[i].At = at(2.5)
+	for i := range h.Observations {
+		h.Observations[i].At = at(2.5)
 	}
 }
 
@@ -25,9 +25,9 @@
 			h.Runs[i].At, h.Runs[i].Ended = h.Runs[i].At.Add(by), h.Runs[i].Ended.Add(by)
 		}
 	}
-	for i := range h.Readings {
-		if h.Readings[i].Item == item {
-			h.Readings[i].At = h.Readings[i].At.Add(by)
+	for i := range h.Observations {
+		if h.Observations[i].Item == item {
+			h.Observations[i].At = h.Observations[i].At.Add(by)
 		}
 	}
 }
@@ -35,18 +35,18 @@
 func waitMutations() map[Promise]func(h *History) {
 	return map[Promise]func(h *History){
 		// The server had it until it was listed, so that it did not wait.
-		ListedInCalm: func(h *History) {
-			h.Runs[2].Ended = h.LoadOver.Add(time.Minute)
-			for i := range h.Readings {
-				if h.Readings[i].Item == "j-0" {
-					h.Readings[i].At = h.LoadOver.Add(listBound + time.Second)
+		ItemListedInCalm: func(h *History) {
+			h.Runs[2].Ended = h.LoadEnd.Add(time.Minute)
+			for i := range h.Observations {
+				if h.Observations[i].Item == "j-0" {
+					h.Observations[i].At = h.LoadEnd.Add(listBound + time.Second)
 				}
 			}
 		},
-		NoIdleWait:  func(h *History) { moveItem(h, "j-0", 10*time.Second) },
-		JobReadable: func(h *History) { delete(h.Final, "j") },
+		NoWaitBesideFreeSlots: func(h *History) { moveItem(h, "j-0", 10*time.Second) },
+		JobReadable:           func(h *History) { delete(h.Final, "j") },
 		ForeignUnused: func(h *History) {
-			h.Runs[2].Server = strangerName
+			h.Runs[2].Server = foreignServerName
 		},
 	}
 }
@@ -58,28 +58,28 @@
 		"no server has a slot": func(h *History) { h.ServerSlots = map[string]int{"s0": 0, "s1": 0} },
 		"no server can be used": func(h *History) {
 			for _, server := range []string{"s0", "s1"} {
-				h.ServerOutages = append(h.ServerOutages, ServerOutage{Server: server, From: h.Began, To: h.LoadOver})
+				h.ServerOutages = append(h.ServerOutages, ServerOutage{Server: server, From: h.LoadStart, To: h.LoadEnd})
 			}
 		},
 		"all zones are evacuated": func(h *History) {
-			h.Evacuations = append(h.Evacuations, Outage{Zone: "a", From: h.Began.Add(8 * time.Second), To: h.LoadOver})
+			h.Evacuations = append(h.Evacuations, Outage{Zone: "a", From: h.LoadStart.Add(8 * time.Second), To: h.LoadEnd})
 		},
 		"all nodes are disturbed": func(h *History) {
-			h.Disturbances = append(h.Disturbances, Disturbance{Name: AllNodes, From: h.Began, To: h.LoadOver})
+			h.Disturbances = append(h.Disturbances, Disturbance{Name: AllNodes, From: h.LoadStart, To: h.LoadEnd})
 		},
 		"it is shorter than the bound": func(h *History) { moveItem(h, "j-0", -3*time.Second) },
 	}
 	for name, excuse := range excuses {
 		t.Run(name, func(t *testing.T) {
-			h := kept()
+			h := validHistory()
 			moveItem(h, "j-0", 10*time.Second)
-			if found := Check(h); len(found) != 1 || found[0].Promise != NoIdleWait {
+			if found := Check(h); len(found) != 1 || found[0].Promise != NoWaitBesideFreeSlots {
 				t.Fatalf("without an excuse: found %v", found)
 			}
 			excuse(h)
-			for _, one := range Check(h) {
-				if one.Promise == NoIdleWait {
-					t.Errorf("found %v", one)
+			for _, violation := range Check(h) {
+				if violation.Promise == NoWaitBesideFreeSlots {
+					t.Errorf("found %v", violation)
 				}
 			}
 		})
@@ -88,28 +88,28 @@
 
 // Under faults the bound is longer.
 func TestCheck_WaitsUnderFaults(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		by     time.Duration
 		broken bool
-	}{{10 * time.Second, false}, {anyWait + 2*time.Second, true}} {
-		h := kept()
-		h.Calm = h.Began.Add(time.Minute)
-		moveItem(h, "j-0", one.by)
-		if found := Check(h); (len(found) > 0) != one.broken {
-			t.Errorf("after %v: found %v", one.by, found)
+	}{{10 * time.Second, false}, {maxWait + 2*time.Second, true}} {
+		h := validHistory()
+		h.CalmFrom = h.LoadStart.Add(time.Minute)
+		moveItem(h, "j-0", test.by)
+		if found := Check(h); (len(found) > 0) != test.broken {
+			t.Errorf("after %v: found %v", test.by, found)
 		}
 	}
 }
 
 // A server whose row another writer has overwritten gets nothing, from nodes in touch.
 func TestCheck_OverwrittenRowsNameNoServer(t *testing.T) {
-	h := kept()
+	h := validHistory()
 	run := h.Runs[0]
-	h.Overwritten = []ServerOutage{{Server: run.Server, From: run.At.Add(-foreignKnown - time.Second), To: run.At.Add(time.Second)}}
+	h.Overwritten = []ServerOutage{{Server: run.Server, From: run.At.Add(-foreignGrace - time.Second), To: run.At.Add(time.Second)}}
 	if found := Check(h); len(found) != 1 || found[0].Promise != ForeignUnused {
 		t.Fatalf("found %v", found)
 	}
-	h.Overwritten[0].From = run.At.Add(-foreignKnown)
+	h.Overwritten[0].From = run.At.Add(-foreignGrace)
 	if found := Check(h); len(found) > 0 {
 		t.Errorf("in time: found %v", found)
 	}
@@ -118,11 +118,11 @@
 // In calm the bound is for one time without a break: slots that are free between two
 // requests are nobody's to wait for.
 func TestCheck_WaitsInCalmWithoutABreak(t *testing.T) {
-	h := kept()
+	h := validHistory()
 	moveItem(h, "j-0", 10*time.Second)
-	middle := h.Began.Add(9 * time.Second)
+	middle := h.LoadStart.Add(9 * time.Second)
 	for _, server := range []string{"s0", "s1"} {
-		h.ServerOutages = append(h.ServerOutages, ServerOutage{Server: server, From: middle.Add(-roomKnown), To: middle.Add(-roomKnown)})
+		h.ServerOutages = append(h.ServerOutages, ServerOutage{Server: server, From: middle.Add(-freeSlotGrace), To: middle.Add(-freeSlotGrace)})
 	}
 	if found := Check(h); len(found) > 0 {
 		t.Errorf("found %v", found)
--- a/internal/lab/soak/zones.go
+++ b/internal/lab/soak/zones.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// chillBefore is how long before its end servers of an emptied zone turn cold.
-	chillBefore = 500 * time.Millisecond
-	// leastOut is the least time that a zone is out.
-	leastOut = time.Second
+	// chillLead is how long before its end servers of an emptied zone turn cold.
+	chillLead = 500 * time.Millisecond
+	// minOutage is the least time that a zone is out.
+	minOutage = time.Second
 	// calmEvacuation is a second longer than nodes in touch have to obey.
 	calmEvacuation = evacuationBound + time.Second
 	// floodCallers pause for floodPause after each answer: up to 50 requests a second
@@ -38,8 +38,8 @@
 // places returns the regions of zones.
 func places(zones []*zone) place.Map {
 	known := place.Map{}
-	for _, one := range zones {
-		known[one.name] = one.region
+	for _, z := range zones {
+		known[z.name] = z.region
 	}
 	return known
 }
@@ -48,90 +48,90 @@
 func (s *soak) zoneOf(number int) *zone { return s.zones[number%len(s.zones)] }
 
 // serversIn returns a zone's servers.
-func (s *soak) serversIn(at *zone) []*server {
+func (s *soak) serversIn(zone *zone) []*server {
 	var list []*server
-	for _, one := range s.servers {
-		if one.zone == at.name {
-			list = append(list, one)
+	for _, srv := range s.servers {
+		if srv.zone == zone.name {
+			list = append(list, srv)
 		}
 	}
 	return list
 }
 
-// harmZone makes a fault of a zone. One zone is out at a time, the next one waits: what is
+// injectZoneFault makes a fault of a zone. One zone is out at a time, the next one waits: what is
 // left must be able to serve.
-func (s *soak) harmZone(ctx context.Context, fault Fault) {
-	at := s.zoneOf(fault.Target)
+func (s *soak) injectZoneFault(ctx context.Context, fault Fault) {
+	zone := s.zoneOf(fault.Target)
 	if fault.Kind == ChillZone {
-		s.chillZone(ctx, at, fault.For)
+		s.chillZone(ctx, zone, fault.Duration)
 		return
 	}
-	s.zoneOut.Lock()
-	defer s.zoneOut.Unlock()
-	length := min(fault.For, time.Until(s.ends))
-	if length < leastOut {
-		s.say("        %s of %s left out: another zone was out too long", fault.Kind, at.name)
+	s.zoneOutage.Lock()
+	defer s.zoneOutage.Unlock()
+	length := min(fault.Duration, time.Until(s.outageDeadline))
+	if length < minOutage {
+		s.progressf("        %s of %s left out: another zone was out too long", fault.Kind, zone.name)
 		return
 	}
 	if fault.Kind == LoseZone {
-		s.loseZone(ctx, at, length)
+		s.loseZone(ctx, zone, length)
 		return
 	}
-	s.evacuate(ctx, at, length)
+	s.evacuateZone(ctx, zone, length)
 }
 
 // chillZone has a zone's servers turn cold.
-func (s *soak) chillZone(ctx context.Context, at *zone, length time.Duration) {
+func (s *soak) chillZone(ctx context.Context, zone *zone, length time.Duration) {
 	var all sync.WaitGroup
-	for _, one := range s.serversIn(at) {
-		all.Go(func() { s.chill(ctx, one, length) })
+	for _, srv := range s.serversIn(zone) {
+		all.Go(func() { s.chill(ctx, srv, length) })
 	}
 	all.Wait()
 }
 
-// evacuate empties a zone for a while. Its servers, which have nothing to do, turn cold
+// evacuateZone empties a zone for a while. Its servers, which have nothing to do, turn cold
 // before it is taken back.
-func (s *soak) evacuate(ctx context.Context, at *zone, length time.Duration) {
-	s.store.Evacuate(at.name)
-	began := time.Now()
-	retry.Sleep(ctx, length-chillBefore)
-	s.cold.Go(func() { s.chillZone(ctx, at, coldStart) })
-	retry.Sleep(ctx, chillBefore)
-	record(&s.History, &s.Evacuations, Outage{Zone: at.name, From: began, To: time.Now()})
-	s.store.TakeBack(at.name)
+func (s *soak) evacuateZone(ctx context.Context, zone *zone, length time.Duration) {
+	s.store.Evacuate(zone.name)
+	start := time.Now()
+	retry.Sleep(ctx, length-chillLead)
+	s.warming.Go(func() { s.chillZone(ctx, zone, coldStart) })
+	retry.Sleep(ctx, chillLead)
+	record(&s.History, &s.Evacuations, Outage{Zone: zone.name, From: start, To: time.Now()})
+	s.store.TakeBack(zone.name)
 }
 
 // loseZone has a zone's nodes and servers be gone for a while.
-func (s *soak) loseZone(ctx context.Context, at *zone, length time.Duration) {
-	began := time.Now()
+func (s *soak) loseZone(ctx context.Context, zone *zone, length time.Duration) {
+	start := time.Now()
 	var all sync.WaitGroup
-	for _, one := range s.serversIn(at) {
-		all.Go(func() { one.lose(ctx) })
+	for _, srv := range s.serversIn(zone) {
+		all.Go(func() { srv.takeDown(ctx) })
 	}
 	for _, node := range s.gateways {
-		if node.zone == at.name {
+		if node.zone == zone.name {
 			all.Go(func() { s.restart(ctx, node, syscall.SIGKILL, length) })
 		}
 	}
 	retry.Sleep(ctx, length)
-	record(&s.History, &s.Losses, Outage{Zone: at.name, From: began, To: time.Now()})
+	record(&s.History, &s.Losses, Outage{Zone: zone.name, From: start, To: time.Now()})
 	all.Wait()
-	for _, one := range s.serversIn(at) {
-		one.start()
-		s.cold.Go(func() { s.chill(ctx, one, one.ColdLeft()) })
+	for _, srv := range s.serversIn(zone) {
+		srv.bringUp()
+		s.warming.Go(func() { s.chill(ctx, srv, srv.ColdLeft()) })
 	}
 }
 
-// flood cuts a node off from the store, and has a tenant ask for far more than its limit
+// cutAndFlood cuts a node off from the store, and has a tenant ask for far more than its limit
 // at just this node.
-func (s *soak) flood(ctx context.Context, node *gateway, fault Fault) {
-	harm := fault.Harm
-	if harm == Slow {
-		harm = Resets
+func (s *soak) cutAndFlood(ctx context.Context, node *gateway, fault Fault) {
+	connFault := fault.Connection
+	if connFault == Delay {
+		connFault = Reset
 	}
-	node.store.set(harm)
-	defer node.store.set(Clear)
-	floodCtx, cancel := context.WithTimeout(ctx, fault.For)
+	node.store.setFault(connFault)
+	defer node.store.setFault(NoFault)
+	floodCtx, cancel := context.WithTimeout(ctx, fault.Duration)
 	defer cancel()
 	var all sync.WaitGroup
 	for caller := range floodCallers {
