--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// processGrace is how long a node may take to stop.
+	// processGrace is the grace period of a node when it stops.
 	processGrace = 5 * time.Second
-	// killAfter is how much longer than that one waits before it is killed.
-	killAfter = 3 * time.Second
-	// portChoices bounds the starts of one life on other ports.
-	portChoices = 5
+	// killMargin is how much longer than processGrace to wait before a node is killed.
+	killMargin = 3 * time.Second
+	// maxPortRetries limits the restarts of a process on other ports.
+	maxPortRetries = 5
 )
 
-// gateway is a node that runs as a process of its own, behind a proxy to the store.
+// gateway is a node that runs as a separate process and reaches the store through a proxy.
 type gateway struct {
 	id, zone string
 	places   place.Map
@@ -34,47 +34,48 @@
 	settings string
 	log      string
 
-	// restarting is held while the process is ended and started again.
+	// restarting is held while the process is stopped and restarted.
 	restarting sync.Mutex
 
 	mu      sync.Mutex
 	address string
-	current *life
-	life    int
-	ends    []EndedError
+	current *process
+	// started is the number of processes that were started; the current one has this number.
+	started int
+	exits   []ExitError
 }
 
-// life is one process of a node.
-type life struct {
+// process is one process of a node.
+type process struct {
 	command *exec.Cmd
-	// logFrom is the size of the node's log at its start.
-	logFrom int64
-	// choices counts the ports that were in use before this life's.
-	choices int
-	// told is set once it was sent a signal to end.
-	told bool
-	// exited is closed when the process has ended and what follows from it is done.
+	// logStart is the size of the log file when the process was started.
+	logStart int64
+	// portRetries is the number of previous attempts that failed because a port was in use.
+	portRetries int
+	// stopRequested is set before the process is sent a signal to stop.
+	stopRequested bool
+	// exited is closed when the exit of the process has been handled.
 	exited chan struct{}
 }
 
-// newGateway chooses a node's ports and writes its settings.
+// newGateway chooses the ports of a node and writes its settings file.
 func newGateway(id, zone string, places place.Map, store, directory string) (*gateway, error) {
-	towards, err := startProxy(store)
+	storeProxy, err := startProxy(store)
 	if err != nil {
 		return nil, err
 	}
 	g := &gateway{
-		id: id, zone: zone, places: places, store: towards,
+		id: id, zone: zone, places: places, store: storeProxy,
 		settings: filepath.Join(directory, id+".yaml"), log: filepath.Join(directory, id+".log"),
 	}
 	if err := g.choosePorts(); err != nil {
-		towards.close()
+		storeProxy.close()
 		return nil, err
 	}
 	return g, nil
 }
 
-// choosePorts gives the node ports that it has not had and writes its settings.
+// choosePorts chooses new free ports for the node and writes its settings file.
 func (g *gateway) choosePorts() error {
 	addresses := make([]string, 3)
 	for i := range addresses {
@@ -87,8 +88,8 @@
 		Node: settings.Node{ID: g.id, Zone: g.zone, Region: g.places.Region(g.zone), Zones: g.places, Listen: addresses[0]},
 		Gateway: settings.Gateway{
 			Store: g.store.address(), Readiness: addresses[1], Peers: addresses[2],
-			Quota: settings.Quota{Over: quotaOver, Slack: limitSlack},
-			Cold:  settings.Cold{Over: coldOver, Slack: coldSlack},
+			Quota: settings.Quota{Over: quotaTolerance, Slack: limitSlack},
+			Cold:  settings.Cold{Over: coldFactor, Slack: coldSlack},
 			Grace: v1.Duration(processGrace), KeepJobs: v1.Duration(10 * time.Minute),
 		},
 	}
@@ -104,39 +105,40 @@
 	return Error.Wrap(os.WriteFile(g.settings, source, 0o600))
 }
 
-// start runs this program's own node command.
+// start starts the node command of the current executable.
 func (g *gateway) start() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.startLocked(0)
 }
 
-func (g *gateway) startLocked(choices int) error {
+// startLocked is start for a caller that holds mu.
+func (g *gateway) startLocked(portRetries int) error {
 	executable, err := os.Executable()
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	output, err := os.OpenFile(g.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(g.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	defer func() { _ = output.Close() }()
-	before, err := output.Stat()
+	defer func() { _ = logFile.Close() }()
+	info, err := logFile.Stat()
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	command := exec.Command(executable, "node", "--settings", g.settings)
-	command.Stdout, command.Stderr = output, output
+	command.Stdout, command.Stderr = logFile, logFile
 	if err := command.Start(); err != nil {
 		return Error.Wrap(err)
 	}
-	g.current = &life{command: command, logFrom: before.Size(), choices: choices, exited: make(chan struct{})}
-	g.life++
+	g.current = &process{command: command, logStart: info.Size(), portRetries: portRetries, exited: make(chan struct{})}
+	g.started++
 	go g.supervise(g.current)
 	return nil
 }
 
-// signal sends a signal to the process.
+// signal sends a signal to the current process.
 func (g *gateway) signal(signal syscall.Signal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -145,40 +147,40 @@
 
 func (g *gateway) signalLocked(signal syscall.Signal) {
 	if g.current != nil {
-		// It fails only if the process has ended already.
+		// Signal only fails if the process has already exited.
 		_ = g.current.command.Process.Signal(signal)
 	}
 }
 
-// stop ends the process with a signal and waits until it is gone.
+// stop sends a signal to the current process and waits until it has exited.
 func (g *gateway) stop(signal syscall.Signal) {
 	g.mu.Lock()
-	ending := g.current
-	if ending == nil {
+	p := g.current
+	if p == nil {
 		g.mu.Unlock()
 		return
 	}
-	ending.told = true
+	p.stopRequested = true
 	g.signalLocked(signal)
 	g.mu.Unlock()
 	select {
-	case <-ending.exited:
-	case <-time.After(processGrace + killAfter):
+	case <-p.exited:
+	case <-time.After(processGrace + killMargin):
 		g.signal(syscall.SIGKILL)
-		<-ending.exited
+		<-p.exited
 	}
 }
 
-// at returns the node's present host:port for callers.
-func (g *gateway) at() string {
+// listenAddress returns the current host:port for callers.
+func (g *gateway) listenAddress() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.address
 }
 
-// lives returns the number of the present process.
-func (g *gateway) lives() int {
+// processNumber returns the number of the current process, from 1.
+func (g *gateway) processNumber() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.life
+	return g.started
 }
