--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission decides whether an online request may enter: within its
-// tenant's limits, and while a replica can begin it in time. What cannot be
-// served is refused as early as possible, with the time to come back.
+// Package admission decides whether an online request is admitted: it must be within its tenant's
+// limits, and a replica must be able to start it in time. Other requests are refused as early as
+// possible, with a retry delay.
 package admission
 
 import (
@@ -11,18 +11,20 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits are a tenant's limits over all nodes; zero means no limit.
+// Limits are a tenant's limits across all nodes. Zero means no limit.
 type Limits struct {
 	RequestsPerSecond float64
 	TokensPerSecond   float64
-	Concurrency       int
-	Weight            float64
+	// Concurrency is the number of requests in flight.
+	Concurrency int
+	// Weight is the tenant's weight for fair sharing under overload; zero means 1.
+	Weight float64
 }
 
-// Reason says why a request was refused.
+// Reason is the reason why a request was refused.
 type Reason string
 
-// Reasons.
+// The reasons of a RefusalError.
 const (
 	ReasonRequestRate Reason = "request_rate"
 	ReasonTokenRate   Reason = "token_rate"
@@ -30,9 +32,10 @@
 	ReasonOverload    Reason = "overload"
 )
 
-// RefusalError is a refusal; the request did not run.
+// RefusalError reports that a request was refused and did not run.
 type RefusalError struct {
-	Reason     Reason
+	Reason Reason
+	// RetryAfter is the time after which the caller should retry.
 	RetryAfter time.Duration
 }
 
@@ -42,79 +45,84 @@
 }
 
 const (
-	// burstSeconds is how much of a rate may be used at once.
+	// burstSeconds is the burst size of a rate limit, in seconds of the rate.
 	burstSeconds = 1.0
-	// concurrencyRetry is the time to come back after a concurrency refusal.
-	concurrencyRetry = 500 * time.Millisecond
-	// maxRetryAfter bounds the time told to a caller.
+	// concurrencyRetryAfter is the retry delay of a concurrency refusal.
+	concurrencyRetryAfter = 500 * time.Millisecond
+	// maxRetryAfter bounds RefusalError.RetryAfter.
 	maxRetryAfter = 30 * time.Second
 )
 
 // tenant is the state of one tenant at this node.
 type tenant struct {
+	// requests and tokens are nil if the tenant has no such limit.
 	requests *rate.Limiter
 	tokens   *rate.Limiter
 	limits   Limits
+	// share is the fraction of limits that this node enforces.
 	share    float64
-	open     int
+	inFlight int
+	// demand measures all requests, admitted only those admitted.
 	demand   meter
-	used     meter
+	admitted meter
 }
 
-// Controller enforces this node's share of all tenants' limits. It is safe for
-// concurrent use.
+// Controller enforces this node's share of the limits of all tenants. It is safe for concurrent
+// use.
 type Controller struct {
-	// share returns the part of a tenant's limits that this node may use.
+	// share returns this node's share of a tenant's limits, from 0 to 1.
 	share func(tenant string) float64
 
 	mu      sync.Mutex
 	tenants map[string]*tenant
-	used    meter
+	// admitted measures the admitted requests of all tenants.
+	admitted meter
 }
 
-// NewController returns a controller; share returns a node's part, 0 to 1.
+// NewController returns a Controller. The function share must return this node's share of a tenant's
+// limits, from 0 to 1.
 func NewController(share func(tenant string) float64) *Controller {
 	return &Controller{share: share, tenants: map[string]*tenant{}}
 }
 
-// Ticket is an admitted request.
+// Ticket represents an admitted request until Release is called.
 type Ticket struct {
 	controller *Controller
 	tenant     *tenant
 	once       sync.Once
 }
 
-// Admit lets a request of an estimated number of tokens in, or returns a
-// RefusalError.
+// Admit admits a request with an estimated number of tokens, or returns a RefusalError.
 func (c *Controller) Admit(name string, limits Limits, tokens int, now time.Time) (*Ticket, error) {
 	share := c.share(name)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state := c.state(name, limits, share)
 	state.demand.add(now, 1)
-	if limits.Concurrency > 0 && state.open >= portion(limits.Concurrency, share) {
-		return nil, &RefusalError{Reason: ReasonConcurrency, RetryAfter: concurrencyRetry}
+	if limits.Concurrency > 0 && state.inFlight >= nodeLimit(limits.Concurrency, share) {
+		return nil, &RefusalError{Reason: ReasonConcurrency, RetryAfter: concurrencyRetryAfter}
 	}
-	if wait, ok := take(state.requests, 1, now); !ok {
+	if wait, ok := takeTokens(state.requests, 1, now); !ok {
 		return nil, &RefusalError{Reason: ReasonRequestRate, RetryAfter: wait}
 	}
-	if wait, ok := take(state.tokens, tokens, now); !ok {
+	if wait, ok := takeTokens(state.tokens, tokens, now); !ok {
 		return nil, &RefusalError{Reason: ReasonTokenRate, RetryAfter: wait}
 	}
-	state.open++
-	state.used.add(now, 1)
-	c.used.add(now, 1)
+	state.inFlight++
+	state.admitted.add(now, 1)
+	c.admitted.add(now, 1)
 	return &Ticket{controller: c, tenant: state}, nil
 }
 
-// portion is a node's part of a count; at least one, so that no tenant is
-// locked out of a node.
-func portion(count int, share float64) int {
+// nodeLimit returns a node's share of a concurrency limit, rounded up. It is at least one, so that
+// every node admits some requests of every tenant.
+func nodeLimit(count int, share float64) int {
 	return max(1, int(float64(count)*share+0.999))
 }
 
-// take uses n of a limiter at once or returns the time to come back.
-func take(limiter *rate.Limiter, n int, now time.Time) (time.Duration, bool) {
+// takeTokens takes n tokens, or the burst size if n is larger, from a limiter. If too few are
+// available, it takes none and returns the retry delay. A nil limiter allows everything.
+func takeTokens(limiter *rate.Limiter, n int, now time.Time) (time.Duration, bool) {
 	if limiter == nil {
 		return 0, true
 	}
@@ -128,8 +136,7 @@
 	return min(wait, maxRetryAfter), false
 }
 
-// state returns the tenant's state with limits brought up to date. The caller
-// holds mu.
+// state returns the tenant's state, updated to the given limits and share. The caller holds mu.
 func (c *Controller) state(name string, limits Limits, share float64) *tenant {
 	state, ok := c.tenants[name]
 	if !ok {
@@ -137,14 +144,16 @@
 		c.tenants[name] = state
 	}
 	if !ok || state.limits != limits || state.share != share {
-		state.requests = adjust(state.requests, limits.RequestsPerSecond*share)
-		state.tokens = adjust(state.tokens, limits.TokensPerSecond*share)
+		state.requests = updateLimiter(state.requests, limits.RequestsPerSecond*share)
+		state.tokens = updateLimiter(state.tokens, limits.TokensPerSecond*share)
 		state.limits, state.share = limits, share
 	}
 	return state
 }
 
-func adjust(limiter *rate.Limiter, perSecond float64) *rate.Limiter {
+// updateLimiter sets a limiter to a rate, creating it if needed. It returns nil if the rate is not
+// positive.
+func updateLimiter(limiter *rate.Limiter, perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
 	}
@@ -162,12 +171,12 @@
 	t.once.Do(func() {
 		t.controller.mu.Lock()
 		defer t.controller.mu.Unlock()
-		t.tenant.open--
+		t.tenant.inFlight--
 	})
 }
 
-// Demand returns the recent request rates of the tenants seen at this node,
-// refused requests included.
+// Demand returns the recent request rate of each active tenant at this node, including refused
+// requests. It drops the state of idle tenants.
 func (c *Controller) Demand(now time.Time) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -176,35 +185,35 @@
 		rate := state.demand.rate(now)
 		if rate > idleRate {
 			demand[name] = rate
-		} else if state.open == 0 {
+		} else if state.inFlight == 0 {
 			delete(c.tenants, name)
 		}
 	}
 	return demand
 }
 
-// Overloaded decides about a request that a replica is predicted to begin only
-// after the given time. Tenants that use more than their weight's share are
-// refused earlier, so that the others keep their service.
-func (c *Controller) Overloaded(name string, predicted, limit time.Duration, now time.Time) error {
-	if limit <= 0 {
+// CheckOverload returns a RefusalError if the predicted wait until a replica starts the request is
+// too long. Tenants that use more than their weighted share are refused at shorter waits, so that
+// the others are still served. If maxWait is not positive, no request is refused.
+func (c *Controller) CheckOverload(name string, predictedWait, maxWait time.Duration, now time.Time) error {
+	if maxWait <= 0 {
 		return nil
 	}
 	c.mu.Lock()
-	allowed := time.Duration(float64(limit) * c.patience(name, now))
+	allowed := time.Duration(float64(maxWait) * c.waitFraction(name, now))
 	c.mu.Unlock()
-	if predicted <= allowed {
+	if predictedWait <= allowed {
 		return nil
 	}
-	return &RefusalError{Reason: ReasonOverload, RetryAfter: min(max(predicted-allowed, time.Second), maxRetryAfter)}
+	return &RefusalError{Reason: ReasonOverload, RetryAfter: min(max(predictedWait-allowed, time.Second), maxRetryAfter)}
 }
 
-// patience is the part of the limit that a tenant gets, from 0.25 for a heavy
-// user to 1. The caller holds mu.
-func (c *Controller) patience(name string, now time.Time) float64 {
-	const least = 0.25
+// waitFraction returns the fraction of the maximum wait that applies to a tenant. It is 1 for a
+// tenant within its fair share and decreases to minFraction with heavier use. The caller holds mu.
+func (c *Controller) waitFraction(name string, now time.Time) float64 {
+	const minFraction = 0.25
 	state, ok := c.tenants[name]
-	total := c.used.rate(now)
+	total := c.admitted.rate(now)
 	if !ok || total <= 0 {
 		return 1
 	}
@@ -214,14 +223,15 @@
 			weights += other.weight()
 		}
 	}
-	usedShare := state.used.rate(now) / total
-	if usedShare <= 0 || weights <= 0 {
+	admittedShare := state.admitted.rate(now) / total
+	if admittedShare <= 0 || weights <= 0 {
 		return 1
 	}
 	fairShare := state.weight() / weights
-	return min(1, max(least, fairShare/usedShare))
+	return min(1, max(minFraction, fairShare/admittedShare))
 }
 
+// weight returns the tenant's weight, 1 if none is set.
 func (t *tenant) weight() float64 {
 	if t.limits.Weight <= 0 {
 		return 1
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func full(string) float64 { return 1 }
+func fullShare(string) float64 { return 1 }
 
 func TestAdmit_Limits(t *testing.T) {
 	now := time.Unix(100, 0)
@@ -21,7 +21,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			controller := NewController(full)
+			controller := NewController(fullShare)
 			for range 2 {
 				if _, err := controller.Admit("a", test.limits, 10, now); err != nil {
 					t.Fatal(err)
@@ -30,17 +30,18 @@
 			_, err := controller.Admit("a", test.limits, 10, now)
 			var refusal *RefusalError
 			if !errors.As(err, &refusal) || refusal.Reason != test.reason || refusal.RetryAfter <= 0 {
-				t.Fatalf("error %v, want %s with a time to come back", err, test.reason)
+				t.Fatalf("error %v, want %s with a retry delay", err, test.reason)
 			}
 			if _, err := controller.Admit("b", test.limits, 10, now); err != nil {
-				t.Fatalf("another tenant is refused: %v", err)
+				t.Fatalf("another tenant refused: %v", err)
 			}
 		})
 	}
 }
 
+// TestAdmit_ReleaseFreesOnce checks that releasing a ticket twice frees one request only.
 func TestAdmit_ReleaseFreesOnce(t *testing.T) {
-	controller := NewController(full)
+	controller := NewController(fullShare)
 	limits := Limits{Concurrency: 1}
 	now := time.Unix(100, 0)
 	ticket, err := controller.Admit("a", limits, 1, now)
@@ -53,13 +54,14 @@
 		t.Fatal(err)
 	}
 	if _, err := controller.Admit("a", limits, 1, now); err == nil {
-		t.Fatal("a second release freed a second place")
+		t.Fatal("second release freed a second request")
 	}
 }
 
-// Under overload a heavy user is refused at a wait that others still get.
-func TestOverloaded_HeavyUserFirst(t *testing.T) {
-	controller := NewController(full)
+// TestCheckOverload_RefusesHeavyTenantFirst checks that a heavy tenant is refused at a wait at which
+// other tenants are still admitted.
+func TestCheckOverload_RefusesHeavyTenantFirst(t *testing.T) {
+	controller := NewController(fullShare)
 	now := time.Unix(100, 0)
 	for i := range 100 {
 		name := "heavy"
@@ -70,11 +72,11 @@
 			t.Fatal(err)
 		}
 	}
-	limit, predicted := 2*time.Second, 1500*time.Millisecond
-	if err := controller.Overloaded("heavy", predicted, limit, now); err == nil {
-		t.Error("the heavy user is let in")
+	maxWait, predictedWait := 2*time.Second, 1500*time.Millisecond
+	if err := controller.CheckOverload("heavy", predictedWait, maxWait, now); err == nil {
+		t.Error("heavy tenant admitted")
 	}
-	if err := controller.Overloaded("light", predicted, limit, now); err != nil {
-		t.Errorf("the light user is refused: %v", err)
+	if err := controller.CheckOverload("light", predictedWait, maxWait, now); err != nil {
+		t.Errorf("light tenant refused: %v", err)
 	}
 }
--- a/internal/admission/meter.go
+++ b/internal/admission/meter.go
@@ -6,31 +6,33 @@
 )
 
 const (
-	// meterWindow is the time constant of the rates.
-	meterWindow = 2 * time.Second
-	// idleRate is the rate, a second, below which a tenant counts as idle.
+	// meterTimeConstant is the time constant of the exponential decay.
+	meterTimeConstant = 2 * time.Second
+	// idleRate is the rate per second at or below which a tenant counts as idle.
 	idleRate = 0.02
 )
 
-// meter is an exponentially decaying event rate.
+// meter estimates an event rate per second with exponential decay.
 type meter struct {
 	value float64
 	last  time.Time
 }
 
+// add records n events.
 func (m *meter) add(now time.Time, n float64) {
 	m.decay(now)
-	m.value += n / meterWindow.Seconds()
+	m.value += n / meterTimeConstant.Seconds()
 }
 
+// decay updates the rate to now.
 func (m *meter) decay(now time.Time) {
 	if elapsed := now.Sub(m.last); elapsed > 0 && !m.last.IsZero() {
-		m.value *= math.Exp(-elapsed.Seconds() / meterWindow.Seconds())
+		m.value *= math.Exp(-elapsed.Seconds() / meterTimeConstant.Seconds())
 	}
 	m.last = now
 }
 
-// rate returns events a second.
+// rate returns the number of events per second.
 func (m *meter) rate(now time.Time) float64 {
 	m.decay(now)
 	return m.value
--- a/internal/batch/group.go
+++ b/internal/batch/group.go
@@ -17,22 +17,22 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// submission builds the job of a group from the lines of the input file.
-func (s *Service) submission(ctx context.Context, batch *Job, number int) (*jobs.Submission, error) {
-	if batch.active == table.Absent {
+// newSubmission builds the job that runs a group from the lines of the input file.
+func (s *Service) newSubmission(ctx context.Context, batch *Job, number int) (*jobs.Submission, error) {
+	if batch.activeVersion == table.Absent {
 		return nil, Error.New("batch %s is not known to be active", batch.ID)
 	}
-	lines, err := s.lines(ctx, batch, number)
+	lines, err := s.readLines(ctx, batch, number)
 	if err != nil {
 		return nil, err
 	}
 	first, _ := batch.groupRange(number)
-	submitted := &jobs.Submission{
+	submission := &jobs.Submission{
 		ID: groupID(batch.ID, number), Route: RouteOf(batch.Model), Host: RouteOf(batch.Model),
 		Completion: time.Until(batch.Deadline), Retention: time.Until(batch.Deadline), Turns: true,
-		// Neither a batch that has ended nor a group that is done is begun again.
+		// Groups of ended batches and groups that are done are not submitted again.
 		Guards: []table.Write{
-			{Key: activeKey(batch.ID), Expect: batch.active},
+			{Key: activeKey(batch.ID), Expect: batch.activeVersion},
 			{Key: groupKey(batch.ID, number), Expect: table.Absent},
 		},
 	}
@@ -42,23 +42,23 @@
 			return nil, Error.New("line %d of %s: %s", first+i+1, batch.File, problem.Message)
 		}
 		request, _ := openai.ParseCompletion(item.Body)
-		submitted.Items = append(submitted.Items, jobs.Item{
+		submission.Items = append(submission.Items, jobs.Item{
 			ID: fmt.Sprintf("%s-%d", batch.ID, first+i), Path: item.URL, Body: item.Body,
 			Tokens: int64(len(item.Body)/bytesPerToken + request.Limit()),
 			Once:   item.NotRepeatable, Label: item.CustomID,
 		})
 	}
-	return submitted, nil
+	return submission, nil
 }
 
-// bytesPerToken is the usual length of a token, for estimates of sizes.
+// bytesPerToken is the typical length of a token, used to estimate the size of prompts.
 const bytesPerToken = 4
 
-// RouteOf names the route that a model's batches take.
+// RouteOf returns the name of the route for the batches of a model.
 func RouteOf(model string) string { return "batch/" + model }
 
-// lines reads the lines of a group from the segments of the input file.
-func (s *Service) lines(ctx context.Context, batch *Job, number int) ([][]byte, error) {
+// readLines returns the lines of a group from the segments of the input file.
+func (s *Service) readLines(ctx context.Context, batch *Job, number int) ([][]byte, error) {
 	first, end := batch.groupRange(number)
 	var lines [][]byte
 	for segment := first / SegmentLines; segment*SegmentLines < end; segment++ {
@@ -66,7 +66,7 @@
 		if err != nil {
 			return nil, Error.Wrap(err)
 		}
-		lines = append(lines, linesBetween(body, segment*SegmentLines, first, end)...)
+		lines = append(lines, linesInRange(body, segment*SegmentLines, first, end)...)
 	}
 	if len(lines) != end-first {
 		return nil, Error.New("group %d of %s has %d lines, not %d", number, batch.ID, len(lines), end-first)
@@ -74,18 +74,18 @@
 	return lines, nil
 }
 
-// linesBetween returns the lines of a segment, which begins at a line of the
-// file, that lie in a range of the file.
-func linesBetween(segment []byte, line, first, end int) [][]byte {
+// linesInRange returns the lines of a segment whose numbers in the file are in [first, end).
+// lineNumber is the number of the segment's first line.
+func linesInRange(segment []byte, lineNumber, first, end int) [][]byte {
 	var lines [][]byte
 	reader := bufio.NewReaderSize(bytes.NewReader(segment), 64<<10)
-	for ; ; line++ {
-		source, _, err := readLine(reader)
-		if len(source) == 0 && errors.Is(err, io.EOF) {
+	for ; ; lineNumber++ {
+		line, _, err := readLine(reader)
+		if len(line) == 0 && errors.Is(err, io.EOF) {
 			return lines
 		}
-		if line >= first && line < end {
-			lines = append(lines, bytes.Clone(source))
+		if lineNumber >= first && lineNumber < end {
+			lines = append(lines, bytes.Clone(line))
 		}
 		if err != nil {
 			return lines
@@ -93,7 +93,8 @@
 	}
 }
 
-// finishGroup makes the listed results of a group its result for good.
+// finishGroup makes the listed results of a group permanent. It stores them as objects, then in one
+// transaction writes the group's record and removes its job, if the batch is still active.
 func (s *Service) finishGroup(ctx context.Context, batch *Job, number int, entry *jobs.Entry) error {
 	results, err := s.itemResults(ctx, entry)
 	if err != nil {
@@ -114,10 +115,10 @@
 	}
 	return s.Work.Remove(ctx, entry,
 		table.Write{Key: groupKey(batch.ID, number), Expect: table.Absent, Body: body},
-		table.Write{Key: activeKey(batch.ID), Kind: table.Check, Expect: batch.active})
+		table.Write{Key: activeKey(batch.ID), Kind: table.Check, Expect: batch.activeVersion})
 }
 
-// itemResults reads all results of a group that is done, with its items.
+// itemResults returns the results of a completed group, each with its item.
 func (s *Service) itemResults(ctx context.Context, entry *jobs.Entry) ([]itemResult, error) {
 	items, err := s.Work.Items(ctx, entry.Job)
 	if err != nil {
@@ -129,31 +130,31 @@
 	}
 	var results []itemResult
 	for len(results) < len(items) {
-		reading, err := s.Work.Read(ctx, entry.Job.ID, len(results), 0)
+		page, err := s.Work.Read(ctx, entry.Job.ID, len(results), 0)
 		if err != nil {
 			return nil, Error.Wrap(err)
 		}
-		if len(reading.Results) == 0 {
+		if len(page.Results) == 0 {
 			return nil, Error.New("group %s has %d of %d results", entry.Job.ID, len(results), len(items))
 		}
-		for _, result := range reading.Results {
+		for _, result := range page.Results {
 			results = append(results, itemResult{item: byID[result.Item], result: result})
 		}
 	}
 	return results, nil
 }
 
-// itemResult is a listed result with its item.
+// itemResult is a listed result and the item it belongs to.
 type itemResult struct {
 	item   *jobs.Item
 	result jobs.Result
 }
 
-// render builds the lines of the output and the error object.
+// render returns the contents of the output object and the error object, and the group's counts.
 func render(results []itemResult) (outputs, failures []byte, group Group) {
 	var outputBuffer, failureBuffer bytes.Buffer
-	for _, one := range results {
-		line, failed := one.line()
+	for _, item := range results {
+		line, failed := item.line()
 		target := &outputBuffer
 		if failed {
 			target = &failureBuffer
@@ -161,7 +162,7 @@
 		} else {
 			group.Completed++
 		}
-		if one.result.Reason == jobs.Expired {
+		if item.result.Reason == jobs.Expired {
 			group.Expired++
 		}
 		target.Write(line)
@@ -171,31 +172,31 @@
 	return outputBuffer.Bytes(), failureBuffer.Bytes(), group
 }
 
-// line renders a result as a line of a file. It reports whether the item failed.
+// line returns the result as a line of the output or error file, and whether the item failed.
 func (r *itemResult) line() ([]byte, bool) {
 	rendered := openai.BatchResult{ID: "batch_req_" + r.item.ID, CustomID: r.item.Label}
 	if !r.result.Dead {
-		body, err := engine.WholeText(r.result.Text, r.item.Path)
+		body, err := engine.AssembleAnswer(r.result.Text, r.item.Path)
 		if err == nil {
 			rendered.Response = &openai.BatchItemResponse{StatusCode: 200, RequestID: r.item.ID, Body: body}
 			return marshal(rendered), false
 		}
 	}
-	rendered.Error = failureOf(r.result.Reason)
+	rendered.Error = itemError(r.result.Reason)
 	return marshal(rendered), true
 }
 
 func marshal(rendered openai.BatchResult) []byte {
 	line, err := json.Marshal(rendered)
 	if err != nil {
-		// Its parts are strings and JSON that has been made here.
+		// The parts are strings and JSON that this package encoded, so this cannot happen.
 		panic(err)
 	}
 	return line
 }
 
-// failureOf tells the caller why an item has no answer.
-func failureOf(reason jobs.Reason) *openai.BatchItemError {
+// itemError returns the error that the caller receives for an item without an answer.
+func itemError(reason jobs.Reason) *openai.BatchItemError {
 	switch reason {
 	case jobs.Expired:
 		return &openai.BatchItemError{Code: openai.CodeBatchExpired, Message: "the deadline passed before the item ran"}
--- a/internal/batch/service.go
+++ b/internal/batch/service.go
@@ -20,19 +20,19 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// Service accepts, describes and cancels batches and reads their results. All
-// its state is in the platform, so any node answers for any batch.
+// Service accepts, describes and cancels batches and reads their results. All its state is in the
+// table and the object store, so that any node can serve any batch.
 type Service struct {
 	Table   table.Service
 	Objects object.Store
 	Work    *jobs.Service
-	// Accepted is told of each accepted batch; it does not block. It may be nil.
+	// Accepted, if set, is called with each accepted batch. It must not block.
 	Accepted func(*Job)
-	// Unreadable, if set, is told of rows that cannot be read.
+	// Unreadable, if set, receives reports of rows that cannot be decoded.
 	Unreadable *table.Unreadable
 }
 
-// Submission asks for a job.
+// Submission is a request to create a job. Key is the caller's idempotency key and may be empty.
 type Submission struct {
 	Tenant   string
 	Request  openai.BatchRequest
@@ -40,8 +40,9 @@
 	Deadline time.Duration
 }
 
-// fingerprint identifies a submission: the caller's key if there is one, else
-// everything that makes the job what it is. A resent job meets the first one.
+// fingerprint returns a hash that identifies a submission: of the idempotency key if there is one,
+// otherwise of the job's parameters and the file's content. A retried submission has the same
+// fingerprint and so finds the job of the first.
 func (s *Submission) fingerprint(file *FileRecord) string {
 	digest := sha256.New()
 	if s.Key != "" {
@@ -54,15 +55,15 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// File returns the record of an uploaded file of a tenant.
+// File returns the record of a file that a tenant uploaded.
 func (s *Service) File(ctx context.Context, tenant, id string) (*FileRecord, error) {
 	row, err := s.Table.Get(ctx, fileKey(id))
 	if err != nil {
-		return nil, notFound(err)
+		return nil, wrapNotFound(err)
 	}
 	record := &FileRecord{}
 	if err := row.Decode(record); err != nil {
-		return nil, s.unreadable(err)
+		return nil, s.reportUnreadable(err)
 	}
 	if record.Tenant != tenant {
 		return nil, Error.Wrap(ErrNotFound)
@@ -70,8 +71,9 @@
 	return record, nil
 }
 
-// Submit accepts a job. It returns only once the job is durable, or with
-// ErrNotAccepted or ErrUndecided.
+// Submit creates a job and returns it once it is durable. A submission with the fingerprint of an
+// earlier one returns the earlier job. Errors include ErrNotFound for an unknown file,
+// ErrNotAccepted and ErrUndecided.
 func (s *Service) Submit(ctx context.Context, submission Submission) (*Job, error) {
 	file, err := s.File(ctx, submission.Tenant, submission.Request.InputFileID)
 	if err != nil {
@@ -96,10 +98,10 @@
 	err = table.CommitSettled(ctx, s.Table, table.NewOperation(), writes...)
 	switch {
 	case err == nil:
-		s.accepted(ctx, job)
+		s.notifyAccepted(ctx, job)
 		return job, nil
 	case errors.Is(err, table.ErrConflict):
-		return s.earlier(ctx, key)
+		return s.existingJob(ctx, key)
 	case outcome.Of(err) == outcome.NotDone:
 		return nil, Error.Wrap(fmt.Errorf("%w: %w", ErrNotAccepted, err))
 	default:
@@ -107,10 +109,10 @@
 	}
 }
 
-// accepted completes a batch that is durable with the version of its row, and
-// has its first groups begun.
-func (s *Service) accepted(ctx context.Context, job *Job) {
-	if stored, err := s.job(ctx, job.ID); err == nil {
+// notifyAccepted sets the version of a durable job's row and calls Accepted, so that its first
+// groups are submitted.
+func (s *Service) notifyAccepted(ctx context.Context, job *Job) {
+	if stored, err := s.getJob(ctx, job.ID); err == nil {
 		job.Version = stored.Version
 	}
 	if s.Accepted != nil {
@@ -118,13 +120,13 @@
 	}
 }
 
-// earlier returns the job that holds a fingerprint.
-func (s *Service) earlier(ctx context.Context, key table.Key) (*Job, error) {
+// existingJob returns the job that was created under a fingerprint's key.
+func (s *Service) existingJob(ctx context.Context, key table.Key) (*Job, error) {
 	row, err := s.Table.Get(ctx, key)
 	if err != nil {
 		return nil, Error.Wrap(fmt.Errorf("%w: %w", ErrUndecided, err))
 	}
-	return s.job(ctx, string(row.Body))
+	return s.getJob(ctx, string(row.Body))
 }
 
 func newJob(submission *Submission, file *FileRecord) *Job {
@@ -148,19 +150,19 @@
 	return job
 }
 
-func (s *Service) job(ctx context.Context, id string) (*Job, error) {
+func (s *Service) getJob(ctx context.Context, id string) (*Job, error) {
 	row, err := s.Table.Get(ctx, jobKey(id))
 	if err != nil {
-		return nil, notFound(err)
+		return nil, wrapNotFound(err)
 	}
 	job, err := decodeJob(row)
-	return job, s.unreadable(err)
+	return job, s.reportUnreadable(err)
 }
 
-// Job returns a job of a tenant with current counts. An empty tenant stands
-// for an operator, who sees all jobs.
+// Job returns a job of a tenant with current counts. An empty tenant stands for an operator, who may
+// see all jobs.
 func (s *Service) Job(ctx context.Context, tenant, id string) (*Job, error) {
-	job, err := s.job(ctx, id)
+	job, err := s.getJob(ctx, id)
 	if err != nil {
 		return nil, err
 	}
@@ -168,17 +170,18 @@
 		return nil, Error.Wrap(ErrNotFound)
 	}
 	if job.State == openai.BatchInProgress {
-		groups, err := s.groups(ctx, job.ID)
+		groups, err := s.doneGroups(ctx, job.ID)
 		if err != nil {
 			return nil, err
 		}
-		job.Completed, job.Failed, _ = count(groups)
-		s.countOpen(job, groups)
+		job.Completed, job.Failed, _ = sumGroups(groups)
+		s.addOpenGroups(job, groups)
 	}
 	return job, nil
 }
 
-func count(groups map[int]Group) (completed, failed, expired int) {
+// sumGroups returns the total counts of completed groups.
+func sumGroups(groups map[int]Group) (completed, failed, expired int) {
 	for _, group := range groups {
 		completed += group.Completed
 		failed += group.Failed
@@ -187,8 +190,8 @@
 	return completed, failed, expired
 }
 
-// countOpen adds the results of groups that are not done yet.
-func (s *Service) countOpen(job *Job, done map[int]Group) {
+// addOpenGroups adds the listed results of groups that are not done yet to the job's counts.
+func (s *Service) addOpenGroups(job *Job, done map[int]Group) {
 	for _, entry := range s.Work.View.All() {
 		batch, number, ok := parseGroupID(entry.Job.ID)
 		if _, counted := done[number]; !ok || batch != job.ID || counted {
@@ -204,8 +207,8 @@
 	}
 }
 
-// groups reads the rows of all groups of a batch that are done.
-func (s *Service) groups(ctx context.Context, batch string) (map[int]Group, error) {
+// doneGroups reads the records of the completed groups of a batch, by group number.
+func (s *Service) doneGroups(ctx context.Context, batch string) (map[int]Group, error) {
 	rows, err := table.ListAll(ctx, s.Table, partitionGroups+batch)
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -217,15 +220,15 @@
 			return nil, Error.Wrap(err)
 		}
 		if groups[number], err = decodeGroup(row); err != nil {
-			// Nobody can tell what became of the group, so its batch rests.
-			return nil, s.unreadable(err)
+			// The result of the group is unknown, so its batch cannot progress.
+			return nil, s.reportUnreadable(err)
 		}
 	}
 	return groups, nil
 }
 
-// Jobs returns the jobs of a tenant, the newest first; an empty tenant stands
-// for all.
+// Jobs returns at most limit jobs of a tenant, the newest first. An empty tenant stands for all
+// tenants. Unreadable jobs are reported and skipped.
 func (s *Service) Jobs(ctx context.Context, tenant string, limit int) ([]*Job, error) {
 	rows, err := table.ListAll(ctx, s.Table, partitionJobs)
 	if err != nil {
@@ -235,8 +238,8 @@
 	for _, row := range rows {
 		job, err := decodeJob(row)
 		if err != nil {
-			// The others hold.
-			_ = s.unreadable(err)
+			// One unreadable row must not hide the others.
+			_ = s.reportUnreadable(err)
 			continue
 		}
 		if tenant == "" || job.Tenant == tenant {
@@ -247,7 +250,7 @@
 	return jobs[:min(len(jobs), limit)], nil
 }
 
-// Active returns the jobs that are not final.
+// Active returns the jobs that are not in a final state. Unreadable ones are reported and skipped.
 func (s *Service) Active(ctx context.Context) ([]*Job, error) {
 	rows, err := table.ListAll(ctx, s.Table, partitionActive)
 	if err != nil {
@@ -257,18 +260,18 @@
 	for _, row := range rows {
 		job, err := decodeJob(row)
 		if err != nil {
-			// The others hold.
-			_ = s.unreadable(err)
+			// One unreadable row must not hide the others.
+			_ = s.reportUnreadable(err)
 			continue
 		}
-		job.active = row.Version
+		job.activeVersion = row.Version
 		jobs = append(jobs, job)
 	}
 	return jobs, nil
 }
 
-// Cancel ends a job. Results committed before stay readable; none is
-// committed afterwards.
+// Cancel ends a job and returns it; a job that has ended is returned unchanged. Results committed
+// before stay readable, and none are committed afterwards.
 func (s *Service) Cancel(ctx context.Context, tenant, id string) (*Job, error) {
 	job, err := s.Job(ctx, tenant, id)
 	if err != nil {
@@ -279,40 +282,41 @@
 	}
 	job.State = openai.BatchCancelled
 	job.EndedAt = time.Now().UTC()
-	err = s.end(ctx, job)
+	err = s.commitFinal(ctx, job)
 	if errors.Is(err, table.ErrConflict) {
 		return s.Job(ctx, tenant, id)
 	}
 	if err != nil {
 		return nil, err
 	}
-	s.endGroups(ctx, job.ID)
+	s.endLocalGroups(ctx, job.ID)
 	return job, nil
 }
 
-// endGroups stops the groups of a batch that this node knows. The feeders stop
-// those it does not know.
-func (s *Service) endGroups(ctx context.Context, id string) {
+// endLocalGroups stops the groups of a batch that are in this node's view. The feeder stops those
+// that are not.
+func (s *Service) endLocalGroups(ctx context.Context, id string) {
 	for _, entry := range s.Work.View.Open() {
 		if batch, _, ok := parseGroupID(entry.Job.ID); ok && batch == id {
-			// A feeder makes up for a failure.
+			// The feeder retries what fails here.
 			_ = s.Work.End(ctx, entry.Job.ID)
 		}
 	}
 }
 
-// end writes a job's final state and takes it off the active list.
-func (s *Service) end(ctx context.Context, job *Job) error {
+// commitFinal writes a job's final state and removes the job from the list of active batches. The
+// error is table.ErrConflict if the job has ended or its row has changed.
+func (s *Service) commitFinal(ctx context.Context, job *Job) error {
 	body, err := encode(job)
 	if err != nil {
 		return err
 	}
-	if err := s.findActive(ctx, job); err != nil {
+	if err := s.loadActiveVersion(ctx, job); err != nil {
 		return err
 	}
 	err = table.CommitSettled(ctx, s.Table, table.NewOperation(),
 		table.Write{Key: jobKey(job.ID), Expect: job.Version, Body: body},
-		table.Write{Key: activeKey(job.ID), Kind: table.Delete, Expect: job.active},
+		table.Write{Key: activeKey(job.ID), Kind: table.Delete, Expect: job.activeVersion},
 	)
 	if err != nil {
 		return Error.Wrap(err)
@@ -320,25 +324,25 @@
 	return nil
 }
 
-// findActive reads the version of a batch's row on the list of active ones. It
-// returns table.ErrConflict if the batch has ended.
-func (s *Service) findActive(ctx context.Context, job *Job) error {
+// loadActiveVersion sets the version of a job's row in the list of active batches. The error is
+// table.ErrConflict if the job has ended.
+func (s *Service) loadActiveVersion(ctx context.Context, job *Job) error {
 	row, err := s.Table.Get(ctx, activeKey(job.ID))
 	if errors.Is(err, table.ErrNotFound) {
 		return Error.Wrap(outcome.Failed(table.ErrConflict))
 	}
-	job.active = row.Version
+	job.activeVersion = row.Version
 	return Error.Wrap(err)
 }
 
-// Content opens a file: an uploaded input, or the results or errors of a job
-// as far as they are committed.
+// Content writes the content of a file to output: an uploaded input file, or the answers or errors
+// of a job that are committed so far.
 func (s *Service) Content(ctx context.Context, tenant, id string, output io.Writer) error {
 	switch {
 	case strings.HasPrefix(id, outputFilePrefix):
-		return s.results(ctx, tenant, strings.TrimPrefix(id, outputFilePrefix), output, false)
+		return s.copyResults(ctx, tenant, strings.TrimPrefix(id, outputFilePrefix), output, false)
 	case strings.HasPrefix(id, errorFilePrefix):
-		return s.results(ctx, tenant, strings.TrimPrefix(id, errorFilePrefix), output, true)
+		return s.copyResults(ctx, tenant, strings.TrimPrefix(id, errorFilePrefix), output, true)
 	}
 	file, err := s.File(ctx, tenant, id)
 	if err != nil {
@@ -352,12 +356,13 @@
 	return nil
 }
 
-func (s *Service) results(ctx context.Context, tenant, id string, output io.Writer, errorsOnly bool) error {
+// copyResults writes the committed answers of a job, or its committed errors if errorsOnly is set.
+func (s *Service) copyResults(ctx context.Context, tenant, id string, output io.Writer, errorsOnly bool) error {
 	job, err := s.Job(ctx, tenant, id)
 	if err != nil {
 		return err
 	}
-	groups, err := s.groups(ctx, id)
+	groups, err := s.doneGroups(ctx, id)
 	if err != nil {
 		return err
 	}
--- a/internal/batch/upload.go
+++ b/internal/batch/upload.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	// MaxLineBytes bounds one line of an input file.
+	// MaxLineBytes is the maximum length of a line of an input file.
 	MaxLineBytes = 1 << 20
-	// MaxLines bounds the items of one job.
+	// MaxLines is the maximum number of items in one input file.
 	MaxLines = 270_000
-	// maxFindings bounds the findings kept about one file.
+	// maxFindings is the maximum number of findings stored for one file.
 	maxFindings = 100
 )
 
-// Findings about input lines.
+// Codes of the findings about input files.
 const (
 	codeInvalidJSON  = "invalid_json_line"
 	codeInvalidItem  = "invalid_item"
@@ -40,7 +40,7 @@
 	codeEmptyFile    = "empty_file"
 )
 
-// ParseItem decodes and checks one line of an input file.
+// ParseItem decodes and validates one line of an input file.
 func ParseItem(line []byte) (openai.BatchItem, *openai.BatchError) {
 	var item openai.BatchItem
 	if err := json.Unmarshal(line, &item); err != nil {
@@ -66,22 +66,22 @@
 	return item, nil
 }
 
-// uploader reads a file once: it checks every line and stores the lines in
-// segments, so that no more than one segment is in memory.
+// uploader validates the lines of a file as they arrive and stores them in segments, so that at most
+// one segment is in memory.
 type uploader struct {
-	store   object.Store
-	record  *FileRecord
-	digest  hash.Hash
-	seen    map[uint64]bool
-	segment bytes.Buffer
-	stored  int
+	store          object.Store
+	record         *FileRecord
+	digest         hash.Hash
+	seenIDs        map[uint64]bool
+	segment        bytes.Buffer
+	storedSegments int
 }
 
-// Upload stores an input file and returns its record. Findings about lines do
-// not fail the upload; they fail a job over the file.
+// Upload stores an input file and returns its record. Findings do not fail the upload, but a job over
+// the file.
 func (s *Service) Upload(ctx context.Context, tenant, name string, content io.Reader) (*FileRecord, error) {
 	record := &FileRecord{ID: "file-" + table.NewOperation(), Tenant: tenant, Name: name, CreatedAt: time.Now().UTC()}
-	upload := &uploader{store: s.Objects, record: record, digest: sha256.New(), seen: map[uint64]bool{}}
+	upload := &uploader{store: s.Objects, record: record, digest: sha256.New(), seenIDs: map[uint64]bool{}}
 	if err := upload.readAll(ctx, content); err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 	err = table.CommitSettled(ctx, s.Table, table.NewOperation(),
 		table.Write{Key: fileKey(record.ID), Expect: table.Absent, Body: body})
 	if err != nil {
-		// Nobody knows the file's id, so an undecided upload is as good as none.
+		// No caller has received the file's ID, so an undecided upload counts as not accepted.
 		return nil, Error.Wrap(fmt.Errorf("%w: %w", ErrNotAccepted, err))
 	}
 	return record, nil
@@ -106,24 +106,24 @@
 		if err != nil && !errors.Is(err, io.EOF) {
 			return Error.Wrap(outcome.Failed(err))
 		}
-		ended := err != nil
-		if len(line) > 0 || tooLong || !ended {
-			if err := u.take(ctx, line, tooLong); err != nil {
+		atEOF := err != nil
+		if len(line) > 0 || tooLong || !atEOF {
+			if err := u.addLine(ctx, line, tooLong); err != nil {
 				return err
 			}
 		}
-		if ended {
+		if atEOF {
 			break
 		}
 	}
 	if u.record.Lines == 0 {
-		u.find(0, openai.BatchError{Code: codeEmptyFile, Message: "the file has no items"})
+		u.addFinding(0, openai.BatchError{Code: codeEmptyFile, Message: "the file has no items"})
 	}
 	return u.flush(ctx)
 }
 
-// readLine returns the next line without its newline. A line over the limit is
-// skipped and reported as too long.
+// readLine returns the next line without its line ending. For a line longer than MaxLineBytes,
+// tooLong is true and the line is empty or cut.
 func readLine(reader *bufio.Reader) (line []byte, tooLong bool, err error) {
 	for {
 		part, err := reader.ReadSlice('\n')
@@ -141,7 +141,8 @@
 	}
 }
 
-func (u *uploader) take(ctx context.Context, line []byte, tooLong bool) error {
+// addLine counts, validates and stores a line. Blank lines are ignored.
+func (u *uploader) addLine(ctx context.Context, line []byte, tooLong bool) error {
 	if len(bytes.TrimSpace(line)) == 0 && !tooLong {
 		return nil
 	}
@@ -151,14 +152,14 @@
 	_, _ = u.digest.Write([]byte{'\n'})
 	switch {
 	case tooLong:
-		u.find(u.record.Lines, openai.BatchError{Code: codeLineTooLong, Message: "line is longer than 1 MiB"})
+		u.addFinding(u.record.Lines, openai.BatchError{Code: codeLineTooLong, Message: "line is longer than 1 MiB"})
 	case u.record.Lines > MaxLines:
 		if u.record.Lines == MaxLines+1 {
-			u.find(u.record.Lines, openai.BatchError{Code: codeTooManyItems, Message: "a file holds at most 270,000 items"})
+			u.addFinding(u.record.Lines, openai.BatchError{Code: codeTooManyItems, Message: "a file holds at most 270,000 items"})
 		}
 		return nil
 	default:
-		u.check(line)
+		u.checkLine(line)
 	}
 	u.segment.Write(line)
 	u.segment.WriteByte('\n')
@@ -168,17 +169,18 @@
 	return nil
 }
 
-func (u *uploader) check(line []byte) {
+// checkLine validates a line and records its findings.
+func (u *uploader) checkLine(line []byte) {
 	item, problem := ParseItem(line)
 	if problem != nil {
-		u.find(u.record.Lines, *problem)
+		u.addFinding(u.record.Lines, *problem)
 		return
 	}
 	id := xxhash.Sum64String(item.CustomID)
-	if u.seen[id] {
-		u.find(u.record.Lines, openai.BatchError{Code: codeDuplicateID, Message: fmt.Sprintf("custom_id %q stands on an earlier line", item.CustomID)})
+	if u.seenIDs[id] {
+		u.addFinding(u.record.Lines, openai.BatchError{Code: codeDuplicateID, Message: fmt.Sprintf("custom_id %q stands on an earlier line", item.CustomID)})
 	}
-	u.seen[id] = true
+	u.seenIDs[id] = true
 	u.record.NotRepeatable = u.record.NotRepeatable || item.NotRepeatable
 	if u.record.Model == "" {
 		request, _ := openai.ParseCompletion(item.Body)
@@ -186,22 +188,24 @@
 	}
 }
 
-func (u *uploader) find(line int, problem openai.BatchError) {
+// addFinding records a finding about a line, counted from 1; 0 stands for the whole file.
+func (u *uploader) addFinding(line int, problem openai.BatchError) {
 	if len(u.record.Findings) < maxFindings {
 		problem.Line = line
 		u.record.Findings = append(u.record.Findings, problem)
 	}
 }
 
+// flush stores the buffered lines as the next segment.
 func (u *uploader) flush(ctx context.Context) error {
 	if u.segment.Len() == 0 {
 		return nil
 	}
-	err := u.store.Put(ctx, segmentKey(u.record.ID, u.stored), bytes.Clone(u.segment.Bytes()))
+	err := u.store.Put(ctx, segmentKey(u.record.ID, u.storedSegments), bytes.Clone(u.segment.Bytes()))
 	if err != nil {
 		return Error.Wrap(fmt.Errorf("%w: %w", ErrNotAccepted, err))
 	}
-	u.stored++
+	u.storedSegments++
 	u.segment.Reset()
 	return nil
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,9 +1,9 @@
-// Package clock tells time that goes on while the machine is suspended.
+// Package clock provides a clock that continues while the machine is suspended.
 //
-// The steady clock of package time stands still meanwhile, on the systems that nodes run on.
-// A node that goes by it takes a lease for its own that lapsed while it slept, and what it
-// last heard for new. All leases, windows, ages and deadlines of this repository go by this
-// package, so a suspension is to them what a process that was stopped for as long is.
+// The monotonic clock of package time stops during a suspension on the systems that nodes run on. A
+// node that uses it would consider a lease valid that has expired during the suspension, and old
+// information current. Leases, time windows, ages and deadlines therefore use this package, so that
+// a suspension has the same effect as a process that is stopped for as long.
 package clock
 
 import (
@@ -14,163 +14,163 @@
 )
 
 const (
-	// lookEvery is how much steady time passes at most between two looks at the clock that
-	// counts suspensions: a look is a system call, of some 100 ns.
-	lookEvery = 100 * time.Millisecond
-	// tolerance is how far two readings of clocks may lie apart that are taken one after the
-	// other. What is shorter is no suspension.
-	tolerance = time.Millisecond
-	// readTries bounds how often the clocks are read until they are read close together.
-	readTries = 4
-	// longestLife bounds the life of a process. A steady clock beyond it is one that tests
-	// make up, in which nothing is suspended.
-	longestLife = 20 * 365 * 24 * time.Hour
-	// deadlineLook is how late a deadline that passed in a suspension is noticed after it.
-	deadlineLook = 200 * time.Millisecond
+	// bootTimeCheckInterval is the maximum monotonic time between two reads of the boot time. A
+	// read is a system call that takes about 100 ns.
+	bootTimeCheckInterval = 100 * time.Millisecond
+	// clockTolerance is the maximum difference between two clocks that are read one after the
+	// other. A shorter difference is not considered a suspension.
+	clockTolerance = time.Millisecond
+	// readAttempts limits the attempts to read two clocks close enough together.
+	readAttempts = 4
+	// maxProcessAge is the maximum age of a process. A monotonic time beyond it belongs to the
+	// simulated clock of a test, in which there are no suspensions.
+	maxProcessAge = 20 * 365 * 24 * time.Hour
+	// deadlineCheckInterval is the maximum delay with which a deadline that passed during a
+	// suspension is detected.
+	deadlineCheckInterval = 200 * time.Millisecond
 )
 
-// origin is when the process began to look at clocks.
-var origin = time.Now()
+// processStart is the reference for all clock readings.
+var processStart = time.Now()
 
-// reading is what the last look showed.
+// reading is a reading of the clocks.
 type reading struct {
-	// steady is when that was, by the steady clock since origin.
-	steady time.Duration
-	// drift is how far the time of day had run ahead of the steady clock since origin. It
-	// changes when the machine was suspended, or when the time of day was set.
-	drift time.Duration
-	// slept is the time since origin that the steady clock left out.
-	slept time.Duration
-	// woke is when slept last grew, by Now.
-	woke time.Time
+	// monotonic is the monotonic time since processStart.
+	monotonic time.Duration
+	// wallOffset is how far the wall clock is ahead of the monotonic clock since processStart. It
+	// changes with a suspension or when the wall clock is set.
+	wallOffset time.Duration
+	// suspended is the total duration of suspensions since processStart.
+	suspended time.Duration
+	// resumedAt is the time, as returned by Now, at which suspended last increased.
+	resumedAt time.Time
 }
 
 var (
-	last   atomic.Pointer[reading]
-	lookMu sync.Mutex
-	// source reads the clock that counts suspensions; begun is what it showed at origin.
-	source = bootTime
-	begun  = sourceBegun()
+	lastReading atomic.Pointer[reading]
+	readMu      sync.Mutex
+	// bootTimeSource reads the boot time; bootTimeAtStart is its value at processStart.
+	bootTimeSource  = bootTime
+	bootTimeAtStart = readBootTimeAtStart()
 )
 
-// sourceBegun returns what the source showed at origin.
-func sourceBegun() time.Duration {
+// readBootTimeAtStart returns the boot time at processStart, or 0 if there is no boot time.
+func readBootTimeAtStart() time.Duration {
 	for {
-		now, steady, ok := readBoth(source)
+		bootNow, monotonic, ok := readBoth(bootTimeSource)
 		if ok {
-			return now - steady
+			return bootNow - monotonic
 		}
-		if _, tells := source(); !tells {
+		if _, supported := bootTimeSource(); !supported {
 			return 0
 		}
 	}
 }
 
-// CountsSuspension reports whether this system has a clock that counts suspensions. If not,
-// Now is the steady clock.
+// CountsSuspension reports whether this system has a clock that includes suspensions. If not, Now
+// returns the monotonic clock.
 func CountsSuspension() bool {
-	_, ok := source()
+	_, ok := bootTimeSource()
 	return ok
 }
 
-// Now returns the time: the time of day of the process's start, and what has passed since,
-// suspensions too. Its monotonic reading counts them as well, so times of Now are compared by what
-// passed between them whatever is done to the time of day meanwhile, and so are they with times
-// of package time while the machine has not been suspended: a time of day that is brought
-// into line by 5 ms a second is half a second off after 100 s.
+// Now returns the wall clock at the start of the process plus the time elapsed since then, including
+// suspensions. The result has a monotonic reading that also includes suspensions. Differences
+// between results of Now are therefore independent of changes to the wall clock, as are differences
+// to times of package time while the machine has not been suspended. A wall clock that is slewed
+// by 5 ms per second would be off by half a second after 100 s.
 func Now() time.Time {
 	now := time.Now()
-	steady := now.Sub(origin)
-	if steady < 0 || steady > longestLife {
+	monotonic := now.Sub(processStart)
+	if monotonic < 0 || monotonic > maxProcessAge {
 		return now.Round(0)
 	}
-	drift := now.Round(0).Sub(origin.Round(0)) - steady
-	known := last.Load()
-	if known == nil || (drift-known.drift).Abs() > tolerance || steady-known.steady > lookEvery {
-		known = look(steady, drift)
+	wallOffset := now.Round(0).Sub(processStart.Round(0)) - monotonic
+	latest := lastReading.Load()
+	if latest == nil || (wallOffset-latest.wallOffset).Abs() > clockTolerance || monotonic-latest.monotonic > bootTimeCheckInterval {
+		latest = readClocks(monotonic, wallOffset)
 	}
-	return origin.Add(steady + known.slept)
+	return processStart.Add(monotonic + latest.suspended)
 }
 
-// Since returns the time that has passed since a time of Now.
+// Since returns the time elapsed since a time returned by Now.
 func Since(then time.Time) time.Duration { return Now().Sub(then) }
 
-// Until returns the time until a time of Now.
+// Until returns the time until a time comparable with Now.
 func Until(then time.Time) time.Duration { return then.Sub(Now()) }
 
-// Slept returns how long the machine has been suspended since the process began.
-func Slept() time.Duration {
+// Suspended returns the total time for which the machine was suspended since the process started.
+func Suspended() time.Duration {
 	Now()
-	if known := last.Load(); known != nil {
-		return known.slept
+	if latest := lastReading.Load(); latest != nil {
+		return latest.suspended
 	}
 	return 0
 }
 
-// SinceWake returns the time since the machine was last found to have been suspended. It
-// reports false if it never was.
-func SinceWake() (time.Duration, bool) {
+// SinceResume returns the time since the end of the last suspension was detected. It returns false
+// if there was none.
+func SinceResume() (time.Duration, bool) {
 	now := Now()
-	known := last.Load()
-	if known == nil || known.woke.IsZero() {
+	latest := lastReading.Load()
+	if latest == nil || latest.resumedAt.IsZero() {
 		return 0, false
 	}
-	return now.Sub(known.woke), true
+	return now.Sub(latest.resumedAt), true
 }
 
-// look reads the clock that counts suspensions.
-func look(steady, drift time.Duration) *reading {
-	lookMu.Lock()
-	defer lookMu.Unlock()
-	next := reading{steady: steady, drift: drift}
-	if known := last.Load(); known != nil {
-		next.slept, next.woke = known.slept, known.woke
+// readClocks reads the boot time and stores a new reading.
+func readClocks(monotonic, wallOffset time.Duration) *reading {
+	readMu.Lock()
+	defer readMu.Unlock()
+	next := reading{monotonic: monotonic, wallOffset: wallOffset}
+	if previous := lastReading.Load(); previous != nil {
+		next.suspended, next.resumedAt = previous.suspended, previous.resumedAt
 	}
-	if boot, at, ok := readBoth(source); ok {
-		// A suspension adds; what shrinks is an error of reading.
-		if slept := boot - begun - at; slept > next.slept+tolerance {
-			next.slept = slept
-			next.woke = origin.Add(steady + slept)
+	if boot, monotonicNow, ok := readBoth(bootTimeSource); ok {
+		// Suspensions only add up; a smaller value is a measurement error.
+		if suspended := boot - bootTimeAtStart - monotonicNow; suspended > next.suspended+clockTolerance {
+			next.suspended = suspended
+			next.resumedAt = processStart.Add(monotonic + suspended)
 		}
 	}
-	last.Store(&next)
+	lastReading.Store(&next)
 	return &next
 }
 
-// readBoth reads a source and the steady clock close together. It returns the reading of the
-// source, and that of the steady clock since origin. It reports false if the source tells
-// nothing, or if each time something came between the two readings: what lies between them
+// readBoth reads source and the monotonic clock since processStart close together. It reports false if
+// source has no value, or if the process was delayed between the readings in every attempt, which
 // would look like a suspension.
-func readBoth(source func() (time.Duration, bool)) (boot, steady time.Duration, ok bool) {
-	for range readTries {
-		before := time.Since(origin)
+func readBoth(source func() (time.Duration, bool)) (boot, monotonic time.Duration, ok bool) {
+	for range readAttempts {
+		before := time.Since(processStart)
 		boot, ok = source()
 		if !ok {
 			return 0, 0, false
 		}
-		after := time.Since(origin)
-		if after-before < tolerance/2 {
+		after := time.Since(processStart)
+		if after-before < clockTolerance/2 {
 			return boot, before + (after-before)/2, true
 		}
 	}
 	return 0, 0, false
 }
 
-// WithDeadline is context.WithDeadlineCause for a time of Now. A deadline that passes while
-// the machine is suspended is noticed shortly after that.
+// WithDeadline is like context.WithDeadlineCause for a deadline comparable with Now. A deadline that
+// passes while the machine is suspended is detected shortly after the machine resumes.
 func WithDeadline(parent context.Context, deadline time.Time, cause error) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
-	watch := &deadlineWatch{deadline: deadline, cancel: cancel, cause: cause}
-	watch.mu.Lock()
-	defer watch.mu.Unlock()
-	watch.timer = time.AfterFunc(min(max(0, Until(deadline)), deadlineLook), watch.check)
+	dt := &deadlineTimer{deadline: deadline, cancel: cancel, cause: cause}
+	dt.mu.Lock()
+	defer dt.mu.Unlock()
+	dt.timer = time.AfterFunc(min(max(0, Until(deadline)), deadlineCheckInterval), dt.check)
 	return &deadlineContext{Context: ctx, deadline: deadline}, func() {
-		watch.stop()
+		dt.stop()
 		cancel(context.Canceled)
 	}
 }
 
-// deadlineContext is a context that tells its deadline, by the clock of package time.
+// deadlineContext is a context whose Deadline is a time of package time.
 type deadlineContext struct {
 	context.Context
 	deadline time.Time
@@ -178,11 +178,11 @@
 
 // Deadline implements context.Context.
 func (c *deadlineContext) Deadline() (time.Time, bool) {
-	own := time.Now().Add(Until(c.deadline))
-	if parent, ok := c.Context.Deadline(); ok && parent.Before(own) {
+	local := time.Now().Add(Until(c.deadline))
+	if parent, ok := c.Context.Deadline(); ok && parent.Before(local) {
 		return parent, true
 	}
-	return own, true
+	return local, true
 }
 
 // Err implements context.Context.
@@ -197,8 +197,8 @@
 	return err
 }
 
-// deadlineWatch cancels a context when its deadline has passed.
-type deadlineWatch struct {
+// deadlineTimer cancels a context when its deadline has passed.
+type deadlineTimer struct {
 	deadline time.Time
 	cancel   context.CancelCauseFunc
 	cause    error
@@ -208,51 +208,50 @@
 	stopped bool
 }
 
-func (w *deadlineWatch) check() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	left := Until(w.deadline)
+func (t *deadlineTimer) check() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	remaining := Until(t.deadline)
 	switch {
-	case w.stopped:
-	case left <= 0:
-		w.cancel(w.cause)
+	case t.stopped:
+	case remaining <= 0:
+		t.cancel(t.cause)
 	default:
-		w.timer.Reset(min(left, deadlineLook))
+		t.timer.Reset(min(remaining, deadlineCheckInterval))
 	}
 }
 
-func (w *deadlineWatch) stop() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.stopped = true
-	w.timer.Stop()
+func (t *deadlineTimer) stop() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.stopped = true
+	t.timer.Stop()
 }
 
-// SetSource has a source take the place of the system's clock that counts suspensions, until
-// restore is called: for tests, and for programs that try out what a suspension does. It is
-// not safe for concurrent use with itself.
-func SetSource(with func() (time.Duration, bool)) (restore func()) {
-	lookMu.Lock()
-	before, beforeBegun := source, begun
-	source = with
-	begun = sourceBegun()
-	last.Store(nil)
-	lookMu.Unlock()
+// SetBootTimeSource replaces the system's boot time by source until restore is called. It is for
+// tests and for programs that simulate suspensions. It must not be called concurrently with itself.
+func SetBootTimeSource(source func() (time.Duration, bool)) (restore func()) {
+	readMu.Lock()
+	previousSource, previousBootTimeAtStart := bootTimeSource, bootTimeAtStart
+	bootTimeSource = source
+	bootTimeAtStart = readBootTimeAtStart()
+	lastReading.Store(nil)
+	readMu.Unlock()
 	return func() {
-		lookMu.Lock()
-		defer lookMu.Unlock()
-		source, begun = before, beforeBegun
-		last.Store(nil)
+		readMu.Lock()
+		defer readMu.Unlock()
+		bootTimeSource, bootTimeAtStart = previousSource, previousBootTimeAtStart
+		lastReading.Store(nil)
 	}
 }
 
-// Look has the next reading of the time look at the clock that counts suspensions.
-func Look() {
-	lookMu.Lock()
-	defer lookMu.Unlock()
-	if known := last.Load(); known != nil {
-		next := *known
-		next.steady -= 2 * lookEvery
-		last.Store(&next)
+// ForceCheck makes the next call of Now read the boot time.
+func ForceCheck() {
+	readMu.Lock()
+	defer readMu.Unlock()
+	if current := lastReading.Load(); current != nil {
+		next := *current
+		next.monotonic -= 2 * bootTimeCheckInterval
+		lastReading.Store(&next)
 	}
 }
--- a/internal/command/output.go
+++ b/internal/command/output.go
@@ -41,13 +41,13 @@
 	flags.Var(target, "o", "output format: table, json or yaml")
 }
 
-// table is what a command prints as a table.
+// table is the content of a command's table output.
 type table struct {
 	header []string
 	rows   [][]string
 }
 
-// write prints a value in the chosen format.
+// write prints a value in the format f. It calls render only for table output.
 func (f format) write(out io.Writer, value any, render func() table) error {
 	switch f {
 	case formatJSON:
@@ -85,13 +85,15 @@
 	for _, resource := range resources {
 		content.rows = append(content.rows, []string{
 			string(resource.Kind), resource.Metadata.Name, fmt.Sprint(resource.Metadata.ResourceVersion),
-			inForce(resource.Status), summary(resource.Spec),
+			formatStatus(resource.Status), truncateSpec(resource.Spec),
 		})
 	}
 	return content
 }
 
-func inForce(status *v1.Status) string {
+// formatStatus returns the IN FORCE column: the nodes on which a resource is in force, or the progress
+// of a batch job.
+func formatStatus(status *v1.Status) string {
 	switch {
 	case status == nil:
 		return "-"
@@ -104,11 +106,12 @@
 	}
 }
 
-func summary(spec json.RawMessage) string {
-	const longest = 70
+// truncateSpec shortens a specification to fit a table row.
+func truncateSpec(spec json.RawMessage) string {
+	const maxLength = 70
 	text := string(spec)
-	if len(text) > longest {
-		return text[:longest] + "…"
+	if len(text) > maxLength {
+		return text[:maxLength] + "…"
 	}
 	return text
 }
--- a/internal/engine/backend_test.go
+++ b/internal/engine/backend_test.go
@@ -20,15 +20,15 @@
 // fakeEngine answers with a stream of tokens and can break it off.
 type fakeEngine struct {
 	mu sync.Mutex
-	// breakAfter is the number of tokens after which the first sending breaks.
+	// breakAfter is the number of tokens after which the first stream breaks; 0 means never.
 	breakAfter int
-	// forgets makes resumed attempts unknown.
-	forgets bool
-	status  int
-	tokens  int
-	sent    []string
-	resumed []string
-	aborted chan string
+	// forgetful makes the engine forget attempts, so that they cannot be resumed.
+	forgetful bool
+	status    int
+	tokens    int
+	sent      []string
+	resumed   []string
+	aborted   chan string
 }
 
 func (f *fakeEngine) start(t *testing.T) (*Backend, replica.Info) {
@@ -61,7 +61,7 @@
 	f.mu.Lock()
 	f.resumed = append(f.resumed, r.Header.Get(HeaderLastEventID))
 	f.mu.Unlock()
-	if f.forgets {
+	if f.forgetful {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
@@ -70,7 +70,7 @@
 	f.stream(w, after, 0)
 }
 
-// stream sends the tokens after one, and the end unless it breaks off before.
+// stream sends the tokens that follow the given one, and the closing events unless it breaks first.
 func (f *fakeEngine) stream(w http.ResponseWriter, after, breakAfter int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for token := after + 1; token <= f.tokens; token++ {
@@ -86,11 +86,11 @@
 
 func attemptOf(info replica.Info, batch, once bool) *forward.Attempt {
 	return &forward.Attempt{Replica: info, Request: &forward.Request{
-		ID: "q", Target: "/v1/chat/completions", Body: []byte(`{"model":"m"}`), Batch: batch, Once: once,
+		ID: "q", Target: "/v1/chat/completions", Body: []byte(`{"model":"m"}`), Batch: batch, AtMostOnce: once,
 	}}
 }
 
-func TestBackend_BrokenStreamGoesOnAtTheSameEngine(t *testing.T) {
+func TestBackend_BrokenStreamResumesAtSameEngine(t *testing.T) {
 	engine := &fakeEngine{tokens: 5, breakAfter: 3}
 	backend, info := engine.start(t)
 	answer, err := backend.Send(t.Context(), attemptOf(info, false, false))
@@ -103,7 +103,7 @@
 	}
 	for token := 1; token <= 5; token++ {
 		if count := strings.Count(string(body), fmt.Sprintf(`"t%d "`, token)); count != 1 {
-			t.Fatalf("token %d stands %d times in %q", token, count, body)
+			t.Fatalf("token %d occurs %d times in %q", token, count, body)
 		}
 	}
 	if len(engine.sent) != 1 || len(engine.resumed) != 1 || engine.resumed[0] != "3" {
@@ -114,19 +114,19 @@
 	}
 }
 
-func TestBackend_EngineThatForgotItIsABrokenAnswer(t *testing.T) {
-	engine := &fakeEngine{tokens: 5, breakAfter: 3, forgets: true}
+func TestBackend_ForgottenAttemptIsBrokenAnswer(t *testing.T) {
+	engine := &fakeEngine{tokens: 5, breakAfter: 3, forgetful: true}
 	backend, info := engine.start(t)
 	answer, err := backend.Send(t.Context(), attemptOf(info, false, false))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.ReadAll(answer.Body); err == nil {
-		t.Fatal("half an answer looks whole")
+		t.Fatal("a truncated answer was read without an error")
 	}
 }
 
-func TestBackend_AnswerNotReadToItsEndIsGivenUpAtTheEngine(t *testing.T) {
+func TestBackend_ClosingUnfinishedAnswerAbortsAttempt(t *testing.T) {
 	engine := &fakeEngine{tokens: 5}
 	backend, info := engine.start(t)
 	answer, err := backend.Send(t.Context(), attemptOf(info, false, false))
@@ -140,12 +140,12 @@
 			t.Fatalf("aborted %s", path)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("nothing was given up")
+		t.Fatal("the attempt was not aborted")
 	}
 }
 
 func TestBackend_Refusals(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		status int
 		batch  bool
 		want   int
@@ -157,16 +157,16 @@
 		"full for batch item": {status: http.StatusTooManyRequests, batch: true, failed: forward.ErrRefused},
 	} {
 		t.Run(name, func(t *testing.T) {
-			engine := &fakeEngine{status: one.status}
+			engine := &fakeEngine{status: test.status}
 			backend, info := engine.start(t)
-			answer, err := backend.Send(t.Context(), attemptOf(info, one.batch, false))
-			if one.failed != nil {
-				if !errors.Is(err, one.failed) || outcome.Of(err) != outcome.NotDone {
+			answer, err := backend.Send(t.Context(), attemptOf(info, test.batch, false))
+			if test.failed != nil {
+				if !errors.Is(err, test.failed) || outcome.Of(err) != outcome.NotDone {
 					t.Fatalf("error is %v", err)
 				}
 				return
 			}
-			if err != nil || answer.Status != one.want {
+			if err != nil || answer.Status != test.want {
 				t.Fatalf("answer %+v, %v", answer, err)
 			}
 		})
@@ -183,8 +183,8 @@
 	}
 }
 
-// The text of an item becomes one whole answer, whichever event it broke after.
-func TestWholeText_JoinsWhatABackendRendered(t *testing.T) {
+// A batch item's text becomes one complete answer even if the stream broke in between.
+func TestAssembleAnswer_JoinsRenderedEvents(t *testing.T) {
 	engine := &fakeEngine{tokens: 4, breakAfter: 2}
 	backend, info := engine.start(t)
 	answer, err := backend.Send(t.Context(), attemptOf(info, true, true))
@@ -201,7 +201,7 @@
 			data = append(data, text)
 		}
 	}
-	whole, err := WholeText(strings.Join(data, "\n"), "/v1/chat/completions")
+	whole, err := AssembleAnswer(strings.Join(data, "\n"), "/v1/chat/completions")
 	if err != nil || !strings.Contains(string(whole), `"content":"t1 t2 t3 t4 "`) {
 		t.Fatalf("whole answer %s, %v", whole, err)
 	}
--- a/internal/forward/evacuate_test.go
+++ b/internal/forward/evacuate_test.go
@@ -13,30 +13,30 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-func TestDo_AWaitingRequestKnowsOfAnEvacuationAtOnce(t *testing.T) {
+func TestDo_WaitingRequestSeesEvacuation(t *testing.T) {
 	set := replica.NewSet()
 	set.Put(replica.Info{ID: "r", Pool: testPool, Zone: "a", Slots: 4})
 	backend := &scriptedBackend{answer: func(_ context.Context, _ *Attempt, number int) (*Answer, error) {
-		if number == refusalsInARow {
-			set.Evacuate(map[string]bool{"a": true})
+		if number == refusalsPerPause {
+			set.SetEvacuated(map[string]bool{"a": true})
 		}
 		return nil, outcome.Failed(ErrRefused)
 	}}
 	began := time.Now()
 	_, _, err := do(t, &Forwarder{Replicas: set, Backend: backend, Budget: retry.NewBudget(1)}, routeOf(route.Stream, true, 2))
 	none := (*replica.NoReplicaError)(nil)
-	if !errors.As(err, &none) || !none.Lasts() || outcome.Of(err) != outcome.NotDone {
+	if !errors.As(err, &none) || !none.Persistent() || outcome.Of(err) != outcome.NotDone {
 		t.Fatalf("failed with %v", err)
 	}
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("it took %v", took)
 	}
-	if len(backend.sent) != refusalsInARow {
+	if len(backend.sent) != refusalsPerPause {
 		t.Errorf("%d attempts, want none after the evacuation", len(backend.sent))
 	}
 }
 
-func TestDo_ARefusalTellsWhyNoReplicaCouldTakeIt(t *testing.T) {
+func TestDo_RejectionStatesReason(t *testing.T) {
 	set := replica.NewSet()
 	set.Put(replica.Info{ID: "r", Pool: testPool, Slots: 4})
 	backend := &scriptedBackend{answer: func(context.Context, *Attempt, int) (*Answer, error) {
@@ -48,7 +48,7 @@
 	if !errors.Is(err, ErrBusy) && !errors.Is(err, ErrTimeout) || outcome.Of(err) != outcome.NotDone {
 		t.Fatalf("failed with %v", err)
 	}
-	// Its time may be over after a choice that found none, or after an answer.
+	// The deadline may pass after a pick that found no replica, or after an answer.
 	if !strings.Contains(err.Error(), "1 tried") && !errors.Is(err, ErrRefused) {
 		t.Fatalf("the reason is missing: %v", err)
 	}
--- a/internal/forward/refusal_test.go
+++ b/internal/forward/refusal_test.go
@@ -12,7 +12,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// afterDelay waits; it reports whether the attempt's time was over before.
+// afterDelay waits; it returns false if the attempt ended first.
 func afterDelay(ctx context.Context, delay time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -22,8 +22,8 @@
 	}
 }
 
-// slowRefuser refuses each attempt after a delay. lost counts the attempts whose refusal
-// came too late to be known.
+// slowRefuser refuses each attempt after a delay. lost counts the attempts that ended before their
+// refusal.
 func slowRefuser(delay time.Duration, lost *int) *scriptedBackend {
 	return &scriptedBackend{answer: func(ctx context.Context, _ *Attempt, _ int) (*Answer, error) {
 		if !afterDelay(ctx, delay) {
@@ -34,9 +34,9 @@
 	}}
 }
 
-// TestDo_ARequestThatIsAlwaysRefusedIsKnownNotToHaveRun: an attempt whose refusal can only
-// come after the deadline turns a true "not run" into "nobody knows".
-func TestDo_ARequestThatIsAlwaysRefusedIsKnownNotToHaveRun(t *testing.T) {
+// TestDo_AlwaysRefusedRequestIsNotDone guards against attempts whose refusal can only arrive after
+// the deadline, which would make a certain "not run" unknown.
+func TestDo_AlwaysRefusedRequestIsNotDone(t *testing.T) {
 	for delay := time.Millisecond; delay <= 120*time.Millisecond; delay += 7 * time.Millisecond {
 		for replicas := 1; replicas <= 4; replicas++ {
 			synctest.Test(t, func(t *testing.T) {
@@ -54,25 +54,25 @@
 	}
 }
 
-// slowStream answers with its first event after a delay.
+// slowStream sends its events after a delay.
 func slowStream(delay time.Duration) *scriptedBackend {
 	return &scriptedBackend{answer: func(ctx context.Context, _ *Attempt, _ int) (*Answer, error) {
 		if !afterDelay(ctx, delay) {
 			return nil, outcome.Undecided(ErrBroken)
 		}
-		return streamOf(events(1, 3)), nil
+		return streamAnswer(events(1, 3)), nil
 	}}
 }
 
-// doWithin carries out a request that has so much time.
+// doWithin forwards a request with the given time until its deadline.
 func doWithin(t *testing.T, forwarder *Forwarder, left time.Duration) error {
 	t.Helper()
 	request := &Request{ID: "q", Method: http.MethodPost, Target: "/x", Received: time.Now(), Deadline: time.Now().Add(left)}
-	_, err := forwarder.Do(t.Context(), routeOf(route.Stream, true, 2), request, &recordedSink{})
+	_, err := forwarder.Do(t.Context(), routeOf(route.Stream, true, 2), request, &recordingSink{})
 	return err
 }
 
-func TestDo_AnAttemptThatCannotBeginInTimeIsNotBegun(t *testing.T) {
+func TestDo_AttemptThatCannotBeginInTimeIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := slowStream(300 * time.Millisecond)
 		forwarder := newForwarder(backend, 2)
@@ -88,7 +88,7 @@
 			t.Errorf("200 ms for an event that takes 300: %v, sent %d times", err, len(backend.sent)-sent)
 		}
 		if took := time.Since(began); took > 0 {
-			t.Errorf("was held for %v", took)
+			t.Errorf("held for %v", took)
 		}
 		if err := doWithin(t, forwarder, 320*time.Millisecond); err != nil {
 			t.Errorf("320 ms for an event that takes 300: %v", err)
@@ -96,8 +96,9 @@
 	})
 }
 
-// TestDo_NothingLearnedKeepsNoRequestBack: what is not known is tried.
-func TestDo_NothingLearnedKeepsNoRequestBack(t *testing.T) {
+// TestDo_UnknownLatencyDoesNotBlockAttempt guards that requests are sent when no latency has been
+// observed yet.
+func TestDo_UnknownLatencyDoesNotBlockAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		if err := doWithin(t, newForwarder(slowStream(20*time.Millisecond), 1), 60*time.Millisecond); err != nil {
 			t.Error(err)
@@ -105,9 +106,9 @@
 	})
 }
 
-// TestDo_MixedTimesKeepNoRequestBack: where some answers begin far sooner than others, an
-// attempt may still be in time.
-func TestDo_MixedTimesKeepNoRequestBack(t *testing.T) {
+// TestDo_MixedLatencyDoesNotBlockAttempt guards that an attempt is sent if a fast answer would
+// still be in time, even if others are slow.
+func TestDo_MixedLatencyDoesNotBlockAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, _ *Attempt, number int) (*Answer, error) {
 			delay := 20 * time.Millisecond
@@ -117,7 +118,7 @@
 			if !afterDelay(ctx, delay) {
 				return nil, outcome.Undecided(ErrBroken)
 			}
-			return streamOf(events(1, 3)), nil
+			return streamAnswer(events(1, 3)), nil
 		}}
 		forwarder := newForwarder(backend, 1)
 		for range 40 {
@@ -126,44 +127,45 @@
 			}
 		}
 		if err := doWithin(t, forwarder, 60*time.Millisecond); err != nil {
-			t.Errorf("the 41st takes 20 ms: %v", err)
+			t.Errorf("request 41, which takes 20 ms: %v", err)
 		}
 	})
 }
 
-// patientRoute has no objective, so that no replica's silence ends an attempt.
-func patientRoute() *route.Route {
+// routeWithoutObjective returns a route whose attempts are never canceled for silence.
+func routeWithoutObjective() *route.Route {
 	target := routeOf(route.Repeatable, true, 3)
 	target.Objective = 0
 	return target
 }
 
-// TestDo_ARunThatTheDeadlineEndsIsATimeout: what may have run is never called refused.
-func TestDo_ARunThatTheDeadlineEndsIsATimeout(t *testing.T) {
+// TestDo_DeadlineDuringRunIsTimeout guards that a request that may have run is never reported as
+// refused.
+func TestDo_DeadlineDuringRunIsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, _ int) (*Answer, error) {
 			afterDelay(ctx, time.Until(attempt.Deadline))
-			return wholeOf(http.StatusGatewayTimeout, ""), nil
+			return bufferedAnswer(http.StatusGatewayTimeout, ""), nil
 		}}
-		_, _, err := do(t, newForwarder(backend, 2), patientRoute())
+		_, _, err := do(t, newForwarder(backend, 2), routeWithoutObjective())
 		if !errors.Is(err, ErrTimeout) || outcome.Of(err) != outcome.Unknown {
 			t.Errorf("%v, ran: %v", err, outcome.Of(err))
 		}
 	})
 }
 
-// TestDo_AQueuedRequestThatDidNotRunSaysSo: a replica's word that the deadline passed in
-// its queue comes back before the caller's own deadline.
-func TestDo_AQueuedRequestThatDidNotRunSaysSo(t *testing.T) {
+// TestDo_QueuedRequestPastDeadlineIsNotDone guards that a replica's report that the deadline passed
+// in its queue arrives before the caller's own deadline.
+func TestDo_QueuedRequestPastDeadlineIsNotDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const way = 2 * time.Millisecond
+		const oneWayDelay = 2 * time.Millisecond
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, _ int) (*Answer, error) {
-			if !afterDelay(ctx, time.Until(attempt.Deadline)+2*way) {
+			if !afterDelay(ctx, time.Until(attempt.Deadline)+2*oneWayDelay) {
 				return nil, outcome.Undecided(ErrBroken)
 			}
 			return nil, outcome.Failed(ErrRefused)
 		}}
-		_, _, err := do(t, newForwarder(backend, 1), patientRoute())
+		_, _, err := do(t, newForwarder(backend, 1), routeWithoutObjective())
 		if !errors.Is(err, ErrBusy) || outcome.Of(err) != outcome.NotDone {
 			t.Errorf("%v, ran: %v", err, outcome.Of(err))
 		}
--- a/internal/inventory/observer.go
+++ b/internal/inventory/observer.go
@@ -15,35 +15,34 @@
 )
 
 const (
-	// observeInterval is the time between two looks at the engines; it
-	// bounds how late a leaving replica is noticed.
+	// observeInterval is the time between two passes over the engines. It bounds how late the
+	// observer notices that a replica is leaving.
 	observeInterval = 400 * time.Millisecond
-	// observeTimeout bounds one engine's answer.
+	// observeTimeout bounds the wait for one engine's report.
 	observeTimeout = 800 * time.Millisecond
-	// observeParallel bounds the engines asked at the same time.
-	observeParallel = 64
-	// rowsAtOnce bounds the rows of one write.
-	rowsAtOnce  = 40
-	callTimeout = 3 * time.Second
+	// observeConcurrency bounds the number of concurrent queries to engines.
+	observeConcurrency = 64
+	// maxRowsPerWrite bounds the rows of one write.
+	maxRowsPerWrite = 40
+	callTimeout     = 3 * time.Second
 )
 
-// Engines asks an engine for its report.
+// Engines queries engines for their reports.
 type Engines interface {
 	Load(ctx context.Context, base string) (engine.Load, error)
 }
 
-// Observer keeps the entries of the replicas that are this node's to observe. Two
-// observers of a replica for a moment only write the same thing twice: every write
-// expects the version that it is worked out from.
+// Observer maintains the entries of the replicas assigned to this node. Two observers of a replica, for
+// a moment, do no harm: each write is conditional on the row version that it is based on.
 type Observer struct {
 	Table    table.Service
 	View     *View
 	Engines  Engines
 	Machines func() []machines.Machine
-	// Ours returns those of some replicas that are this node's to observe. All are
-	// asked about at once, for an answer costs a look at all nodes.
-	Ours func(ids []string) map[string]bool
-	Log  zerolog.Logger
+	// Assigned returns which of the given replicas this node observes. It is called once for all
+	// of them, since each call scans all nodes.
+	Assigned func(ids []string) map[string]bool
+	Log      zerolog.Logger
 }
 
 // Run observes until the context ends.
@@ -51,7 +50,7 @@
 	ticker := time.NewTicker(observeInterval)
 	defer ticker.Stop()
 	for {
-		o.look(ctx)
+		o.observe(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -60,32 +59,32 @@
 	}
 }
 
-// look writes what has changed since the last look.
-func (o *Observer) look(ctx context.Context) {
+// observe writes the changes since the last pass.
+func (o *Observer) observe(ctx context.Context) {
 	listed := o.Machines()
 	if listed == nil {
 		return
 	}
-	ours := o.ours(listed)
-	writes := o.gone(listed, ours)
-	writes = append(writes, o.changed(ctx, listed, ours)...)
+	assigned := o.assigned(listed)
+	writes := o.removals(listed, assigned)
+	writes = append(writes, o.updates(ctx, listed, assigned)...)
 	for len(writes) > 0 {
-		some := writes[:min(rowsAtOnce, len(writes))]
-		writes = writes[len(some):]
+		batch := writes[:min(maxRowsPerWrite, len(writes))]
+		writes = writes[len(batch):]
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-		_, err := o.Table.Commit(callCtx, table.NewOperation(), some...)
+		_, err := o.Table.Commit(callCtx, table.NewOperation(), batch...)
 		cancel()
 		if err != nil {
-			// The view brings what stands by the next look.
-			o.Log.Debug().Err(err).Int("rows", len(some)).Msg("replica entries not written")
+			// The view has the current rows by the next pass.
+			o.Log.Debug().Err(err).Int("rows", len(batch)).Msg("replica entries not written")
 			return
 		}
 	}
 }
 
-// ours returns the replicas that this node observes, of those on the machine
-// list and of those that have entries.
-func (o *Observer) ours(listed []machines.Machine) map[string]bool {
+// assigned returns which replicas this node observes, of those on the machine list and those that
+// have entries.
+func (o *Observer) assigned(listed []machines.Machine) map[string]bool {
 	var ids []string
 	for _, machine := range listed {
 		if machine.Role == machines.RoleEngine {
@@ -95,36 +94,36 @@
 	for _, entry := range o.View.List() {
 		ids = append(ids, entry.ID)
 	}
-	return o.Ours(ids)
+	return o.Assigned(ids)
 }
 
-// gone returns the removals of entries whose machines are off the list.
-func (o *Observer) gone(listed []machines.Machine, ours map[string]bool) []table.Write {
-	present := map[string]bool{}
+// removals returns writes that delete entries whose machines are no longer listed.
+func (o *Observer) removals(listed []machines.Machine, assigned map[string]bool) []table.Write {
+	listedIDs := map[string]bool{}
 	for _, machine := range listed {
-		present[machine.ID] = true
+		listedIDs[machine.ID] = true
 	}
 	var writes []table.Write
 	for _, entry := range o.View.List() {
-		if !present[entry.ID] && ours[entry.ID] {
+		if !listedIDs[entry.ID] && assigned[entry.ID] {
 			writes = append(writes, table.Write{Key: key(entry.ID), Kind: table.Delete, Expect: entry.Version})
 		}
 	}
 	return writes
 }
 
-// changed asks the engines and returns the writes of entries that differ.
-func (o *Observer) changed(ctx context.Context, listed []machines.Machine, ours map[string]bool) []table.Write {
+// updates queries the engines and returns writes of the entries that differ.
+func (o *Observer) updates(ctx context.Context, listed []machines.Machine, assigned map[string]bool) []table.Write {
 	var mu sync.Mutex
 	var writes []table.Write
 	var group errgroup.Group
-	group.SetLimit(observeParallel)
+	group.SetLimit(observeConcurrency)
 	for _, machine := range listed {
-		if machine.Role != machines.RoleEngine || !ours[machine.ID] {
+		if machine.Role != machines.RoleEngine || !assigned[machine.ID] {
 			continue
 		}
 		group.Go(func() error {
-			if write, differs := o.compare(ctx, machine); differs {
+			if write, changed := o.compare(ctx, machine); changed {
 				mu.Lock()
 				defer mu.Unlock()
 				writes = append(writes, write)
@@ -143,10 +142,10 @@
 	next.Generation, next.Machine = machine.Generation, machine.State
 	callCtx, cancel := context.WithTimeout(ctx, observeTimeout)
 	defer cancel()
-	// An engine that does not answer keeps its last report: that it fails is
-	// for those to say who send it requests.
+	// An engine that does not answer keeps its last report. The nodes that send requests to it
+	// detect the failure.
 	if load, err := o.Engines.Load(callCtx, machine.Address); err == nil {
-		next.report(&load)
+		next.setReport(&load)
 	}
 	if ok && next.equal(&known.Entry) {
 		return table.Write{}, false
--- a/internal/jobs/harm_test.go
+++ b/internal/jobs/harm_test.go
@@ -31,9 +31,9 @@
 		return nil
 	}
 	refused := &quarantine.RefusedError{}
-	refused.Quarantined, refused.Limit, refused.Last = true, 3, time.Now()
+	refused.Quarantined, refused.Limit, refused.LastCrash = true, 3, time.Now()
 	if q.trial {
-		refused.Last = time.Time{}
+		refused.LastCrash = time.Time{}
 	}
 	return refused
 }
@@ -42,13 +42,13 @@
 	return q.Refuse(work)
 }
 
-func (q *countingQuarantine) EndedWell(quarantine.Work) {
+func (q *countingQuarantine) RecordSuccess(quarantine.Work) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.well++
 }
 
-func (q *countingQuarantine) BrokeOff(_ context.Context, _ quarantine.Replica, run quarantine.Run) {
+func (q *countingQuarantine) RecordInterruption(_ context.Context, _ quarantine.Replica, run quarantine.Run) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.broken == nil {
@@ -86,7 +86,7 @@
 
 func (b *harmfulBackend) Send(_ context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
 	if attempt.Request.ID != "bad" {
-		return answerOf(200, events(attempt.After+1, 3)), nil
+		return answerOf(200, events(attempt.LastEventID+1, 3)), nil
 	}
 	b.mu.Lock()
 	b.sent++
@@ -94,11 +94,11 @@
 	if b.eventsEach == 0 {
 		return nil, errReplicaEnded
 	}
-	last := attempt.After + b.eventsEach
+	last := attempt.LastEventID + b.eventsEach
 	if last >= 40 {
-		return answerOf(200, events(attempt.After+1, 40)), nil
+		return answerOf(200, events(attempt.LastEventID+1, 40)), nil
 	}
-	return answerOf(200, events(attempt.After+1, last)+"id: "), nil
+	return answerOf(200, events(attempt.LastEventID+1, last)+"id: "), nil
 }
 
 func (b *harmfulBackend) sends() int {
--- a/internal/jobs/homesite_test.go
+++ b/internal/jobs/homesite_test.go
@@ -112,7 +112,7 @@
 	n.mu.Lock()
 	n.sent = append(n.sent, attempt.Replica.ID)
 	n.mu.Unlock()
-	return answerOf(http.StatusOK, events(attempt.After+1, 5)), nil
+	return answerOf(http.StatusOK, events(attempt.LastEventID+1, 5)), nil
 }
 
 func (n *homeNode) countedRoutes() *route.Table {
@@ -205,7 +205,7 @@
 		Service: node.Service, Replicas: replicas, Backend: node, Routes: node.countedRoutes, Owners: s.fleet,
 		ViewAge: func() time.Duration { return 0 },
 	})
-	replicas.Pressed = node.runner.Yield
+	replicas.OnPressure = node.runner.Yield
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
--- a/internal/jobs/runner.go
+++ b/internal/jobs/runner.go
@@ -25,8 +25,8 @@
 // Owners tells which sessions are gone. The lease watcher implements it.
 type Owners interface {
 	Refresh(ctx context.Context) error
-	// LookInterval is the time to leave between two calls of Refresh.
-	LookInterval() time.Duration
+	// RefreshInterval is the time to leave between two calls of Refresh.
+	RefreshInterval() time.Duration
 	Expired(session string) bool
 	Live() []string
 	Fleet
@@ -165,7 +165,7 @@
 func (r *Runner) offer(one *task, target *route.Route, homes place.Regions, room *itemRoom, now time.Time) {
 	where := lane{pool: target.Pool(), homes: strings.Join(homes, ","), adapter: target.Adapter, reserve: target.Reserve}
 	if _, ok := room.free[where.pool]; !ok {
-		decided := r.Replicas.RoomForItems(where.pool, now)
+		decided := r.Replicas.ItemCapacity(where.pool, now)
 		room.free[where.pool], room.none[where.pool] = decided.Free(), decided
 	}
 	send := itemSend{task: one, target: target, lane: where, homes: homes}
--- a/internal/jobs/runner_test.go
+++ b/internal/jobs/runner_test.go
@@ -34,7 +34,7 @@
 
 func (b *scriptedBackend) Send(_ context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
 	b.mu.Lock()
-	b.after = append(b.after, attempt.After)
+	b.after = append(b.after, attempt.LastEventID)
 	number := len(b.after)
 	b.mu.Unlock()
 	return b.answer(attempt, number)
@@ -48,7 +48,7 @@
 
 func answerOf(status int, body string) *forward.Answer {
 	return &forward.Answer{
-		Status: status, Header: http.Header{}, Events: status == http.StatusOK,
+		Status: status, Header: http.Header{}, EventStream: status == http.StatusOK,
 		Body: io.NopCloser(strings.NewReader(body)),
 	}
 }
@@ -99,15 +99,15 @@
 // noOwners sees every other session as alive.
 type noOwners struct{}
 
-func (noOwners) Refresh(context.Context) error { return nil }
-func (noOwners) LookInterval() time.Duration   { return 10 * time.Millisecond }
-func (noOwners) Expired(string) bool           { return false }
-func (noOwners) Live() []string                { return nil }
-func (noOwners) Preferred(string) string       { return "a#1" }
-func (noOwners) Nodes() []string               { return nil }
-func (noOwners) Places() []place.Node          { return nil }
-func (noOwners) Region(string) string          { return "" }
-func (noOwners) Gone(string) bool              { return false }
+func (noOwners) Refresh(context.Context) error  { return nil }
+func (noOwners) RefreshInterval() time.Duration { return 10 * time.Millisecond }
+func (noOwners) Expired(string) bool            { return false }
+func (noOwners) Live() []string                 { return nil }
+func (noOwners) Preferred(string) string        { return "a#1" }
+func (noOwners) Nodes() []string                { return nil }
+func (noOwners) Places() []place.Node           { return nil }
+func (noOwners) Region(string) string           { return "" }
+func (noOwners) Gone(string) bool               { return false }
 
 const (
 	testHost = "jobs.example"
@@ -132,7 +132,7 @@
 		Service: node.Service, Replicas: replicas, Backend: backend, Routes: batchTable, Owners: noOwners{},
 		ViewAge: func() time.Duration { return 0 },
 	})
-	replicas.Pressed = runner.Yield
+	replicas.OnPressure = runner.Yield
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -198,7 +198,7 @@
 		if number == 1 {
 			return answerOf(http.StatusOK, events(1, 3)+"id: 4\ndata: half"), nil
 		}
-		return answerOf(http.StatusOK, events(attempt.After+1, 5)), nil
+		return answerOf(http.StatusOK, events(attempt.LastEventID+1, 5)), nil
 	}}
 	startRunner(t, node, backend)
 	if err := node.Submit(t.Context(), submission("j", 1)); err != nil {
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -7,107 +7,108 @@
 	"time"
 )
 
-// Harm is what befalls the connections of a proxy.
-type Harm int
+// ConnectionFault is a fault of the connections through a proxy.
+type ConnectionFault int
 
-// Harms.
+// Faults of connections.
 const (
-	// Clear passes everything on.
-	Clear Harm = iota
-	// Slow delays each piece.
-	Slow
-	// Resets breaks connections, also those that are open.
-	Resets
-	// Deaf passes nothing on towards the upstream.
-	Deaf
-	// Mute passes nothing back.
-	Mute
+	// NoFault forwards all data.
+	NoFault ConnectionFault = iota
+	// Delay delays each chunk.
+	Delay
+	// Reset resets connections, including those that are open.
+	Reset
+	// StallToUpstream forwards nothing to the upstream.
+	StallToUpstream
+	// StallToCaller forwards nothing to the caller.
+	StallToCaller
 )
 
-const slowBy = 150 * time.Millisecond
+// faultDelay is the delay that Delay adds to each chunk.
+const faultDelay = 150 * time.Millisecond
 
-// proxy passes TCP connections on over loopback, and harms them.
+// proxy forwards TCP connections over loopback and injects faults into them.
 type proxy struct {
 	upstream string
 
 	mu sync.Mutex
-	// listener is nil while connections are refused; at is its address.
+	// listener is nil while connections are refused. addr is its address, which stays the same.
 	listener net.Listener
-	at       string
-	harm     Harm
-	open     map[net.Conn]bool
+	addr     string
+	fault    ConnectionFault
+	conns    map[net.Conn]bool
 	links    map[*link]bool
-	ended    bool
+	closed   bool
 }
 
-// link is a caller's connection and the one to the upstream that belongs to it.
+// link is a connection of a caller together with its connection to the upstream.
 type link struct {
 	caller, upstream net.Conn
-	// silent is closed once the link passes nothing on any more, ended when nobody is left to
-	// hear of it.
-	silent, ended chan struct{}
+	// silenced is closed when the link stops forwarding data, closed when the proxy is closed and
+	// both connections may end.
+	silenced, closed chan struct{}
 }
 
-// isSilent reports whether the link passes nothing on.
-func (l *link) isSilent() bool {
+// isSilenced reports whether the link has stopped forwarding data.
+func (l *link) isSilenced() bool {
 	select {
-	case <-l.silent:
+	case <-l.silenced:
 		return true
 	default:
 		return false
 	}
 }
 
-// startProxy listens before an upstream.
+// startProxy starts a proxy for an upstream on a free port.
 func startProxy(upstream string) (*proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	p := &proxy{listener: listener, at: listener.Addr().String(), upstream: upstream, open: map[net.Conn]bool{}, links: map[*link]bool{}}
+	p := &proxy{listener: listener, addr: listener.Addr().String(), upstream: upstream, conns: map[net.Conn]bool{}, links: map[*link]bool{}}
 	go p.accept(listener)
 	return p, nil
 }
 
-func (p *proxy) address() string { return p.at }
+func (p *proxy) address() string { return p.addr }
 
-// silence has all open connections pass nothing on for good, without a reset: neither side
-// hears anything of the other, not even its end. New connections are as they were.
+// silence makes all open connections drop their data for good without a reset, so that neither side
+// learns that the other has closed. New connections are not affected.
 func (p *proxy) silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for link := range p.links {
-		if !link.isSilent() {
-			close(link.silent)
+		if !link.isSilenced() {
+			close(link.silenced)
 		}
-		// A reset does not reach the caller any more.
-		delete(p.open, link.caller)
+		// A later reset must not reach the caller.
+		delete(p.conns, link.caller)
 	}
 }
 
-// refuse breaks what is open and refuses connections, as the machine of a process that has
-// crashed does. Callers of silent connections do not hear of it.
+// refuse closes all open connections and refuses new ones, as a machine does after the process has
+// crashed. Callers of silenced connections are not notified.
 func (p *proxy) refuse() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.listener == nil || p.ended {
+	if p.listener == nil || p.closed {
 		return
 	}
 	_ = p.listener.Close()
 	p.listener = nil
-	for conn := range p.open {
+	for conn := range p.conns {
 		_ = conn.Close()
 	}
 }
 
-// accepts takes connections again after refuse.
-func (p *proxy) accepts() error {
+// acceptAgain accepts connections again after refuse.
+func (p *proxy) acceptAgain() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.listener != nil || p.ended {
+	if p.listener != nil || p.closed {
 		return nil
 	}
-	listener, err := net.Listen("tcp", p.at)
+	listener, err := net.Listen("tcp", p.addr)
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -116,15 +117,15 @@
 	return nil
 }
 
-// set changes the harm. Resets breaks what is open.
-func (p *proxy) set(harm Harm) {
+// setFault sets the fault of all connections. Reset also breaks those that are open.
+func (p *proxy) setFault(fault ConnectionFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.harm = harm
-	if harm != Resets {
+	p.fault = fault
+	if fault != Reset {
 		return
 	}
-	for conn := range p.open {
+	for conn := range p.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
@@ -132,42 +133,43 @@
 	}
 }
 
-func (p *proxy) now() Harm {
+func (p *proxy) currentFault() ConnectionFault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.harm
+	return p.fault
 }
 
 func (p *proxy) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended = true
+	p.closed = true
 	if p.listener != nil {
 		_ = p.listener.Close()
 	}
 	for link := range p.links {
-		close(link.ended)
+		close(link.closed)
 		delete(p.links, link)
 	}
-	for conn := range p.open {
+	for conn := range p.conns {
 		_ = conn.Close()
 	}
 }
 
-// track notes an open connection; it reports false if the proxy has ended.
+// track registers an open connection. It returns false if the proxy is closed.
 func (p *proxy) track(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.ended {
-		p.open[conn] = true
+	if !p.closed {
+		p.conns[conn] = true
 	}
-	return !p.ended
+	return !p.closed
 }
 
+// untrack closes a connection and removes it from the open ones.
 func (p *proxy) untrack(conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.open, conn)
+	delete(p.conns, conn)
 	_ = conn.Close()
 }
 
@@ -181,8 +183,9 @@
 	}
 }
 
+// serve forwards data in both directions until both have ended.
 func (p *proxy) serve(caller net.Conn) {
-	if !p.track(caller) || p.now() == Resets {
+	if !p.track(caller) || p.currentFault() == Reset {
 		p.untrack(caller)
 		return
 	}
@@ -196,54 +199,54 @@
 		return
 	}
 	defer p.untrack(upstream)
-	pair := p.join(caller, upstream)
-	if pair == nil {
+	l := p.addLink(caller, upstream)
+	if l == nil {
 		return
 	}
-	defer p.part(pair)
+	defer p.removeLink(l)
 	var both sync.WaitGroup
-	both.Go(func() { p.copy(pair, upstream, caller, Deaf) })
-	both.Go(func() { p.copy(pair, caller, upstream, Mute) })
+	both.Go(func() { p.copy(l, upstream, caller, StallToUpstream) })
+	both.Go(func() { p.copy(l, caller, upstream, StallToCaller) })
 	both.Wait()
 }
 
-// join notes that two connections belong together; nil if the proxy has ended.
-func (p *proxy) join(caller, upstream net.Conn) *link {
+// addLink registers a pair of connections. It returns nil if the proxy is closed.
+func (p *proxy) addLink(caller, upstream net.Conn) *link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ended {
+	if p.closed {
 		return nil
 	}
-	pair := &link{caller: caller, upstream: upstream, silent: make(chan struct{}), ended: make(chan struct{})}
-	p.links[pair] = true
-	return pair
+	l := &link{caller: caller, upstream: upstream, silenced: make(chan struct{}), closed: make(chan struct{})}
+	p.links[l] = true
+	return l
 }
 
-func (p *proxy) part(pair *link) {
+func (p *proxy) removeLink(l *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.links, pair)
+	delete(p.links, l)
 }
 
-// copy passes pieces on, and holds them while the proxy has the harm.
-func (p *proxy) copy(pair *link, to, from net.Conn, holds Harm) {
-	const pieceBytes = 32 << 10
-	piece := make([]byte, pieceBytes)
+// copy forwards data in one direction, and pauses while the proxy has the fault stall.
+func (p *proxy) copy(l *link, to, from net.Conn, stall ConnectionFault) {
+	const bufferBytes = 32 << 10
+	buf := make([]byte, bufferBytes)
 	for {
-		n, err := from.Read(piece)
-		for p.now() == holds {
+		n, err := from.Read(buf)
+		for p.currentFault() == stall {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if p.now() == Slow {
-			time.Sleep(slowBy)
+		if p.currentFault() == Delay {
+			time.Sleep(faultDelay)
 		}
-		if pair.isSilent() {
-			// Both connections stay open, so that neither side hears of the other.
-			<-pair.ended
+		if l.isSilenced() {
+			// Keep both connections open, so that neither side learns that the other has closed.
+			<-l.closed
 			break
 		}
 		if n > 0 {
-			if _, writeErr := to.Write(piece[:n]); writeErr != nil {
+			if _, writeErr := to.Write(buf[:n]); writeErr != nil {
 				break
 			}
 		}
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -19,6 +19,7 @@
 var Error = errs.Class("soak")
 
 const (
+	// host is the host name of all routes.
 	host       = "soak.example"
 	answerSize = 12
 	eventTime  = 15 * time.Millisecond
@@ -28,61 +29,64 @@
 )
 
 const (
-	// DefaultServers and LeastServers are numbers of servers; one is left for what is done in calm.
+	// DefaultServers and MinServers are numbers of servers, one of which is reserved for the calm
+	// phase.
 	DefaultServers = 8
-	LeastServers   = 3
-	// DefaultSlots of a server are so few that requests often find no slot of their node
-	// free and ask for one elsewhere.
+	MinServers     = 3
+	// DefaultSlots is small enough that nodes often have no free slot and request one from another
+	// node.
 	DefaultSlots = 2
 )
 
-// Options are the choices of a soak.
+// Options configures a run.
 type Options struct {
 	Seed uint64
-	// For is the time with faults; the run takes some 20 s more, and up to listBound and the
-	// time for the work that is left beside these where items are not listed.
-	For   time.Duration
-	Nodes int
-	// Servers is their number, Slots what each of them has; 0 means the defaults.
+	// Duration is the length of the phase with faults. The whole run takes about 20 s longer, and
+	// up to listBound plus the time for the remaining work if items are not listed.
+	Duration time.Duration
+	Nodes    int
+	// Servers is the number of servers, Slots the number of slots of each; 0 means the default.
 	Servers, Slots int
-	// Overcommit has servers set every slot aside that they are asked for, run all that comes at
-	// once, and always tell the same load: nodes cannot see where there is room. Otherwise
-	// they keep to their slots, and others wait there, as the platform promises.
+	// Overcommit makes servers grant every slot that is requested, run all requests at once, and
+	// report a constant load, so that nodes cannot see their free capacity. Otherwise servers run
+	// at most Slots requests at once and queue the others, as the platform specifies.
 	Overcommit bool
-	// FirstPlanOnly leaves the faults of SecondPlan out.
+	// FirstPlanOnly omits the faults of SecondPlan.
 	FirstPlanOnly bool
-	// Regions is in how many regions the zones lie, 1 or 2; default 1.
+	// Regions is the number of regions that the zones are in, 1 or 2; default 1.
 	Regions int
-	// Ready is how long the nodes may take to serve; 0 means until the context ends.
-	Ready time.Duration
-	// Progress is told of each fault; nil drops it.
+	// ReadyTimeout limits the time until all nodes serve; 0 means until the context ends.
+	ReadyTimeout time.Duration
+	// Progress, if not nil, is called for each fault.
 	Progress func(format string, arguments ...any)
 }
 
-// Report is the outcome of a soak.
+// Report is the result of a run.
 type Report struct {
 	Seed     uint64
 	Faults   int
 	Requests int
-	Whole    int
-	// Limited counts the requests that were refused beyond a tenant's limit.
+	// Whole counts the requests with a complete answer.
+	Whole int
+	// Limited counts the requests that exceeded the limit of their tenant.
 	Limited int
 	Jobs    int
 	Items   int
-	// Reads counts the calls that read a job.
+	// Reads counts the calls that read a job or the content of an item.
 	Reads int
 	Runs  int
-	// Evacuations and Losses count zones, ColdSends what cold servers got.
+	// Evacuations and Losses count zones, ColdSends the requests to cold servers.
 	Evacuations, Losses, ColdSends int
-	// HarmSends counts requests with harmful work, HarmEnds the servers that it ended.
-	HarmSends, HarmEnds int
-	// Silences, ServerStarts and ForeignRows count the faults of the second plan that went
-	// silent, started servers again and left rows of other writers.
+	// HarmfulRequests counts requests with harmful work, HarmfulCrashes the servers that they
+	// crashed.
+	HarmfulRequests, HarmfulCrashes int
+	// Silences, ServerStarts and ForeignRows count the faults of the second plan that silenced
+	// connections, restarted servers and wrote rows as another writer.
 	Silences, ServerStarts, ForeignRows int
 	// HistoryLosses counts the faults in which the store lost its history and answers.
 	HistoryLosses int
-	Broken        []Broken
-	// Logs is the directory with the nodes' logs, kept if a promise was broken.
+	Violations    []Violation
+	// Logs is the directory with the logs of the nodes. It is kept if a promise was broken.
 	Logs string
 }
 
@@ -90,23 +94,24 @@
 type soak struct {
 	Options
 	History
-	store    *standin.Store
-	zones    []*zone
-	servers  []*server
-	stranger stranger
-	gateways []*gateway
-	closers  []func()
-	// version and prefixes are of the configuration; routes are only added.
+	store         *standin.Store
+	zones         []*zone
+	servers       []*server
+	foreignServer foreignServer
+	gateways      []*gateway
+	closers       []func()
+	// configMu guards version and prefixes, those of the latest configuration. Routes are only
+	// added.
 	configMu sync.Mutex
 	version  int
 	prefixes []string
 	faults   sync.WaitGroup
-	// cold are the servers that are to say that they are warm again, which may outlast
-	// the fault that chilled them.
-	cold sync.WaitGroup
-	// zoneOut is held while a zone is emptied or lost, none longer than until ends.
-	zoneOut sync.Mutex
-	ends    time.Time
+	// warming waits for the servers that have to announce that they are warm again. That may take
+	// longer than the fault that made them cold.
+	warming sync.WaitGroup
+	// zoneOutage is held while a zone is evacuated or lost, until outageDeadline at the latest.
+	zoneOutage     sync.Mutex
+	outageDeadline time.Time
 }
 
 // newSoak returns a soak without nodes and servers.
@@ -116,24 +121,24 @@
 	return &soak{
 		Options: options, store: standin.NewStore(), zones: newZones(options.Regions), prefixes: []string{"resume", "once"},
 		History: History{
-			Events: answerSize, Quota: tokenQuota, Final: map[string][]standin.Listed{},
+			Events: answerSize, Quota: tokenQuota, Final: map[string][]standin.JobResult{},
 			NodeZones: map[string]string{}, ServerZones: map[string]string{}, ServerSlots: map[string]int{},
 			listed: map[string]bool{},
 		},
 	}
 }
 
-// Run soaks the system and checks the promises. A node that ends while it is
-// waited for is an EndedError, one that runs and does not serve an UnreadyError.
+// Run runs a soak and checks the promises. The error is an ExitError if a node exits during
+// startup, and a NotReadyError if a node runs but does not serve.
 func Run(ctx context.Context, options Options) (*Report, error) {
-	plan := Plan(options.Seed, options.For)
+	plan := Plan(options.Seed, options.Duration)
 	if !options.FirstPlanOnly {
-		plan = merge(plan, SecondPlan(options.Seed, options.For))
+		plan = mergePlans(plan, SecondPlan(options.Seed, options.Duration))
 	}
 	return runPlan(ctx, options, plan)
 }
 
-// runPlan is Run with a plan of faults.
+// runPlan is Run with a given plan of faults.
 func runPlan(ctx context.Context, options Options, plan []Fault) (*Report, error) {
 	directory, err := os.MkdirTemp("", "wheelhoist-soak-")
 	if err != nil {
@@ -141,88 +146,90 @@
 	}
 	s := newSoak(options)
 	defer s.close()
-	defer s.cold.Wait()
+	defer s.warming.Wait()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	if err := s.start(ctx, directory); err != nil {
 		return nil, err
 	}
-	s.play(ctx, plan)
+	s.execute(ctx, plan)
 	s.collect()
 	report := s.report()
 	report.Faults = len(plan)
-	if len(report.Broken) > 0 {
+	if len(report.Violations) > 0 {
 		report.Logs = directory
 		return report, nil
 	}
 	if err := os.RemoveAll(directory); err != nil {
-		s.say("logs of the nodes stay: %v", err)
+		s.progressf("logs of the nodes stay: %v", err)
 	}
 	return report, nil
 }
 
-// collect takes in what servers and nodes have noted.
+// collect adds the observations of servers and the exits of nodes to the history.
 func (s *soak) collect() {
-	for _, one := range s.servers {
-		for _, run := range one.Runs() {
-			s.Runs = append(s.Runs, ServerRun{Server: one.name, Run: run})
+	for _, srv := range s.servers {
+		for _, run := range srv.Runs() {
+			s.Runs = append(s.Runs, ServerRun{Server: srv.name, Run: run})
 		}
-		for _, send := range one.ColdSends() {
-			s.ColdSends = append(s.ColdSends, ColdSend{Server: one.name, ColdSend: send})
+		for _, send := range srv.ColdRequests() {
+			s.ColdSends = append(s.ColdSends, ColdSend{Server: srv.name, ColdRequest: send})
 		}
-		s.ServerOutages = append(s.ServerOutages, one.outs(time.Now())...)
-		s.Overwritten = append(s.Overwritten, one.foreign...)
+		s.ServerOutages = append(s.ServerOutages, srv.outagesUntil(time.Now())...)
+		s.Overwritten = append(s.Overwritten, srv.overwritten...)
 	}
-	for _, run := range s.stranger.Runs() {
-		s.Runs = append(s.Runs, ServerRun{Server: strangerName, Run: run})
+	for _, run := range s.foreignServer.Runs() {
+		s.Runs = append(s.Runs, ServerRun{Server: foreignServerName, Run: run})
 	}
-	for _, one := range s.gateways {
-		s.Ended = append(s.Ended, one.ended()...)
+	for _, node := range s.gateways {
+		s.Exits = append(s.Exits, node.unexpectedExits()...)
 	}
 }
 
-// report counts what was seen, and checks the promises.
+// report counts the observations and checks the promises.
 func (s *soak) report() *Report {
 	report := &Report{
 		Seed: s.Seed, Requests: len(s.Requests), Jobs: len(s.Jobs), Reads: len(s.Reads), Runs: len(s.Runs),
 		Evacuations: len(s.Evacuations), Losses: len(s.Losses), ColdSends: len(s.ColdSends),
-		HarmSends: len(s.HarmSends), HarmEnds: len(s.HarmEnds),
+		HarmfulRequests: len(s.HarmfulRequests), HarmfulCrashes: len(s.HarmfulCrashes),
 		Silences: len(s.Silences), ServerStarts: len(s.ServerStarts), ForeignRows: len(s.ForeignRows),
 		HistoryLosses: len(s.HistoryLosses),
 	}
-	for _, one := range s.Requests {
+	for _, req := range s.Requests {
 		switch {
-		case one.Answer.Status == http.StatusOK && one.Answer.Whole:
+		case req.Answer.Status == http.StatusOK && req.Answer.Complete:
 			report.Whole++
-		case one.Answer.Status == http.StatusTooManyRequests:
+		case req.Answer.Status == http.StatusTooManyRequests:
 			report.Limited++
 		}
 	}
 	for _, results := range s.Final {
 		report.Items += len(results)
 	}
-	report.Broken = Check(&s.History)
+	report.Violations = Check(&s.History)
 	return report
 }
 
-func (s *soak) say(format string, arguments ...any) {
+// progressf prints a line of progress.
+func (s *soak) progressf(format string, arguments ...any) {
 	if s.Progress != nil {
 		s.Progress(format, arguments...)
 	}
 }
 
+// close kills the nodes and stops the stand-ins.
 func (s *soak) close() {
-	for _, one := range s.gateways {
-		one.stop(syscall.SIGKILL)
-		one.store.close()
+	for _, node := range s.gateways {
+		node.stop(syscall.SIGKILL)
+		node.store.close()
 	}
 	for _, closer := range s.closers {
 		closer()
 	}
 }
 
-// play runs load and faults, lets the system settle and reads everything.
-func (s *soak) play(ctx context.Context, plan []Fault) {
+// execute runs the load and the faults, then the calm phase, and reads all jobs at the end.
+func (s *soak) execute(ctx context.Context, plan []Fault) {
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	var load sync.WaitGroup
 	for caller := range 2 * s.Nodes {
@@ -231,56 +238,56 @@
 	for caller := range 3 {
 		load.Go(func() { s.callJobs(loadCtx, caller) })
 	}
-	load.Go(func() { s.callBeyond(loadCtx) })
-	load.Go(func() { s.callLittle(loadCtx) })
+	load.Go(func() { s.callOverLimit(loadCtx) })
+	load.Go(func() { s.callUnderLimit(loadCtx) })
 	load.Go(func() { s.readJobs(loadCtx) })
-	for caller := range keptCallers {
-		load.Go(func() { s.callKept(loadCtx, caller) })
+	for caller := range keepAliveCallers {
+		load.Go(func() { s.callKeepAlive(loadCtx, caller) })
 	}
 	for reader := range watchers {
 		load.Go(func() { s.watchJobs(loadCtx, reader) })
 	}
-	for reader := range edgeReaders {
-		load.Go(func() { s.readEdges(loadCtx, reader) })
+	for reader := range latestReaders {
+		load.Go(func() { s.readLatest(loadCtx, reader) })
 	}
-	began := time.Now()
-	s.Began = began
-	s.ends = began.Add(s.For + leastOut)
-	harmCtx, stopHarm := context.WithDeadline(ctx, began.Add(s.For))
+	start := time.Now()
+	s.LoadStart = start
+	s.outageDeadline = start.Add(s.Duration + minOutage)
+	harmCtx, stopHarm := context.WithDeadline(ctx, start.Add(s.Duration))
 	defer stopHarm()
-	load.Go(func() { s.callHarm(harmCtx) })
+	load.Go(func() { s.callHarmful(harmCtx) })
 	for _, fault := range plan {
-		if !retry.Sleep(ctx, time.Until(began.Add(fault.At))) {
+		if !retry.Sleep(ctx, time.Until(start.Add(fault.After))) {
 			break
 		}
-		s.say("%6.1f s  %s for %v", fault.At.Seconds(), fault.Kind, fault.For.Round(time.Millisecond))
-		s.faults.Go(func() { s.apply(ctx, fault) })
+		s.progressf("%6.1f s  %s for %v", fault.After.Seconds(), fault.Kind, fault.Duration.Round(time.Millisecond))
+		s.faults.Go(func() { s.inject(ctx, fault) })
 	}
-	retry.Sleep(ctx, time.Until(began.Add(s.For)))
+	retry.Sleep(ctx, time.Until(start.Add(s.Duration)))
 	s.faults.Wait()
-	s.store.SetTrouble(nil)
-	s.Calm = time.Now().Add(3 * time.Second)
-	// Load goes on in calm for a while, so that what is done there counts strictly.
-	s.disturbCalm(ctx)
-	retry.Sleep(ctx, time.Until(s.Calm.Add(calmLoad)))
+	s.store.SetFault(nil)
+	s.CalmFrom = time.Now().Add(3 * time.Second)
+	// The load continues in the calm phase, in which the bounds are stricter.
+	s.injectCalmFaults(ctx)
+	retry.Sleep(ctx, time.Until(s.CalmFrom.Add(calmLoadTime)))
 	stopLoad()
 	load.Wait()
-	s.LoadOver = time.Now()
+	s.LoadEnd = time.Now()
 	s.settle(ctx)
 }
 
-// disturbCalm empties a zone, and then has another server turn cold and a third drain,
-// each of another zone.
-func (s *soak) disturbCalm(ctx context.Context) {
+// injectCalmFaults evacuates a zone, makes a server of another zone cold and drains a server of the
+// third zone.
+func (s *soak) injectCalmFaults(ctx context.Context) {
 	var done sync.WaitGroup
-	done.Go(func() { s.evacuate(ctx, s.zones[1], calmEvacuation) })
-	retry.Sleep(ctx, time.Until(s.Calm))
+	done.Go(func() { s.evacuateZone(ctx, s.zones[1], calmEvacuation) })
+	retry.Sleep(ctx, time.Until(s.CalmFrom))
 	done.Go(func() { s.chill(ctx, s.servers[2], coldStart) })
 	s.drain(ctx, s.servers[0], true)
 	done.Wait()
 }
 
-// client returns a caller of one of the nodes.
+// client returns a client of the node with the given number, modulo the number of nodes.
 func (s *soak) client(number int) *standin.Client {
-	return &standin.Client{Address: s.gateways[number%len(s.gateways)].at(), Host: host, Key: keyOf(tenantMain)}
+	return &standin.Client{Address: s.gateways[number%len(s.gateways)].listenAddress(), Host: host, Key: apiKey(tenantMain)}
 }
--- a/internal/lab/soak/tenants.go
+++ b/internal/lab/soak/tenants.go
@@ -8,103 +8,104 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// Tenants of a soak: one without a limit, one that asks for far more than its own at all
-// nodes, and one that does so at a node which is cut off from the store.
+// Tenants of a soak. tenantMain has no limit, tenantLimited exceeds its limit at all nodes, and
+// tenantFlood exceeds its limit at a node that is cut off from the store.
 const (
 	tenantMain    = "main"
 	tenantLimited = "limited"
 	tenantFlood   = "flood"
-	// limitRate is in requests a second, limitBurst in requests, over all nodes;
-	// limitSlack is what may be let through beyond them in a window, as the users'
-	// shifted deployment states it.
+	// limitRate is in requests per second and limitBurst in requests, both over all nodes.
+	// limitSlack is the number of requests that may exceed them in a window, as in the slack of the
+	// quota settings.
 	limitRate   = 4.0
 	limitBurst  = 4.0
 	limitSlack  = 20.0
 	limitWindow = 5 * time.Second
 )
 
-// keyOf is a tenant's key.
-func keyOf(tenant string) string { return "key-of-" + tenant }
+// apiKey returns the API key of a tenant.
+func apiKey(tenant string) string { return "key-of-" + tenant }
 
+// tenants returns the declarations of the tenants.
 func tenants() []standin.Tenant {
 	return []standin.Tenant{
-		{Name: tenantMain, Keys: []string{keyOf(tenantMain)}},
-		{Name: tenantLimited, Keys: []string{keyOf(tenantLimited)}, Rate: limitRate, Burst: limitBurst},
-		{Name: tenantFlood, Keys: []string{keyOf(tenantFlood)}, Rate: limitRate, Burst: limitBurst},
+		{Name: tenantMain, Keys: []string{apiKey(tenantMain)}},
+		{Name: tenantLimited, Keys: []string{apiKey(tenantLimited)}, Rate: limitRate, Burst: limitBurst},
+		{Name: tenantFlood, Keys: []string{apiKey(tenantFlood)}, Rate: limitRate, Burst: limitBurst},
 	}
 }
 
-// tenants: servers are told the tenant that asked and nobody's key. Items are the main
-// tenant's.
-func (c *check) tenants() {
-	of := map[string]string{}
+// checkTenants checks that servers receive the name of the requesting tenant and no API key. Items
+// belong to tenantMain.
+func (c *checker) checkTenants() {
+	tenantOf := map[string]string{}
 	for _, request := range c.Requests {
-		of[request.ID] = request.Tenant
+		tenantOf[request.ID] = request.Tenant
 	}
 	for _, run := range c.Runs {
-		want, online := of[run.ID]
+		want, online := tenantOf[run.ID]
 		if !online {
 			want = tenantMain
 		}
 		if got := run.Header.Get("Tenant"); got != want {
-			c.broken(TenantNotKey, "%s ran as tenant %q, it is of %q", run.ID, got, want)
+			c.addViolation(KeyNotForwarded, "%s ran as tenant %q, it is of %q", run.ID, got, want)
 		}
 		if run.Header.Get("Authorization") != "" {
-			c.broken(TenantNotKey, "%s ran with a key", run.ID)
+			c.addViolation(KeyNotForwarded, "%s ran with a key", run.ID)
 		}
 	}
 }
 
-// limit: in no window more of a limited tenant's requests run than its limit and the
-// tolerance allow, whatever nodes are in touch.
-func (c *check) limit(tenant string, promise Promise) {
+// checkLimit checks that the requests of a tenant that run in any window are within its limit and
+// the tolerance, whichever nodes are connected.
+func (c *checker) checkLimit(tenant string, promise Promise) {
 	seen := map[string]bool{}
-	var began []time.Time
+	var starts []time.Time
 	for _, run := range c.Runs {
 		if run.Header.Get("Tenant") == tenant && !seen[run.ID] {
 			seen[run.ID] = true
-			began = append(began, run.At)
+			starts = append(starts, run.At)
 		}
 	}
-	allowed := (limitRate*limitWindow.Seconds()+limitBurst)*(1+quotaOver) + limitSlack
-	if count, from := most(began, limitWindow); float64(count) > allowed {
-		c.broken(promise, "%d requests of tenant %s ran in %v from %s on, %.1f are allowed; %s",
-			count, tenant, limitWindow, from.Format(time.StampMilli), allowed, c.ranBy(tenant, from))
+	allowed := (limitRate*limitWindow.Seconds()+limitBurst)*(1+quotaTolerance) + limitSlack
+	if count, from := maxInWindow(starts, limitWindow); float64(count) > allowed {
+		c.addViolation(promise, "%d requests of tenant %s ran in %v from %s on, %.1f are allowed; %s",
+			count, tenant, limitWindow, from.Format(time.StampMilli), allowed, c.limitDetail(tenant, from))
 	}
 }
 
-// ranBy tells how many of a tenant's requests ran in the window from a moment on, by the
-// node that was asked, and how the nodes were disturbed around it.
-func (c *check) ranBy(tenant string, from time.Time) string {
+// limitDetail describes which nodes received the requests of a tenant that ran in the window from a
+// time on, and how nodes were disturbed around it.
+func (c *checker) limitDetail(tenant string, from time.Time) string {
 	to := from.Add(limitWindow)
 	nodes := map[string]int{}
-	for _, one := range c.Requests {
-		for _, run := range c.runs[one.ID][:min(1, len(c.runs[one.ID]))] {
-			if one.Tenant == tenant && !run.At.Before(from) && !run.At.After(to) {
-				nodes[one.Node]++
+	for _, req := range c.Requests {
+		for _, run := range c.runs[req.ID][:min(1, len(c.runs[req.ID]))] {
+			if req.Tenant == tenant && !run.At.Before(from) && !run.At.After(to) {
+				nodes[req.Node]++
 			}
 		}
 	}
 	text := fmt.Sprint("by node ", nodes)
-	for _, one := range c.Disturbances {
-		if one.From.Before(to) && one.To.After(from.Add(-contactBound)) {
-			text += fmt.Sprintf("; %q disturbed %v to %v (restart: %t)", one.Name, one.From.Sub(from), one.To.Sub(from), one.Restart)
+	for _, d := range c.Disturbances {
+		if d.From.Before(to) && d.To.After(from.Add(-contactBound)) {
+			text += fmt.Sprintf("; %q disturbed %v to %v (restart: %t)", d.Name, d.From.Sub(from), d.To.Sub(from), d.Restart)
 		}
 	}
 	return text
 }
 
-// most returns the largest number of moments in any window of a length, and where that
-// begins.
-func most(moments []time.Time, window time.Duration) (count int, from time.Time) {
-	slices.SortFunc(moments, time.Time.Compare)
+// maxInWindow returns the maximum number of times in any window of a length, and the start of that
+// window. It sorts times.
+func maxInWindow(times []time.Time, window time.Duration) (count int, from time.Time) {
+	slices.SortFunc(times, time.Time.Compare)
 	first := 0
-	for i, at := range moments {
-		for at.Sub(moments[first]) > window {
+	for i, at := range times {
+		for at.Sub(times[first]) > window {
 			first++
 		}
 		if i-first+1 > count {
-			count, from = i-first+1, moments[first]
+			count, from = i-first+1, times[first]
 		}
 	}
 	return count, from
--- a/internal/lease/away.go
+++ b/internal/lease/away.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// awayKept is how long a node is remembered after its last session was ended: cuts of
-// nodes from the store have been seen to last 12 s, and it may be serving all the while.
-const awayKept = 30 * time.Second
+// awayRetention is how long a node is remembered after its last session ended. Nodes have been cut
+// off from the store for up to 12 s while they continued to serve.
+const awayRetention = 30 * time.Second
 
-// away is a node whose last session was ended.
-type away struct {
+// awayNode is a node whose last session has ended.
+type awayNode struct {
 	since time.Time
-	// told is what its last member row told.
-	told Member
+	// member is the content of its last member row.
+	member Member
 }
 
-// leave notes that a node has no session any more. The caller holds mu.
-func (r *Roster) leave(node string) {
+// markAway records that the last session of a node has ended. The caller holds mu.
+func (r *Roster) markAway(node string) {
 	if node != Node(r.session.ID()) {
-		r.away[node] = away{since: r.watcher.now(), told: r.told[node]}
+		r.away[node] = awayNode{since: r.watcher.now(), member: r.memberInfo[node]}
 	}
-	delete(r.nodes, node)
-	delete(r.told, node)
+	delete(r.sessionCounts, node)
+	delete(r.memberInfo, node)
 }
 
-// forgetAway drops the nodes that have been away for long. The caller holds mu.
-func (r *Roster) forgetAway() {
-	for node, known := range r.away {
-		if r.watcher.now().Sub(known.since) > awayKept {
+// expireAway forgets nodes that have been away for longer than awayRetention. The caller holds mu.
+func (r *Roster) expireAway() {
+	for node, awayInfo := range r.away {
+		if r.watcher.now().Sub(awayInfo.since) > awayRetention {
 			delete(r.away, node)
-			r.changed()
+			r.invalidateNodes()
 		}
 	}
 }
 
-// Away returns the nodes whose sessions were ended a short time ago, in order.
+// Away returns the nodes whose last session ended within awayRetention, sorted.
 func (r *Roster) Away() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forgetAway()
-	names := make([]string, 0, len(r.away))
+	r.expireAway()
+	nodes := make([]string, 0, len(r.away))
 	for node := range r.away {
-		names = append(names, node)
+		nodes = append(nodes, node)
 	}
-	slices.Sort(names)
-	return names
+	slices.Sort(nodes)
+	return nodes
 }
--- a/internal/lease/watcher.go
+++ b/internal/lease/watcher.go
@@ -16,252 +16,249 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// sighting is what was seen of a session: its version, since when, and when it
-// was last looked at.
-type sighting struct {
-	body    []byte
-	version uint64
-	since   time.Time
-	checked time.Time
+// observation records the last known state of a session's row.
+type observation struct {
+	body           []byte
+	version        uint64
+	unchangedSince time.Time // end of the first read that returned version
+	observedAt     time.Time
 }
 
-// Watcher tells which sessions have expired. It is safe for concurrent use.
+// Watcher determines which sessions have expired by watching their rows for renewals. It is
+// safe for concurrent use.
 type Watcher struct {
 	service    table.Service
 	now        func() time.Time
 	timeToLive time.Duration
-	// Self and Neighbours, if set before the watcher is used, narrow Refresh to so
-	// many sessions that follow this one in the order of the rows, as in a ring. Each
-	// session is then watched by so many others, and a look costs the same in a fleet
-	// of any size.
+	// Self and Neighbours, if set before first use, limit Refresh to the Neighbours sessions that
+	// follow Self on the hash ring of session rows. Each session is then watched by the same
+	// number of others, and the cost of Refresh does not depend on the size of the fleet.
 	Self       string
 	Neighbours int
-	// Unreadable, if set before the watcher is used, is told of rows that are no session's.
+	// Unreadable, if set before first use, receives rows that do not belong to a session.
 	Unreadable *table.Unreadable
 
-	mu   sync.Mutex
-	seen map[string]sighting
-	last time.Time
-	// failed is set by a reading that failed: the store may be down, and then
-	// holders cannot renew either.
-	failed bool
+	mu          sync.Mutex
+	observed    map[string]observation
+	lastRefresh time.Time
+	// readFailed is set after a failed read. The store may be down, in which case holders
+	// cannot renew their sessions either.
+	readFailed bool
 }
 
-// NewWatcher returns a watcher that has seen nothing yet. now must be monotonic.
+// NewWatcher returns a watcher with no observations. now must be monotonic.
 func NewWatcher(service table.Service, now func() time.Time, timing Timing) *Watcher {
-	return &Watcher{service: service, now: now, timeToLive: timing.TimeToLive, seen: map[string]sighting{}}
+	return &Watcher{service: service, now: now, timeToLive: timing.TimeToLive, observed: map[string]observation{}}
 }
 
-// Refresh reads all sessions, or those of the neighbours.
+// Refresh reads all sessions, or only the neighbours if Neighbours is set.
 func (w *Watcher) Refresh(ctx context.Context) error {
-	rows, all, err := w.read(ctx)
+	rows, all, err := w.readWatched(ctx)
 	if err != nil {
-		w.fail()
+		w.markReadFailed()
 		return Error.Wrap(err)
 	}
-	read := w.now()
+	readAt := w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.recover(read)
+	w.recover(readAt)
 	present := map[string]bool{}
 	for _, row := range rows {
-		id := sessionOf(row.Sort)
+		id := sessionID(row.Sort)
 		present[id] = true
-		w.see(id, row.Version, row.Body, read)
+		w.observe(id, row.Version, row.Body, readAt)
 	}
-	for id := range w.seen {
+	for id := range w.observed {
 		switch {
 		case present[id]:
-		case all || w.between(id, rows[len(rows)-1].Sort):
-			w.see(id, table.Absent, nil, read)
+		case all || w.inWatchedRange(id, rows[len(rows)-1].Sort):
+			w.observe(id, table.Absent, nil, readAt)
 		default:
-			// Others watch it now.
-			delete(w.seen, id)
+			// The session has left the watched range; other nodes watch it.
+			delete(w.observed, id)
 		}
 	}
-	w.last = read
+	w.lastRefresh = readAt
 	return nil
 }
 
-// LookInterval is the time to leave between two calls of Refresh. Each reads all
-// sessions, so it grows with their number and a node's share of the store stays the
-// same.
-func (w *Watcher) LookInterval() time.Duration {
-	return max(lookLeast, time.Duration(len(w.Live()))*lookPerSession)
+// RefreshInterval returns the time to leave between two calls of Refresh. Since Refresh reads all
+// sessions, the interval grows with their number to keep this node's load on the store constant.
+func (w *Watcher) RefreshInterval() time.Duration {
+	return max(minRefreshInterval, time.Duration(len(w.Live()))*refreshIntervalPerSession)
 }
 
-// Look reads one session.
-func (w *Watcher) Look(ctx context.Context, id string) error {
-	row, err := w.service.Get(ctx, rowKey(id))
+// RefreshSession reads a single session.
+func (w *Watcher) RefreshSession(ctx context.Context, id string) error {
+	row, err := w.service.Get(ctx, sessionKey(id))
 	if err != nil && !errors.Is(err, table.ErrNotFound) {
-		w.fail()
+		w.markReadFailed()
 		return Error.Wrap(err)
 	}
-	read := w.now()
+	readAt := w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.recover(read)
+	w.recover(readAt)
 	// A missing row has version table.Absent.
-	w.see(id, row.Version, row.Body, read)
+	w.observe(id, row.Version, row.Body, readAt)
 	return nil
 }
 
-func (w *Watcher) fail() {
+func (w *Watcher) markReadFailed() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.failed = true
+	w.readFailed = true
 }
 
-// recover gives every session its whole time anew after a failed reading, so
-// that holders are not taken over for an outage they had to sit out. The caller
-// holds mu.
-func (w *Watcher) recover(read time.Time) {
-	if !w.failed {
+// recover restarts the time to live of every session after a failed read, so that no holder
+// loses its work because of a store outage. The caller holds mu.
+func (w *Watcher) recover(readAt time.Time) {
+	if !w.readFailed {
 		return
 	}
-	w.failed = false
-	for id, known := range w.seen {
+	w.readFailed = false
+	for id, known := range w.observed {
 		if known.version != table.Absent {
-			known.since, known.checked = read, read
-			w.seen[id] = known
+			known.unchangedSince, known.observedAt = readAt, readAt
+			w.observed[id] = known
 		}
 	}
 }
 
-// see takes in a reading. The caller holds mu.
+// observe records the result of a read. The caller holds mu.
 //
-// An unchanged version counts from the end of the first reading that showed
-// it, so a slow store cannot make a session look older than it is. A row that
-// was there and is gone was ended by its holder: its work is free at once.
-func (w *Watcher) see(id string, version uint64, body []byte, read time.Time) {
-	known, ok := w.seen[id]
+// The time for which a version is unchanged starts at the end of the first read that returned it,
+// so that a slow store cannot make a session look older than it is. A row that existed and is
+// gone was deleted by its holder, so the session expires immediately.
+func (w *Watcher) observe(id string, version uint64, body []byte, readAt time.Time) {
+	known, ok := w.observed[id]
 	switch {
 	case ok && known.version == version:
-		known.checked = read
+		known.observedAt = readAt
 	case ok && version == table.Absent:
-		known = sighting{since: read.Add(-w.timeToLive), checked: read}
+		known = observation{unchangedSince: readAt.Add(-w.timeToLive), observedAt: readAt}
 	default:
-		known = sighting{version: version, since: read, checked: read}
+		known = observation{version: version, unchangedSince: readAt, observedAt: readAt}
 	}
 	known.body = body
-	w.seen[id] = known
+	w.observed[id] = known
 }
 
-// Sighting is what the last look showed of a session.
-type Sighting struct {
+// SessionState is the state of a session as of the last read.
+type SessionState struct {
 	ID   string
 	Body []byte
-	// Version is that of the row, Still how long it has been seen unchanged.
-	Version uint64
-	Still   time.Duration
-	Expired bool
+	// Version is the version of the row, Unchanged how long it has been observed to stay the same.
+	Version   uint64
+	Unchanged time.Duration
+	Expired   bool
 }
 
-// Node returns the id of the session's node.
-func (s *Sighting) Node() string { return Node(s.ID) }
+// Node returns the ID of the node that the session belongs to.
+func (s *SessionState) Node() string { return Node(s.ID) }
 
-// Sessions returns the sessions that the last look showed, expired ones too, in
-// the order of their ids.
-func (w *Watcher) Sessions() []Sighting {
+// Sessions returns the sessions that existed at the last read, expired ones included, sorted
+// by ID.
+func (w *Watcher) Sessions() []SessionState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var list []Sighting
-	for id, known := range w.seen {
+	var list []SessionState
+	for id, known := range w.observed {
 		if known.version == table.Absent {
 			continue
 		}
-		still := known.checked.Sub(known.since)
-		list = append(list, Sighting{ID: id, Body: known.body, Version: known.version, Still: still, Expired: still >= w.timeToLive})
+		unchanged := known.observedAt.Sub(known.unchangedSince)
+		list = append(list, SessionState{ID: id, Body: known.body, Version: known.version, Unchanged: unchanged, Expired: unchanged >= w.timeToLive})
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	return list
 }
 
-// lapsed returns the sessions that have expired and that this node should end: after
-// turn more for each live session that stands between, for their nodes are nearer.
-func (w *Watcher) lapsed(turn time.Duration) []Sighting {
+// sessionsToEnd returns the expired sessions that this node should delete. A session qualifies once
+// it has been expired for stagger times the number of live sessions that lie between it and
+// this node on the ring, because the nodes of those sessions are closer and try first.
+func (w *Watcher) sessionsToEnd(stagger time.Duration) []SessionState {
 	sessions := w.Sessions()
-	own := rowKey(w.Self).Sort
-	slices.SortFunc(sessions, func(a, b Sighting) int {
-		keyA, keyB := rowKey(a.ID).Sort, rowKey(b.ID).Sort
+	own := sessionKey(w.Self).Sort
+	slices.SortFunc(sessions, func(a, b SessionState) int {
+		keyA, keyB := sessionKey(a.ID).Sort, sessionKey(b.ID).Sort
 		if (keyA > own) != (keyB > own) {
-			// What lies behind the end of the ring comes last.
+			// Sessions past the wrap-around of the ring sort last.
 			return cmp.Compare(keyB, keyA)
 		}
 		return cmp.Compare(keyA, keyB)
 	})
-	var lapsed []Sighting
+	var toEnd []SessionState
 	nearer := 0
-	for _, seen := range sessions {
+	for _, session := range sessions {
 		switch {
-		case !seen.Expired:
+		case !session.Expired:
 			nearer++
-		case seen.Still >= w.timeToLive+time.Duration(nearer)*turn:
-			lapsed = append(lapsed, seen)
+		case session.Unchanged >= w.timeToLive+time.Duration(nearer)*stagger:
+			toEnd = append(toEnd, session)
 		}
 	}
-	return lapsed
+	return toEnd
 }
 
 // Age returns the time since the last successful Refresh.
 func (w *Watcher) Age() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.now().Sub(w.last)
+	return w.now().Sub(w.lastRefresh)
 }
 
-// Expired reports whether a session's work may be taken over, as of the last
-// look at it.
+// Expired reports whether the work of a session may be taken over, as of the last read.
 func (w *Watcher) Expired(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	known, ok := w.seen[id]
+	known, ok := w.observed[id]
 	if !ok {
-		// Not among the rows of the last Refresh; it counts from then on.
-		w.see(id, table.Absent, nil, w.last)
+		// Unknown at the last Refresh: its time to live starts at that point.
+		w.observe(id, table.Absent, nil, w.lastRefresh)
 		return false
 	}
-	return known.checked.Sub(known.since) >= w.timeToLive
+	return known.observedAt.Sub(known.unchangedSince) >= w.timeToLive
 }
 
-// Sweep deletes rows that have been expired for long, so that restarts do not
-// pile rows up.
+// Sweep deletes rows that have been expired for a long time, so that rows left by restarted
+// nodes do not accumulate.
 func (w *Watcher) Sweep(ctx context.Context) {
 	w.mu.Lock()
 	var old []table.Write
-	for id, known := range w.seen {
-		if known.version != table.Absent && known.checked.Sub(known.since) > sweepMultiple*w.timeToLive {
-			old = append(old, table.Write{Key: rowKey(id), Kind: table.Delete, Expect: known.version})
+	for id, known := range w.observed {
+		if known.version != table.Absent && known.observedAt.Sub(known.unchangedSince) > sweepMultiple*w.timeToLive {
+			old = append(old, table.Write{Key: sessionKey(id), Kind: table.Delete, Expect: known.version})
 		}
 	}
 	w.mu.Unlock()
 	for _, write := range old {
-		// A conflict means that the session lives after all, or is gone already.
+		// On a conflict the session was renewed or is already deleted.
 		_, _ = w.service.Commit(ctx, table.NewOperation(), write)
 	}
 }
 
-// Preferred is the live session that should do a piece of work that any could
-// do (rendezvous hashing), so that work is spread and nodes seldom race.
+// Preferred returns the live session that should do a piece of work that any session could do. It
+// uses rendezvous hashing, which spreads the work and makes races between nodes rare.
 func Preferred(live []string, work string) string {
-	best := ""
-	var bestWeight uint64
+	preferred := ""
+	var maxWeight uint64
 	for _, session := range live {
 		sum := fnv.New64a()
 		_, _ = sum.Write([]byte(session))
 		_, _ = sum.Write([]byte(work))
-		if weight := sum.Sum64(); best == "" || weight > bestWeight {
-			best, bestWeight = session, weight
+		if weight := sum.Sum64(); preferred == "" || weight > maxWeight {
+			preferred, maxWeight = session, weight
 		}
 	}
-	return best
+	return preferred
 }
 
 // Preferred returns the live session that should do a piece of work.
 func (w *Watcher) Preferred(work string) string { return Preferred(w.Live(), work) }
 
-// Share returns those of many pieces of work that a session should do, if each
-// is done by one live session (rendezvous hashing). It hashes every name once.
+// Share returns the subset of works that rendezvous hashing over the live sessions assigns to
+// self. Unlike Preferred, it hashes every session and every name only once.
 func (w *Watcher) Share(self string, works []string) map[string]bool {
 	live := w.Live()
 	keys := make([]uint64, len(live))
@@ -270,15 +267,16 @@
 	}
 	share := map[string]bool{}
 	for _, work := range works {
-		if best := heaviest(keys, xxhash.Sum64String(work)); best >= 0 && live[best] == self {
+		if best := indexOfMaxWeight(keys, xxhash.Sum64String(work)); best >= 0 && live[best] == self {
 			share[work] = true
 		}
 	}
 	return share
 }
 
-// heaviest returns the index of the key that weighs most for a work, or -1.
-func heaviest(keys []uint64, work uint64) int {
+// indexOfMaxWeight returns the index of the key with the highest weight for a piece of work, or
+// -1 if there are no keys.
+func indexOfMaxWeight(keys []uint64, work uint64) int {
 	best := -1
 	var bestWeight uint64
 	for i, key := range keys {
@@ -292,23 +290,24 @@
 	return best
 }
 
-// Live returns the sessions that were there at the last Refresh and are not expired.
+// Live returns the sessions that existed at the last Refresh and have not expired.
 func (w *Watcher) Live() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var live []string
-	for id, known := range w.seen {
-		if known.version != table.Absent && known.checked.Sub(known.since) < w.timeToLive {
+	for id, known := range w.observed {
+		if known.version != table.Absent && known.observedAt.Sub(known.unchangedSince) < w.timeToLive {
 			live = append(live, id)
 		}
 	}
 	return live
 }
 
-// Nodes returns the nodes of the live sessions, each once.
+// Nodes returns the distinct nodes of the live sessions, sorted.
 func (w *Watcher) Nodes() []string { return nodesOf(w.Live()) }
 
-// Places returns the nodes of the live sessions, of which it is not known where they are.
+// Places returns the nodes of the live sessions without their locations, which session rows do
+// not contain.
 func (w *Watcher) Places() []place.Node {
 	var nodes []place.Node
 	for _, node := range w.Nodes() {
@@ -317,10 +316,10 @@
 	return nodes
 }
 
-// Region returns the empty region: sessions do not tell where nodes stand.
+// Region returns "": session rows do not contain the locations of nodes.
 func (w *Watcher) Region(string) string { return "" }
 
-// nodesOf returns the nodes of sessions, each once.
+// nodesOf returns the distinct nodes of sessions, sorted.
 func nodesOf(sessions []string) []string {
 	nodes := make([]string, 0, len(sessions))
 	for _, session := range sessions {
@@ -330,23 +329,23 @@
 	return slices.Compact(nodes)
 }
 
-// Gone reports whether a node has no session that may be alive, as of the last
-// look. One that was never seen counts from then on.
+// Gone reports whether no session of a node can be alive, as of the last read. For a node that was
+// never observed the time to live starts with the last Refresh.
 func (w *Watcher) Gone(node string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	seen := false
-	for id, known := range w.seen {
+	observed := false
+	for id, known := range w.observed {
 		if Node(id) != node {
 			continue
 		}
-		seen = true
-		if known.checked.Sub(known.since) < w.timeToLive {
+		observed = true
+		if known.observedAt.Sub(known.unchangedSince) < w.timeToLive {
 			return false
 		}
 	}
-	if !seen {
-		w.see(node+sessionSeparator, table.Absent, nil, w.last)
+	if !observed {
+		w.observe(node+sessionSeparator, table.Absent, nil, w.lastRefresh)
 	}
-	return seen
+	return observed
 }
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -69,7 +69,7 @@
 // sessionView tells which nodes are there.
 type sessionView interface {
 	jobs.Owners
-	Sessions() []lease.Sighting
+	Sessions() []lease.SessionState
 }
 
 // core is what serves requests and runs jobs, whichever interface they come by.
@@ -111,15 +111,15 @@
 	c.sampled = log.Sample(&zerolog.BurstSampler{
 		Burst: sampleBurst, Period: time.Second, NextSampler: &zerolog.BasicSampler{N: sampleEvery},
 	})
-	c.unreadable.Tell = c.logUnreadable
-	c.replicas.Ejected = c.logEjected
+	c.unreadable.OnUnreadable = c.logUnreadable
+	c.replicas.OnEjected = c.logEjected
 	c.replicas.Zone = outside.zone
-	c.replicas.EjectedByMany = c.logEjectedByMany
-	c.replicas.Restarted = c.logRestarted
+	c.replicas.OnSharedEjection = c.logEjectedByMany
+	c.replicas.OnRestart = c.logRestarted
 	c.forwarder = &forward.Forwarder{
 		Replicas: c.replicas, Backend: outside.backend, Budget: retry.NewBudget(retryShare),
 		Weights: outside.weights, Zone: outside.zone, Region: outside.region,
-		Notice: &requestLog{log: log, sampled: c.sampled, metrics: metrics, evacuated: c.evacuations.names},
+		Observer: &requestLog{log: log, sampled: c.sampled, metrics: metrics, evacuated: c.evacuations.names},
 	}
 	c.session = lease.NewSession(outside.table, outside.id, outside.timing)
 	c.owners = outside.sessions(c.session)
@@ -142,7 +142,7 @@
 		Weights: outside.weights, Zone: outside.zone, Region: outside.region, ViewAge: c.viewAge, CommitInterval: outside.commitInterval,
 		Quarantine: &c.harm.guard, EndQuarantined: outside.endQuarantined,
 	})
-	c.replicas.Pressed = c.runner.Yield
+	c.replicas.OnPressure = c.runner.Yield
 	return c
 }
 
@@ -150,7 +150,7 @@
 // be: what it says is this node's may have been taken over, or ended, meanwhile.
 func (c *core) viewAge() time.Duration {
 	age := c.jobWatch.Age()
-	if since, woke := clock.SinceWake(); woke && age > since {
+	if since, woke := clock.SinceResume(); woke && age > since {
 		return math.MaxInt64
 	}
 	return age
@@ -161,9 +161,9 @@
 	if !clock.CountsSuspension() {
 		c.log.Warn().Msg("this system has no clock that counts suspensions: leases are not safe on a machine that sleeps")
 	}
-	known := clock.Slept()
+	known := clock.Suspended()
 	for retry.Sleep(ctx, wakeLook) {
-		if slept := clock.Slept(); slept > known {
+		if slept := clock.Suspended(); slept > known {
 			c.log.Warn().Dur("for_ms", slept-known).Msg("machine was suspended")
 			known = slept
 		}
@@ -174,9 +174,9 @@
 func (c *core) jobPace() table.Pace {
 	spacing := max(jobSpacing, time.Duration(len(c.owners.Live()))*jobSpacingPerSession)
 	if c.jobs.Tell == nil || c.jobs.Waiting() > 0 {
-		return table.Pace{Announced: spacing, Usual: spacing}
+		return table.Pace{AfterAnnouncement: spacing, Default: spacing}
 	}
-	return table.Pace{Announced: spacing, Usual: max(jobSpacingUsual, spacing)}
+	return table.Pace{AfterAnnouncement: spacing, Default: max(jobSpacingUsual, spacing)}
 }
 
 // ownSession returns this node's session, which exists in the store.
@@ -187,15 +187,15 @@
 // watch returns a watcher of a feed that logs when its source is lost and regained.
 func (c *core) watch(name string, feed table.Feed, apply func(table.Changes, bool)) *table.Watcher {
 	watcher := table.NewWatcher(feed, apply)
-	watcher.Lost = func(err error) {
+	watcher.OnLost = func(err error) {
 		c.log.Warn().Str("dependency", name).Err(err).Msg("dependency lost")
 	}
-	watcher.Regained = func(outage time.Duration) {
+	watcher.OnRegained = func(outage time.Duration) {
 		c.log.Info().Str("dependency", name).Dur("outage_ms", outage).Msg("dependency regained")
 	}
-	watcher.Reread = func(read table.WholeRead) {
+	watcher.OnReread = func(read table.WholeRead) {
 		c.log.Info().Str("dependency", name).Int("pages", read.Pages).Int("failures", read.Failures).
-			Dur("took_ms", read.Took).Msg("read whole again, what was known stood still meanwhile")
+			Dur("took_ms", read.Elapsed).Msg("read whole again, what was known stood still meanwhile")
 	}
 	return watcher
 }
@@ -205,9 +205,9 @@
 func (c *core) watchReplicas(feed table.Feed, apply func(table.Changes, bool)) *table.Watcher {
 	list := &datedList{Feed: feed, replicas: c.replicas}
 	watcher := c.watch("replica list", list, list.applied(apply))
-	regained := watcher.Regained
-	watcher.Regained = func(outage time.Duration) {
-		c.replicas.Outage(outage, clock.Now())
+	regained := watcher.OnRegained
+	watcher.OnRegained = func(outage time.Duration) {
+		c.replicas.OutageEnded(outage, clock.Now())
 		regained(outage)
 	}
 	return watcher
@@ -257,13 +257,13 @@
 	if err != nil {
 		entry = c.log.Warn().Err(err).Stringer("ran", outcome.Of(err))
 		if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) {
-			entry = entry.Str("excluded", none.Reasons()).Strs("homes", target.Regions.And(request.Regions))
+			entry = entry.Str("excluded", none.Reasons()).Strs("homes", target.Regions.Intersect(request.Regions))
 		}
 	}
 	entry.Str("request", request.ID).Str("route", target.Name).Str("pool", result.Pool).
 		Str("replica", result.Replica).Str("region", result.Region).Stringer("distance", result.Distance).Int("status", result.Status).Int("attempts", result.Attempts).
-		Int("refusals", result.Refusals).Int("events", result.Events).Bool("started", result.Started).
-		Dur("first_ms", result.First).Dur("max_gap_ms", result.MaxGap).
+		Int("refusals", result.Refusals).Int("events", result.Events).Bool("started", result.HeadSent).
+		Dur("first_ms", result.TimeToFirstByte).Dur("max_gap_ms", result.MaxGap).
 		Dur("took_ms", clock.Since(request.Received)).Msg("request ended")
 }
 
@@ -276,7 +276,7 @@
 func (c *core) logRestarted(restart replica.Restart) {
 	c.metrics.restarts.Inc()
 	c.sampled.Warn().Str("replica", restart.Replica.ID).Str("address", restart.Replica.Address).Str("zone", restart.Replica.Zone).
-		Int64("born", restart.Replica.Born).Int64("born_before", restart.Before).
+		Int64("born", restart.Replica.StartedUnixMs).Int64("born_before", restart.PreviousStartedUnixMs).
 		Int("open", restart.Open).Int("items", restart.Batch).Int("moved", restart.Moved).Msg("replica started again")
 }
 
@@ -312,16 +312,16 @@
 func (c *core) replaceRoutes(config *route.Config, version uint64) {
 	next := route.NewTable(config)
 	if c.routes.Replace(next) {
-		c.replicas.LimitCold(coldLimits(config))
+		c.replicas.SetColdLimits(coldLimits(config))
 		c.log.Info().Uint64("version", config.Version).Uint64("row_version", version).
-			Int("routes", next.Routes()).Msg("configuration in force")
+			Int("routes", next.Len()).Msg("configuration in force")
 		c.logPlaceFindings(config)
 	}
 }
 
 // logPlaceFindings logs what is wrong with the homes of a configuration in force.
 func (c *core) logPlaceFindings(config *route.Config) {
-	for _, found := range config.PlaceFindings(c.places) {
+	for _, found := range config.RegionFindings(c.places) {
 		c.log.Warn().Uint64("version", config.Version).Str("path", found.Path).
 			Str("finding", found.Message).Msg("homes of the configuration")
 	}
--- a/internal/node/evacuationrows_test.go
+++ b/internal/node/evacuationrows_test.go
@@ -63,7 +63,7 @@
 	}
 	// The zone had no replica when it was evacuated.
 	gateway.listReplica(replica.Info{ID: "r", Pool: "p", Zone: "odd", Slots: 1}, 8, false)
-	demand := &replica.Demand{}
+	demand := &replica.Criteria{}
 	if chosen, err := replica.Pick(gateway.replicas.SnapshotFor("p", demand, time.Now()), demand, replica.Weights{}); err == nil {
 		t.Errorf("chose %s", chosen.ID)
 	}
@@ -80,7 +80,7 @@
 	gateway, log := evacuationCore(nil)
 	sent := func() string {
 		log.Reset()
-		gateway.forwarder.Notice.Sent(&forward.Request{ID: "q"}, 1, &replica.Candidate{Info: replica.Info{ID: "r", Zone: "c"}}, 0)
+		gateway.forwarder.Observer.Sent(&forward.Request{ID: "q"}, 1, &replica.Candidate{Info: replica.Info{ID: "r", Zone: "c"}}, 0)
 		return log.String()
 	}
 	if line := sent(); strings.Contains(line, "evacuated") || !strings.Contains(line, `"zone":"c"`) {
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -54,7 +54,7 @@
 	peers  *peer.Socket
 	roster *lease.Roster
 	near   *neighbours
-	quota  *quota.Exchange
+	quota  *quota.Coordinator
 	// toldAll bounds how often all nodes are told of news.
 	toldAll *rate.Limiter
 
@@ -112,8 +112,8 @@
 	})
 	g.replicas.ColdTolerance = replica.ColdTolerance{Over: g.settings.Gateway.Cold.Over, Slack: g.settings.Gateway.Cold.Slack}
 	g.roster, g.near = roster, &neighbours{roster: roster}
-	roster.Ended = g.logEnded
-	roster.ReportTo(&g.unreadable)
+	roster.OnEnded = g.logEnded
+	roster.ReportUnreadableTo(&g.unreadable)
 	g.zoneOf = func(node string) string { return roster.Member(node).Zone }
 	g.session.Member = lease.Member{
 		Address: g.settings.Gateway.Peers, Zone: g.settings.Node.Zone, Region: g.settings.Node.Region,
@@ -134,7 +134,7 @@
 	g.runner.Reserver = g.backend
 	g.configWatch = g.watch("configuration", platform.ConfigFeed(g.store), g.applyConfig)
 	g.replicaWatch = g.watchReplicas(platform.ServerFeed(g.store), g.applyReplicas)
-	g.configWatch.Keep, g.replicaWatch.Keep = true, true
+	g.configWatch.KeepRows, g.replicaWatch.KeepRows = true, true
 	metrics.registerViews(g.core)
 	metrics.registerPools(g.core)
 	metrics.registerCold(g.replicas)
@@ -169,7 +169,7 @@
 
 func (g *Gateway) listen() error {
 	front := &platform.Front{Gateway: g, Jobs: &platform.JobFront{
-		Service: g.jobs, Patience: jobPatience, ComeBack: g.ComeBack,
+		Service: g.jobs, Timeout: jobPatience, RetryAfter: g.RetryAfter,
 	}}
 	served := []struct {
 		address string
--- a/internal/node/gatewaycold.go
+++ b/internal/node/gatewaycold.go
@@ -48,14 +48,14 @@
 func (g *Gateway) answerCold(socket *peer.Socket) {
 	desk := &coldDesk{replicas: g.replicas, roster: g.roster, send: socket.Send}
 	desk.failed = func(err error) { g.sampled.Warn().Err(err).Msg("message about a cold replica failed") }
-	socket.Handle(peer.KindColdAsk, desk.take(clock.Now))
-	socket.Handle(peer.KindColdAnswer, desk.answered)
-	g.forwarder.ColdFeeders = desk
+	socket.Handle(peer.KindColdGrantRequest, desk.take(clock.Now))
+	socket.Handle(peer.KindColdGrantReply, desk.answered)
+	g.forwarder.ColdGranter = desk
 }
 
-// Ask implements forward.ColdFeeders. What is lost is not granted: the asker's time is
+// RequestGrant implements forward.ColdFeeders. What is lost is not granted: the asker's time is
 // over before the place would be used.
-func (d *coldDesk) Ask(ctx context.Context, feeder replica.Feeder) bool {
+func (d *coldDesk) RequestGrant(ctx context.Context, feeder replica.ColdSender) bool {
 	to, err := net.ResolveUDPAddr("udp4", d.roster.Address(feeder.Node))
 	if err != nil {
 		// The node has not told its address.
@@ -63,8 +63,8 @@
 	}
 	number, answered := d.register()
 	defer d.forget(number)
-	asked := coldAsk{Number: number, Replica: feeder.Replica, Presumed: feeder.Presumed, Born: feeder.Born}
-	if err := d.send(to, peer.KindColdAsk, asked); err != nil {
+	asked := coldAsk{Number: number, Replica: feeder.Replica, Presumed: feeder.Presumed, Born: feeder.StartedUnixMs}
+	if err := d.send(to, peer.KindColdGrantRequest, asked); err != nil {
 		d.failed(err)
 		return false
 	}
@@ -106,9 +106,9 @@
 			grant = d.replicas.GrantPresumed
 		}
 		// A place at another start of the replica would not count against its rate.
-		granted := d.replicas.Started(asked.Replica, asked.Born) && grant(asked.Replica, now())
+		granted := d.replicas.IsCurrentStart(asked.Replica, asked.Born) && grant(asked.Replica, now())
 		answer := coldAnswer{Number: asked.Number, Granted: granted}
-		if err := d.send(source, peer.KindColdAnswer, answer); err != nil {
+		if err := d.send(source, peer.KindColdGrantReply, answer); err != nil {
 			d.failed(err)
 		}
 	}
--- a/internal/node/gatewayfront.go
+++ b/internal/node/gatewayfront.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// ComeBack implements platform.Gateway.
-func (g *Gateway) ComeBack() time.Duration { return comeBack }
+// RetryAfter implements platform.Gateway.
+func (g *Gateway) RetryAfter() time.Duration { return comeBack }
 
 // Stopping implements platform.Gateway.
 func (g *Gateway) Stopping() bool { return g.stopping.Load() }
@@ -59,7 +59,7 @@
 	}
 	result, err := g.forward(r.Context(), target, request, sink)
 	if err != nil && outcome.Of(err) == outcome.NotDone {
-		g.quota.Gate.GiveBack(request.Tenant)
+		g.quota.Limiter.Refund(request.Tenant)
 	}
 	return result, err
 }
@@ -99,8 +99,8 @@
 	})
 }
 
-// Turned implements platform.Gateway.
-func (g *Gateway) Turned(id, reason string, status int) {
+// Rejected implements platform.Gateway.
+func (g *Gateway) Rejected(id, reason string, status int) {
 	g.metrics.turned.WithLabelValues(reason).Inc()
 	g.log.Info().Str("request", id).Str("reason", reason).Int("status", status).Msg("request turned away")
 }
--- a/internal/node/gatewayquarantine.go
+++ b/internal/node/gatewayquarantine.go
@@ -69,7 +69,7 @@
 
 // tellHarm tells all other nodes what ended here, and what ended well. A word that is lost
 // comes by the table.
-func (g *Gateway) tellHarm(news quarantine.News) {
+func (g *Gateway) tellHarm(news quarantine.Update) {
 	now := clock.Now()
 	var told harmTold
 	works := 0
@@ -77,19 +77,19 @@
 		if works == 0 {
 			return
 		}
-		g.tellOthers(peer.KindHarm, told)
+		g.tellOthers(peer.KindCrashReport, told)
 		told, works = harmTold{}, 0
 	}
 	for _, report := range news.Reports {
-		rest, lasted := report.Told()
-		well := g.harm.WellBefore(rest, report.At)
+		rest, lasted := report.EncodeRuns()
+		well := g.harm.EncodeSuccesses(rest, report.At)
 		for len(rest) > 0 {
 			if works >= harmWorksAtOnce || len(told.Ends) >= harmEndsAtOnce {
 				flush()
 			}
 			count := min(len(rest), harmWorksAtOnce-works)
 			told.Ends = append(told.Ends, endTold{
-				Replica: report.Replica, Born: report.Born, Works: rest[:count], Lasted: lasted[:count], Well: well[:count],
+				Replica: report.Replica, Born: report.StartTime, Works: rest[:count], Lasted: lasted[:count], Well: well[:count],
 				AgeMs: now.Sub(report.At).Milliseconds(),
 			})
 			rest, lasted, well = rest[count:], lasted[count:], well[count:]
@@ -122,7 +122,7 @@
 	for _, one := range proven {
 		told.Cleared = append(told.Cleared, clearedOf(one, now))
 	}
-	g.tellSome(g.near.others(), provenFanout, peer.KindHarm, told)
+	g.tellSome(g.near.others(), provenFanout, peer.KindCrashReport, told)
 }
 
 // askHarm asks all other nodes for what speaks for a work, or a few if they were asked before.
@@ -130,9 +130,9 @@
 func (g *Gateway) askHarm(work quarantine.Work, again bool) bool {
 	others, asked := g.near.others(), harmTold{Asked: &work}
 	if again {
-		g.tellSome(others, harmAskedAgain, peer.KindHarm, asked)
+		g.tellSome(others, harmAskedAgain, peer.KindCrashReport, asked)
 	} else {
-		g.tellOthers(peer.KindHarm, asked)
+		g.tellOthers(peer.KindCrashReport, asked)
 	}
 	return len(others) > 0
 }
@@ -141,12 +141,12 @@
 // goes where the question came from: a node that has just started is not among those that this
 // one knows.
 func (g *Gateway) answerHarm(to *net.UDPAddr, work quarantine.Work) {
-	at, ok := g.harm.guard.Answer(work)
+	at, ok := g.harm.guard.AnswerQuery(work)
 	if !ok {
 		return
 	}
 	cleared := clearedOf(quarantine.Clearing{Work: work, At: at}, clock.Now())
-	if err := g.peers.Send(to, peer.KindHarm, harmTold{Cleared: []clearedTold{cleared}}); err != nil {
+	if err := g.peers.Send(to, peer.KindCrashReport, harmTold{Cleared: []clearedTold{cleared}}); err != nil {
 		g.sampled.Warn().Err(err).Msg("what speaks for work not told to who asked")
 	}
 }
@@ -161,11 +161,11 @@
 	now := clock.Now()
 	for _, ended := range told.Ends {
 		at := ago(now, ended.AgeMs)
-		for _, one := range quarantine.WellOf(ended.Works, ended.Well, at) {
+		for _, one := range quarantine.DecodeSuccesses(ended.Works, ended.Well, at) {
 			g.harm.Clear(one.Work, one.At)
 		}
-		g.harm.guard.Take(quarantine.Report{
-			Replica: ended.Replica, Born: ended.Born, Runs: quarantine.RunsOf(ended.Works, ended.Lasted, at), At: at,
+		g.harm.guard.RecordCrash(quarantine.CrashReport{
+			Replica: ended.Replica, StartTime: ended.Born, Runs: quarantine.DecodeRuns(ended.Works, ended.Lasted, at), At: at,
 		})
 	}
 	for _, cleared := range told.Cleared {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -152,7 +152,7 @@
 		}
 		return 0
 	})
-	m.gauge("wheelhoist_suspended_seconds", "Time for which the machine has been suspended since the process began.", func() float64 { return clock.Slept().Seconds() })
+	m.gauge("wheelhoist_suspended_seconds", "Time for which the machine has been suspended since the process began.", func() float64 { return clock.Suspended().Seconds() })
 	m.gauge("wheelhoist_gateway_evacuated_zones", "Zones that operators empty.", func() float64 { return float64(len(c.evacuations.all())) })
 	m.gauge("wheelhoist_gateway_replicas", "Listed replicas.", func() float64 {
 		listed, _ := c.replicas.Count(clock.Now())
@@ -189,7 +189,7 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-func (m *coreMetrics) storeCall(call platform.Call, took time.Duration, err error) {
+func (m *coreMetrics) storeCall(call platform.CallKind, took time.Duration, err error) {
 	label := "done"
 	if err != nil {
 		label = "failed_" + outcome.Of(err).String()
@@ -201,7 +201,7 @@
 // excluded counts a request that ended because no replica could take it.
 func (m *coreMetrics) excluded(err error) {
 	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) {
-		m.refused.WithLabelValues(none.Main().String()).Inc()
+		m.refused.WithLabelValues(none.MainReason().String()).Inc()
 	}
 }
 
@@ -216,8 +216,8 @@
 		m.served.WithLabelValues(result.Distance.String()).Inc()
 	}
 	m.attempts.WithLabelValues(kind).Add(float64(result.Attempts))
-	if result.Started {
-		m.first.WithLabelValues(kind).Observe(result.First.Seconds())
+	if result.HeadSent {
+		m.first.WithLabelValues(kind).Observe(result.TimeToFirstByte.Seconds())
 	}
 	if result.Events > 1 {
 		m.gap.WithLabelValues(kind).Observe(result.MaxGap.Seconds())
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -172,7 +172,7 @@
 }
 
 func (n *Node) pollInterval() time.Duration {
-	return max(table.DefaultPoll, time.Duration(len(n.owners.Live()))*pollPerSession)
+	return max(table.DefaultPollInterval, time.Duration(len(n.owners.Live()))*pollPerSession)
 }
 
 func (n *Node) buildConfiguration() {
@@ -186,7 +186,7 @@
 	}
 	n.observer = &inventory.Observer{
 		Table: n.table, View: &n.inventory, Engines: n.engines, Machines: n.machines.current,
-		Ours: func(ids []string) map[string]bool { return n.sessions.Share(n.session.ID(), ids) }, Log: n.log,
+		Assigned: func(ids []string) map[string]bool { return n.sessions.Share(n.session.ID(), ids) }, Log: n.log,
 	}
 	n.placement = placement.NewController(placement.Options{
 		Table: n.table, Session: n.session, Watcher: n.sessions, Store: n.resources,
@@ -206,7 +206,7 @@
 func (n *Node) buildServer() error {
 	n.metrics.registerViews(n.core)
 	n.metrics.registerPools(n.core)
-	n.metrics.registry.MustRegister(&groupCollector{account: n.feeder.Account, now: clock.Now})
+	n.metrics.registry.MustRegister(&groupCollector{account: n.feeder.WaitCounts, now: clock.Now})
 	n.metrics.registerTraffic(&n.control)
 	claims := idempotency.NewStore(n.table)
 	claims.Unreadable = &n.unreadable
--- a/internal/node/quarantinestart_test.go
+++ b/internal/node/quarantinestart_test.go
@@ -13,11 +13,11 @@
 func TestStandings_TellStartsApart(t *testing.T) {
 	set := replica.NewSet()
 	asked := standings{&core{replicas: set}}
-	info := replica.Info{ID: "r", Born: 3000, Address: "a", Pool: "llm", Slots: 1}
-	start := func(born int64) quarantine.Replica { return quarantine.Replica{ID: "r", Born: born, Address: "a"} }
-	expect := func(born int64, want quarantine.Standing) {
+	info := replica.Info{ID: "r", StartedUnixMs: 3000, Address: "a", Pool: "llm", Slots: 1}
+	start := func(born int64) quarantine.Replica { return quarantine.Replica{ID: "r", StartTime: born, Address: "a"} }
+	expect := func(born int64, want quarantine.ReplicaState) {
 		t.Helper()
-		if got := asked.Standing(start(born)); got != want {
+		if got := asked.State(start(born)); got != want {
 			t.Errorf("start %d stands as %d, not %d", born, got, want)
 		}
 	}
@@ -26,7 +26,7 @@
 	expect(3000, quarantine.Serving)
 	expect(0, quarantine.Serving)
 	// Its clock steps back, and it starts again without a word.
-	info.Born = 1000
+	info.StartedUnixMs = 1000
 	set.Put(info)
 	expect(3000, quarantine.Restarted)
 	expect(1000, quarantine.Serving)
@@ -34,14 +34,14 @@
 	info.Leaving = true
 	set.Put(info)
 	expect(1000, quarantine.Leaving)
-	info.Leaving, info.Born = false, 2000
+	info.Leaving, info.StartedUnixMs = false, 2000
 	set.Put(info)
 	expect(1000, quarantine.Leaving)
 	expect(3000, quarantine.Restarted)
 	expect(2000, quarantine.Serving)
 	moved := start(2000)
 	moved.Address = "b"
-	if got := asked.Standing(moved); got != quarantine.Restarted {
+	if got := asked.State(moved); got != quarantine.Restarted {
 		t.Errorf("a replica at another address stands as %d", got)
 	}
 	set.Remove("r", time.Now())
--- a/internal/node/suspend_test.go
+++ b/internal/node/suspend_test.go
@@ -17,7 +17,7 @@
 func TestCore_AViewFromBeforeASuspensionIsTooOldToSendBy(t *testing.T) {
 	machine := clocktest.New(t)
 	c := testCore()
-	c.jobWatch.Pace = func() table.Pace { return table.Pace{Announced: time.Millisecond, Usual: time.Minute} }
+	c.jobWatch.Pace = func() table.Pace { return table.Pace{AfterAnnouncement: time.Millisecond, Default: time.Minute} }
 	tabletest.Follow(t, c.jobWatch)
 	fresh := func() bool { return c.viewAge() < time.Second }
 	wait := func(what string, holds func() bool) {
@@ -46,7 +46,7 @@
 	work := quarantine.Work{1}
 	for _, id := range []string{"a", "b", "c"} {
 		now := clock.Now()
-		c.harm.guard.Take(quarantine.Report{Replica: id, Runs: []quarantine.Run{{Work: work, Began: now}}, At: now})
+		c.harm.guard.RecordCrash(quarantine.CrashReport{Replica: id, Runs: []quarantine.Run{{Work: work, SentAt: now}}, At: now})
 	}
 	if !c.Suspects().Items[0].Quarantined {
 		t.Fatal("not quarantined")
--- a/internal/node/unreadable_test.go
+++ b/internal/node/unreadable_test.go
@@ -68,7 +68,7 @@
 		gateway, log := evacuationCore(nil)
 		gateway.replicas.Divide("n", []place.Node{{ID: "n"}, {ID: "m"}})
 		gateway.applyReplicas(table.Changes{Changes: []table.Change{serverRow("a", 1, serverBody("llm")), serverRow("b", 2, serverBody("llm"))}}, true)
-		use := gateway.replicas.Begin("a", replica.Ask{}, time.Now())
+		use := gateway.replicas.Begin("a", replica.RequestInfo{}, time.Now())
 		log.Reset()
 		for range 3 {
 			gateway.applyReplicas(table.Changes{Changes: []table.Change{serverRow("a", 3, body)}}, false)
@@ -114,7 +114,7 @@
 		gateway.applyConfig(table.Changes{Changes: []table.Change{{Row: table.Row{Key: table.Key{Partition: "op", Sort: "config"}, Version: version, Body: body}}}}, false)
 	}
 	gateway.replicaWatch = table.NewWatcher(nil, gateway.applyReplicas)
-	gateway.replicaWatch.Keep = true
+	gateway.replicaWatch.KeepRows = true
 	early := table.Changes{Changes: []table.Change{serverRow("early", 1, serverBody("other"))}}
 	gateway.replicaWatch.Seed(early, 0, gateway.applyReplicas)
 	if lines(log) != 0 {
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -14,42 +14,45 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// Bounds of the property, those of the users' pages.
+// Bounds that the simulation checks.
 const (
-	fleetContact = 3 * time.Second
-	fleetFree    = 3
-	fleetRetries = 3
-	// fleetAll bounds the replicas that end in all: the three, what is sent before any can
-	// know, and what is forgotten as nodes die that could not tell yet.
-	fleetAll = 12
+	// fleetConvergence is the time within which connected nodes must learn of crashes.
+	fleetConvergence = 3 * time.Second
+	// fleetAllowed is the number of crashes before the work must be quarantined.
+	fleetAllowed = 3
+	// fleetMaxLate bounds the crashes by connected nodes after that.
+	fleetMaxLate = 3
+	// fleetMaxCrashes bounds all crashes: the allowed ones, those of runs sent before any node can
+	// know, and those whose reports were lost because a node stopped.
+	fleetMaxCrashes = 12
 )
 
-// Times of the fleet.
+// Times of the simulation.
 const (
-	fleetLasts = 60 * time.Second
-	fleetWay   = 2 * time.Millisecond
-	fleetLook  = time.Second
-	fleetRun   = 30 * time.Millisecond
-	fleetDown  = 2 * time.Second
-	// fleetDownSameID is shorter than an entry takes to lapse.
-	fleetDownSameID = 300 * time.Millisecond
-	fleetLapse      = 700 * time.Millisecond
-	fleetArrive     = 60 * time.Millisecond
-	fleetHeals      = 8 * time.Second
+	fleetDuration     = 60 * time.Second
+	fleetLatency      = 2 * time.Millisecond
+	fleetPollInterval = time.Second
+	fleetRunTime      = 30 * time.Millisecond
+	fleetDowntime     = 2 * time.Second
+	// fleetDowntimeSameID is less than fleetEntryTTL.
+	fleetDowntimeSameID  = 300 * time.Millisecond
+	fleetEntryTTL        = 700 * time.Millisecond
+	fleetArrivalInterval = 60 * time.Millisecond
+	fleetRecovery        = 8 * time.Second
 )
 
-// mutation takes something away from the mechanism.
+// mutation disables parts of the mechanism.
 type mutation struct {
 	name string
-	// unsaid sends no messages, unwritten writes no rows, aloof has nodes hear nothing of
-	// others, forgetful does not read what is written at a start.
-	unsaid, unwritten, aloof, forgetful bool
-	// sameIDs takes nothing away: replicas start again under the ids that they had.
+	// noMessages sends no messages, noRows ignores all rows, ignorePeers ignores messages and rows
+	// of other nodes, skipInitialRows ignores the rows read at the start of a node.
+	noMessages, noRows, ignorePeers, skipInitialRows bool
+	// sameIDs disables nothing: replicas restart under their previous ids.
 	sameIDs bool
 }
 
-// fleet is nodes with the real guard, publisher and rows before replicas that a piece of
-// work ends.
+// fleet simulates nodes, with the real guard, publisher and rows, and replicas that one work
+// crashes.
 type fleet struct {
 	mutation
 	random *rand.Rand
@@ -58,53 +61,54 @@
 	mu       sync.Mutex
 	nodes    []*fleetNode
 	replicas []*fleetReplica
-	ends     []fleetEnd
-	// popular counts the requests of innocent work, refused those that were refused though
-	// the fleet remembered it: not within fleetHeals of a restart of all nodes, for if that
-	// comes while the whole pool is down, nobody has seen the work end well since, and a
-	// trial has to show it (seed 61, at 5 s).
+	crashes  []fleetCrash
+	// popular counts requests of harmless work. refused counts those of them that were refused,
+	// except within fleetRecovery of a restart of all nodes: if all replicas are down at that time,
+	// no node has seen the work succeed since, and only a trial can clear it (seed 61, at 5 s).
 	popular, refused int
-	// storm is when each node's messages are lost; badUntil when the table is away.
-	lossy float64
-	// stable is when the table last came back, restarted when all nodes were last started.
-	stable, restarted time.Time
+	// lossRate is the share of messages that are lost.
+	lossRate float64
+	// tableRestored is when the table last became available, fullRestart when all nodes last
+	// restarted.
+	tableRestored, fullRestart time.Time
 }
 
+// fleetReplica is a simulated replica.
 type fleetReplica struct {
-	name   string
-	lives  int
-	sameID bool
-	down   bool
-	// gone is set once its row has lapsed.
-	gone bool
+	name     string
+	restarts int
+	keepsID  bool
+	down     bool
+	// delisted is set once the entry of a replica that is down has expired.
+	delisted bool
 }
 
-// start returns the replica as the guard knows it: each start has an id of its own, or
-// keeps the one of the start before.
-func (r *fleetReplica) start() quarantine.Replica {
-	if r.sameID {
-		return quarantine.Replica{ID: r.name, Born: int64(1 + r.lives), Address: r.name}
+// current returns the current start of the replica, as the guard sees it. Each start has a new id
+// unless keepsID is set.
+func (r *fleetReplica) current() quarantine.Replica {
+	if r.keepsID {
+		return quarantine.Replica{ID: r.name, StartTime: int64(1 + r.restarts), Address: r.name}
 	}
-	return quarantine.Replica{ID: fmt.Sprintf("%s-%d", r.name, r.lives), Address: r.name}
+	return quarantine.Replica{ID: fmt.Sprintf("%s-%d", r.name, r.restarts), Address: r.name}
 }
 
-// downTime is how long the replica is gone after an end.
-func (r *fleetReplica) downTime() time.Duration {
-	if r.sameID {
-		return fleetDownSameID
+// downtime returns how long the replica is down after a crash.
+func (r *fleetReplica) downtime() time.Duration {
+	if r.keepsID {
+		return fleetDowntimeSameID
 	}
-	return fleetDown
+	return fleetDowntime
 }
 
-// fleetEnd is the end of a replica under the work.
-type fleetEnd struct {
+// fleetCrash is a crash that the harmful work caused.
+type fleetCrash struct {
 	at, sent time.Time
 	node     string
-	// since is when that node was last disturbed, or the table.
-	since time.Time
+	// stableSince is when the node started or the table last became available, whichever is later.
+	stableSince time.Time
 }
 
-// fleetNode is a life of a node.
+// fleetNode is one process of a node; a restart creates a new one.
 type fleetNode struct {
 	fleet     *fleet
 	name      string
@@ -117,186 +121,188 @@
 	watcher   *table.Watcher
 }
 
-// start begins a life of a node.
-func (f *fleet) start(ctx context.Context, name string) *fleetNode {
+// startNode starts a node.
+func (f *fleet) startNode(ctx context.Context, name string) *fleetNode {
 	ctx, cancel := context.WithCancel(ctx)
 	n := &fleetNode{fleet: f, name: name, started: time.Now(), cancel: cancel}
-	n.list.Unread = true
+	n.list.RowsPending = true
 	n.guard = quarantine.Guard{List: &n.list, Replicas: n, Events: n}
-	n.guard.Tries = func(quarantine.Work) bool { return name == "n0" }
+	n.guard.OwnsTrials = func(quarantine.Work) bool { return name == "n0" }
 	n.rows = quarantine.Rows{Partition: "group/quarantine", Guard: &n.guard}
 	session := fmt.Sprintf("%s#%d", name, n.started.UnixNano())
 	n.publisher = quarantine.NewPublisher(f.table, &n.rows, func() string { return session })
-	n.publisher.Tell = n.tell
-	n.watcher = table.NewWatcher(flakyFeed{f.table.Feed("group"), f.table}, func(changes table.Changes, whole bool) {
-		if f.aloof || f.unwritten || (whole && f.forgetful) {
+	n.publisher.Broadcast = n.broadcast
+	n.watcher = table.NewWatcher(flakyFeed{f.table.Feed("group"), f.table}, func(changes table.Changes, complete bool) {
+		if f.ignorePeers || f.noRows || (complete && f.skipInitialRows) {
 			changes.Changes = nil
 		}
-		n.rows.Apply(changes, whole)
+		n.rows.Apply(changes, complete)
 	})
-	n.watcher.Pace = func() table.Pace { return table.Pace{Announced: fleetLook, Usual: fleetLook} }
+	n.watcher.Pace = func() table.Pace { return table.Pace{AfterAnnouncement: fleetPollInterval, Default: fleetPollInterval} }
 	go n.watcher.Run(ctx)
 	go n.publisher.Run(ctx)
 	return n
 }
 
-// call is a call of a client with the work at a node: two attempts at most.
+// call sends the harmful work to a node, which makes up to two attempts.
 func (f *fleet) call(ctx context.Context, n *fleetNode, work quarantine.Work) {
 	for range 2 {
 		if n.guard.RefuseRequest(ctx, func() quarantine.Work { return work }) != nil {
 			return
 		}
-		chosen, start := f.pick()
+		chosen, target := f.pick()
 		if chosen == nil {
 			return
 		}
 		sent := time.Now()
-		time.Sleep(fleetRun)
-		if !f.end(ctx, chosen, start, fleetEnd{at: time.Now(), sent: sent, node: n.name, since: n.started}) {
+		time.Sleep(fleetRunTime)
+		if !f.crash(ctx, chosen, target, fleetCrash{at: time.Now(), sent: sent, node: n.name, stableSince: n.started}) {
 			return
 		}
-		n.guard.BrokeOff(ctx, start, quarantine.Run{Work: work, Began: sent})
+		n.guard.RecordInterruption(ctx, target, quarantine.Run{Work: work, SentAt: sent})
 	}
 }
 
-// callPopular is a call with work that everybody sends, and that does no harm.
+// callPopular sends harmless work to a node.
 func (f *fleet) callPopular(ctx context.Context, n *fleetNode, work quarantine.Work) {
 	refused := n.guard.RefuseRequest(ctx, func() quarantine.Work { return work }) != nil
 	f.mu.Lock()
 	f.popular++
-	if refused && time.Since(f.restarted) > fleetHeals {
+	if refused && time.Since(f.fullRestart) > fleetRecovery {
 		f.refused++
 	}
 	f.mu.Unlock()
-	chosen, start := f.pick()
+	chosen, target := f.pick()
 	if refused || chosen == nil {
 		return
 	}
 	sent := time.Now()
-	time.Sleep(3 * fleetRun)
+	time.Sleep(3 * fleetRunTime)
 	f.mu.Lock()
-	broken := chosen.down || chosen.start() != start
+	interrupted := chosen.down || chosen.current() != target
 	f.mu.Unlock()
-	if broken {
-		n.guard.BrokeOff(ctx, start, quarantine.Run{Work: work, Began: sent})
+	if interrupted {
+		n.guard.RecordInterruption(ctx, target, quarantine.Run{Work: work, SentAt: sent})
 		return
 	}
-	n.guard.EndedWell(work)
+	n.guard.RecordSuccess(work)
 }
 
+// pick returns a random replica that is up, or nil if it finds none.
 func (f *fleet) pick() (*fleetReplica, quarantine.Replica) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for range 20 {
-		if one := f.replicas[f.random.IntN(len(f.replicas))]; !one.down {
-			return one, one.start()
+		if r := f.replicas[f.random.IntN(len(f.replicas))]; !r.down {
+			return r, r.current()
 		}
 	}
 	return nil, quarantine.Replica{}
 }
 
-// end ends a replica, unless it has ended meanwhile.
-func (f *fleet) end(ctx context.Context, one *fleetReplica, start quarantine.Replica, ended fleetEnd) bool {
+// crash takes a replica down, unless it has crashed or restarted since target was picked.
+func (f *fleet) crash(ctx context.Context, r *fleetReplica, target quarantine.Replica, crash fleetCrash) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if one.down || one.start() != start {
+	if r.down || r.current() != target {
 		return true
 	}
-	one.down = true
-	if f.stable.After(ended.since) {
-		ended.since = f.stable
+	r.down = true
+	if f.tableRestored.After(crash.stableSince) {
+		crash.stableSince = f.tableRestored
 	}
-	f.ends = append(f.ends, ended)
-	time.AfterFunc(fleetLapse, func() {
+	f.crashes = append(f.crashes, crash)
+	time.AfterFunc(fleetEntryTTL, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		one.gone = one.start() == start
+		r.delisted = r.current() == target
 	})
-	time.AfterFunc(one.downTime(), func() {
+	time.AfterFunc(r.downtime(), func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if ctx.Err() == nil {
-			one.lives, one.down, one.gone = one.lives+1, false, false
+			r.restarts, r.down, r.delisted = r.restarts+1, false, false
 		}
 	})
 	return true
 }
 
-// disturb kills and starts nodes, and takes the table away, as the seed says.
-func (f *fleet) disturb(ctx context.Context) {
+// injectFaults restarts nodes and makes the table unavailable at random times.
+func (f *fleet) injectFaults(ctx context.Context) {
 	for ctx.Err() == nil {
-		time.Sleep(time.Duration(2+f.chance(8)) * time.Second)
-		switch f.chance(4) {
+		time.Sleep(time.Duration(2+f.intN(8)) * time.Second)
+		switch f.intN(4) {
 		case 0:
-			f.table.set(true)
-			time.Sleep(time.Duration(500+f.chance(4000)) * time.Millisecond)
-			f.table.set(false)
+			f.table.setUnavailable(true)
+			time.Sleep(time.Duration(500+f.intN(4000)) * time.Millisecond)
+			f.table.setUnavailable(false)
 			f.mu.Lock()
-			f.stable = time.Now()
+			f.tableRestored = time.Now()
 			f.mu.Unlock()
 		case 1:
 			f.mu.Lock()
-			f.restarted = time.Now()
+			f.fullRestart = time.Now()
 			f.mu.Unlock()
-			for number := range f.nodes {
-				f.restart(ctx, number)
+			for i := range f.nodes {
+				f.restart(ctx, i)
 			}
 		default:
-			f.restart(ctx, f.chance(len(f.nodes)))
+			f.restart(ctx, f.intN(len(f.nodes)))
 		}
 	}
 }
 
-func (f *fleet) chance(below int) int {
+// intN returns a random number below n.
+func (f *fleet) intN(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.random.IntN(below)
+	return f.random.IntN(n)
 }
 
-func (f *fleet) restart(ctx context.Context, number int) {
+// restart replaces a node by a new process with the same name.
+func (f *fleet) restart(ctx context.Context, i int) {
 	f.mu.Lock()
-	old := f.nodes[number]
+	old := f.nodes[i]
 	f.mu.Unlock()
 	old.cancel()
-	fresh := f.start(ctx, old.name)
+	replacement := f.startNode(ctx, old.name)
 	f.mu.Lock()
-	f.nodes[number] = fresh
+	f.nodes[i] = replacement
 	f.mu.Unlock()
 }
 
-// playFleet plays a seed and returns how many replicas the work ended in all, and how many by
-// nodes in touch when all had to know of it, and how many requests of innocent work were
-// refused.
-func playFleet(t *testing.T, seed uint64, without mutation) (all, late, refused int) {
+// simulateFleet runs the simulation for a seed. It returns the number of crashes, the number of
+// late ones (see countCrashes), and the number of refused requests of harmless work.
+func simulateFleet(t *testing.T, seed uint64, m mutation) (all, late, refused int) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		random := rand.New(rand.NewPCG(seed, 17))
-		f := &fleet{mutation: without, random: random, table: &flakyTable{Table: tabletest.New()}, lossy: 0.5 * random.Float64()}
-		f.stable = time.Now()
-		for number := range 6 + random.IntN(6) {
-			f.replicas = append(f.replicas, &fleetReplica{name: fmt.Sprintf("r%d", number), sameID: without.sameIDs})
+		f := &fleet{mutation: m, random: random, table: &flakyTable{Table: tabletest.New()}, lossRate: 0.5 * random.Float64()}
+		f.tableRestored = time.Now()
+		for i := range 6 + random.IntN(6) {
+			f.replicas = append(f.replicas, &fleetReplica{name: fmt.Sprintf("r%d", i), keepsID: m.sameIDs})
 		}
-		for number := range 3 + random.IntN(6) {
-			f.nodes = append(f.nodes, f.start(ctx, fmt.Sprintf("n%d", number)))
+		for i := range 3 + random.IntN(6) {
+			f.nodes = append(f.nodes, f.startNode(ctx, fmt.Sprintf("n%d", i)))
 		}
 		harmful := quarantine.Content{Body: []byte("ends what runs it")}
 		popular := quarantine.Content{Body: []byte("everybody asks this")}
-		disturbed := false
-		for began := time.Now(); time.Since(began) < fleetContact+fleetLasts; time.Sleep(fleetArrive) {
+		faultsStarted := false
+		for started := time.Now(); time.Since(started) < fleetConvergence+fleetDuration; time.Sleep(fleetArrivalInterval) {
 			f.mu.Lock()
 			chosen := f.nodes[random.IntN(len(f.nodes))]
 			f.mu.Unlock()
 			go f.callPopular(ctx, chosen, popular.Work())
-			if time.Since(began) < fleetContact {
+			if time.Since(started) < fleetConvergence {
 				continue
 			}
 			go f.call(ctx, chosen, harmful.Work())
-			if !disturbed {
-				go f.disturb(ctx)
-				disturbed = true
+			if !faultsStarted {
+				go f.injectFaults(ctx)
+				faultsStarted = true
 			}
 		}
-		all, late = f.count()
+		all, late = f.countCrashes()
 		f.mu.Lock()
 		refused = f.refused
 		f.mu.Unlock()
@@ -306,69 +312,72 @@
 	return all, late, refused
 }
 
-func (f *fleet) count() (all, late int) {
+// countCrashes returns the number of crashes, and how many of them come from runs that a connected
+// node sent after it had to know that the work is harmful.
+func (f *fleet) countCrashes() (all, late int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.ends) <= fleetFree {
-		return len(f.ends), 0
+	if len(f.crashes) <= fleetAllowed {
+		return len(f.crashes), 0
 	}
-	known := f.ends[fleetFree-1].at.Add(fleetContact)
-	for _, one := range f.ends[fleetFree:] {
-		if one.sent.After(known) && one.sent.Sub(one.since) > fleetContact && !f.table.isAway() {
+	deadline := f.crashes[fleetAllowed-1].at.Add(fleetConvergence)
+	for _, crash := range f.crashes[fleetAllowed:] {
+		if crash.sent.After(deadline) && crash.sent.Sub(crash.stableSince) > fleetConvergence && !f.table.isUnavailable() {
 			late++
 		}
 	}
-	return len(f.ends), late
+	return len(f.crashes), late
 }
 
-// TestFleet_EndsFewReplicas drives the real parts with seeded schedules of calls at all nodes,
-// messages that are lost, doubled and late, nodes and whole fleets that restart, and a table
-// that is away: of what nodes in touch send when all must know, three replicas at most end.
-func TestFleet_EndsFewReplicas(t *testing.T) {
-	most := 0
+// TestFleet_LimitsCrashes runs seeded simulations with lost, duplicated and delayed messages,
+// restarts of single and of all nodes, and an unavailable table. Harmful work must crash few
+// replicas, and harmless work must not be refused.
+func TestFleet_LimitsCrashes(t *testing.T) {
+	highest := 0
 	for seed := range uint64(100) {
-		all, late, refused := playFleet(t, seed, mutation{})
-		most = max(most, all)
-		if late > fleetRetries || all > fleetAll {
-			t.Errorf("seed %d: %d replicas ended, %d of them late", seed, all, late)
+		all, late, refused := simulateFleet(t, seed, mutation{})
+		highest = max(highest, all)
+		if late > fleetMaxLate || all > fleetMaxCrashes {
+			t.Errorf("seed %d: %d replicas crashed, %d of them late", seed, all, late)
 		}
 		if refused > 0 {
-			t.Errorf("seed %d: %d requests of innocent work were refused", seed, refused)
+			t.Errorf("seed %d: %d requests of harmless work were refused", seed, refused)
 		}
 	}
-	t.Logf("at most %d replicas ended in all", most)
+	t.Logf("at most %d replicas crashed per seed", highest)
 }
 
-// TestFleet_EndsFewReplicasThatKeepTheirIDs is the same where replicas start again under
-// their ids before their entries lapse.
-func TestFleet_EndsFewReplicasThatKeepTheirIDs(t *testing.T) {
+// TestFleet_LimitsCrashesWithStableIDs covers replicas that restart under the same id before their
+// entries expire.
+func TestFleet_LimitsCrashesWithStableIDs(t *testing.T) {
 	for seed := range uint64(50) {
-		all, late, refused := playFleet(t, seed, mutation{sameIDs: true})
-		if late > fleetRetries || all > fleetAll {
-			t.Errorf("seed %d: %d replicas ended, %d of them late", seed, all, late)
+		all, late, refused := simulateFleet(t, seed, mutation{sameIDs: true})
+		if late > fleetMaxLate || all > fleetMaxCrashes {
+			t.Errorf("seed %d: %d replicas crashed, %d of them late", seed, all, late)
 		}
 		if refused > 0 {
-			t.Errorf("seed %d: %d requests of innocent work were refused", seed, refused)
+			t.Errorf("seed %d: %d requests of harmless work were refused", seed, refused)
 		}
 	}
 }
 
-// TestFleet_MutationsAreCaught takes away what makes it hold.
-func TestFleet_MutationsAreCaught(t *testing.T) {
-	for _, without := range []mutation{
-		{name: "neither words nor rows", unsaid: true, unwritten: true},
-		{name: "each node counts alone", aloof: true},
-		{name: "memory dropped at a start, and no words", forgetful: true, unsaid: true},
+// TestFleet_CatchesMutations checks that the simulation fails if parts of the mechanism are
+// disabled.
+func TestFleet_CatchesMutations(t *testing.T) {
+	for _, m := range []mutation{
+		{name: "no messages, no rows", noMessages: true, noRows: true},
+		{name: "no exchange between nodes", ignorePeers: true},
+		{name: "no messages, initial rows ignored", skipInitialRows: true, noMessages: true},
 	} {
 		caught := 0
 		for seed := range uint64(10) {
-			if all, late, _ := playFleet(t, seed, without); late > fleetRetries || all > fleetAll {
+			if all, late, _ := simulateFleet(t, seed, m); late > fleetMaxLate || all > fleetMaxCrashes {
 				caught++
 			}
 		}
-		t.Logf("%s: caught by %d of 10 seeds", without.name, caught)
+		t.Logf("%s: caught by %d of 10 seeds", m.name, caught)
 		if caught == 0 {
-			t.Errorf("%s: not caught", without.name)
+			t.Errorf("%s: not caught", m.name)
 		}
 	}
 }
--- /dev/null
+++ b/internal/replica/delisted.go
@@ -0,0 +1,75 @@
+package replica
+
+import "time"
+
+// While the source of the list is down, replicas cannot renew their entries, so those missing after a
+// long outage may still be running. They are used for a grace period, subject to this node's own
+// evidence, and dropped if they are not listed again. Without the drop, a node that was cut off would
+// divide the slots of dead replicas too and come to another division than the other nodes: some slots
+// would be allotted to no node and others to two.
+
+const (
+	// delistedGrace is how long a replica that was delisted around an outage of the platform's
+	// store may still be used, subject to this node's own evidence.
+	delistedGrace = 2 * time.Second
+	// outageWindow is how long after an outage a delisted replica gets that grace period.
+	outageWindow = 200 * time.Millisecond
+	// minLapsingOutage is the minimum length of an outage in which the entries of running replicas may
+	// expire.
+	minLapsingOutage = 2500 * time.Millisecond
+)
+
+// Remove records that a replica is no longer listed. It may still be running and answer requests.
+func (s *Set) Remove(id string, now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	e, ok := s.entries[id]
+	if !ok {
+		return
+	}
+	if e.info.Leaving || now.Sub(s.outageEnd) > outageWindow {
+		s.drop(e)
+	} else {
+		e.delistedAt, s.pendingDelisted = now, true
+	}
+	s.invalidateIndex()
+}
+
+// OutageEnded records that the source of the list is back after an outage. After a long outage,
+// replicas may be missing that are running, since they could not renew their entries; after a short
+// one, missing replicas have left.
+func (s *Set) OutageEnded(length time.Duration, now time.Time) {
+	if length < minLapsingOutage {
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.outageEnd = now
+}
+
+// graceExpired reports whether an entry that was delisted around an outage was not listed again within
+// the grace period.
+func (e *entry) graceExpired(now time.Time) bool {
+	return !e.delistedAt.IsZero() && now.Sub(e.delistedAt) > delistedGrace
+}
+
+// dropExpired drops the delisted entries whose grace period is over. The caller holds mu.
+func (s *Set) dropExpired(now time.Time) {
+	if !s.pendingDelisted {
+		return
+	}
+	s.pendingDelisted = false
+	dropped := false
+	for _, e := range s.entries {
+		switch {
+		case e.graceExpired(now):
+			s.drop(e)
+			dropped = true
+		case !e.delistedAt.IsZero():
+			s.pendingDelisted = true
+		}
+	}
+	if dropped {
+		s.invalidateIndex()
+	}
+}
--- a/internal/replica/divide.go
+++ b/internal/replica/divide.go
@@ -7,9 +7,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// Divide divides the slots of all replicas among nodes, this one being self.
-// All nodes that know the same nodes and replicas divide alike, so each keeps
-// to its own slots without a word between them.
+// Divide divides the slots of all replicas among nodes, of which self is this one. Nodes that know the
+// same nodes and replicas compute the same division, so each can keep to its own slots without
+// coordination.
 func (s *Set) Divide(self string, nodes []place.Node) {
 	nodes = slices.SortedFunc(slices.Values(nodes), func(a, b place.Node) int { return cmp.Compare(a.ID, b.ID) })
 	s.mu.Lock()
@@ -17,148 +17,148 @@
 	if s.self == self && slices.Equal(s.nodes, nodes) {
 		return
 	}
-	s.self, s.nodes, s.here = self, nodes, place.Place{}
+	s.self, s.nodes, s.selfPlace = self, nodes, place.Place{}
 	if at := indexOf(nodes, self); at >= 0 {
-		s.here = nodes[at].Place
+		s.selfPlace = nodes[at].Place
 	}
 	s.division++
-	s.index()
+	s.invalidateIndex()
 }
 
-// divide sets the share of each entry. Those in zones that operators empty have none
-// to divide. The caller holds mu.
+// divide sets the share of each entry. Replicas in evacuated zones have no slots to divide. The caller
+// holds mu.
 func (s *Set) divide() {
 	for _, list := range s.byPool {
-		replicas := make([]Slots, len(list))
-		for i, known := range list {
-			replicas[i] = Slots{Key: known.key, Count: known.info.Slots, Place: known.info.place()}
-			if s.evacuated[known.info.Zone] {
+		replicas := make([]ReplicaSlots, len(list))
+		for i, e := range list {
+			replicas[i] = ReplicaSlots{Key: e.key, Count: e.info.Slots, Place: e.info.place()}
+			if s.evacuated[e.info.Zone] {
 				replicas[i].Count = 0
 			}
 		}
 		shares := Shares(s.self, s.nodes, replicas)
-		for i, known := range list {
-			known.share = shares[i]
+		for i, e := range list {
+			e.share = shares[i]
 		}
 	}
 }
 
-// Slots are the slots of a replica.
-type Slots struct {
+// ReplicaSlots describes the slots of a replica.
+type ReplicaSlots struct {
 	Key   uint64
 	Count int
 	Place place.Place
 }
 
-// Shares returns how many slots of each replica are self's. Slots go to the nodes of
-// their zone; where these have less than their part of the region's, to others of the
-// region; where those of a region have much less than others, to others at all (see
-// lend). Among nodes, the slots of a replica go to those that have the least so far and
-// ties are broken by rendezvous hashing, so a node that comes or goes moves few. A node
-// that is not among the nodes has all. It takes time in proportion to nodes x replicas.
-func Shares(self string, nodes []place.Node, replicas []Slots) []int {
+// Shares returns how many slots of each replica are allotted to self. Slots go to nodes of their zone;
+// if the nodes of another zone of the region have less than the mean, to these; and if the nodes of
+// another region have far less than the mean, to those (see lendSlots). Among the eligible nodes,
+// slots go to those with the fewest so far, and ties are broken by rendezvous hashing, so that a node
+// that joins or leaves moves few slots. If self is not among nodes, it gets all slots. The cost is
+// proportional to nodes x replicas.
+func Shares(self string, nodes []place.Node, replicas []ReplicaSlots) []int {
 	shares := make([]int, len(replicas))
 	at := indexOf(nodes, self)
 	if at < 0 {
-		for i, one := range replicas {
-			shares[i] = one.Count
+		for i, r := range replicas {
+			shares[i] = r.Count
 		}
 		return shares
 	}
-	deal := newDealer(nodes, at)
-	toAll := lend(nodes, replicas, byRegion, leastOfRegion)
-	native := less(replicas, toAll)
-	toRegion := make([]int, len(replicas))
-	for region := range groups(native, byRegion) {
-		addWithin(toRegion, region, nodes, native)
+	alloc := newAllocator(nodes, at)
+	lentToAny := lendSlots(nodes, replicas, byRegion, minRegionPercent)
+	regional := subtract(replicas, lentToAny)
+	lentInRegion := make([]int, len(replicas))
+	for region := range groups(regional, byRegion) {
+		addWithin(lentInRegion, region, nodes, regional)
 	}
-	deal.level(less(native, toRegion), byZone, shares)
-	deal.level(withCounts(replicas, toRegion), byRegion, shares)
-	deal.level(withCounts(replicas, toAll), anywhere, shares)
+	alloc.allocateWithin(subtract(regional, lentInRegion), byZone, shares)
+	alloc.allocateWithin(withCounts(replicas, lentInRegion), byRegion, shares)
+	alloc.allocateWithin(withCounts(replicas, lentToAny), anywhere, shares)
 	return shares
 }
 
-// indexOf returns the place of a node among others; -1 if it is not there.
+// indexOf returns the index of the node with an ID; -1 if there is none.
 func indexOf(nodes []place.Node, id string) int {
-	return slices.IndexFunc(nodes, func(one place.Node) bool { return one.ID == id })
+	return slices.IndexFunc(nodes, func(node place.Node) bool { return node.ID == id })
 }
 
-// addWithin adds the slots that zones of a region lend within it.
-func addWithin(lent []int, region place.Place, nodes []place.Node, replicas []Slots) {
+// addWithin adds the slots that zones of a region lend to other zones of the region.
+func addWithin(lent []int, region place.Place, nodes []place.Node, replicas []ReplicaSlots) {
 	var own []place.Node
 	for _, node := range nodes {
 		if byRegion(node.Place) == region {
 			own = append(own, node)
 		}
 	}
-	within := make([]Slots, len(replicas))
-	for i, one := range replicas {
-		within[i] = one
-		if byRegion(one.Place) != region {
+	within := make([]ReplicaSlots, len(replicas))
+	for i, r := range replicas {
+		within[i] = r
+		if byRegion(r.Place) != region {
 			within[i].Count = 0
 		}
 	}
-	for i, count := range lend(own, within, byZone, leastOfZone) {
+	for i, count := range lendSlots(own, within, byZone, minZonePercent) {
 		lent[i] += count
 	}
 }
 
-// dealer deals the slots of one replica after the other.
-type dealer struct {
-	nodes []place.Node
-	self  int
-	keys  []uint64
-	dealt []int
-	first []bid
+// allocator allots the slots of one replica after the other and tracks how many each node has.
+type allocator struct {
+	nodes     []place.Node
+	self      int
+	keys      []uint64
+	allocated []int
+	ranked    []slotClaim
 }
 
-// bid is a node's claim to a slot of a replica.
-type bid struct {
-	node, dealt int
-	weight      uint64
+// slotClaim is the rank of a node for the next slot of a replica.
+type slotClaim struct {
+	node, allocated int
+	weight          uint64
 }
 
-func (b bid) before(other bid) bool {
-	if b.dealt != other.dealt {
-		return b.dealt < other.dealt
+func (c slotClaim) precedes(other slotClaim) bool {
+	if c.allocated != other.allocated {
+		return c.allocated < other.allocated
 	}
-	return b.weight > other.weight
+	return c.weight > other.weight
 }
 
-func newDealer(nodes []place.Node, self int) *dealer {
-	d := &dealer{nodes: nodes, self: self, keys: make([]uint64, len(nodes)), dealt: make([]int, len(nodes))}
+func newAllocator(nodes []place.Node, self int) *allocator {
+	a := &allocator{nodes: nodes, self: self, keys: make([]uint64, len(nodes)), allocated: make([]int, len(nodes))}
 	for i, node := range nodes {
-		d.keys[i] = Key(node.ID)
+		a.keys[i] = Key(node.ID)
 	}
-	return d
+	return a
 }
 
-// level deals slots among the nodes of their own group and adds self's to its shares.
-func (d *dealer) level(replicas []Slots, group grouping, shares []int) {
+// allocateWithin allots slots to nodes of the replica's group and adds those of self to shares.
+func (a *allocator) allocateWithin(replicas []ReplicaSlots, group grouping, shares []int) {
 	members := map[place.Place][]int{}
-	for i, node := range d.nodes {
+	for i, node := range a.nodes {
 		at := group(node.Place)
 		members[at] = append(members[at], i)
 	}
-	for i, one := range replicas {
-		shares[i] += d.replica(one, members[group(one.Place)])
+	for i, r := range replicas {
+		shares[i] += a.allocateReplica(r, members[group(r.Place)])
 	}
 }
 
-// replica deals the slots of a replica among some nodes and returns how many are
-// self's. One after the other goes to the node that has the least.
-func (d *dealer) replica(one Slots, among []int) (share int) {
-	for left := one.Count; left > 0 && len(among) > 0; {
-		d.choose(one.Key, min(left, len(among)), among)
-		least := d.first[0].dealt
-		for _, chosen := range d.first {
-			if chosen.dealt > least {
-				// Those that have less come first again.
+// allocateReplica allots the slots of a replica to the given nodes and returns the number that self
+// gets. Each slot goes to the node with the fewest so far.
+func (a *allocator) allocateReplica(r ReplicaSlots, among []int) (share int) {
+	for left := r.Count; left > 0 && len(among) > 0; {
+		a.rank(r.Key, min(left, len(among)), among)
+		least := a.ranked[0].allocated
+		for _, chosen := range a.ranked {
+			if chosen.allocated > least {
+				// Nodes with fewer slots go first again.
 				break
 			}
-			d.dealt[chosen.node]++
+			a.allocated[chosen.node]++
 			left--
-			if chosen.node == d.self {
+			if chosen.node == a.self {
 				share++
 			}
 		}
@@ -166,23 +166,23 @@
 	return share
 }
 
-// choose finds the nodes that come first for a replica, in order.
-func (d *dealer) choose(replica uint64, count int, among []int) {
-	d.first = d.first[:0]
+// rank sets ranked to the first count nodes for a replica, in order.
+func (a *allocator) rank(replica uint64, count int, among []int) {
+	a.ranked = a.ranked[:0]
 	for _, node := range among {
-		claim := bid{node: node, dealt: d.dealt[node], weight: mix(d.keys[node] ^ replica)}
-		if len(d.first) == count {
-			if !claim.before(d.first[count-1]) {
+		claim := slotClaim{node: node, allocated: a.allocated[node], weight: mix(a.keys[node] ^ replica)}
+		if len(a.ranked) == count {
+			if !claim.precedes(a.ranked[count-1]) {
 				continue
 			}
-			d.first = d.first[:count-1]
+			a.ranked = a.ranked[:count-1]
 		}
-		at, _ := slices.BinarySearchFunc(d.first, claim, func(a, b bid) int {
-			if a.before(b) {
+		at, _ := slices.BinarySearchFunc(a.ranked, claim, func(x, y slotClaim) int {
+			if x.precedes(y) {
 				return -1
 			}
 			return 1
 		})
-		d.first = slices.Insert(d.first, at, claim)
+		a.ranked = slices.Insert(a.ranked, at, claim)
 	}
 }
--- a/internal/replica/regions.go
+++ b/internal/replica/regions.go
@@ -1,14 +1,14 @@
 package replica
 
-// RegionSlots returns the slots that the replicas of a pool have in each region. Replicas
-// that are leaving, or stand in a zone that operators empty, have none.
+// RegionSlots returns the number of slots of a pool's replicas in each region, without those of
+// replicas that are leaving or evacuated.
 func (s *Set) RegionSlots(pool string) map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	slots := map[string]int{}
-	for _, known := range s.pool(pool) {
-		if !known.info.Leaving && !s.evacuated[known.info.Zone] {
-			slots[known.info.Region] += known.info.Slots
+	for _, e := range s.pool(pool) {
+		if !e.info.Leaving && !s.evacuated[e.info.Zone] {
+			slots[e.info.Region] += e.info.Slots
 		}
 	}
 	return slots
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,34 +1,34 @@
-// Package retry bounds how much extra work retries may cause.
+// Package retry bounds the load that retries cause.
 package retry
 
 import "sync"
 
-// reserve is the number of retries a budget allows before any traffic.
-const reserve = 10
+// maxTokens is the initial and maximum number of retries that a budget holds.
+const maxTokens = 10
 
-// Budget allows retries as a share of the requests, so that a failing back end
-// is not also flooded. It is safe for concurrent use.
+// Budget limits retries to a ratio of the requests, so that retries do not overload a failing
+// backend. It is safe for concurrent use.
 type Budget struct {
-	mu     sync.Mutex
-	share  float64
-	tokens float64
-	limit  float64
+	mu       sync.Mutex
+	ratio    float64
+	tokens   float64
+	capacity float64
 }
 
-// NewBudget returns a budget that allows share retries a request.
-func NewBudget(share float64) *Budget {
-	return &Budget{share: share, tokens: reserve, limit: reserve}
+// NewBudget returns a full budget that gains ratio retries with each request.
+func NewBudget(ratio float64) *Budget {
+	return &Budget{ratio: ratio, tokens: maxTokens, capacity: maxTokens}
 }
 
-// Request accounts for a first sending.
-func (b *Budget) Request() {
+// RecordRequest records the first attempt of a request.
+func (b *Budget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.limit, b.tokens+b.share)
+	b.tokens = min(b.capacity, b.tokens+b.ratio)
 }
 
-// Retry takes the right to one retry, or reports false.
-func (b *Budget) Retry() bool {
+// TryRetry consumes one retry from the budget. It returns false if none is left.
+func (b *Budget) TryRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
