--- a/internal/server/completion.go
+++ b/internal/server/completion.go
@@ -23,20 +23,21 @@
 )
 
 const (
-	// maxBodyBytes bounds a completion request.
+	// maxBodyBytes is the maximum size of a completion request.
 	maxBodyBytes = 4 << 20
-	// fencedRetryAfter is what a caller of a node that is out of step waits.
-	fencedRetryAfter = time.Second
-	// overloadRetryAfter is what a caller waits when no replica can take it.
+	// notServingRetryAfter is the Retry-After of requests that a draining node or a node with an
+	// outdated view refuses.
+	notServingRetryAfter = time.Second
+	// overloadRetryAfter is the Retry-After of requests that no replica has capacity for.
 	overloadRetryAfter = time.Second
-	// assumedTokens is charged to a token rate when a request names no limit.
+	// assumedTokens is the number of tokens charged for a request without a token limit.
 	assumedTokens = 64
 )
 
 // complete serves chat and text completions.
 func (s *Server) complete(ctx iris.Context) {
 	if !s.serving() {
-		refuse(ctx, iris.StatusServiceUnavailable, openai.TypeOverloaded, "this node takes no new work", fencedRetryAfter)
+		refuse(ctx, iris.StatusServiceUnavailable, openai.TypeOverloaded, "this node takes no new work", notServingRetryAfter)
 		return
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(ctx.ResponseWriter(), ctx.Request().Body, maxBodyBytes))
@@ -71,7 +72,7 @@
 		refuse(ctx, iris.StatusNotFound, openai.TypeNotFound, "the model is not served here", 0)
 		return
 	}
-	s.answer(ctx, target, newRequest(ctx, body, &parsed), parsed.Stream)
+	s.dispatch(ctx, target, newRequest(ctx, body, &parsed), parsed.Stream)
 }
 
 func refuseBody(ctx iris.Context, err error) {
@@ -84,12 +85,12 @@
 }
 
 func (s *Server) admit(ctx iris.Context, parsed *openai.CompletionRequest) (*admission.Ticket, error) {
-	who := caller(ctx)
+	caller := callingTenant(ctx)
 	tokens := parsed.Limit()
 	if tokens == 0 {
 		tokens = assumedTokens
 	}
-	return s.options.Admission.Admit(who.name, who.limits, tokens, clock.Now())
+	return s.options.Admission.Admit(caller.name, caller.limits, tokens, clock.Now())
 }
 
 func (s *Server) refuseAdmission(ctx iris.Context, err error) {
@@ -114,14 +115,14 @@
 	}
 	return &forward.Request{
 		ID: id, Method: http.MethodPost, Target: ctx.Path(), Host: parsed.Model, Body: body,
-		Header: http.Header{}, Received: clock.Now(), Prompt: promptOf(parsed),
-		Once: ctx.GetHeader(HeaderRepeatable) == "no",
+		Header: http.Header{}, Received: clock.Now(), Prompt: describePrompt(parsed),
+		AtMostOnce: ctx.GetHeader(HeaderRepeatable) == "no",
 	}
 }
 
-// promptOf describes a prompt by the parts that others may share: its blocks up
-// to sharedBlocks, and the rest.
-func promptOf(parsed *openai.CompletionRequest) route.Prompt {
+// describePrompt splits a prompt into the part that other prompts may share, its first
+// maxSharedBlocks blocks, and the rest. Token counts are estimated by the number of words.
+func describePrompt(parsed *openai.CompletionRequest) route.Prompt {
 	text := parsed.PromptText()
 	words := len(strings.Fields(text))
 	prompt := route.Prompt{Model: parsed.Model, Tokens: words, MaxOutput: parsed.Limit()}
@@ -129,27 +130,28 @@
 	if len(blocks) == 0 {
 		return prompt
 	}
-	shared := min(len(blocks), sharedBlocks)
+	shared := min(len(blocks), maxSharedBlocks)
 	tokens := shared * engine.PrefixBlockWords
 	prompt.Parts = []route.Part{{Key: blocks[shared-1], Tokens: tokens}, {Tokens: words - tokens}}
 	return prompt
 }
 
-// sharedBlocks is the number of leading blocks by which prompts that share a
-// prefix meet at a replica: long enough to tell system prompts apart, short
-// enough that the questions after them do not.
-const sharedBlocks = 4
+// maxSharedBlocks is the number of leading blocks that are hashed to route prompts with a common
+// prefix to the same replica: enough to distinguish system prompts, few enough to leave out the
+// user messages after them.
+const maxSharedBlocks = 4
 
-// answer runs a request, through a claim if it may run only once and has a key.
-func (s *Server) answer(ctx iris.Context, target *route.Route, request *forward.Request, stream bool) {
+// dispatch runs a request. A request that may run only once and has an idempotency key runs under a
+// claim on the key, and a retry of an answered one gets the recorded answer.
+func (s *Server) dispatch(ctx iris.Context, target *route.Route, request *forward.Request, stream bool) {
 	ctx.Header(engine.HeaderRequestID, request.ID)
 	key := ctx.GetHeader(HeaderIdempotencyKey)
-	if !request.Once || key == "" {
-		s.run(ctx, target, request, stream)
+	if !request.AtMostOnce || key == "" {
+		s.forward(ctx, target, request, stream)
 		return
 	}
-	who := caller(ctx)
-	claim, err := s.options.Claims.Begin(ctx.Request().Context(), who.name, key, request.Body)
+	caller := callingTenant(ctx)
+	claim, err := s.options.Claims.Begin(ctx.Request().Context(), caller.name, key, request.Body)
 	if err != nil {
 		refuseClaim(ctx, err)
 		return
@@ -159,29 +161,31 @@
 		_, _ = ctx.Write(claim.Body)
 		return
 	}
-	recording, err := s.run(ctx, target, request, stream)
-	s.settle(claim, recording, err)
+	recorded, err := s.forward(ctx, target, request, stream)
+	s.settleClaim(claim, recorded, err)
 }
 
-// settle records how a claimed request ended.
-func (s *Server) settle(claim *idempotency.Claim, recording *recording, err error) {
+// settleClaim records the answer of a claimed request, or releases the claim if the request did not
+// run. If it may have run, the claim is kept.
+func (s *Server) settleClaim(claim *idempotency.Claim, recorded *recordedAnswer, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
 	switch {
-	case err == nil && recording.refused:
+	case err == nil && recorded.refused:
 		err = s.options.Claims.Release(ctx, claim)
 	case err == nil:
-		err = s.options.Claims.Answer(ctx, claim, recording.contentType, recording.body())
+		err = s.options.Claims.RecordAnswer(ctx, claim, recorded.contentType, recorded.body())
 	case outcome.Of(err) == outcome.NotDone:
 		err = s.options.Claims.Release(ctx, claim)
 	default:
 		return
 	}
 	if err != nil {
-		s.options.Log.Warn().Err(err).Msg("claim not settled, resends will be refused")
+		s.options.Log.Warn().Err(err).Msg("failed to settle idempotency claim, retries will be refused")
 	}
 }
 
+// claimTimeout bounds the write that settles a claim; it does not depend on the caller's context.
 const claimTimeout = 5 * time.Second
 
 func refuseClaim(ctx iris.Context, err error) {
@@ -196,15 +200,15 @@
 	}
 }
 
-// run forwards a request and writes its answer or its error.
-func (s *Server) run(ctx iris.Context, target *route.Route, request *forward.Request, stream bool) (*recording, error) {
-	if err := s.shed(ctx, target, request); err != nil {
+// forward forwards a request to a replica and writes the answer or the error response.
+func (s *Server) forward(ctx iris.Context, target *route.Route, request *forward.Request, stream bool) (*recordedAnswer, error) {
+	if err := s.checkOverload(ctx, target, request); err != nil {
 		s.refuseAdmission(ctx, err)
 		return nil, outcome.Failed(err)
 	}
-	var sink answerSink = &wholeSink{ctx: ctx, path: request.Target}
+	var sink responseSink = &bufferedSink{ctx: ctx, path: request.Target}
 	if stream {
-		sink = &streamSink{ctx: ctx, keep: request.Once}
+		sink = &streamSink{ctx: ctx, record: request.AtMostOnce}
 	}
 	result, err := s.options.Forward(ctx.Request().Context(), target, request, sink)
 	s.metrics.observe(result, err, clock.Since(request.Received))
@@ -215,19 +219,19 @@
 	return sink.finish(), nil
 }
 
-// shed refuses a request that no replica is predicted to begin in time.
-func (s *Server) shed(ctx iris.Context, target *route.Route, request *forward.Request) error {
+// checkOverload returns an error for a request that no replica is predicted to start in time.
+func (s *Server) checkOverload(ctx iris.Context, target *route.Route, request *forward.Request) error {
 	now := clock.Now()
 	predicted, err := s.options.Predict(target, request, now)
 	if err != nil {
-		// The forwarder waits for a replica, and answers with its own error.
+		// The forwarder waits for a replica and returns its own error.
 		return nil
 	}
-	return s.options.Admission.Overloaded(caller(ctx).name, predicted, target.MaxWait, now)
+	return s.options.Admission.CheckOverload(callingTenant(ctx).name, predicted, target.MaxWait, now)
 }
 
-// reconnect continues an answer whose caller lost its node. The attempt is
-// named by the header that began the answer.
+// reconnect resumes a streamed answer after the caller lost its connection. HeaderAttempt of the
+// original response identifies the attempt and the replica, Last-Event-ID the last event received.
 func (s *Server) reconnect(ctx iris.Context) {
 	attempt, replicaID, _ := strings.Cut(ctx.GetHeader(engine.HeaderAttempt), "@")
 	after, err := strconv.Atoi(ctx.GetHeader(engine.HeaderLastEventID))
@@ -235,24 +239,25 @@
 		refuse(ctx, iris.StatusBadRequest, openai.TypeInvalidRequest, "Last-Event-ID must be a number", 0)
 		return
 	}
-	address, reborn, stop, listed := s.options.Replicas.Follow(replicaID)
+	address, restarted, stopFollowing, listed := s.options.Replicas.Follow(replicaID)
 	if !listed {
 		ctx.Header(HeaderExecuted, outcome.Unknown.String())
 		fail(ctx, iris.StatusNotFound, openai.TypeNotFound, "the replica is gone")
 		return
 	}
-	defer stop()
-	// An engine that has started again does not have the answer.
-	following, leave := context.WithCancel(ctx.Request().Context())
-	defer leave()
+	defer stopFollowing()
+	// An engine that has restarted no longer has the answer, and the connection to the old process
+	// may stay open in silence.
+	streamCtx, cancel := context.WithCancel(ctx.Request().Context())
+	defer cancel()
 	go func() {
 		select {
-		case <-reborn:
-			leave()
-		case <-following.Done():
+		case <-restarted:
+			cancel()
+		case <-streamCtx.Done():
 		}
 	}()
-	stream, err := s.options.Engines.Resume(following, address, attempt, ctx.Path(), after)
+	stream, err := s.options.Engines.Resume(streamCtx, address, attempt, ctx.Path(), after)
 	if err != nil {
 		ctx.Header(HeaderExecuted, outcome.Unknown.String())
 		fail(ctx, iris.StatusNotFound, openai.TypeNotFound, "the answer is no longer held: "+err.Error())
--- a/internal/server/quarantine.go
+++ b/internal/server/quarantine.go
@@ -9,32 +9,32 @@
 	v1 "github.com/wheelhoist/wheelhoist/api/v1"
 )
 
-// PathQuarantine is where a node shows suspects; a gateway does at its metrics address.
+// PathQuarantine is the path of the quarantine API. A gateway serves it at its metrics address.
 const PathQuarantine = "/apis/wheelhoist/v1/quarantine"
 
-// Quarantine is what operators see and undo of work that ended replicas. It is safe for
+// Quarantine lists and releases work that is suspected of crashing replicas. It is safe for
 // concurrent use.
 type Quarantine interface {
 	// Suspects returns all suspects.
 	Suspects() v1.SuspectList
-	// Release has nothing of the past count against a work, at all nodes. It returns what
-	// counted, and whether anything did.
+	// Release clears the recorded crashes of the work with an ID at all nodes. It returns the suspect
+	// as it was, or false if the work was not suspected.
 	Release(work string) (v1.Suspect, bool)
 }
 
-// QuarantineHandler serves the list of suspects, one of them, and the release of one to
-// those who may.
+// QuarantineHandler serves the list of suspects, a single suspect, and the release of a suspect if
+// mayRelease allows the request.
 func QuarantineHandler(quarantine Quarantine, mayRelease func(*http.Request) bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		_, work, one := strings.Cut(r.URL.Path, PathQuarantine+"/")
+		_, work, single := strings.Cut(r.URL.Path, PathQuarantine+"/")
 		switch {
-		case r.Method == http.MethodGet && !one:
+		case r.Method == http.MethodGet && !single:
 			writeJSON(w, http.StatusOK, quarantine.Suspects())
 		case r.Method == http.MethodGet:
 			showSuspect(w, quarantine, work)
-		case r.Method == http.MethodDelete && one && !mayRelease(r):
+		case r.Method == http.MethodDelete && single && !mayRelease(r):
 			writeError(w, http.StatusForbidden, openai.TypePermission, "this needs the operators' key")
-		case r.Method == http.MethodDelete && one:
+		case r.Method == http.MethodDelete && single:
 			releaseSuspect(w, quarantine, work)
 		default:
 			writeError(w, http.StatusMethodNotAllowed, openai.TypeInvalidRequest, "GET the list or a work, DELETE a work to release it")
@@ -42,8 +42,8 @@
 	})
 }
 
-// mayReleaseAny is for handlers that only operators reach.
-func mayReleaseAny(*http.Request) bool { return true }
+// allowAll allows every request. It is for handlers that only operators can reach.
+func allowAll(*http.Request) bool { return true }
 
 func showSuspect(w http.ResponseWriter, quarantine Quarantine, work string) {
 	for _, suspect := range quarantine.Suspects().Items {
@@ -56,8 +56,8 @@
 }
 
 func releaseSuspect(w http.ResponseWriter, quarantine Quarantine, work string) {
-	suspect, known := quarantine.Release(work)
-	if !known {
+	suspect, found := quarantine.Release(work)
+	if !found {
 		writeUnknownSuspect(w)
 		return
 	}
@@ -75,6 +75,6 @@
 func writeJSON(w http.ResponseWriter, status int, answer any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A caller that has left cannot be told.
+	// An encoding error means that the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(answer)
 }
--- a/internal/server/reconnect_test.go
+++ b/internal/server/reconnect_test.go
@@ -17,9 +17,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// TestReconnect_LeavesAnEngineThatHasStartedAgain: it does not have the answer, and the
-// connection to the one before may stay open without a word.
-func TestReconnect_LeavesAnEngineThatHasStartedAgain(t *testing.T) {
+// TestReconnect_EndsWhenTheEngineRestarts guards against a resumed stream that hangs after a restart
+// of the engine: the new process has no answer, and the old connection may stay open in silence.
+func TestReconnect_EndsWhenTheEngineRestarts(t *testing.T) {
 	engineServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = fmt.Fprint(w, "id: 3\ndata: {}\n\n")
 		_ = http.NewResponseController(w).Flush()
@@ -27,7 +27,7 @@
 	}))
 	defer engineServer.Close()
 	set := replica.NewSet()
-	info := replica.Info{ID: "r", Pool: "p", Address: engineServer.URL, Slots: 1, Born: 2000}
+	info := replica.Info{ID: "r", Pool: "p", Address: engineServer.URL, Slots: 1, StartedUnixMs: 2000}
 	set.Put(info)
 	s := &Server{options: Options{Replicas: set, Engines: engine.NewClient(nil)}}
 	app := iris.New()
@@ -35,26 +35,26 @@
 	if err := app.Build(); err != nil {
 		t.Fatal(err)
 	}
-	front := httptest.NewServer(app)
-	defer front.Close()
+	frontend := httptest.NewServer(app)
+	defer frontend.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, front.URL, http.NoBody)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, frontend.URL, http.NoBody)
 	if err != nil {
 		t.Fatal(err)
 	}
 	request.Header.Set(engine.HeaderAttempt, "a@r")
 	request.Header.Set(engine.HeaderLastEventID, "2")
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	body := bufio.NewReader(answer.Body)
+	defer func() { _ = response.Body.Close() }()
+	body := bufio.NewReader(response.Body)
 	if line, err := body.ReadString('\n'); err != nil || line != "id: 3\n" {
 		t.Fatalf("the caller got %q, %v", line, err)
 	}
-	info.Born = 1000
+	info.StartedUnixMs = 1000
 	set.Put(info)
 	rest, err := io.ReadAll(body)
 	if err != nil || bytes.Contains(rest, []byte("[DONE]")) {
--- a/internal/server/sink_test.go
+++ b/internal/server/sink_test.go
@@ -13,8 +13,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/quarantine"
 )
 
-// TestFailForward_QuarantinedWork: the caller learns that it is the request, that it did not
-// run this time, and of no time to come back, which would be in vain.
+// TestFailForward_QuarantinedWork checks that a refusal of quarantined work blames the request, says
+// whether the request ran, and sends no Retry-After, since a retry would fail too.
 func TestFailForward_QuarantinedWork(t *testing.T) {
 	refused := &quarantine.RefusedError{Verdict: quarantine.Verdict{Replicas: []string{"a", "b", "c"}, Quarantined: true}}
 	for _, ran := range []bool{false, true} {
@@ -29,19 +29,19 @@
 		if err := app.Build(); err != nil {
 			t.Fatal(err)
 		}
-		answer := httptest.NewRecorder()
-		app.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/", http.NoBody))
+		recorder := httptest.NewRecorder()
+		app.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/", http.NoBody))
 		var body openai.ErrorAnswer
-		if err := json.Unmarshal(answer.Body.Bytes(), &body); err != nil {
+		if err := json.Unmarshal(recorder.Body.Bytes(), &body); err != nil {
 			t.Fatal(err)
 		}
 		status, executed := http.StatusUnprocessableEntity, "no"
 		if ran {
-			// An attempt of this very request may have run.
+			// An earlier attempt of this request may have run.
 			status, executed = http.StatusBadGateway, "unknown"
 		}
-		if answer.Code != status || answer.Header().Get(HeaderExecuted) != executed || answer.Header().Get("Retry-After") != "" {
-			t.Errorf("ran %v: %d, %v", ran, answer.Code, answer.Header())
+		if recorder.Code != status || recorder.Header().Get(HeaderExecuted) != executed || recorder.Header().Get("Retry-After") != "" {
+			t.Errorf("ran %v: %d, %v", ran, recorder.Code, recorder.Header())
 		}
 		if !ran && body.Error.Code != openai.CodeQuarantined {
 			t.Errorf("error %+v", body.Error)
--- a/internal/table/log.go
+++ b/internal/table/log.go
@@ -15,39 +15,38 @@
 )
 
 const (
-	// logKept is the number of changes that a log holds; who is further behind
-	// reads the whole group.
-	logKept = 1024
-	// logTries bounds how often a commit is tried anew because another commit
-	// to the same group came first.
-	logTries = 40
-	// logPause is the longest pause before such a try.
-	logPause  = 10 * time.Millisecond
-	logPrefix = "log/"
-	// headsPartition holds the head rows of all groups, so that one call reads them.
+	// logRetention is the number of commits in the log of a group. A follower that is further
+	// behind must read the whole group.
+	logRetention = 1024
+	// logAttempts limits the attempts of a commit that loses to other commits of the same group.
+	logAttempts = 40
+	// logMaxDelay is the maximum delay before another attempt.
+	logMaxDelay = 10 * time.Millisecond
+	logPrefix   = "log/"
+	// headsPartition holds the head rows of all groups, so that one call reads all of them.
 	headsPartition = "log-heads"
 )
 
-// Logged makes the groups of a Service followable by polling, for services that
-// tell nobody of changes. Each commit to a group also moves the group's head
-// row on and adds a log row with the changes, in the same transaction; so
-// revisions are numbered without gaps, and the version of a row is the revision
-// of the commit that wrote it.
+// Logged is a Service that adds a change log to groups of rows, so that they can be followed by
+// polling. It is for services without change notifications. Each commit to a group also increments
+// the group's head row and adds a log row with the changes, in the same transaction. Revisions
+// are therefore numbered without gaps, and the version of a row is the revision of the commit that
+// wrote it.
 //
-// A group is a name; its partitions are the name itself and "name/...". A
-// commit touches one group at most.
+// A group contains the partitions named after it and "name/...". A commit may change rows of at
+// most one group.
 type Logged struct {
 	Service
 	Groups []string
 
 	mu sync.Mutex
-	// heads are the revisions last seen.
+	// heads caches the newest known revision of each group.
 	heads map[string]uint64
 }
 
 var _ Service = (*Logged)(nil)
 
-// loggedChange is a change in a log row.
+// loggedChange is an encoded change in a log row.
 type loggedChange struct {
 	Partition string `cbor:"1,keyasint"`
 	Sort      string `cbor:"2,keyasint"`
@@ -66,7 +65,7 @@
 	return Key{Partition: logPrefix + group, Sort: fmt.Sprintf("%020d", revision)}
 }
 
-// groupOf returns the group that a commit changes, or "".
+// groupOf returns the group that a commit changes, or "" if there is none.
 func (l *Logged) groupOf(writes []Write) string {
 	for _, write := range writes {
 		if write.Kind == Check {
@@ -81,7 +80,7 @@
 	return ""
 }
 
-// Commit implements Service. A conflict carries the rows as they stand.
+// Commit implements Service. A conflict error contains the current rows.
 func (l *Logged) Commit(ctx context.Context, operation string, writes ...Write) ([]uint64, error) {
 	group := l.groupOf(writes)
 	if group == "" {
@@ -92,13 +91,13 @@
 		return versions, err
 	}
 	var err error
-	for try := range logTries {
+	for attempt := range logAttempts {
 		var head uint64
-		if head, err = l.head(ctx, group, try > 0); err != nil {
+		if head, err = l.head(ctx, group, attempt > 0); err != nil {
 			return nil, outcome.Failed(err)
 		}
 		var versions []uint64
-		versions, err = l.commitAt(ctx, group, head, fmt.Sprintf("%s.%d", operation, try), writes)
+		versions, err = l.commitAtHead(ctx, group, head, fmt.Sprintf("%s.%d", operation, attempt), writes)
 		if err == nil || !errors.Is(err, ErrConflict) {
 			return versions, err
 		}
@@ -106,32 +105,32 @@
 		if !errors.Is(explained, errHeadMoved) {
 			return nil, explained
 		}
-		if !retry.Sleep(ctx, jittered(logPause)) {
+		if !retry.Sleep(ctx, jittered(logMaxDelay)) {
 			return nil, outcome.Failed(ErrUnavailable)
 		}
 	}
 	return nil, outcome.Failed(errors.Join(ErrThrottled, err))
 }
 
-// errHeadMoved reports a conflict about nothing but the head of the log.
+// errHeadMoved reports a commit that conflicts only with the head row of its group.
 var errHeadMoved = errors.New("log head has moved")
 
-// head returns the revision of a group, from memory unless fresh.
-func (l *Logged) head(ctx context.Context, group string, fresh bool) (uint64, error) {
+// head returns the revision of a group, from the cache unless refresh is set.
+func (l *Logged) head(ctx context.Context, group string, refresh bool) (uint64, error) {
 	l.mu.Lock()
-	known, ok := l.heads[group]
+	cached, ok := l.heads[group]
 	l.mu.Unlock()
-	if ok && !fresh {
-		return known, nil
+	if ok && !refresh {
+		return cached, nil
 	}
 	revision, err := readHead(ctx, l.Service, group)
 	if err == nil {
-		l.learn(group, revision)
+		l.recordHead(group, revision)
 	}
 	return revision, err
 }
 
-func (l *Logged) learn(group string, revision uint64) {
+func (l *Logged) recordHead(group string, revision uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.heads == nil {
@@ -148,8 +147,8 @@
 	return row.Version, err
 }
 
-// commitAt commits under the condition that the group's head has not moved.
-func (l *Logged) commitAt(ctx context.Context, group string, head uint64, operation string, writes []Write) ([]uint64, error) {
+// commitAtHead commits on condition that head is still the revision of the group.
+func (l *Logged) commitAtHead(ctx context.Context, group string, head uint64, operation string, writes []Write) ([]uint64, error) {
 	revision := head + 1
 	all := make([]Write, 0, len(writes)+3)
 	versions := make([]uint64, len(writes))
@@ -173,22 +172,22 @@
 	all = append(all,
 		Write{Key: headKey(group), Expect: head, Next: revision},
 		Write{Key: logKey(group, revision), Expect: Absent, Next: revision, Body: body})
-	if revision > logKept {
-		old := revision - logKept
-		all = append(all, Write{Key: logKey(group, old), Kind: Delete, Expect: old})
+	if revision > logRetention {
+		expired := revision - logRetention
+		all = append(all, Write{Key: logKey(group, expired), Kind: Delete, Expect: expired})
 	}
 	if _, err := l.Service.Commit(ctx, operation, all...); err != nil {
 		return nil, err
 	}
-	l.learn(group, revision)
+	l.recordHead(group, revision)
 	return versions, nil
 }
 
-// explain turns a conflict into one that carries the rows of the conditions, or
-// into errHeadMoved if all of them hold.
+// explain converts a conflict into a ConflictError with the current rows, or into errHeadMoved if
+// all conditions of writes hold.
 func (l *Logged) explain(ctx context.Context, writes []Write, head uint64, conflict error) error {
 	explained := &ConflictError{Revision: head}
-	broken := false
+	conditionFailed := false
 	for _, write := range writes {
 		row, err := l.Service.Get(ctx, write.Key)
 		switch {
@@ -198,9 +197,9 @@
 		default:
 			explained.Rows = append(explained.Rows, row)
 		}
-		broken = broken || row.Version != write.Expect
+		conditionFailed = conditionFailed || row.Version != write.Expect
 	}
-	if !broken {
+	if !conditionFailed {
 		return outcome.Failed(errHeadMoved)
 	}
 	return outcome.Failed(explained)
--- a/internal/table/poll.go
+++ b/internal/table/poll.go
@@ -12,71 +12,71 @@
 )
 
 const (
-	// DefaultPoll is the time between two looks at the heads.
-	DefaultPoll = 120 * time.Millisecond
-	// pollTimeout bounds one look.
+	// DefaultPollInterval is the default time between two polls of the heads.
+	DefaultPollInterval = 120 * time.Millisecond
+	// pollTimeout limits one poll.
 	pollTimeout = 2 * time.Second
-	// maxGroups bounds the groups of a service.
+	// maxGroups limits the number of groups of a service.
 	maxGroups = 100
-	// logPage bounds the rows of one answer.
-	logPage = 100
+	// logPageSize limits the number of rows per call.
+	logPageSize = 100
 )
 
-// errNoLook reports that no look at the heads was answered in a whole wait for news: nobody
-// knows whether there is any.
-var errNoLook = fmt.Errorf("%w: no look at the heads was answered", ErrUnavailable)
+// errNoPollAnswered reports that no poll of the heads completed during a wait, so it is unknown
+// whether there are changes.
+var errNoPollAnswered = fmt.Errorf("%w: no poll of the log heads completed", ErrUnavailable)
 
-// Heads looks at the heads of all groups of a Logged service now and then, for
-// any number of feeds. It is safe for concurrent use.
+// Heads polls the heads of all groups of a Logged service periodically, for any number of feeds. It
+// is safe for concurrent use.
 type Heads struct {
 	Service Service
-	// Interval, if set, is the time between two looks; it may grow with the
-	// fleet, so that the service's load does not.
+	// Interval, if set, returns the time between two polls. It may grow with the fleet, to keep
+	// the load on the service constant.
 	Interval func() time.Duration
-	// Unreadable, if set, is told of rows of the logs that cannot be read.
+	// Unreadable, if set, receives rows that cannot be decoded.
 	Unreadable *Unreadable
 
 	mu    sync.Mutex
 	heads map[string]uint64
-	looks uint64
-	// lookedAt is when the last look that was answered began.
-	lookedAt time.Time
-	err      error
-	changed  chan struct{}
+	polls uint64
+	// answeredPollStart is the start time of the last successful poll.
+	answeredPollStart time.Time
+	err               error
+	changed           chan struct{}
 }
 
-// NewHeads returns heads that have not been looked at; Run looks.
+// NewHeads returns a Heads that has not polled yet. Call Run to poll.
 func NewHeads(service Service) *Heads {
 	return &Heads{Service: service, heads: map[string]uint64{}, changed: make(chan struct{})}
 }
 
-// Run looks until the context ends.
+// Run polls until ctx is done.
 func (h *Heads) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		h.look(ctx)
+		h.poll(ctx)
 		retry.Sleep(ctx, h.interval())
 	}
 }
 
 func (h *Heads) interval() time.Duration {
 	if h.Interval == nil {
-		return DefaultPoll
+		return DefaultPollInterval
 	}
 	return h.Interval()
 }
 
-func (h *Heads) look(ctx context.Context) {
+func (h *Heads) poll(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	began := clock.Now()
+	start := clock.Now()
 	rows, err := h.Service.List(callCtx, headsPartition, "", maxGroups)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.err = err
 	if err == nil {
-		h.lookedAt = began
+		h.answeredPollStart = start
 	}
-	h.looks++
+	h.polls++
 	for _, row := range rows {
 		h.heads[row.Sort] = max(h.heads[row.Sort], row.Version)
 	}
@@ -84,79 +84,79 @@
 	h.changed = make(chan struct{})
 }
 
-// headLook is what one look showed of a group.
-type headLook struct {
+// headState is the state of a group after the last poll.
+type headState struct {
 	revision uint64
-	number   uint64
-	// began is when the last look that was answered began.
-	began time.Time
-	err   error
-	next  <-chan struct{}
+	poll     uint64
+	// asOf is the start time of the last successful poll.
+	asOf time.Time
+	err  error
+	next <-chan struct{}
 }
 
-func (h *Heads) at(group string) headLook {
+func (h *Heads) state(group string) headState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return headLook{revision: h.heads[group], number: h.looks, began: h.lookedAt, err: h.err, next: h.changed}
+	return headState{revision: h.heads[group], poll: h.polls, asOf: h.answeredPollStart, err: h.err, next: h.changed}
 }
 
-// await waits until a group is beyond a revision, up to wait, and returns the last look. Its
-// error is that of a look made meanwhile that failed, or says that none was answered.
-func (h *Heads) await(ctx context.Context, group string, revision uint64, wait time.Duration) (headLook, error) {
+// await waits up to wait until a group is beyond a revision, and returns the state after the last
+// poll. It returns an error if a poll fails during the wait, or if no poll completes in it.
+func (h *Heads) await(ctx context.Context, group string, revision uint64, wait time.Duration) (headState, error) {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
-	first := h.at(group)
-	for now := first; ; now = h.at(group) {
+	first := h.state(group)
+	for current := first; ; current = h.state(group) {
 		switch {
-		case now.revision > revision:
-			return now, nil
-		case now.number > first.number && now.err != nil:
-			return now, now.err
+		case current.revision > revision:
+			return current, nil
+		case current.poll > first.poll && current.err != nil:
+			return current, current.err
 		}
 		select {
 		case <-ctx.Done():
-			return now, ctx.Err()
+			return current, ctx.Err()
 		case <-deadline.C:
-			if now.number == first.number {
-				return now, Error.Wrap(errNoLook)
+			if current.poll == first.poll {
+				return current, Error.Wrap(errNoPollAnswered)
 			}
-			return now, nil
-		case <-now.next:
+			return current, nil
+		case <-current.next:
 		}
 	}
 }
 
-// PolledFeed follows a group of a Logged service.
+// PolledFeed is a Feed of a group of a Logged service.
 type PolledFeed struct {
 	Heads *Heads
 	Group string
-	// Parts are the partitions of the group, in the order of a whole read.
+	// Parts lists the partitions of the group, in the order of a whole read.
 	Parts []string
 }
 
 var _ Feed = PolledFeed{}
 
-// Page implements Feed. The revision is that of the head before the page was
-// read, so nothing is missed by going on from there.
+// Page implements Feed. It reads the head before the page, so that the changes after the returned
+// revision include all that the page lacks.
 func (f PolledFeed) Page(ctx context.Context, cursor Cursor) (Changes, Cursor, error) {
 	head, err := readHead(ctx, f.Heads.Service, f.Group)
 	if err != nil {
 		return Changes{}, cursor, err
 	}
-	rows, err := f.Heads.Service.List(ctx, f.Parts[cursor.Part], cursor.Key, logPage)
+	rows, err := f.Heads.Service.List(ctx, f.Parts[cursor.Part], cursor.Key, logPageSize)
 	if err != nil {
 		return Changes{}, cursor, err
 	}
-	page := Changes{Revision: head, Now: timeOfDay()}
+	page := Changes{Revision: head, Now: wallClock()}
 	for _, row := range rows {
 		if row.Unreadable != nil {
-			// Without a version it may go no further than this.
-			f.Heads.Unreadable.Report(row.Refuse(Envelope, row.Unreadable))
+			// If the version is missing too, the watcher ignores the row, so it is reported here.
+			f.Heads.Unreadable.Report(row.AsUnreadable(Envelope, row.Unreadable))
 		}
 		page.Changes = append(page.Changes, Change{Row: row})
 	}
 	next := Cursor{Part: cursor.Part + 1}
-	if len(rows) == logPage {
+	if len(rows) == logPageSize {
 		next = Cursor{Part: cursor.Part, Key: rows[len(rows)-1].Sort}
 	}
 	next.Done = next.Part == len(f.Parts)
@@ -165,30 +165,30 @@
 
 // After implements Feed.
 func (f PolledFeed) After(ctx context.Context, revision uint64, wait time.Duration) (Changes, error) {
-	seen, err := f.Heads.await(ctx, f.Group, revision, wait)
+	state, err := f.Heads.await(ctx, f.Group, revision, wait)
 	if err != nil {
 		return Changes{}, err
 	}
-	if seen.revision <= revision {
-		return Changes{Revision: revision, Now: timeOfDay(), AsOf: seen.began}, nil
+	if state.revision <= revision {
+		return Changes{Revision: revision, Now: wallClock(), AsOf: state.asOf}, nil
 	}
 	return f.since(ctx, revision)
 }
 
 func (f PolledFeed) since(ctx context.Context, revision uint64) (Changes, error) {
-	began := clock.Now()
-	rows, err := f.Heads.Service.List(ctx, logPrefix+f.Group, logKey(f.Group, revision).Sort, logPage)
+	start := clock.Now()
+	rows, err := f.Heads.Service.List(ctx, logPrefix+f.Group, logKey(f.Group, revision).Sort, logPageSize)
 	if err != nil {
 		return Changes{}, err
 	}
-	read := Changes{Revision: revision, Now: timeOfDay(), AsOf: began, More: len(rows) == logPage}
+	read := Changes{Revision: revision, Now: wallClock(), AsOf: start, More: len(rows) == logPageSize}
 	for _, row := range rows {
 		if row.Version != read.Revision+1 {
 			return Changes{}, Error.Wrap(ErrCompacted)
 		}
-		changes, err := decodeLogged(row)
+		changes, err := decodeLogRow(row)
 		if err != nil {
-			// What it said of the group is in the group's rows: a whole read goes by them.
+			// The change is also in the rows of the group, which a whole read returns.
 			f.Heads.Unreadable.Report(err)
 			return Changes{}, Error.Wrap(errors.Join(ErrCompacted, err))
 		}
@@ -198,21 +198,21 @@
 	return read, nil
 }
 
-func decodeLogged(row Row) ([]Change, error) {
+func decodeLogRow(row Row) ([]Change, error) {
 	var logged []loggedChange
 	if err := row.Decode(&logged); err != nil {
 		return nil, err
 	}
 	changes := make([]Change, len(logged))
-	for i, one := range logged {
-		changes[i] = Change{Removed: one.Removed, Row: Row{
-			Key: Key{Partition: one.Partition, Sort: one.Sort}, Version: row.Version,
-			Operation: row.Operation, Body: one.Body,
+	for i, change := range logged {
+		changes[i] = Change{Removed: change.Removed, Row: Row{
+			Key: Key{Partition: change.Partition, Sort: change.Sort}, Version: row.Version,
+			Operation: row.Operation, Body: change.Body,
 		}}
 	}
 	return changes, nil
 }
 
-// timeOfDay stands in for a service's steady clock where the protocol has none: the
-// time of day. Only deadlines that are hours away are told by it.
-func timeOfDay() time.Duration { return time.Duration(time.Now().UnixNano()) }
+// wallClock returns the wall clock in place of the service's monotonic clock, which the protocol
+// does not have. It only serves deadlines that are hours away.
+func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
--- a/internal/table/seed_test.go
+++ b/internal/table/seed_test.go
@@ -13,13 +13,13 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// present is a view of the keys that are there.
-type present struct {
+// presentKeys is a view of the keys that exist.
+type presentKeys struct {
 	mu   sync.Mutex
 	keys map[string]uint64
 }
 
-func (p *present) apply(changes table.Changes, _ bool) {
+func (p *presentKeys) apply(changes table.Changes, _ bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.keys == nil {
@@ -34,51 +34,50 @@
 	}
 }
 
-func (p *present) names() []string {
+func (p *presentKeys) names() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Sorted(maps.Keys(p.keys))
 }
 
-// TestWatcher_ASeedHoldsUntilTheFirstWholeRead has a watcher start by what another one
-// held, of which a row has gone and another has come since.
-func TestWatcher_ASeedHoldsUntilTheFirstWholeRead(t *testing.T) {
+// A seed is used until the first whole read, which adds and removes the rows that have changed since.
+func TestWatcher_SeedIsReplacedByFirstWholeRead(t *testing.T) {
 	service := tabletest.New()
 	gone := commit(t, service, table.Write{Key: key("gone")})
 	commit(t, service, table.Write{Key: key("stays")})
-	var first, second present
-	holder := table.NewWatcher(service.Feed(group), first.apply)
-	holder.Keep = true
-	tabletest.Follow(t, holder)
-	eventually(t, "first read", func() bool { return holder.Ready() && len(first.names()) == 2 })
-	held, _ := holder.Held()
-	if len(held.Changes) != 2 {
-		t.Fatalf("%d rows held", len(held.Changes))
+	var first, second presentKeys
+	source := table.NewWatcher(service.Feed(group), first.apply)
+	source.KeepRows = true
+	tabletest.Follow(t, source)
+	eventually(t, "the first read", func() bool { return source.Ready() && len(first.names()) == 2 })
+	snapshot, _ := source.Snapshot()
+	if len(snapshot.Changes) != 2 {
+		t.Fatalf("%d rows in the snapshot, want 2", len(snapshot.Changes))
 	}
 	starting := table.NewWatcher(service.Feed(group), second.apply)
 	const age = time.Hour
-	if starting.Informed() || !starting.Seed(held, age, second.apply) {
-		t.Fatal("seed not taken")
+	if starting.Populated() || !starting.Seed(snapshot, age, second.apply) {
+		t.Fatal("the seed was rejected")
 	}
-	if !starting.Informed() || starting.Ready() || starting.Age() < age || len(second.names()) != 2 {
-		t.Fatalf("informed %v, ready %v, age %v, rows %v", starting.Informed(), starting.Ready(), starting.Age(), second.names())
+	if !starting.Populated() || starting.Ready() || starting.Age() < age || len(second.names()) != 2 {
+		t.Fatalf("populated %v, ready %v, age %v, rows %v", starting.Populated(), starting.Ready(), starting.Age(), second.names())
 	}
 	if starting.Seed(table.Changes{}, 0, second.apply) {
-		t.Error("a second seed was taken")
+		t.Error("a second seed was accepted")
 	}
 	commit(t, service, table.Write{Key: key("gone"), Kind: table.Delete, Expect: gone})
 	commit(t, service, table.Write{Key: key("new")})
 	tabletest.Follow(t, starting)
-	eventually(t, "whole read", func() bool { return starting.Ready() && slices.Equal(second.names(), []string{"new", "stays"}) })
+	eventually(t, "the whole read", func() bool { return starting.Ready() && slices.Equal(second.names(), []string{"new", "stays"}) })
 	if starting.Age() > age/2 {
-		t.Errorf("age %v after the service has answered", starting.Age())
+		t.Errorf("age %v after a response of the service", starting.Age())
 	}
-	if starting.Seed(held, 0, second.apply) || !slices.Equal(second.names(), []string{"new", "stays"}) {
-		t.Error("a seed was taken after the service had answered")
+	if starting.Seed(snapshot, 0, second.apply) || !slices.Equal(second.names(), []string{"new", "stays"}) {
+		t.Error("a seed was accepted after a response of the service")
 	}
 }
 
-// slowPages is a feed of many pages, each of which takes a while.
+// slowPages is a feed with several pages, each of which takes some time to read.
 type slowPages struct {
 	busyFeed
 	page  time.Duration
@@ -92,28 +91,28 @@
 	return table.Changes{Revision: 1}, next, nil
 }
 
-// TestWatcher_ASlowFirstReadIsNoSilence has a first read take long, as it does when a whole
-// fleet starts. In a sweep, 300 machines before 3,000 replicas took that for a store that is
-// away: they asked each other for all they knew, some 300 MB between regions.
-func TestWatcher_ASlowFirstReadIsNoSilence(t *testing.T) {
+// Guards against a slow first read, as when a whole fleet starts, that is mistaken for an unresponsive
+// store: 300 nodes in front of 3,000 replicas then requested all data from each other, about 300 MB
+// between regions.
+func TestWatcher_SlowFirstReadIsNotSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := &slowPages{page: 400 * time.Millisecond, pages: 10}
 		watcher := table.NewWatcher(feed, func(table.Changes, bool) {})
-		watcher.Pace = func() table.Pace { return table.Pace{Announced: time.Second, Usual: time.Second} }
+		watcher.Pace = func() table.Pace { return table.Pace{AfterAnnouncement: time.Second, Default: time.Second} }
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go watcher.Run(ctx)
 		time.Sleep(feed.page + time.Millisecond)
 		for !watcher.Ready() {
-			if silence := watcher.Silence(); silence > feed.page+time.Millisecond {
-				t.Fatalf("silent for %v while pages come each %v", silence, feed.page)
+			if sinceResponse := watcher.SinceLastResponse(); sinceResponse > feed.page+time.Millisecond {
+				t.Fatalf("%v since the last response while a page is read every %v", sinceResponse, feed.page)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 		cancel()
 		time.Sleep(time.Minute)
-		if silence := watcher.Silence(); silence < time.Minute {
-			t.Errorf("silent for %v after a minute without a call", silence)
+		if sinceResponse := watcher.SinceLastResponse(); sinceResponse < time.Minute {
+			t.Errorf("%v since the last response after a minute without calls", sinceResponse)
 		}
 	})
 }
