--- a/internal/replica/borrow_test.go
+++ b/internal/replica/borrow_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// newSlotless returns the set of a node that has none of the slots of one replica.
-func newSlotless(t *testing.T) *Set {
+// newSetWithoutShare returns the set of a node that has none of the slots of one replica.
+func newSetWithoutShare(t *testing.T) *Set {
 	t.Helper()
 	for i := range 20 {
 		set := NewSet()
@@ -21,19 +21,19 @@
 	return nil
 }
 
-var borrowed = RequestInfo{Batch: true, Borrowed: true, Reserved: true}
+var borrowedItem = RequestInfo{Batch: true, Borrowed: true, Reserved: true}
 
-func TestBorrow_NotBeforeTheNodeHadItsChance(t *testing.T) {
-	set, now := newSlotless(t), time.Unix(1000, 0)
+func TestMayBorrow_OnlyAfterBorrowAfter(t *testing.T) {
+	set, now := newSetWithoutShare(t), time.Unix(1000, 0)
 	if set.MayBorrow(testPool, BorrowAfter-1, now) || !set.MayBorrow(testPool, BorrowAfter, now) {
 		t.Fatalf("an item is to borrow after %v and not before", BorrowAfter)
 	}
 }
 
 // Without a word of idle room a node borrows one slot at a time.
-func TestBorrow_OneAtATime(t *testing.T) {
-	set, now := newSlotless(t), time.Unix(1000, 0)
-	use := set.Begin("r", borrowed, now)
+func TestMayBorrow_OneAtATimeWithoutReports(t *testing.T) {
+	set, now := newSetWithoutShare(t), time.Unix(1000, 0)
+	use := set.Begin("r", borrowedItem, now)
 	if set.MayBorrow(testPool, time.Hour, now) {
 		t.Fatal("a second slot is borrowed")
 	}
@@ -41,7 +41,7 @@
 	if !set.MayBorrow(testPool, time.Hour, now) {
 		t.Fatal("a slot that was given back counts as borrowed")
 	}
-	use = set.Begin("r", borrowed, now)
+	use = set.Begin("r", borrowedItem, now)
 	use.MarkPreempted()
 	use.End(Abandoned, now)
 	if !set.MayBorrow(testPool, time.Hour, now) {
@@ -49,16 +49,16 @@
 	}
 }
 
-func TestBorrow_MoreWhereNodesTellOfIdleRoom(t *testing.T) {
-	set, now := newSlotless(t), time.Unix(1000, 0)
-	set.Begin("r", borrowed, now)
+func TestMayBorrow_UpToReportedIdleSlots(t *testing.T) {
+	set, now := newSetWithoutShare(t), time.Unix(1000, 0)
+	set.Begin("r", borrowedItem, now)
 	set.RecordDemand(testPool, 0, 2, now)
 	set.RecordIdle(testPool, 2, now)
 	if !set.MayBorrow(testPool, BorrowAfter, now) {
 		t.Fatal("idle room is not used")
 	}
-	if needs := set.UpdateDemand(now); needs[0].Idle != -1 {
-		t.Fatalf("tells of %d idle slots, one is borrowed", needs[0].Idle)
+	if demands := set.UpdateDemand(now); demands[0].Idle != -1 {
+		t.Fatalf("tells of %d idle slots, one is borrowed", demands[0].Idle)
 	}
 	set.RecordIdle(testPool, -1, now)
 	if set.MayBorrow(testPool, BorrowAfter, now) {
@@ -71,38 +71,38 @@
 }
 
 // A node tells of the slots that its items leave idle, and counts those itself.
-func TestBorrow_NodesTellOfTheirIdleRoom(t *testing.T) {
-	set, now := newHalf(), time.Unix(1000, 0)
+func TestUpdateDemand_ReportsIdleSlots(t *testing.T) {
+	set, now := newSetWithHalfShare(), time.Unix(1000, 0)
 	set.Begin("r", RequestInfo{Batch: true}, now)
 	if idle := set.UpdateDemand(now)[0].Idle; idle != 3 {
 		t.Fatalf("tells of %d idle slots of 4, one of them with an item", idle)
 	}
-	if known := set.fleet[testPool]; known == nil || known.idleSlots(now) != 3 {
-		t.Fatalf("knows of %+v", known)
+	if view := set.fleet[testPool]; view == nil || view.idleSlots(now) != 3 {
+		t.Fatalf("knows of %+v", view)
 	}
 }
 
-func TestBorrow_BorrowedSlotsAreNotOwnOnes(t *testing.T) {
-	set, now := newHalf(), time.Unix(1000, 0)
+func TestFreeItemSlots_IgnoresBorrowedSlots(t *testing.T) {
+	set, now := newSetWithHalfShare(), time.Unix(1000, 0)
 	before := set.FreeItemSlots(testPool, now)
-	use := set.Begin("r", borrowed, now)
-	if room := set.FreeItemSlots(testPool, now); room != before {
-		t.Fatalf("room for %d items, %d before one was borrowed", room, before)
+	use := set.Begin("r", borrowedItem, now)
+	if free := set.FreeItemSlots(testPool, now); free != before {
+		t.Fatalf("room for %d items, %d before one was borrowed", free, before)
 	}
 	use.MarkPreempted()
-	if room := set.FreeItemSlots(testPool, now); room != before {
-		t.Fatalf("room for %d items while the borrowed slot is left, %d before", room, before)
+	if free := set.FreeItemSlots(testPool, now); free != before {
+		t.Fatalf("room for %d items while the borrowed slot is left, %d before", free, before)
 	}
 	use.End(Abandoned, now)
-	if room := set.FreeItemSlots(testPool, now); room != before {
-		t.Fatalf("room for %d items after a loan, %d before", room, before)
+	if free := set.FreeItemSlots(testPool, now); free != before {
+		t.Fatalf("room for %d items after a loan, %d before", free, before)
 	}
 }
 
 // A node that runs items itself borrows beside them only after long, and not where online
 // requests need half of the slots.
-func TestBorrow_BesideOwnItems(t *testing.T) {
-	set, now := newHalf(), time.Unix(1000, 0)
+func TestMayBorrow_WithOwnItems(t *testing.T) {
+	set, now := newSetWithHalfShare(), time.Unix(1000, 0)
 	for range 4 {
 		set.Begin("r", RequestInfo{Batch: true}, now)
 	}
@@ -116,29 +116,29 @@
 }
 
 // Where online requests need most slots each node has its turn, within 13 turns.
-func TestBorrow_EachNodeHasItsTurn(t *testing.T) {
+func TestMayBorrow_EveryNodeWithin13Periods(t *testing.T) {
 	for _, needed := range []float64{0.6, 0.8, 0.99} {
-		set, now := newSlotless(t), time.Unix(1000, 0)
-		turns, last, longest := 0, -1, 0
-		for turn := range 200 {
+		set, now := newSetWithoutShare(t), time.Unix(1000, 0)
+		allowed, last, longestGap := 0, -1, 0
+		for period := range 200 {
 			set.RecordDemand(testPool, 100*needed, 100, now)
 			if set.MayBorrow(testPool, BorrowAfter, now) {
-				turns, longest, last = turns+1, max(longest, turn-last), turn
+				allowed, longestGap, last = allowed+1, max(longestGap, period-last), period
 			}
 			now = now.Add(borrowLimitPeriod)
 		}
-		if longest > 13 || turns == 0 {
-			t.Errorf("at %v it is the node's turn %d times in 200, with up to %d between", needed, turns, longest)
+		if longestGap > 13 || allowed == 0 {
+			t.Errorf("at %v it is the node's turn %d times in 200, with up to %d between", needed, allowed, longestGap)
 		}
-		if turns > 180 {
-			t.Errorf("at %v it is the node's turn %d times in 200: all nodes borrow at once", needed, turns)
+		if allowed > 180 {
+			t.Errorf("at %v it is the node's turn %d times in 200: all nodes borrow at once", needed, allowed)
 		}
 	}
 }
 
-func TestBorrow_NothingWhereOnlineRequestsNeedAll(t *testing.T) {
-	set, now := newSlotless(t), time.Unix(1000, 0)
-	set.Begin("r", borrowed, now)
+func TestMayBorrow_NotWhenFullyUsed(t *testing.T) {
+	set, now := newSetWithoutShare(t), time.Unix(1000, 0)
+	set.Begin("r", borrowedItem, now)
 	for range 100 {
 		set.RecordDemand(testPool, 8, 4, now)
 		if set.MayBorrow(testPool, StarvedAfter-1, now) {
@@ -153,21 +153,21 @@
 
 // A node whose own callers need all its slots does not know what others need: while none
 // tells, it asks now and then, and replicas decide.
-func TestBorrow_OwnCallersAreNotTheFleet(t *testing.T) {
-	set, now := newHalf(), time.Unix(1000, 0)
+func TestMayBorrow_OccasionallyWithoutReports(t *testing.T) {
+	set, now := newSetWithHalfShare(), time.Unix(1000, 0)
 	for range 6 {
 		set.Begin("r", RequestInfo{}, now)
 	}
-	may := 0
+	allowed := 0
 	for range 50 {
 		set.UpdateDemand(now)
 		if set.MayBorrow(testPool, BorrowAfter, now) {
-			may++
+			allowed++
 		}
 		now = now.Add(borrowLimitPeriod)
 	}
-	if may < 3 {
-		t.Fatalf("may borrow in %d of 50 turns", may)
+	if allowed < 3 {
+		t.Fatalf("may borrow in %d of 50 turns", allowed)
 	}
 	if excess := set.UpdateDemand(now)[0].BorrowedExcess; excess != 0 {
 		t.Fatalf("%d borrowed items leave though nobody told of a need", excess)
@@ -176,13 +176,13 @@
 
 // Where online requests are said to need all slots for good, an item that has waited for long
 // borrows, one at a time, and keeps the slot.
-func TestBorrow_StarvedItemsKeepTheirSlots(t *testing.T) {
-	set, now := newSlotless(t), time.Unix(1000, 0)
+func TestMayBorrow_StarvedItemsKeepTheirSlots(t *testing.T) {
+	set, now := newSetWithoutShare(t), time.Unix(1000, 0)
 	set.RecordDemand(testPool, 8, 4, now)
 	if set.MayBorrow(testPool, StarvedAfter-1, now) || !set.MayBorrow(testPool, StarvedAfter, now) {
 		t.Fatalf("an item is to borrow after %v and not before", StarvedAfter)
 	}
-	starved := borrowed
+	starved := borrowedItem
 	starved.Starved = true
 	use := set.Begin("r", starved, now)
 	if set.MayBorrow(testPool, StarvedAfter, now) {
@@ -193,7 +193,7 @@
 		t.Fatalf("%d items are to leave, want none: it was starved", excess)
 	}
 	use.End(Succeeded, now)
-	set.Begin("r", borrowed, now)
+	set.Begin("r", borrowedItem, now)
 	if excess := set.UpdateDemand(now)[0].BorrowedExcess; excess != 1 {
 		t.Fatalf("%d items are to leave after the starved one ended, want the other", excess)
 	}
--- a/internal/replica/cold_test.go
+++ b/internal/replica/cold_test.go
@@ -22,21 +22,21 @@
 	return count
 }
 
-// coldSet returns a set of one of some nodes with a cold replica and, if it is asked for,
+// newColdSet returns a set of one of some nodes with a cold replica and, if it is asked for,
 // a warm one.
-func coldSet(self string, nodes []string, warm bool, now time.Time) *Set {
+func newColdSet(self string, nodes []string, addWarm bool, now time.Time) *Set {
 	set := NewSet()
 	set.ColdTolerance = ColdTolerance{Over: 1.5, Slack: 5}
 	set.SetColdLimits(map[string]ColdLimit{testPool: {Rate: 15, Start: 3 * time.Second}})
-	set.Divide(self, nowhere(nodes...))
+	set.Divide(self, nodesWithoutPlace(nodes...))
 	set.put(Info{ID: "cold", Pool: testPool, Slots: 8, ColdLeft: 3 * time.Second}, now)
-	if warm {
+	if addWarm {
 		set.put(Info{ID: "warm", Pool: testPool, Slots: 8}, now)
 	}
 	return set
 }
 
-func TestCold_IsSentNoMoreThanItBearsWhenAllNodesPress(t *testing.T) {
+func TestColdRate_HoldsWhenAllNodesSend(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var nodes []string
 	for i := range 300 {
@@ -44,7 +44,7 @@
 	}
 	sent := 0
 	for _, node := range nodes {
-		set := coldSet(node, nodes, false, now)
+		set := newColdSet(node, nodes, false, now)
 		for at := now; at.Before(now.Add(time.Second)); at = at.Add(10 * time.Millisecond) {
 			if use := set.Begin("cold", RequestInfo{}, at); use != nil {
 				sent++
@@ -56,30 +56,30 @@
 	}
 }
 
-func TestPick_LastResortSparesColdReplicas(t *testing.T) {
+func TestPick_LastResortKeepsColdLimit(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := coldSet("a", []string{"a"}, false, now)
+	set := newColdSet("a", []string{"a"}, false, now)
 	if set.Begin("cold", RequestInfo{}, now) == nil {
 		t.Fatal("the first request was held back")
 	}
-	demand := &Criteria{}
-	_, err := Pick(set.SnapshotFor(testPool, demand, now), demand, Weights{})
-	none := (*NoReplicaError)(nil)
-	if !errors.As(err, &none) || !none.WaitsForCold() || none.ColdWait <= 0 || none.ColdWait > 300*time.Millisecond {
-		t.Fatalf("chose, or waits wrongly: %v, %+v", err, none)
+	criteria := &Criteria{}
+	_, err := Pick(set.SnapshotFor(testPool, criteria, now), criteria, Weights{})
+	noReplica := (*NoReplicaError)(nil)
+	if !errors.As(err, &noReplica) || !noReplica.WaitsForCold() || noReplica.ColdWait <= 0 || noReplica.ColdWait > 300*time.Millisecond {
+		t.Fatalf("chose, or waits wrongly: %v, %+v", err, noReplica)
 	}
-	if _, err := Pick(set.SnapshotFor(testPool, demand, now.Add(none.ColdWait)), demand, Weights{}); err != nil {
+	if _, err := Pick(set.SnapshotFor(testPool, criteria, now.Add(noReplica.ColdWait)), criteria, Weights{}); err != nil {
 		t.Errorf("after the wait: %v", err)
 	}
 }
 
-func TestPick_TakesWarmReplicasWhileColdOnesHaveTheirRate(t *testing.T) {
+func TestPick_UsesWarmReplicasWhenColdRateIsUsedUp(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := coldSet("a", []string{"a"}, true, now)
+	set := newColdSet("a", []string{"a"}, true, now)
 	set.Begin("cold", RequestInfo{}, now)
 	for range 10 {
-		demand := &Criteria{}
-		chosen, err := Pick(set.SnapshotFor(testPool, demand, now), demand, Weights{})
+		criteria := &Criteria{}
+		chosen, err := Pick(set.SnapshotFor(testPool, criteria, now), criteria, Weights{})
 		if err != nil || chosen.ID != "warm" {
 			t.Fatalf("chose %v, %v", chosen, err)
 		}
@@ -87,9 +87,9 @@
 	}
 }
 
-func TestCold_ItemsTakeWhatOnlineRequestsLeave(t *testing.T) {
+func TestColdRate_ItemsUseWhatOnlineRequestsLeave(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := coldSet("a", []string{"a"}, false, now)
+	set := newColdSet("a", []string{"a"}, false, now)
 	set.Begin("cold", RequestInfo{}, now)
 	for at := now; at.Before(now.Add(300 * time.Millisecond)); at = at.Add(time.Millisecond) {
 		if set.Begin("cold", RequestInfo{Batch: true}, at) != nil {
@@ -101,9 +101,9 @@
 	}
 }
 
-func TestCold_PresumedAfterAnEvacuation(t *testing.T) {
+func TestCold_AfterEvacuation(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := coldSet("a", []string{"a"}, true, now)
+	set := newColdSet("a", []string{"a"}, true, now)
 	set.setEvacuated(map[string]bool{"": true}, now)
 	now = now.Add(10 * time.Second)
 	set.setEvacuated(nil, now)
@@ -116,31 +116,31 @@
 	}
 }
 
-func TestCold_OneThatIsUnreachableIsTriedByItsFeedersAlone(t *testing.T) {
+func TestCold_UnreachableReplicaIsTriedBySendersOnly(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := coldSet("a", []string{"a", "b", "c", "d", "e"}, false, now)
-	for number := range 20 {
-		set.put(Info{ID: fmt.Sprint("r", number), Pool: testPool, Slots: 8}, now)
+	set := newColdSet("a", []string{"a", "b", "c", "d", "e"}, false, now)
+	for i := range 20 {
+		set.put(Info{ID: fmt.Sprint("r", i), Pool: testPool, Slots: 8}, now)
 	}
 	now = now.Add(10 * time.Second)
 	set.Begin("cold", RequestInfo{}, now).Received(now)
 	tried, later := 0, now.Add(ejectionFirst/2)
-	for number := range 20 {
-		id := fmt.Sprint("r", number)
+	for i := range 20 {
+		id := fmt.Sprint("r", i)
 		set.Begin(id, RequestInfo{}, now).End(Unreachable, now)
 		tried += admitted(set, id, 5, later)
 	}
 	if tried == 0 || tried == 20 {
 		t.Errorf("one of five nodes tries %d of 20 unreachable replicas", tried)
 	}
-	if over := now.Add(ejectionFirst); admitted(set, "r0", 5, over) != 5 {
+	if afterEjection := now.Add(ejectionFirst); admitted(set, "r0", 5, afterEjection) != 5 {
 		t.Error("a replica that was unreachable stays bounded")
 	}
 }
 
-func TestCold_OneThatWasUnreachableIsWarmOnceItAnswers(t *testing.T) {
+func TestCold_WarmOnceItAnswersAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := coldSet("a", []string{"a"}, true, now)
+	set := newColdSet("a", []string{"a"}, true, now)
 	now = now.Add(10 * time.Second)
 	set.Begin("cold", RequestInfo{}, now).Received(now)
 	set.Begin("warm", RequestInfo{}, now).End(Unreachable, now)
@@ -159,9 +159,9 @@
 	}
 }
 
-func TestCold_NotPresumedWhereTheNodeItselfIsCutOff(t *testing.T) {
+func TestCold_NotWhenNodeIsCutOff(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := coldSet("a", []string{"a"}, true, now)
+	set := newColdSet("a", []string{"a"}, true, now)
 	now = now.Add(10 * time.Second)
 	set.Begin("warm", RequestInfo{}, now).End(Unreachable, now)
 	if admitted(set, "warm", 5, now) != 5 {
@@ -169,14 +169,14 @@
 	}
 }
 
-func TestCold_NewFeederWaitsForTheOneBefore(t *testing.T) {
+func TestColdSenders_NewSenderWaits(t *testing.T) {
 	now := time.Unix(1000, 0)
 	nodes := []string{"a", "b", "c", "d", "e"}
 	for _, node := range nodes {
-		set := coldSet(node, nodes, false, now)
-		fed := set.Begin("cold", RequestInfo{}, now) != nil
-		set.Divide(node, nowhere(node))
-		if sends := set.Begin("cold", RequestInfo{}, now.Add(time.Millisecond)) != nil; sends && !fed {
+		set := newColdSet(node, nodes, false, now)
+		wasSender := set.Begin("cold", RequestInfo{}, now) != nil
+		set.Divide(node, nodesWithoutPlace(node))
+		if sends := set.Begin("cold", RequestInfo{}, now.Add(time.Millisecond)) != nil; sends && !wasSender {
 			t.Errorf("%s feeds the replica at once after a change of the members", node)
 		}
 		if set.Begin("cold", RequestInfo{}, now.Add(1100*time.Millisecond)) == nil {
@@ -185,9 +185,9 @@
 	}
 }
 
-func TestCold_WithoutALimitNothingChanges(t *testing.T) {
+func TestCold_NoLimit(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := coldSet("a", []string{"a", "b"}, false, now)
+	set := newColdSet("a", []string{"a", "b"}, false, now)
 	set.SetColdLimits(nil)
 	for range 50 {
 		if set.Begin("cold", RequestInfo{}, now) == nil {
@@ -196,9 +196,9 @@
 	}
 }
 
-func TestColdChanges_TellsOnce(t *testing.T) {
+func TestColdChanges_ReportsEachChangeOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := coldSet("a", []string{"a"}, true, now)
+	set := newColdSet("a", []string{"a"}, true, now)
 	changes := set.ColdChanges(now)
 	if len(changes) != 1 || !changes[0].Cold || changes[0].Left != 3*time.Second || set.CountCold(now) != 1 {
 		t.Fatalf("told %+v", changes)
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestColdTolerance_PartsOfTwoViewsKeepTheBound(t *testing.T) {
+func TestColdTolerance_SplitKeepsBoundForTwoViews(t *testing.T) {
 	for _, rate := range []float64{0.5, 1, 2, 4, 15, 100} {
 		for _, tolerance := range []ColdTolerance{{}, {Over: 1.5, Slack: 5}, {Over: 1, Slack: 10}, {Over: 3}} {
 			nodes, part := tolerance.split(rate)
@@ -220,41 +220,41 @@
 			if part < 1 {
 				views = 1
 			}
-			if most := float64(views*nodes) * (part + 1); part > 0 && most > max(2, tolerance.bound(rate)+1e-9) {
+			if maxSent := float64(views*nodes) * (part + 1); part > 0 && maxSent > max(2, tolerance.bound(rate)+1e-9) {
 				t.Errorf("rate %v, %+v: %d nodes with %v each", rate, tolerance, nodes, part)
 			}
 		}
 	}
 }
 
-func TestCold_OneNodeOfTheZoneFeeds(t *testing.T) {
+func TestColdSenders_IncludeNodeOfZone(t *testing.T) {
 	now := time.Unix(1000, 0)
 	zones := map[string]string{"a1": "a", "a2": "a", "a3": "a", "a4": "a", "b1": "b", "b2": "b", "b3": "b", "b4": "b"}
 	nodes := slices.Collect(maps.Keys(zones))
 	sets := map[string]*Set{}
 	for _, node := range nodes {
-		var placed []place.Node
-		for _, one := range nodes {
-			placed = append(placed, place.Node{ID: one, Place: place.Place{Zone: zones[one]}})
+		var members []place.Node
+		for _, id := range nodes {
+			members = append(members, place.Node{ID: id, Place: place.Place{Zone: zones[id]}})
 		}
-		sets[node] = coldSet(node, nil, false, now)
-		sets[node].Divide(node, placed)
+		sets[node] = newColdSet(node, nil, false, now)
+		sets[node].Divide(node, members)
 	}
-	for number := range 50 {
-		feeds, id := map[string]int{}, fmt.Sprint("r", number)
+	for i := range 50 {
+		sentByZone, id := map[string]int{}, fmt.Sprint("r", i)
 		for node, set := range sets {
 			set.put(Info{ID: id, Pool: testPool, Zone: "b", Slots: 8, ColdLeft: time.Second}, now)
-			feeds[zones[node]] += admitted(set, id, 2, now)
+			sentByZone[zones[node]] += admitted(set, id, 2, now)
 		}
-		if feeds["b"] == 0 || feeds["a"]+feeds["b"] != maxColdSenders {
-			t.Errorf("%s is fed by zone: %v", id, feeds)
+		if sentByZone["b"] == 0 || sentByZone["a"]+sentByZone["b"] != maxColdSenders {
+			t.Errorf("%s is fed by zone: %v", id, sentByZone)
 		}
 	}
 }
 
-// TestCold_HoldsWhileAPartOfTheNodesIsCutOff has half of the nodes see those that were
+// TestColdRate_HoldsWithTwoMembershipViews has half of the nodes see those that were
 // there before, and the other half only itself.
-func TestCold_HoldsWhileAPartOfTheNodesIsCutOff(t *testing.T) {
+func TestColdRate_HoldsWithTwoMembershipViews(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var all []string
 	for i := range 20 {
@@ -266,10 +266,10 @@
 		if i >= len(all)/2 {
 			view = all[len(all)/2:]
 		}
-		sets = append(sets, coldSet(node, view, false, now))
+		sets = append(sets, newColdSet(node, view, false, now))
 	}
-	for number := range 100 {
-		id, got := fmt.Sprint("r", number), 0
+	for i := range 100 {
+		id, got := fmt.Sprint("r", i), 0
 		for _, set := range sets {
 			set.put(Info{ID: id, Pool: testPool, Slots: 8, ColdLeft: time.Second}, now)
 			for at := now; at.Before(now.Add(time.Second)); at = at.Add(10 * time.Millisecond) {
@@ -282,14 +282,14 @@
 	}
 }
 
-// TestCold_HoldsWhileNodesOfAZoneStartTogether has the nodes of a zone that comes back go by what others
+// TestColdRate_HoldsWhileNodesOfZoneStartTogether has the nodes of a zone that comes back go by what others
 // know, beside a store that does not answer: each knows itself and those of the other zones. Each was
 // then the only node of the zone in its own view, and fed each cold replica there by itself.
 //
 // Seen in a soak (--seed 7244 --nodes 20 --servers 24 --slots 4 --regions 2): server-8 got 12 requests in
 // a second, 8 may. "attempt sent" to it, cold, each 500 ms by node-2, 8, 11, 14 and 17, all of its zone,
 // which had been lost and had started 2 s before, "started by what another node knows".
-func TestCold_HoldsWhileNodesOfAZoneStartTogether(t *testing.T) {
+func TestColdRate_HoldsWhileNodesOfZoneStartTogether(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var others, starting []place.Node
 	for i := range 14 {
@@ -300,16 +300,16 @@
 	}
 	sets := map[string]*Set{}
 	for _, node := range others {
-		sets[node.ID] = coldSet(node.ID, nil, false, now)
+		sets[node.ID] = newColdSet(node.ID, nil, false, now)
 		sets[node.ID].Divide(node.ID, others)
 	}
 	for _, node := range starting {
-		sets[node.ID] = coldSet(node.ID, nil, false, now)
+		sets[node.ID] = newColdSet(node.ID, nil, false, now)
 		sets[node.ID].SetJoined(false)
 		sets[node.ID].Divide(node.ID, append(slices.Clone(others), node))
 	}
-	for number := range 50 {
-		id, got, fromOthers := fmt.Sprint("r", number), 0, 0
+	for i := range 50 {
+		id, got, fromOthers := fmt.Sprint("r", i), 0, 0
 		for node, set := range sets {
 			set.put(Info{ID: id, Pool: testPool, Zone: "back", Slots: 8, ColdLeft: time.Second}, now)
 			for at := now; at.Before(now.Add(time.Second)); at = at.Add(10 * time.Millisecond) {
@@ -331,13 +331,13 @@
 	first := sets[starting[0].ID]
 	first.SetJoined(true)
 	first.Divide(starting[0].ID, append(slices.Clone(others), starting...))
-	fed := 0
-	for number := range 50 {
-		id := fmt.Sprint("later", number)
+	sent := 0
+	for i := range 50 {
+		id := fmt.Sprint("later", i)
 		first.put(Info{ID: id, Pool: testPool, Zone: "back", Slots: 8, ColdLeft: time.Second}, now)
-		fed += admitted(first, id, 1, now.Add(100*time.Millisecond))
+		sent += admitted(first, id, 1, now.Add(100*time.Millisecond))
 	}
-	if fed == 0 {
+	if sent == 0 {
 		t.Error("a node that has joined feeds none of 50 cold replicas of its zone")
 	}
 }
--- a/internal/replica/coldgrant_test.go
+++ b/internal/replica/coldgrant_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-func TestGrantCold_ComesOutOfTheNodesOwnPart(t *testing.T) {
+func TestGrantCold_UsesOwnPartOfRate(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := coldSet("a", []string{"a"}, true, now)
+	set := newColdSet("a", []string{"a"}, true, now)
 	if !set.GrantCold("cold", now) {
 		t.Fatal("nothing was granted though nothing was sent")
 	}
@@ -23,21 +23,21 @@
 	}
 }
 
-func TestFeeders_AgreeWithWhoFeeds(t *testing.T) {
+func TestColdSenders_MatchNodesThatSend(t *testing.T) {
 	now := time.Unix(1000, 0)
 	nodes := []string{"a", "b", "c", "d", "e", "f", "g"}
-	feeds := map[string]bool{}
+	sends := map[string]bool{}
 	for _, node := range nodes {
-		feeds[node] = admitted(coldSet(node, nodes, false, now), "cold", 1, now) == 1
+		sends[node] = admitted(newColdSet(node, nodes, false, now), "cold", 1, now) == 1
 	}
-	set := coldSet("other", nodes, false, now)
-	named := set.ColdSenders(testPool, &Criteria{}, now)
-	if len(named) != maxColdSenders {
-		t.Fatalf("named %v", named)
+	set := newColdSet("other", nodes, false, now)
+	senders := set.ColdSenders(testPool, &Criteria{}, now)
+	if len(senders) != maxColdSenders {
+		t.Fatalf("named %v", senders)
 	}
-	for _, one := range named {
-		if one.Replica != "cold" || !feeds[one.Node] {
-			t.Errorf("%+v does not feed it: %v", one, feeds)
+	for _, sender := range senders {
+		if sender.Replica != "cold" || !sends[sender.Node] {
+			t.Errorf("%+v does not feed it: %v", sender, sends)
 		}
 	}
 }
--- a/internal/replica/coldlist_test.go
+++ b/internal/replica/coldlist_test.go
@@ -11,9 +11,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-func TestListedAsOf_AnOldListMakesReplicasPresumedCold(t *testing.T) {
+func TestSetListTime_OldListMakesReplicasPresumedCold(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := coldSet("a", []string{"a"}, true, now)
+	set := newColdSet("a", []string{"a"}, true, now)
 	later := now.Add(time.Minute)
 	if got := admitted(set, "warm", 5, later); got != 5 {
 		t.Fatalf("admitted %d of 5 though nobody tells of the list's age", got)
@@ -45,9 +45,9 @@
 	}
 }
 
-func TestListedAsOf_AnOldListBoundsOnlyPoolsWithALimit(t *testing.T) {
+func TestSetListTime_AffectsOnlyPoolsWithLimit(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := coldSet("a", []string{"a"}, false, now)
+	set := newColdSet("a", []string{"a"}, false, now)
 	set.put(Info{ID: "other", Pool: "other", Slots: 8}, now)
 	set.SetListTime(now, now)
 	if got := admitted(set, "other", 5, now.Add(time.Minute)); got != 5 {
@@ -67,23 +67,23 @@
 	return count
 }
 
-func TestGrantPresumed_TellsThatAReplicaIsWarm(t *testing.T) {
+func TestGrantPresumed_UnlimitedIfWarm(t *testing.T) {
 	now := time.Unix(1000, 0)
 	old := now.Add(time.Minute)
-	set := coldSet("a", []string{"a"}, true, now)
+	set := newColdSet("a", []string{"a"}, true, now)
 	set.SetListTime(now, now)
-	for _, one := range []struct {
-		why, id string
-		at      time.Time
-		want    int
+	for _, tc := range []struct {
+		name, id string
+		at       time.Time
+		want     int
 	}{
 		{"warm by a current list", "warm", now, 3},
 		{"cold, the node's own part", "cold", now, 1},
 		{"not there", "other", now, 0},
 		{"warm by an old list, the node's own part", "warm", old, 1},
 	} {
-		if got := granted(set, one.id, one.at); got != one.want {
-			t.Errorf("%s: %d places, want %d", one.why, got, one.want)
+		if got := granted(set, tc.id, tc.at); got != tc.want {
+			t.Errorf("%s: %d places, want %d", tc.name, got, tc.want)
 		}
 	}
 	set.setEvacuated(map[string]bool{"": true}, now)
@@ -95,8 +95,8 @@
 // outageFleet is a fleet in an outage of the store: all lists are old, and no replica is
 // cold.
 type outageFleet struct {
-	sets  map[string]*Set
-	names []string
+	sets    map[string]*Set
+	nodeIDs []string
 	// waiting are the requests without a place.
 	waiting []outageRequest
 	waits   []time.Duration
@@ -104,14 +104,14 @@
 }
 
 type outageRequest struct {
-	node           string
-	arrived, tries time.Time
+	node             string
+	arrived, retryAt time.Time
 }
 
 const (
 	outageStep = 5 * time.Millisecond
-	// outageLook is the pause between two questions of a request, as in package forward.
-	outageLook = 100 * time.Millisecond
+	// retryInterval is the pause between two questions of a request, as in package forward.
+	retryInterval = 100 * time.Millisecond
 )
 
 func newOutageFleet(nodes, replicas int, now time.Time) *outageFleet {
@@ -130,7 +130,7 @@
 			set.put(Info{ID: fmt.Sprint("r", i), Pool: testPool, Zone: zoneOf(i), Slots: 8}, now)
 		}
 		set.SetListTime(now, now)
-		f.sets[member.ID], f.names = set, append(f.names, member.ID)
+		f.sets[member.ID], f.nodeIDs = set, append(f.nodeIDs, member.ID)
 	}
 	return f
 }
@@ -139,12 +139,12 @@
 func (f *outageFleet) serve(now time.Time) {
 	waiting := f.waiting[:0]
 	for _, request := range f.waiting {
-		if now.Before(request.tries) {
+		if now.Before(request.retryAt) {
 			waiting = append(waiting, request)
 			continue
 		}
-		if wait, placed := f.try(request.node, now); !placed {
-			request.tries = now.Add(wait)
+		if wait, placed := f.tryPlace(request.node, now); !placed {
+			request.retryAt = now.Add(wait)
 			waiting = append(waiting, request)
 			continue
 		}
@@ -153,48 +153,48 @@
 	f.waiting = waiting
 }
 
-// try looks for a place in the node's own part, then in that of a node that it asks.
-func (f *outageFleet) try(node string, now time.Time) (wait time.Duration, placed bool) {
+// tryPlace looks for a place in the node's own part, then in that of a node that it asks.
+func (f *outageFleet) tryPlace(node string, now time.Time) (wait time.Duration, placed bool) {
 	set := f.sets[node]
-	demand := &Criteria{RequestInfo: RequestInfo{Tokens: 100}}
-	chosen, err := Pick(set.SnapshotFor(testPool, demand, now), demand, Weights{})
+	criteria := &Criteria{RequestInfo: RequestInfo{Tokens: 100}}
+	chosen, err := Pick(set.SnapshotFor(testPool, criteria, now), criteria, Weights{})
 	if err == nil {
-		set.Begin(chosen.ID, demand.RequestInfo, now).End(Succeeded, now)
+		set.Begin(chosen.ID, criteria.RequestInfo, now).End(Succeeded, now)
 		return 0, true
 	}
-	none := (*NoReplicaError)(nil)
-	if errors.As(err, &none) && none.ColdWait <= outageLook {
-		return none.ColdWait, false
+	noReplica := (*NoReplicaError)(nil)
+	if errors.As(err, &noReplica) && noReplica.ColdWait <= retryInterval {
+		return noReplica.ColdWait, false
 	}
-	feeders := set.ColdSenders(testPool, demand, now)
-	if len(feeders) == 0 {
-		return outageLook, false
+	senders := set.ColdSenders(testPool, criteria, now)
+	if len(senders) == 0 {
+		return retryInterval, false
 	}
-	asked := feeders[f.random.IntN(len(feeders))]
-	return outageLook, f.sets[asked.Node].GrantPresumed(asked.Replica, now)
+	sender := senders[f.random.IntN(len(senders))]
+	return retryInterval, f.sets[sender.Node].GrantPresumed(sender.Replica, now)
 }
 
-// TestListedAsOf_AnOutageOfTheStoreStarvesNobody has all lists of a large deployment be old
+// TestSetListTime_RequestsAreServedDuringStoreOutage has all lists of a large deployment be old
 // for long, at its usual traffic: 335 requests a second of 76 nodes to 89 replicas. What
 // replicas that may be cold get is above that.
-func TestListedAsOf_AnOutageOfTheStoreStarvesNobody(t *testing.T) {
+func TestSetListTime_RequestsAreServedDuringStoreOutage(t *testing.T) {
 	const nodes, replicas, perSecond, length = 76, 89, 335, 10 * time.Second
-	began := time.Unix(1000, 0)
-	f := newOutageFleet(nodes, replicas, began)
-	now := began.Add(time.Minute)
-	owed := 0.0
+	start := time.Unix(1000, 0)
+	f := newOutageFleet(nodes, replicas, start)
+	now := start.Add(time.Minute)
+	backlog := 0.0
 	for end := now.Add(length); now.Before(end); now = now.Add(outageStep) {
-		for owed += perSecond * outageStep.Seconds(); owed >= 1; owed-- {
-			f.waiting = append(f.waiting, outageRequest{node: f.names[f.random.IntN(nodes)], arrived: now, tries: now})
+		for backlog += perSecond * outageStep.Seconds(); backlog >= 1; backlog-- {
+			f.waiting = append(f.waiting, outageRequest{node: f.nodeIDs[f.random.IntN(nodes)], arrived: now, retryAt: now})
 		}
 		f.serve(now)
 	}
 	slices.Sort(f.waits)
-	at := func(share float64) time.Duration { return f.waits[int(share*float64(len(f.waits)-1))] }
-	t.Logf("%d placed, %d wait; median %v, 95%% %v, 99%% %v, longest %v", len(f.waits), len(f.waiting), at(0.5), at(0.95), at(0.99), at(1))
+	quantile := func(share float64) time.Duration { return f.waits[int(share*float64(len(f.waits)-1))] }
+	t.Logf("%d placed, %d wait; median %v, 95%% %v, 99%% %v, longest %v", len(f.waits), len(f.waiting), quantile(0.5), quantile(0.95), quantile(0.99), quantile(1))
 	// It is the time to the first event that such deployments ask for.
 	const objective = 300 * time.Millisecond
-	if len(f.waiting) > perSecond/10 || at(0.99) > objective {
-		t.Errorf("%d requests wait at the end, of the others 1%% waited for more than %v", len(f.waiting), at(0.99))
+	if len(f.waiting) > perSecond/10 || quantile(0.99) > objective {
+		t.Errorf("%d requests wait at the end, of the others 1%% waited for more than %v", len(f.waiting), quantile(0.99))
 	}
 }
--- a/internal/replica/distance_test.go
+++ b/internal/replica/distance_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// northAndSouth returns a set with so many replicas in either region.
-func northAndSouth(north, south int) *Set {
+// newTwoRegionSet returns a set with so many replicas in either region.
+func newTwoRegionSet(north, south int) *Set {
 	set := NewSet()
 	for i := range north {
 		set.Put(Info{ID: fmt.Sprintf("north-%d", i), Pool: testPool, Zone: "n", Region: "north", Slots: 4})
@@ -18,20 +18,20 @@
 	return set
 }
 
-var apart = Weights{CrossZone: 6 * time.Millisecond, CrossRegion: 40 * time.Millisecond}
+var testWeights = Weights{CrossZone: 6 * time.Millisecond, CrossRegion: 40 * time.Millisecond}
 
 func pickNorth(t *testing.T, set *Set, affinity uint64) *Candidate {
 	t.Helper()
-	demand := &Criteria{Zone: "n", Region: "north", Affinity: affinity, SharedTokens: 200, RequestInfo: RequestInfo{Tokens: 450}}
-	best, err := Pick(set.SnapshotFor(testPool, demand, time.Now()), demand, apart)
+	criteria := &Criteria{Zone: "n", Region: "north", Affinity: affinity, SharedTokens: 200, RequestInfo: RequestInfo{Tokens: 450}}
+	best, err := Pick(set.SnapshotFor(testPool, criteria, time.Now()), criteria, testWeights)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return best
 }
 
-func TestPick_StaysInItsRegionWhileThatIsSooner(t *testing.T) {
-	set, now := northAndSouth(1, 1), time.Now()
+func TestPick_PrefersOwnRegionUnlessWaitIsLonger(t *testing.T) {
+	set, now := newTwoRegionSet(1, 1), time.Now()
 	for range 3 {
 		set.Begin("north-0", RequestInfo{}, now)
 	}
@@ -46,38 +46,38 @@
 	}
 }
 
-// TestPick_APrefixHasAHomeInEachRegion: the home of the whole fleet would be too far for
+// TestPick_AffinityReplicaPerRegion: the home of the whole fleet would be too far for
 // two of three regions, and their requests would read the prefix at any replica.
-func TestPick_APrefixHasAHomeInEachRegion(t *testing.T) {
-	set, now := northAndSouth(6, 60), time.Now()
+func TestPick_AffinityReplicaPerRegion(t *testing.T) {
+	set, now := newTwoRegionSet(6, 60), time.Now()
 	for affinity := range uint64(20) {
-		home := affinityEntry(nearby(set.pool(testPool), "north"), affinity+1, now)
+		want := affinityEntry(nearby(set.pool(testPool), "north"), affinity+1, now)
 		for range 5 {
-			if best := pickNorth(t, set, affinity+1); best.ID != home.info.ID {
-				t.Fatalf("prefix %d: chose %s, its home in the north is %s", affinity, best.ID, home.info.ID)
+			if best := pickNorth(t, set, affinity+1); best.ID != want.info.ID {
+				t.Fatalf("prefix %d: chose %s, its home in the north is %s", affinity, best.ID, want.info.ID)
 			}
 		}
 	}
 }
 
-// TestPick_ACostOfZonesAloneHoldsForRegions: settings of an earlier version know no
+// TestPick_CrossZoneCostAppliesToRegions: settings of an earlier version know no
 // cost of regions.
-func TestPick_ACostOfZonesAloneHoldsForRegions(t *testing.T) {
-	set := northAndSouth(1, 1)
-	demand := &Criteria{Zone: "n", Region: "north"}
-	best, err := Pick(set.SnapshotFor(testPool, demand, time.Now()), demand, Weights{CrossZone: time.Millisecond})
+func TestPick_CrossZoneCostAppliesToRegions(t *testing.T) {
+	set := newTwoRegionSet(1, 1)
+	criteria := &Criteria{Zone: "n", Region: "north"}
+	best, err := Pick(set.SnapshotFor(testPool, criteria, time.Now()), criteria, Weights{CrossZone: time.Millisecond})
 	if err != nil || best.Region != "north" {
 		t.Fatalf("chose %v, %v", best, err)
 	}
 }
 
-// TestSet_SampleIsOfTheOwnRegion looks at a pool where this node has no slots: its
+// TestSnapshotFor_SamplesMostlyOwnRegion looks at a pool where this node has no slots: its
 // random ones are nearby but for a few.
-func TestSet_SampleIsOfTheOwnRegion(t *testing.T) {
-	set, now := northAndSouth(30, 300), time.Now()
-	set.Divide("elsewhere", nowhere("elsewhere"))
-	for _, known := range set.pool(testPool) {
-		known.share = 0
+func TestSnapshotFor_SamplesMostlyOwnRegion(t *testing.T) {
+	set, now := newTwoRegionSet(30, 300), time.Now()
+	set.Divide("elsewhere", nodesWithoutPlace("elsewhere"))
+	for _, e := range set.pool(testPool) {
+		e.share = 0
 	}
 	south := 0
 	for range 50 {
--- a/internal/replica/divide_test.go
+++ b/internal/replica/divide_test.go
@@ -9,8 +9,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// nowhere returns nodes that have not told where they are.
-func nowhere(ids ...string) []place.Node {
+// nodesWithoutPlace returns nodes that have not told where they are.
+func nodesWithoutPlace(ids ...string) []place.Node {
 	var nodes []place.Node
 	for _, id := range ids {
 		nodes = append(nodes, place.Node{ID: id})
@@ -36,23 +36,23 @@
 
 // All nodes divide alike, so each slot is one node's, and no node has two more
 // than another.
-func TestShares_EachSlotIsOneNodes(t *testing.T) {
+func TestShares_EverySlotHasOneNode(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		nodes := testNodes(rapid.IntRange(1, 40).Draw(rt, "nodes"))
 		replicas := testReplicas(rapid.IntRange(1, 30).Draw(rt, "replicas"), rapid.IntRange(1, 12).Draw(rt, "slots"))
-		dealt := make([]int, len(replicas))
+		allotted := make([]int, len(replicas))
 		least, most := 1<<30, 0
 		for _, node := range nodes {
 			total := 0
 			for i, share := range Shares(node.ID, nodes, replicas) {
-				dealt[i] += share
+				allotted[i] += share
 				total += share
 			}
 			least, most = min(least, total), max(most, total)
 		}
-		for i, one := range replicas {
-			if dealt[i] != one.Count {
-				rt.Fatalf("%d of %d slots of a replica are dealt", dealt[i], one.Count)
+		for i, r := range replicas {
+			if allotted[i] != r.Count {
+				rt.Fatalf("%d of %d slots of a replica are dealt", allotted[i], r.Count)
 			}
 		}
 		if most-least > 1 {
@@ -61,7 +61,7 @@
 	})
 }
 
-func TestShares_NodeThatIsNotKnownHasAll(t *testing.T) {
+func TestShares_UnknownNodeGetsAllSlots(t *testing.T) {
 	for _, share := range Shares("new", testNodes(3), testReplicas(4, 8)) {
 		if share != 8 {
 			t.Fatalf("share is %d of 8", share)
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -7,19 +7,19 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// newHalf returns a set with one replica of 8 slots, 4 of them this node's.
-func newHalf() *Set {
+// newSetWithHalfShare returns a set with one replica of 8 slots, 4 of them this node's.
+func newSetWithHalfShare() *Set {
 	set := NewSet()
 	set.Put(Info{ID: "r", Pool: testPool, Slots: 8})
-	set.Divide("a", nowhere("a", "b"))
+	set.Divide("a", nodesWithoutPlace("a", "b"))
 	return set
 }
 
-// TestSet_ItemsLeaveSlotsThatOtherNodesNeed runs items at a node without callers of
+// TestUpdateDemand_ExcessIfOtherNodesNeedSlots runs items at a node without callers of
 // its own: once others tell that they need more slots than they have, its items are in
 // excess and no more are started.
-func TestSet_ItemsLeaveSlotsThatOtherNodesNeed(t *testing.T) {
-	set, now := newHalf(), time.Unix(1000, 0)
+func TestUpdateDemand_ExcessIfOtherNodesNeedSlots(t *testing.T) {
+	set, now := newSetWithHalfShare(), time.Unix(1000, 0)
 	for range 4 {
 		set.Begin("r", RequestInfo{Batch: true}, now)
 	}
@@ -35,8 +35,8 @@
 	if excess := excess(); excess != 4 {
 		t.Fatalf("%d items in excess, want all 4: the fleet needs every slot", excess)
 	}
-	if room := set.FreeItemSlots(testPool, now); room > 0 {
-		t.Fatalf("room for %d items", room)
+	if free := set.FreeItemSlots(testPool, now); free > 0 {
+		t.Fatalf("room for %d items", free)
 	}
 	now = now.Add(2 * fleetMaxAge)
 	if excess := excess(); excess > 0 {
@@ -44,8 +44,8 @@
 	}
 }
 
-func TestSet_WhatIsToldIsNotTakenBlindly(t *testing.T) {
-	set, now := newHalf(), time.Unix(1000, 0)
+func TestRecordDemand_IgnoresInvalidReports(t *testing.T) {
+	set, now := newSetWithHalfShare(), time.Unix(1000, 0)
 	set.RecordDemand("unknown", 8, 4, now)
 	set.RecordDemand(testPool, -1, 4, now)
 	set.RecordDemand(testPool, 8, 0, now)
@@ -54,10 +54,10 @@
 	}
 }
 
-// TestSet_ItemsLeaveSlotsThatGuestsNeed: online requests of another region that find no
+// TestUpdateDemand_ExcessIfOtherRegionsNeedSlots: online requests of another region that find no
 // room at home come here, and items of this region make room for them.
-func TestSet_ItemsLeaveSlotsThatGuestsNeed(t *testing.T) {
-	set, now := newHalf(), time.Unix(1000, 0)
+func TestUpdateDemand_ExcessIfOtherRegionsNeedSlots(t *testing.T) {
+	set, now := newSetWithHalfShare(), time.Unix(1000, 0)
 	for range 4 {
 		set.Begin("r", RequestInfo{Batch: true}, now)
 	}
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestSet_NeedsCountRequestsInOtherRegions(t *testing.T) {
+func TestUpdateDemand_CountsRequestsInOtherRegions(t *testing.T) {
 	set, now := NewSet(), time.Unix(1000, 0)
 	set.Put(Info{ID: "home", Pool: testPool, Zone: "n", Region: "north", Slots: 8})
 	set.Put(Info{ID: "away", Pool: testPool, Zone: "s", Region: "south", Slots: 8})
--- a/internal/replica/lend_test.go
+++ b/internal/replica/lend_test.go
@@ -10,30 +10,30 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// placedNodes returns nodes of a region, in two zones by turns.
-func placedNodes(region string, count int) []place.Node {
+// regionNodes returns nodes of a region, in two zones by turns.
+func regionNodes(region string, count int) []place.Node {
 	var nodes []place.Node
 	for i := range count {
-		nodes = append(nodes, place.Node{ID: fmt.Sprintf("%s-%03d", region, i), Place: twoZones(region, i)})
+		nodes = append(nodes, place.Node{ID: fmt.Sprintf("%s-%03d", region, i), Place: placeInRegion(region, i)})
 	}
 	return nodes
 }
 
-// placedReplicas returns replicas of a region, in two zones by turns.
-func placedReplicas(region string, count, slots int) []ReplicaSlots {
+// regionReplicas returns replicas of a region, in two zones by turns.
+func regionReplicas(region string, count, slots int) []ReplicaSlots {
 	var replicas []ReplicaSlots
 	for i := range count {
-		replicas = append(replicas, ReplicaSlots{Key: Key(fmt.Sprintf("r-%s-%d", region, i)), Count: slots, Place: twoZones(region, i)})
+		replicas = append(replicas, ReplicaSlots{Key: Key(fmt.Sprintf("r-%s-%d", region, i)), Count: slots, Place: placeInRegion(region, i)})
 	}
 	return replicas
 }
 
-func twoZones(region string, i int) place.Place {
+func placeInRegion(region string, i int) place.Place {
 	return place.Place{Zone: fmt.Sprintf("%s-%c", region, 'a'+i%2), Region: region}
 }
 
-// sharesOf returns the shares of all nodes.
-func sharesOf(nodes []place.Node, replicas []ReplicaSlots) map[string][]int {
+// allShares returns the shares of all nodes.
+func allShares(nodes []place.Node, replicas []ReplicaSlots) map[string][]int {
 	all := map[string][]int{}
 	for _, node := range nodes {
 		all[node.ID] = Shares(node.ID, nodes, replicas)
@@ -49,132 +49,132 @@
 	return sum
 }
 
-// away counts a node's slots in other regions.
-func away(node place.Node, replicas []ReplicaSlots, shares []int) int {
+// slotsOutsideRegion counts a node's slots in other regions.
+func slotsOutsideRegion(node place.Node, replicas []ReplicaSlots, shares []int) int {
 	sum := 0
-	for i, one := range replicas {
-		if one.Place.Region != node.Region {
+	for i, r := range replicas {
+		if r.Place.Region != node.Region {
 			sum += shares[i]
 		}
 	}
 	return sum
 }
 
-// TestShares_EachSlotIsOneNodesWhereverItIs divides among regions of any sizes, some
+// TestShares_EverySlotHasOneNodeAcrossRegions divides among regions of any sizes, some
 // without nodes or replicas: no slot is lost or counted twice, and no node is left with
 // less than its least part of the mean.
-func TestShares_EachSlotIsOneNodesWhereverItIs(t *testing.T) {
+func TestShares_EverySlotHasOneNodeAcrossRegions(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var nodes []place.Node
 		var replicas []ReplicaSlots
 		for _, region := range []string{"", "north", "south", "west"} {
-			nodes = append(nodes, placedNodes(region, rapid.IntRange(0, 12).Draw(rt, "nodes of "+region))...)
-			replicas = append(replicas, placedReplicas(region, rapid.IntRange(0, 12).Draw(rt, "replicas of "+region), rapid.IntRange(1, 12).Draw(rt, "slots"))...)
+			nodes = append(nodes, regionNodes(region, rapid.IntRange(0, 12).Draw(rt, "nodes of "+region))...)
+			replicas = append(replicas, regionReplicas(region, rapid.IntRange(0, 12).Draw(rt, "replicas of "+region), rapid.IntRange(1, 12).Draw(rt, "slots"))...)
 		}
 		if len(nodes) == 0 {
 			rt.Skip("no nodes")
 		}
-		dealt, slots := make([]int, len(replicas)), 0
-		for _, one := range replicas {
-			slots += one.Count
+		allotted, slots := make([]int, len(replicas)), 0
+		for _, r := range replicas {
+			slots += r.Count
 		}
-		least := slots * minRegionPercent / (percent * len(nodes))
-		for id, shares := range sharesOf(nodes, replicas) {
+		minShare := slots * minRegionPercent / (percent * len(nodes))
+		for id, shares := range allShares(nodes, replicas) {
 			for i, share := range shares {
-				dealt[i] += share
+				allotted[i] += share
 			}
-			if has := total(shares); has < least-2 {
-				rt.Fatalf("%s has %d slots, the least is %d", id, has, least)
+			if got := total(shares); got < minShare-2 {
+				rt.Fatalf("%s has %d slots, the least is %d", id, got, minShare)
 			}
 		}
-		for i, one := range replicas {
-			if dealt[i] != one.Count {
-				rt.Fatalf("%d of %d slots of a replica are dealt", dealt[i], one.Count)
+		for i, r := range replicas {
+			if allotted[i] != r.Count {
+				rt.Fatalf("%d of %d slots of a replica are dealt", allotted[i], r.Count)
 			}
 		}
 	})
 }
 
-func TestShares_RegionsAlikeKeepToTheirOwn(t *testing.T) {
-	nodes := append(placedNodes("north", 15), placedNodes("south", 14)...)
-	replicas := append(placedReplicas("north", 10, 8), placedReplicas("south", 10, 8)...)
-	shares := sharesOf(nodes, replicas)
+func TestShares_EqualRegionsKeepTheirSlots(t *testing.T) {
+	nodes := append(regionNodes("north", 15), regionNodes("south", 14)...)
+	replicas := append(regionReplicas("north", 10, 8), regionReplicas("south", 10, 8)...)
+	shares := allShares(nodes, replicas)
 	for _, node := range nodes {
-		if count := away(node, replicas, shares[node.ID]); count > 0 {
+		if count := slotsOutsideRegion(node, replicas, shares[node.ID]); count > 0 {
 			t.Errorf("%s has %d slots in the other region", node.ID, count)
 		}
 	}
 }
 
-// TestShares_ZonesOfARegionAreLevel: crossing to the next zone costs little, so the
+// TestShares_EvenAcrossZonesOfRegion: crossing to the next zone costs little, so the
 // nodes of a region have alike though one of its zones has most replicas.
-func TestShares_ZonesOfARegionAreLevel(t *testing.T) {
-	nodes := placedNodes("north", 10)
-	replicas := placedReplicas("north", 20, 8)
+func TestShares_EvenAcrossZonesOfRegion(t *testing.T) {
+	nodes := regionNodes("north", 10)
+	replicas := regionReplicas("north", 20, 8)
 	for i := range replicas {
 		if i >= 4 {
 			replicas[i].Place.Zone = "north-a"
 		}
 	}
-	for id, shares := range sharesOf(nodes, replicas) {
-		if has := total(shares); has < 15 || has > 17 {
-			t.Errorf("%s has %d of 160 slots, one of 10 nodes", id, has)
+	for id, shares := range allShares(nodes, replicas) {
+		if got := total(shares); got < 15 || got > 17 {
+			t.Errorf("%s has %d of 160 slots, one of 10 nodes", id, got)
 		}
 	}
 }
 
-// TestShares_ARegionWithoutReplicasHasSlotsElsewhere: items that its nodes are given
+// TestShares_RegionWithoutReplicasGetsSlots: items that its nodes are given
 // would never run otherwise.
-func TestShares_ARegionWithoutReplicasHasSlotsElsewhere(t *testing.T) {
-	nodes := append(placedNodes("north", 10), placedNodes("south", 10)...)
-	replicas := placedReplicas("north", 20, 8)
-	for id, shares := range sharesOf(nodes, replicas) {
-		if has := total(shares); has < 4 {
-			t.Errorf("%s has %d slots; half the mean is 4", id, has)
+func TestShares_RegionWithoutReplicasGetsSlots(t *testing.T) {
+	nodes := append(regionNodes("north", 10), regionNodes("south", 10)...)
+	replicas := regionReplicas("north", 20, 8)
+	for id, shares := range allShares(nodes, replicas) {
+		if got := total(shares); got < 4 {
+			t.Errorf("%s has %d slots; half the mean is 4", id, got)
 		}
 	}
 }
 
-func TestShares_SlotsOfARegionWithoutNodesGoToTheOthers(t *testing.T) {
-	nodes := append(placedNodes("north", 4), placedNodes("south", 4)...)
-	replicas := append(append(placedReplicas("north", 4, 8), placedReplicas("south", 4, 8)...), placedReplicas("west", 4, 8)...)
-	for id, shares := range sharesOf(nodes, replicas) {
-		if has := total(shares); has != 12 {
-			t.Errorf("%s has %d of 96 slots, one of 8 nodes", id, has)
+func TestShares_RegionWithoutNodesLendsAllSlots(t *testing.T) {
+	nodes := append(regionNodes("north", 4), regionNodes("south", 4)...)
+	replicas := append(append(regionReplicas("north", 4, 8), regionReplicas("south", 4, 8)...), regionReplicas("west", 4, 8)...)
+	for id, shares := range allShares(nodes, replicas) {
+		if got := total(shares); got != 12 {
+			t.Errorf("%s has %d of 96 slots, one of 8 nodes", id, got)
 		}
 	}
 }
 
-// TestShares_AChangeMovesFewSlots counts the slots that change their node, and the pairs
+// TestShares_ChangeMovesFewSlots counts the slots that change their node, and the pairs
 // of node and replica that are new, for each of them costs a connection.
-func TestShares_AChangeMovesFewSlots(t *testing.T) {
+func TestShares_ChangeMovesFewSlots(t *testing.T) {
 	nodes, replicas := threeRegions(87, 60)
-	poor := slices.DeleteFunc(slices.Clone(replicas), func(one ReplicaSlots) bool { return one.Place.Region == "south" })
-	for _, one := range []struct {
-		name          string
-		before, after []ReplicaSlots
-		gone, most    int
+	withoutSouth := slices.DeleteFunc(slices.Clone(replicas), func(r ReplicaSlots) bool { return r.Place.Region == "south" })
+	for _, tc := range []struct {
+		name                  string
+		before, after         []ReplicaSlots
+		removedNode, maxMoved int
 	}{
-		{name: "a node goes", before: replicas, after: replicas, gone: 40, most: 40},
-		{name: "a replica goes", before: replicas, after: replicas[1:], gone: -1, most: 60},
-		{name: "a node goes, one region has no replicas", before: poor, after: poor, gone: 40, most: 60},
-		{name: "a replica goes, one region has no replicas", before: poor, after: poor[1:], gone: -1, most: 80},
+		{name: "a node goes", before: replicas, after: replicas, removedNode: 40, maxMoved: 40},
+		{name: "a replica goes", before: replicas, after: replicas[1:], removedNode: -1, maxMoved: 60},
+		{name: "a node goes, one region has no replicas", before: withoutSouth, after: withoutSouth, removedNode: 40, maxMoved: 60},
+		{name: "a replica goes, one region has no replicas", before: withoutSouth, after: withoutSouth[1:], removedNode: -1, maxMoved: 80},
 	} {
-		left := slices.Clone(nodes)
-		if one.gone >= 0 {
-			left = slices.Delete(left, one.gone, one.gone+1)
+		remaining := slices.Clone(nodes)
+		if tc.removedNode >= 0 {
+			remaining = slices.Delete(remaining, tc.removedNode, tc.removedNode+1)
 		}
 		// The first replica is the one that goes.
-		after := sharesOf(left, one.after)
-		if cut := len(one.before) - len(one.after); cut > 0 {
+		after := allShares(remaining, tc.after)
+		if removedReplicas := len(tc.before) - len(tc.after); removedReplicas > 0 {
 			for id := range after {
-				after[id] = append(make([]int, cut), after[id]...)
+				after[id] = append(make([]int, removedReplicas), after[id]...)
 			}
 		}
-		moved, pairs := moves(sharesOf(nodes, one.before), after)
-		t.Logf("%s: %d slots move, %d pairs are new", one.name, moved, pairs)
-		if moved > one.most {
-			t.Errorf("%s: %d slots move, at most %d should", one.name, moved, one.most)
+		moved, pairs := countMoves(allShares(nodes, tc.before), after)
+		t.Logf("%s: %d slots move, %d pairs are new", tc.name, moved, pairs)
+		if moved > tc.maxMoved {
+			t.Errorf("%s: %d slots move, at most %d should", tc.name, moved, tc.maxMoved)
 		}
 	}
 }
@@ -182,14 +182,14 @@
 // threeRegions returns nodes and replicas of three regions with two zones each.
 func threeRegions(nodes, replicas int) (all []place.Node, slots []ReplicaSlots) {
 	for _, region := range []string{"east", "north", "south"} {
-		all = append(all, placedNodes(region, nodes/3)...)
-		slots = append(slots, placedReplicas(region, replicas/3, 8)...)
+		all = append(all, regionNodes(region, nodes/3)...)
+		slots = append(slots, regionReplicas(region, replicas/3, 8)...)
 	}
 	return all, slots
 }
 
-// moves counts the slots that nodes have gained, and the replicas where a node had none.
-func moves(before, after map[string][]int) (slots, pairs int) {
+// countMoves counts the slots that nodes have gained, and the replicas where a node had none.
+func countMoves(before, after map[string][]int) (slots, pairs int) {
 	for node, shares := range after {
 		for i, share := range shares {
 			had := before[node][i]
@@ -214,7 +214,7 @@
 // BenchmarkShares_Unequal is the same with replicas in one of the regions only.
 func BenchmarkShares_Unequal(b *testing.B) {
 	nodes, _ := threeRegions(318, 0)
-	replicas := placedReplicas("north", 600, 8)
+	replicas := regionReplicas("north", 600, 8)
 	for b.Loop() {
 		Shares(nodes[7].ID, nodes, replicas)
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -18,7 +18,7 @@
 	return set
 }
 
-func ids(candidates []Candidate) map[string]bool {
+func idSet(candidates []Candidate) map[string]bool {
 	found := map[string]bool{}
 	for _, candidate := range candidates {
 		found[candidate.ID] = true
@@ -26,56 +26,56 @@
 	return found
 }
 
-func TestSet_LeavingReplicasAreNoCandidates(t *testing.T) {
+func TestSnapshot_ExcludesLeavingReplicas(t *testing.T) {
 	set := newSet(2)
 	set.Put(Info{ID: "r00", Pool: testPool, Leaving: true})
-	if found := ids(set.Snapshot(testPool, 0, time.Now())); found["r00"] || !found["r01"] {
+	if found := idSet(set.Snapshot(testPool, 0, time.Now())); found["r00"] || !found["r01"] {
 		t.Fatalf("candidates are %v", found)
 	}
 }
 
-func TestSet_GoneInCalmIsGoneAtOnce(t *testing.T) {
+func TestRemove_ImmediateWithoutOutage(t *testing.T) {
 	set, now := newSet(2), time.Now()
 	set.Remove("r00", now)
-	if found := ids(set.Snapshot(testPool, 0, now)); found["r00"] {
+	if found := idSet(set.Snapshot(testPool, 0, now)); found["r00"] {
 		t.Fatal("a replica that left the list is still a candidate")
 	}
 }
 
-func TestSet_LapsedInALongOutageStaysForAWhile(t *testing.T) {
+func TestRemove_GracePeriodAfterLongOutage(t *testing.T) {
 	set, now := newSet(2), time.Now()
 	set.OutageEnded(6*time.Second, now)
 	set.Remove("r00", now)
-	if found := ids(set.Snapshot(testPool, 0, now)); !found["r00"] {
+	if found := idSet(set.Snapshot(testPool, 0, now)); !found["r00"] {
 		t.Fatal("a replica whose entry lapsed in an outage is no candidate")
 	}
-	if found := ids(set.Snapshot(testPool, 0, now.Add(delistedGrace+time.Millisecond))); found["r00"] {
+	if found := idSet(set.Snapshot(testPool, 0, now.Add(delistedGrace+time.Millisecond))); found["r00"] {
 		t.Fatal("a lapsed replica that is not listed again is still a candidate")
 	}
 }
 
-func TestSet_GoneSoonAfterAnOutageIsGoneAtOnce(t *testing.T) {
+func TestRemove_ImmediateIfLongAfterOutage(t *testing.T) {
 	// A finding: a replica that left 3 s after an outage was sent requests for
 	// 2.7 s more, past the drain bound.
 	set, now := newSet(2), time.Now()
 	set.OutageEnded(6*time.Second, now)
 	later := now.Add(3 * time.Second)
 	set.Remove("r00", later)
-	if found := ids(set.Snapshot(testPool, 0, later)); found["r00"] {
+	if found := idSet(set.Snapshot(testPool, 0, later)); found["r00"] {
 		t.Fatal("a replica that left after the outage is still a candidate")
 	}
 }
 
-func TestSet_GoneInAShortOutageIsGoneAtOnce(t *testing.T) {
+func TestRemove_ImmediateAfterShortOutage(t *testing.T) {
 	set, now := newSet(2), time.Now()
 	set.OutageEnded(500*time.Millisecond, now)
 	set.Remove("r00", now)
-	if found := ids(set.Snapshot(testPool, 0, now)); found["r00"] {
+	if found := idSet(set.Snapshot(testPool, 0, now)); found["r00"] {
 		t.Fatal("no entry lapses in half a second")
 	}
 }
 
-func TestSet_FailuresEjectAndTimeBringsBack(t *testing.T) {
+func TestEnd_FailuresEjectTemporarily(t *testing.T) {
 	set, now := newSet(2), time.Now()
 	for range failuresToEject {
 		set.Begin("r00", RequestInfo{}, now).End(Failed, now)
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestSet_AbandonedRequestsTellNothing(t *testing.T) {
+func TestEnd_AbandonedRequestsDoNotEject(t *testing.T) {
 	set, now := newSet(1), time.Now()
 	for range 10 {
 		set.Begin("r00", RequestInfo{}, now).End(Abandoned, now)
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestUse_BusyReplicaIsNotSilent(t *testing.T) {
+func TestSilence_CountsDataOfOtherRequests(t *testing.T) {
 	set, now := newSet(1), time.Now()
 	waiting := set.Begin("r00", RequestInfo{}, now)
 	answered := set.Begin("r00", RequestInfo{}, now)
@@ -109,43 +109,43 @@
 	}
 }
 
-func TestUse_PressedAsksBatchToGiveWay(t *testing.T) {
+func TestRecordLoad_PreemptsItemsOfThisNode(t *testing.T) {
 	set, now := newSet(1), time.Now()
-	asked := 0
-	set.OnPressure = func(_ string, items int, _ Pressure) { asked = items }
+	preempted := 0
+	set.OnPressure = func(_ string, items int, _ Pressure) { preempted = items }
 	online := set.Begin("r00", RequestInfo{}, now)
 	online.RecordLoad(Load{Running: 4, Waiting: 9, Slots: 4}, now)
-	if asked != 0 {
+	if preempted != 0 {
 		t.Fatal("a node without batch items there is asked to give way")
 	}
 	set.Begin("r00", RequestInfo{Batch: true}, now)
 	online.RecordLoad(Load{Running: 4, Waiting: 9, Slots: 4}, now)
-	if asked != 1 {
-		t.Fatalf("%d items are asked to give way, want the only one", asked)
+	if preempted != 1 {
+		t.Fatalf("%d items are asked to give way, want the only one", preempted)
 	}
 }
 
 // A finding (kalendarik trouble-2): a replica counts requests whose prompt it reads
 // as waiting. Items gave way to them though slots were free: 1,407 times a day.
-func TestUse_NoItemGivesWayWhileSlotsAreFree(t *testing.T) {
+func TestRecordLoad_NoPreemptionWhileSlotsAreFree(t *testing.T) {
 	set, now := newSet(1), time.Now()
-	asked := 0
-	set.OnPressure = func(_ string, items int, _ Pressure) { asked += items }
+	preempted := 0
+	set.OnPressure = func(_ string, items int, _ Pressure) { preempted += items }
 	set.Begin("r00", RequestInfo{Batch: true}, now)
 	online := set.Begin("r00", RequestInfo{}, now)
 	online.RecordLoad(Load{Running: 1, Waiting: 3, Slots: 4}, now)
-	if asked != 0 {
-		t.Fatalf("%d items are asked to give way though the slots suffice", asked)
+	if preempted != 0 {
+		t.Fatalf("%d items are asked to give way though the slots suffice", preempted)
 	}
 }
 
-func TestSet_SampleOfALargePoolHoldsTheHome(t *testing.T) {
+func TestSnapshot_IncludesAffinityReplica(t *testing.T) {
 	set, now := newSet(300), time.Now()
 	const affinity = 12345
 	nodes := testNodes(200)
 	set.Divide(nodes[7].ID, nodes)
 	all := set.pool(testPool)
-	home := affinityEntry(all, affinity, now)
+	preferred := affinityEntry(all, affinity, now)
 	for range 20 {
 		sample := set.Snapshot(testPool, affinity, now)
 		own := 0
@@ -153,7 +153,7 @@
 			own += candidate.Share
 		}
 		// 1200 slots among 200 nodes.
-		if own != 6 || len(sample) > own+sampleRandom+1 || !ids(sample)[home.info.ID] {
+		if own != 6 || len(sample) > own+sampleRandom+1 || !idSet(sample)[preferred.info.ID] {
 			t.Fatalf("sample of %d replicas with %d own slots lacks some or the home", len(sample), own)
 		}
 	}
@@ -170,7 +170,7 @@
 	}
 }
 
-func TestPick_ItemsTakeOnlyThisNodesFreeSlots(t *testing.T) {
+func TestPick_ItemsUseOnlyOwnFreeSlots(t *testing.T) {
 	item := &Criteria{RequestInfo: RequestInfo{Batch: true}}
 	candidates := []Candidate{{Info: Info{ID: "a", Slots: 10}, Key: 1, Open: 2, Share: 2}}
 	if _, err := Pick(candidates, item, Weights{}); !errors.Is(err, ErrNoReplica) {
@@ -186,22 +186,22 @@
 	}
 }
 
-func TestPick_PrefixMeetsAtItsHomeUnlessThatIsBusy(t *testing.T) {
+func TestPick_PrefersAffinityReplicaUnlessBusy(t *testing.T) {
 	var candidates []Candidate
 	for i := range 8 {
 		candidates = append(candidates, Candidate{Info: Info{ID: fmt.Sprint(i), Slots: 12}, Key: Key(fmt.Sprint(i)), Share: 12, SlotTime: 60 * time.Millisecond})
 	}
-	demand := Criteria{RequestInfo: RequestInfo{Tokens: 9000}, SharedTokens: 6000, Affinity: 77}
-	home, err := Pick(candidates, &demand, Weights{})
+	criteria := Criteria{RequestInfo: RequestInfo{Tokens: 9000}, SharedTokens: 6000, Affinity: 77}
+	preferred, err := Pick(candidates, &criteria, Weights{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	home.Open = 3
-	if again, _ := Pick(candidates, &demand, Weights{}); again.ID != home.ID {
+	preferred.Open = 3
+	if again, _ := Pick(candidates, &criteria, Weights{}); again.ID != preferred.ID {
 		t.Fatal("a few requests drove the prefix from its home")
 	}
-	home.Open = 14
-	if again, _ := Pick(candidates, &demand, Weights{}); again.ID == home.ID {
+	preferred.Open = 14
+	if again, _ := Pick(candidates, &criteria, Weights{}); again.ID == preferred.ID {
 		t.Fatal("a full home still takes the prefix")
 	}
 }
@@ -219,7 +219,7 @@
 	}
 }
 
-func TestPick_ItemsLeaveTheFastestToOnlineRequests(t *testing.T) {
+func TestPick_ItemsLeaveFastestToOnlineRequests(t *testing.T) {
 	candidates := []Candidate{
 		{Info: Info{ID: "fast", Slots: 10, ReadingRate: 18000}, Key: 1, Share: 10},
 		{Info: Info{ID: "slow", Slots: 10, ReadingRate: 7000}, Key: 2, Share: 10},
--- a/internal/replica/restartuse_test.go
+++ b/internal/replica/restartuse_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// told reports whether a request knows that its replica has started again since.
-func told(use *Use) bool {
+// restarted reports whether a request knows that its replica has started again since.
+func restarted(use *Use) bool {
 	select {
 	case <-use.Restarted():
 		return true
@@ -18,73 +18,73 @@
 	}
 }
 
-func TestReborn_TellsWhatWasSentToTheStartBefore(t *testing.T) {
+func TestRestarted_NotifiesRequestsOfPreviousStart(t *testing.T) {
 	now := time.Now()
-	set := startedSet(2, now)
-	var noticed []Restart
-	set.OnRestart = func(restart Restart) { noticed = append(noticed, restart) }
-	uses := busy(set, now)
+	set := newStartedSet(2, now)
+	var restarts []Restart
+	set.OnRestart = func(restart Restart) { restarts = append(restarts, restart) }
+	uses := beginRequests(set, now)
 	// Two ask for the channel before, one after.
-	asked := uses[0].Restarted()
-	if told(uses[1]) {
+	early := uses[0].Restarted()
+	if restarted(uses[1]) {
 		t.Fatal("told of a start that is not known")
 	}
-	set.put(listed(firstBorn), now)
-	if told(uses[1]) {
+	set.put(infoStartedAt(firstStart), now)
+	if restarted(uses[1]) {
 		t.Fatal("told of a start that it was sent to")
 	}
 	// Born is smaller: a clock has stepped back.
-	set.put(listed(secondBorn), now)
+	set.put(infoStartedAt(secondStart), now)
 	next := set.Begin("r00", RequestInfo{}, now)
-	<-asked
+	<-early
 	for i, use := range uses {
-		if !told(use) {
+		if !restarted(use) {
 			t.Errorf("request %d is not told", i)
 		}
 	}
-	if told(next) {
+	if restarted(next) {
 		t.Error("a request to the new one is told")
 	}
-	if len(noticed) != 1 || noticed[0].Open != 3 || noticed[0].Batch != 1 || noticed[0].PreviousStartedUnixMs != firstBorn || noticed[0].Replica.StartedUnixMs != secondBorn {
-		t.Errorf("noticed %+v", noticed)
+	if len(restarts) != 1 || restarts[0].Open != 3 || restarts[0].Batch != 1 || restarts[0].PreviousStartedUnixMs != firstStart || restarts[0].Replica.StartedUnixMs != secondStart {
+		t.Errorf("noticed %+v", restarts)
 	}
 	// Another one, and then the words are those of three starts.
-	set.put(listed(thirdBorn), now)
-	if !told(next) || len(noticed) != 2 {
-		t.Errorf("the third start is not noticed: %+v", noticed)
+	set.put(infoStartedAt(thirdStart), now)
+	if !restarted(next) || len(restarts) != 2 {
+		t.Errorf("the third start is not noticed: %+v", restarts)
 	}
 }
 
-func TestReborn_TwoStartsBetweenTwoLooks(t *testing.T) {
+func TestRestarted_SkippedStart(t *testing.T) {
 	now := time.Now()
-	set := startedSet(2, now)
+	set := newStartedSet(2, now)
 	use := set.Begin("r00", RequestInfo{}, now)
-	set.put(listed(thirdBorn), now)
-	if !told(use) {
+	set.put(infoStartedAt(thirdStart), now)
+	if !restarted(use) {
 		t.Error("not told of the start after the next")
 	}
-	if _, before, _ := set.CurrentAndPrevious("r00"); before.StartedUnixMs != firstBorn {
+	if _, before, _ := set.CurrentAndPrevious("r00"); before.StartedUnixMs != firstStart {
 		t.Errorf("the start before is %d", before.StartedUnixMs)
 	}
 }
 
-// TestReborn_AfterItWasNotListed: a replica that is not listed any more may serve on. Only
+// TestRestarted_UnlistedReplica: a replica that is not listed any more may serve on. Only
 // its next start says that it does not.
-func TestReborn_AfterItWasNotListed(t *testing.T) {
+func TestRestarted_UnlistedReplica(t *testing.T) {
 	now := time.Now()
-	set := startedSet(2, now)
+	set := newStartedSet(2, now)
 	use := set.Begin("r00", RequestInfo{}, now)
 	set.Remove("r00", now)
-	late := set.BeginAt(listed(firstBorn), RequestInfo{}, now)
-	if told(use) || told(late) {
+	late := set.BeginAt(infoStartedAt(firstStart), RequestInfo{}, now)
+	if restarted(use) || restarted(late) {
 		t.Fatal("told of a start that is not known")
 	}
-	set.put(listed(secondBorn), now)
-	if !told(use) || !told(late) {
+	set.put(infoStartedAt(secondStart), now)
+	if !restarted(use) || !restarted(late) {
 		t.Error("not told of the start of a replica that was not listed")
 	}
-	if known := seen(t, set, "r00", now); known.Open != 0 {
-		t.Errorf("requests of the start before count: %+v", known)
+	if candidate := candidateByID(t, set, "r00", now); candidate.Open != 0 {
+		t.Errorf("requests of the start before count: %+v", candidate)
 	}
 	use.End(Failed, now)
 	late.End(Failed, now)
@@ -93,63 +93,63 @@
 	}
 }
 
-// TestReborn_RequestsSentSinceItRefusedAreTheNewOnes: the list tells late of a start; what was
+// TestRestarted_RequestsSentAfterUnreachable: the list tells late of a start; what was
 // sent after nothing listened there reached the new one.
-func TestReborn_RequestsSentSinceItRefusedAreTheNewOnes(t *testing.T) {
+func TestRestarted_RequestsSentAfterUnreachable(t *testing.T) {
 	now := time.Now()
-	set := startedSet(2, now)
+	set := newStartedSet(2, now)
 	before := set.Begin("r00", RequestInfo{Tokens: 5, Batch: true}, now)
 	now = now.Add(time.Second)
 	set.Begin("r00", RequestInfo{}, now).End(Unreachable, now)
 	now = now.Add(time.Second)
-	since := set.Begin("r00", RequestInfo{Tokens: 7, Batch: true}, now)
+	after := set.Begin("r00", RequestInfo{Tokens: 7, Batch: true}, now)
 	now = now.Add(time.Second)
-	set.put(listed(secondBorn), now)
-	if !told(before) || told(since) {
-		t.Errorf("told %v, %v; want true, false", told(before), told(since))
+	set.put(infoStartedAt(secondStart), now)
+	if !restarted(before) || restarted(after) {
+		t.Errorf("told %v, %v; want true, false", restarted(before), restarted(after))
 	}
-	if known := seen(t, set, "r00", now); known.Open != 1 || known.Batch != 1 || known.PendingTokens != 7 {
-		t.Errorf("the request at the new one is not counted there: %+v", known)
+	if candidate := candidateByID(t, set, "r00", now); candidate.Open != 1 || candidate.Batch != 1 || candidate.PendingTokens != 7 {
+		t.Errorf("the request at the new one is not counted there: %+v", candidate)
 	}
-	since.MarkPreempted()
-	since.FirstEvent(now)
-	since.End(Failed, now)
+	after.MarkPreempted()
+	after.FirstEvent(now)
+	after.End(Failed, now)
 	before.End(Failed, now)
-	if known := seen(t, set, "r00", now); known.Open != 0 || known.Batch != 0 || known.PendingTokens != 0 || known.FailureShare == 0 {
-		t.Errorf("after all ended: %+v", known)
+	if candidate := candidateByID(t, set, "r00", now); candidate.Open != 0 || candidate.Batch != 0 || candidate.PendingTokens != 0 || candidate.FailureShare == 0 {
+		t.Errorf("after all ended: %+v", candidate)
 	}
 	// A refusal long ago says nothing.
 	use := set.Begin("r00", RequestInfo{}, now)
-	set.put(listed(thirdBorn), now.Add(recentlyUnreachable+time.Second))
-	if !told(use) {
+	set.put(infoStartedAt(thirdStart), now.Add(recentlyUnreachable+time.Second))
+	if !restarted(use) {
 		t.Error("a request is taken as sent to the new one for a refusal long ago")
 	}
 }
 
-func TestFollow_TellsOfAStart(t *testing.T) {
+func TestFollow_NotifiesOfRestart(t *testing.T) {
 	now := time.Now()
-	set := startedSet(2, now)
+	set := newStartedSet(2, now)
 	if _, _, _, listed := set.Follow("other"); listed {
 		t.Error("a replica is followed that is not listed")
 	}
-	address, reborn, stop, _ := set.Follow("r00")
-	_, never, stopNever, _ := set.Follow("r00")
-	stopNever()
-	if known := seen(t, set, "r00", now); address != "r00" || known.Open != 0 {
-		t.Errorf("at %q are requests: %+v", address, known)
+	address, restarted, stop, _ := set.Follow("r00")
+	_, stopped, stopSecond, _ := set.Follow("r00")
+	stopSecond()
+	if candidate := candidateByID(t, set, "r00", now); address != "r00" || candidate.Open != 0 {
+		t.Errorf("at %q are requests: %+v", address, candidate)
 	}
 	// It is not listed for a while.
 	set.Remove("r00", now)
-	set.put(listed(firstBorn), now)
+	set.put(infoStartedAt(firstStart), now)
 	select {
-	case <-reborn:
+	case <-restarted:
 		t.Error("told of a start that is not known")
 	default:
 	}
-	set.put(listed(secondBorn), now)
-	<-reborn
+	set.put(infoStartedAt(secondStart), now)
+	<-restarted
 	select {
-	case <-never:
+	case <-stopped:
 		t.Error("who has stopped to follow is told")
 	default:
 	}
@@ -162,97 +162,97 @@
 	}
 }
 
-func TestBeginAt_ReplicaThatHasStartedAgainIsChosenAnew(t *testing.T) {
+func TestBeginAt_RejectsPreviousStart(t *testing.T) {
 	now := time.Now()
-	set := startedSet(2, now)
-	set.put(listed(secondBorn), now)
-	if set.BeginAt(listed(firstBorn), RequestInfo{}, now) != nil {
+	set := newStartedSet(2, now)
+	set.put(infoStartedAt(secondStart), now)
+	if set.BeginAt(infoStartedAt(firstStart), RequestInfo{}, now) != nil {
 		t.Error("a request is sent to a start that is over")
 	}
-	for _, info := range []Info{listed(secondBorn), listed(0), {ID: "r00"}} {
+	for _, info := range []Info{infoStartedAt(secondStart), infoStartedAt(0), {ID: "r00"}} {
 		if set.BeginAt(info, RequestInfo{}, now) == nil {
 			t.Errorf("no request is sent to %+v", info)
 		}
 	}
-	if known := seen(t, set, "r00", now); known.Open != 3 {
-		t.Errorf("%d requests are counted, not 3", known.Open)
+	if candidate := candidateByID(t, set, "r00", now); candidate.Open != 3 {
+		t.Errorf("%d requests are counted, not 3", candidate.Open)
 	}
 }
 
-func TestRestart_ARefusalOfTheStartBeforeDoesNotFillIt(t *testing.T) {
+func TestMarkFull_IgnoresPreviousStart(t *testing.T) {
 	now := time.Now()
-	set := startedSet(2, now)
-	set.put(listed(secondBorn), now)
-	set.MarkFull(listed(firstBorn), now)
-	if known := seen(t, set, "r00", now); known.Others != 0 {
-		t.Errorf("taken as full: %+v", known)
+	set := newStartedSet(2, now)
+	set.put(infoStartedAt(secondStart), now)
+	set.MarkFull(infoStartedAt(firstStart), now)
+	if candidate := candidateByID(t, set, "r00", now); candidate.Others != 0 {
+		t.Errorf("taken as full: %+v", candidate)
 	}
-	set.MarkFull(listed(secondBorn), now)
-	if known := seen(t, set, "r00", now); known.Others != 4 {
-		t.Errorf("not taken as full: %+v", known)
+	set.MarkFull(infoStartedAt(secondStart), now)
+	if candidate := candidateByID(t, set, "r00", now); candidate.Others != 4 {
+		t.Errorf("not taken as full: %+v", candidate)
 	}
 }
 
-func TestRestart_WhoFailedARequestMayTakeItAfterAStart(t *testing.T) {
+func TestPick_RestartedReplicaMayRetryRequest(t *testing.T) {
 	now := time.Now()
-	set := startedSet(1, now)
-	first := listed(firstBorn)
-	demand := &Criteria{Exclude: map[string]bool{first.Incarnation(): true}}
-	if _, err := Pick(set.SnapshotFor(testPool, demand, now), demand, Weights{}); err == nil {
+	set := newStartedSet(1, now)
+	first := infoStartedAt(firstStart)
+	criteria := &Criteria{Exclude: map[string]bool{first.Incarnation(): true}}
+	if _, err := Pick(set.SnapshotFor(testPool, criteria, now), criteria, Weights{}); err == nil {
 		t.Error("a replica is chosen that failed the request")
 	}
-	set.put(listed(secondBorn), now)
-	if _, err := Pick(set.SnapshotFor(testPool, demand, now), demand, Weights{}); err != nil {
+	set.put(infoStartedAt(secondStart), now)
+	if _, err := Pick(set.SnapshotFor(testPool, criteria, now), criteria, Weights{}); err != nil {
 		t.Errorf("the replica that has started again is left out: %v", err)
 	}
-	demand.Exclude["r00"] = true
-	if _, err := Pick(set.SnapshotFor(testPool, demand, now), demand, Weights{}); err == nil {
+	criteria.Exclude["r00"] = true
+	if _, err := Pick(set.SnapshotFor(testPool, criteria, now), criteria, Weights{}); err == nil {
 		t.Error("a replica is chosen that is excluded at all its starts")
 	}
 }
 
-func TestEvidence_IsAboutOneStart(t *testing.T) {
+func TestFailureReports_ApplyToOneStart(t *testing.T) {
 	now := time.Now()
-	set := evidenceSet(4)
-	set.put(listed(firstBorn), now)
+	set := newEvidenceSet(4)
+	set.put(infoStartedAt(firstStart), now)
 	set.Begin("r00", RequestInfo{}, now).End(Failed, now)
 	reports := set.FailureReports(now)
-	if len(reports) != 1 || reports[0].StartedUnixMs != firstBorn {
+	if len(reports) != 1 || reports[0].StartedUnixMs != firstStart {
 		t.Fatalf("told %+v", reports)
 	}
-	set.put(listed(secondBorn), now)
+	set.put(infoStartedAt(secondStart), now)
 	if reports := set.FailureReports(now); len(reports) != 0 {
 		t.Errorf("failures of the start before are told: %+v", reports)
 	}
-	tell := func(born int64) {
+	report := func(startedUnixMs int64) {
 		for _, node := range []string{"n1", "n2", "n3"} {
-			set.AddFailureReports(Reporter{Node: node, Zone: node}, []FailureReport{{Replica: Key("r00"), StartedUnixMs: born, Failures: 5}}, now)
+			set.AddFailureReports(Reporter{Node: node, Zone: node}, []FailureReport{{Replica: Key("r00"), StartedUnixMs: startedUnixMs, Failures: 5}}, now)
 		}
 	}
-	tell(firstBorn)
-	tell(thirdBorn)
-	if out(set, "r00", now) {
+	report(firstStart)
+	report(thirdStart)
+	if isEjected(set, "r00", now) {
 		t.Error("words about other starts leave the replica out")
 	}
-	tell(secondBorn)
-	if !out(set, "r00", now) {
+	report(secondStart)
+	if !isEjected(set, "r00", now) {
 		t.Error("words about this start are passed over")
 	}
 }
 
-// TestFeeders_TellWhichStartTheyAreAskedAbout: a place granted at a start that is over would
+// TestColdSenders_IdentifyStart: a place granted at a start that is over would
 // come on top of the rate of the next one.
-func TestFeeders_TellWhichStartTheyAreAskedAbout(t *testing.T) {
+func TestColdSenders_IdentifyStart(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := coldSet("a", []string{"b"}, false, now)
-	set.put(Info{ID: "cold", Pool: testPool, Slots: 8, StartedUnixMs: firstBorn, ColdLeft: 3 * time.Second}, now)
-	feeders := set.ColdSenders(testPool, &Criteria{}, now)
-	if len(feeders) != 1 || feeders[0].StartedUnixMs != firstBorn {
-		t.Fatalf("feeders are %+v", feeders)
-	}
-	for born, want := range map[int64]bool{0: true, firstBorn: true, secondBorn: false} {
-		if got := set.IsCurrentStart("cold", born); got != want {
-			t.Errorf("Started(%d) = %v", born, got)
+	set := newColdSet("a", []string{"b"}, false, now)
+	set.put(Info{ID: "cold", Pool: testPool, Slots: 8, StartedUnixMs: firstStart, ColdLeft: 3 * time.Second}, now)
+	senders := set.ColdSenders(testPool, &Criteria{}, now)
+	if len(senders) != 1 || senders[0].StartedUnixMs != firstStart {
+		t.Fatalf("feeders are %+v", senders)
+	}
+	for startedUnixMs, want := range map[int64]bool{0: true, firstStart: true, secondStart: false} {
+		if got := set.IsCurrentStart("cold", startedUnixMs); got != want {
+			t.Errorf("Started(%d) = %v", startedUnixMs, got)
 		}
 	}
 	if set.IsCurrentStart("other", 0) {
@@ -260,40 +260,40 @@
 	}
 }
 
-// startModel is what must hold of one replica, whatever is said of it and in which order.
-type startModel struct {
+// restartModel is what must hold of one replica, whatever is said of it and in which order.
+type restartModel struct {
 	set *Set
 	now time.Time
 	// start counts the starts that are known, born is that of the last; 0 if it is not known.
-	start int
-	born  int64
-	// sent are the requests that have not ended.
-	sent   []sentTo
-	listed bool
+	start         int
+	startedUnixMs int64
+	// inFlight are the requests that have not ended.
+	inFlight []sentRequest
+	listed   bool
 }
 
-// sentTo is a request with the start that it was sent to.
-type sentTo struct {
+// sentRequest is a request with the start that it was sent to.
+type sentRequest struct {
 	use   *Use
 	start int
 }
 
-func (m *startModel) list(born int64) {
-	m.set.put(listed(born), m.now)
+func (m *restartModel) list(startedUnixMs int64) {
+	m.set.put(infoStartedAt(startedUnixMs), m.now)
 	m.listed = true
-	if born != 0 && m.born != 0 && born != m.born {
+	if startedUnixMs != 0 && m.startedUnixMs != 0 && startedUnixMs != m.startedUnixMs {
 		m.start++
 	}
-	if born != 0 {
-		m.born = born
+	if startedUnixMs != 0 {
+		m.startedUnixMs = startedUnixMs
 	}
 }
 
 // open counts the requests at the last start.
-func (m *startModel) open() int {
+func (m *restartModel) open() int {
 	count := 0
-	for _, one := range m.sent {
-		if one.start == m.start {
+	for _, req := range m.inFlight {
+		if req.start == m.start {
 			count++
 		}
 	}
@@ -301,27 +301,27 @@
 }
 
 // forget forgets a replica that is not listed and has no request.
-func (m *startModel) forget() {
+func (m *restartModel) forget() {
 	if !m.listed && m.open() == 0 {
 		m.start++
-		m.born = 0
+		m.startedUnixMs = 0
 	}
 }
 
-func (m *startModel) check(t *rapid.T) {
-	for _, one := range m.sent {
-		if over := one.start != m.start; told(one.use) != over {
-			t.Fatalf("a request to start %d of %d is told: %v", one.start, m.start, !over)
+func (m *restartModel) check(t *rapid.T) {
+	for _, req := range m.inFlight {
+		if over := req.start != m.start; restarted(req.use) != over {
+			t.Fatalf("a request to start %d of %d is told: %v", req.start, m.start, !over)
 		}
 	}
-	for _, known := range m.set.unlisted {
-		if m.listed || known.open != m.open() || known.open == 0 {
-			t.Fatalf("an entry is kept that has %d requests, there are %d", known.open, m.open())
+	for _, e := range m.set.unlisted {
+		if m.listed || e.open != m.open() || e.open == 0 {
+			t.Fatalf("an entry is kept that has %d requests, there are %d", e.open, m.open())
 		}
 	}
-	for _, one := range m.set.List(m.now) {
-		if one.ID == "r00" && (one.Open != m.open() || one.Batch < 0 || one.PendingTokens < 0) {
-			t.Fatalf("%d requests are counted, there are %d: %+v", one.Open, m.open(), one)
+	for _, candidate := range m.set.List(m.now) {
+		if candidate.ID == "r00" && (candidate.Open != m.open() || candidate.Batch < 0 || candidate.PendingTokens < 0) {
+			t.Fatalf("%d requests are counted, there are %d: %+v", candidate.Open, m.open(), candidate)
 		}
 	}
 }
@@ -330,13 +330,13 @@
 // requests in any order.
 func TestRestart_Model(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &startModel{set: newSet(2), now: time.Unix(1000, 0)}
-		m.list(firstBorn)
+		m := &restartModel{set: newSet(2), now: time.Unix(1000, 0)}
+		m.list(firstStart)
 		t.Repeat(map[string]func(*rapid.T){
 			"": m.check,
 			"list": func(t *rapid.T) {
 				m.now = m.now.Add(time.Millisecond)
-				m.list(rapid.SampledFrom([]int64{0, firstBorn, secondBorn, thirdBorn}).Draw(t, "born"))
+				m.list(rapid.SampledFrom([]int64{0, firstStart, secondStart, thirdStart}).Draw(t, "born"))
 			},
 			"drop": func(*rapid.T) {
 				m.set.Remove("r00", m.now)
@@ -344,12 +344,12 @@
 				m.forget()
 			},
 			"send": func(t *rapid.T) {
-				ask := RequestInfo{Tokens: 3, Batch: rapid.Bool().Draw(t, "batch")}
-				use := m.set.BeginAt(listed(m.born), ask, m.now)
+				req := RequestInfo{Tokens: 3, Batch: rapid.Bool().Draw(t, "batch")}
+				use := m.set.BeginAt(infoStartedAt(m.startedUnixMs), req, m.now)
 				if use == nil {
 					t.Fatal("a request is not sent to the start that is known")
 				}
-				m.sent = append(m.sent, sentTo{use, m.start})
+				m.inFlight = append(m.inFlight, sentRequest{use, m.start})
 			},
 			"end": m.end,
 		})
@@ -357,12 +357,12 @@
 }
 
 // end ends a request.
-func (m *startModel) end(t *rapid.T) {
-	if len(m.sent) == 0 {
+func (m *restartModel) end(t *rapid.T) {
+	if len(m.inFlight) == 0 {
 		t.Skip("no request")
 	}
-	at := rapid.IntRange(0, len(m.sent)-1).Draw(t, "request")
-	use := m.sent[at].use
+	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "request")
+	use := m.inFlight[i].use
 	if rapid.Bool().Draw(t, "first") {
 		use.FirstEvent(m.now)
 	}
@@ -370,6 +370,6 @@
 		use.MarkPreempted()
 	}
 	use.End(rapid.SampledFrom([]Result{Succeeded, Failed, Refused, Abandoned}).Draw(t, "result"), m.now)
-	m.sent = slices.Delete(m.sent, at, at+1)
+	m.inFlight = slices.Delete(m.inFlight, i, i+1)
 	m.forget()
 }
--- a/internal/replica/slope_test.go
+++ b/internal/replica/slope_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestSlope_IsLearnedThroughNoise(t *testing.T) {
+func TestSlope_WithNoise(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var s slope
 	for range 400 {
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestSlope_IsNotToldWhereAllAreAlike(t *testing.T) {
+func TestSlope_NoneWithoutSpread(t *testing.T) {
 	var s slope
 	for range 400 {
 		s.add(450, 0.08)
--- a/internal/replica/unheard_test.go
+++ b/internal/replica/stale_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// newReturned returns a set of replicas with so many slots each, all of which answered this node
+// newSetWithStaleReplica returns a set of replicas with so many slots each, all of which answered this node
 // a moment ago and were full then, but for "returned": that has stood empty for a while, as one
 // in a zone that was evacuated, so nothing came from it lately.
-func newReturned(slots, full int, now time.Time) *Set {
+func newSetWithStaleReplica(slots, full int, now time.Time) *Set {
 	set := NewSet()
 	set.Put(Info{ID: "returned", Pool: testPool, Slots: slots})
 	for i := range full {
@@ -26,15 +26,15 @@
 // A replica that nothing is known of is asked for a slot before those that are known to have
 // none, however few slots they have: else nobody sends it anything, so nothing comes from it, and
 // it is left aside as long as others answer.
-func TestPickUnqueued_UnheardBeforeFull(t *testing.T) {
+func TestPickUnqueued_StaleBeforeFull(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, slots := range []int{1, 2, 8} {
-		set := newReturned(slots, 4, now)
-		for _, ask := range []RequestInfo{{}, {Batch: true, Borrowed: true}} {
-			demand := &Criteria{RequestInfo: ask}
-			asked, err := PickUnqueued(set.SnapshotFor(testPool, demand, now), demand, Weights{}, false)
-			if err != nil || asked.ID != "returned" {
-				t.Errorf("replicas of %d slots, batch %v: asked %+v, %v", slots, ask.Batch, asked, err)
+		set := newSetWithStaleReplica(slots, 4, now)
+		for _, req := range []RequestInfo{{}, {Batch: true, Borrowed: true}} {
+			criteria := &Criteria{RequestInfo: req}
+			chosen, err := PickUnqueued(set.SnapshotFor(testPool, criteria, now), criteria, Weights{}, false)
+			if err != nil || chosen.ID != "returned" {
+				t.Errorf("replicas of %d slots, batch %v: asked %+v, %v", slots, req.Batch, chosen, err)
 			}
 		}
 	}
@@ -42,15 +42,15 @@
 
 // A replica that answered a moment ago and has a free slot is asked first: the connection to it
 // is there.
-func TestPickUnqueued_FreeBeforeUnheard(t *testing.T) {
+func TestPickUnqueued_FreeBeforeStale(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := newReturned(2, 0, now)
+	set := newSetWithStaleReplica(2, 0, now)
 	set.Put(Info{ID: "free", Pool: testPool, Slots: 2})
 	set.Begin("free", RequestInfo{}, now).Received(now)
-	demand := &Criteria{}
-	asked, err := PickUnqueued(set.SnapshotFor(testPool, demand, now), demand, Weights{}, false)
-	if err != nil || asked.ID != "free" {
-		t.Fatalf("asked %+v, %v", asked, err)
+	criteria := &Criteria{}
+	chosen, err := PickUnqueued(set.SnapshotFor(testPool, criteria, now), criteria, Weights{}, false)
+	if err != nil || chosen.ID != "free" {
+		t.Fatalf("asked %+v, %v", chosen, err)
 	}
 }
 
@@ -64,25 +64,25 @@
 // at 19.677 s; "attempt sent" by the eight nodes from 20 to 26 s: 0 to 2 a second to zone-b, all of
 // one node, beside 19 to 30 a second to each of the other two zones, whose servers held more
 // requests than slots. Items, which leave slots to online requests, waited 5.25 s in calm.
-func TestPickUnqueued_UnheardNowAndThenBeforeFree(t *testing.T) {
+func TestPickUnqueued_ProbesStaleReplica(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := newReturned(2, 0, now)
+	set := newSetWithStaleReplica(2, 0, now)
 	for i := range 4 {
 		id := fmt.Sprintf("free-%d", i)
 		set.Put(Info{ID: id, Pool: testPool, Slots: 2})
 		set.Begin(id, RequestInfo{}, now).Received(now)
 	}
-	asked := map[string]int{}
+	counts := map[string]int{}
 	for range 100 {
 		now = now.Add(20 * time.Millisecond)
-		demand := &Criteria{PreferStale: set.ProbeStale(testPool, now)}
-		chosen, err := PickUnqueued(set.SnapshotFor(testPool, demand, now), demand, Weights{}, false)
+		criteria := &Criteria{PreferStale: set.ProbeStale(testPool, now)}
+		chosen, err := PickUnqueued(set.SnapshotFor(testPool, criteria, now), criteria, Weights{}, false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		asked[chosen.ID]++
+		counts[chosen.ID]++
 	}
-	if asked["returned"] != 2 {
-		t.Errorf("asked within 2 s: %v, the one not heard from should be twice", asked)
+	if counts["returned"] != 2 {
+		t.Errorf("asked within 2 s: %v, the one not heard from should be twice", counts)
 	}
 }
