--- a/internal/replica/borrow_test.go
+++ b/internal/replica/borrow_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// newSetWithoutShare returns the set of a node that has none of the slots of one replica.
+// newSetWithoutShare returns the set of a node to which no slot of the only replica is allotted.
 func newSetWithoutShare(t *testing.T) *Set {
 	t.Helper()
 	for i := range 20 {
@@ -17,7 +17,7 @@
 			return set
 		}
 	}
-	t.Fatal("20 nodes all have one of 4 slots")
+	t.Fatal("each of 20 nodes has one of 4 slots")
 	return nil
 }
 
@@ -26,26 +26,26 @@
 func TestMayBorrow_OnlyAfterBorrowAfter(t *testing.T) {
 	set, now := newSetWithoutShare(t), time.Unix(1000, 0)
 	if set.MayBorrow(testPool, BorrowAfter-1, now) || !set.MayBorrow(testPool, BorrowAfter, now) {
-		t.Fatalf("an item is to borrow after %v and not before", BorrowAfter)
+		t.Fatalf("an item should be able to borrow after %v and not before", BorrowAfter)
 	}
 }
 
-// Without a word of idle room a node borrows one slot at a time.
+// Without reports of idle slots, a node borrows one slot at a time.
 func TestMayBorrow_OneAtATimeWithoutReports(t *testing.T) {
 	set, now := newSetWithoutShare(t), time.Unix(1000, 0)
 	use := set.Begin("r", borrowedItem, now)
 	if set.MayBorrow(testPool, time.Hour, now) {
-		t.Fatal("a second slot is borrowed")
+		t.Fatal("a second slot may be borrowed")
 	}
 	use.End(Succeeded, now)
 	if !set.MayBorrow(testPool, time.Hour, now) {
-		t.Fatal("a slot that was given back counts as borrowed")
+		t.Fatal("a slot counts as borrowed after its item completed")
 	}
 	use = set.Begin("r", borrowedItem, now)
 	use.MarkPreempted()
 	use.End(Abandoned, now)
 	if !set.MayBorrow(testPool, time.Hour, now) {
-		t.Fatal("a slot that was left counts as borrowed")
+		t.Fatal("a slot counts as borrowed after its item was preempted")
 	}
 }
 
@@ -55,30 +55,30 @@
 	set.RecordDemand(testPool, 0, 2, now)
 	set.RecordIdle(testPool, 2, now)
 	if !set.MayBorrow(testPool, BorrowAfter, now) {
-		t.Fatal("idle room is not used")
+		t.Fatal("an item may not borrow although other nodes report idle slots")
 	}
 	if demands := set.UpdateDemand(now); demands[0].Idle != -1 {
-		t.Fatalf("tells of %d idle slots, one is borrowed", demands[0].Idle)
+		t.Fatalf("Idle = %d with one borrowed slot, want -1", demands[0].Idle)
 	}
 	set.RecordIdle(testPool, -1, now)
 	if set.MayBorrow(testPool, BorrowAfter, now) {
-		t.Fatal("more is borrowed than is idle")
+		t.Fatal("more slots may be borrowed than are idle")
 	}
 	set.RecordIdle(testPool, 5, now)
 	if set.MayBorrow(testPool, BorrowAfter, now.Add(2*fleetMaxAge)) {
-		t.Fatal("borrows by words that are old")
+		t.Fatal("an item may borrow because of expired reports")
 	}
 }
 
-// A node tells of the slots that its items leave idle, and counts those itself.
+// A node reports its slots that items leave idle, and includes them in its own view.
 func TestUpdateDemand_ReportsIdleSlots(t *testing.T) {
 	set, now := newSetWithHalfShare(), time.Unix(1000, 0)
 	set.Begin("r", RequestInfo{Batch: true}, now)
 	if idle := set.UpdateDemand(now)[0].Idle; idle != 3 {
-		t.Fatalf("tells of %d idle slots of 4, one of them with an item", idle)
+		t.Fatalf("Idle = %d with one item in 4 slots, want 3", idle)
 	}
 	if view := set.fleet[testPool]; view == nil || view.idleSlots(now) != 3 {
-		t.Fatalf("knows of %+v", view)
+		t.Fatalf("own view is %+v, want 3 idle slots", view)
 	}
 }
 
@@ -87,19 +87,19 @@
 	before := set.FreeItemSlots(testPool, now)
 	use := set.Begin("r", borrowedItem, now)
 	if free := set.FreeItemSlots(testPool, now); free != before {
-		t.Fatalf("room for %d items, %d before one was borrowed", free, before)
+		t.Fatalf("%d free slots with a borrowed slot in use, %d before", free, before)
 	}
 	use.MarkPreempted()
 	if free := set.FreeItemSlots(testPool, now); free != before {
-		t.Fatalf("room for %d items while the borrowed slot is left, %d before", free, before)
+		t.Fatalf("%d free slots while the item in the borrowed slot is preempted, %d before", free, before)
 	}
 	use.End(Abandoned, now)
 	if free := set.FreeItemSlots(testPool, now); free != before {
-		t.Fatalf("room for %d items after a loan, %d before", free, before)
+		t.Fatalf("%d free slots after the borrowed slot was released, %d before", free, before)
 	}
 }
 
-// A node that runs items itself borrows beside them only after long, and not where online
+// A node that runs items in its own slots borrows only after a longer wait, and not if online
 // requests need half of the slots.
 func TestMayBorrow_WithOwnItems(t *testing.T) {
 	set, now := newSetWithHalfShare(), time.Unix(1000, 0)
@@ -107,15 +107,16 @@
 		set.Begin("r", RequestInfo{Batch: true}, now)
 	}
 	if set.MayBorrow(testPool, borrowWithOwnItems-1, now) || !set.MayBorrow(testPool, borrowWithOwnItems, now) {
-		t.Fatalf("an item beside others is to borrow after %v and not before", borrowWithOwnItems)
+		t.Fatalf("an item of a node with running items should be able to borrow after %v and not before", borrowWithOwnItems)
 	}
 	set.RecordDemand(testPool, 2, 4, now)
 	if set.MayBorrow(testPool, borrowWithOwnItems, now) {
-		t.Fatal("borrows beside own items where half of the slots are needed")
+		t.Fatal("a node with running items may borrow although half of the slots are needed")
 	}
 }
 
-// Where online requests need most slots each node has its turn, within 13 turns.
+// If online requests need most slots, each node may still borrow at least once in 13 periods, but
+// not all nodes may at once.
 func TestMayBorrow_EveryNodeWithin13Periods(t *testing.T) {
 	for _, needed := range []float64{0.6, 0.8, 0.99} {
 		set, now := newSetWithoutShare(t), time.Unix(1000, 0)
@@ -128,10 +129,10 @@
 			now = now.Add(borrowLimitPeriod)
 		}
 		if longestGap > 13 || allowed == 0 {
-			t.Errorf("at %v it is the node's turn %d times in 200, with up to %d between", needed, allowed, longestGap)
+			t.Errorf("usage %v: the node may borrow in %d of 200 periods, with gaps of up to %d periods", needed, allowed, longestGap)
 		}
 		if allowed > 180 {
-			t.Errorf("at %v it is the node's turn %d times in 200: all nodes borrow at once", needed, allowed)
+			t.Errorf("usage %v: the node may borrow in %d of 200 periods, so all nodes may at once", needed, allowed)
 		}
 	}
 }
@@ -142,17 +143,17 @@
 	for range 100 {
 		set.RecordDemand(testPool, 8, 4, now)
 		if set.MayBorrow(testPool, StarvedAfter-1, now) {
-			t.Fatal("borrows where all slots are needed")
+			t.Fatal("an item may borrow although all slots are needed")
 		}
 		if excess := set.UpdateDemand(now)[0].BorrowedExcess; excess != 1 {
-			t.Fatalf("%d items are to leave, want the one that borrowed", excess)
+			t.Fatalf("BorrowedExcess = %d, want 1", excess)
 		}
 		now = now.Add(borrowLimitPeriod)
 	}
 }
 
-// A node whose own callers need all its slots does not know what others need: while none
-// tells, it asks now and then, and replicas decide.
+// A node whose own requests need all of its slots does not know what other nodes need. Without
+// reports it still asks replicas for a slot from time to time.
 func TestMayBorrow_OccasionallyWithoutReports(t *testing.T) {
 	set, now := newSetWithHalfShare(), time.Unix(1000, 0)
 	for range 6 {
@@ -167,34 +168,34 @@
 		now = now.Add(borrowLimitPeriod)
 	}
 	if allowed < 3 {
-		t.Fatalf("may borrow in %d of 50 turns", allowed)
+		t.Fatalf("may borrow in %d of 50 periods, want at least 3", allowed)
 	}
 	if excess := set.UpdateDemand(now)[0].BorrowedExcess; excess != 0 {
-		t.Fatalf("%d borrowed items leave though nobody told of a need", excess)
+		t.Fatalf("BorrowedExcess = %d without reports of other nodes, want 0", excess)
 	}
 }
 
-// Where online requests are said to need all slots for good, an item that has waited for long
-// borrows, one at a time, and keeps the slot.
+// If online requests are always reported to need all slots, one starved item at a time borrows and
+// is not preempted.
 func TestMayBorrow_StarvedItemsKeepTheirSlots(t *testing.T) {
 	set, now := newSetWithoutShare(t), time.Unix(1000, 0)
 	set.RecordDemand(testPool, 8, 4, now)
 	if set.MayBorrow(testPool, StarvedAfter-1, now) || !set.MayBorrow(testPool, StarvedAfter, now) {
-		t.Fatalf("an item is to borrow after %v and not before", StarvedAfter)
+		t.Fatalf("a starved item should be able to borrow after %v and not before", StarvedAfter)
 	}
 	starved := borrowedItem
 	starved.Starved = true
 	use := set.Begin("r", starved, now)
 	if set.MayBorrow(testPool, StarvedAfter, now) {
-		t.Fatal("a second slot is borrowed")
+		t.Fatal("a second slot may be borrowed")
 	}
 	set.RecordDemand(testPool, 8, 4, now)
 	if excess := set.UpdateDemand(now)[0].BorrowedExcess; excess != 0 {
-		t.Fatalf("%d items are to leave, want none: it was starved", excess)
+		t.Fatalf("BorrowedExcess = %d with a starved item, want 0", excess)
 	}
 	use.End(Succeeded, now)
 	set.Begin("r", borrowedItem, now)
 	if excess := set.UpdateDemand(now)[0].BorrowedExcess; excess != 1 {
-		t.Fatalf("%d items are to leave after the starved one ended, want the other", excess)
+		t.Fatalf("BorrowedExcess = %d after the starved item ended and another began, want 1", excess)
 	}
 }
--- a/internal/replica/cold_model_test.go
+++ b/internal/replica/cold_model_test.go
@@ -9,25 +9,26 @@
 	"pgregory.net/rapid"
 )
 
-// coldFleet is a fleet of nodes, each with the real set, that press as hard as they may
-// on a few replicas.
+// coldFleet simulates nodes, each with a real Set, that send as many requests as their sets permit
+// to a few replicas.
 type coldFleet struct {
-	t         *rapid.T
-	limit     ColdLimit
-	bound     float64
-	replicas  []Info
-	nodeIDs   []string
+	t        *rapid.T
+	limit    ColdLimit
+	bound    float64
+	replicas []Info
+	nodeIDs  []string
+	// sets holds the set of each node, downUntil the time until which the node does not run.
 	sets      []*Set
 	updates   []delayedUpdate
 	now       time.Time
 	sent      map[string][]time.Time
 	coldUntil map[string]time.Time
 	downUntil []time.Time
-	// grantRequests counts the questions for a place.
+	// grantRequests counts the requests for grants.
 	grantRequests int
 }
 
-// delayedUpdate is something that reaches a node late.
+// delayedUpdate is a change that reaches a node after a delay.
 type delayedUpdate struct {
 	at    time.Time
 	node  int
@@ -60,7 +61,7 @@
 	return f
 }
 
-// startNode gives a node a set that knows nothing but what it reads first.
+// startNode gives a node a new set with the current list of replicas.
 func (f *coldFleet) startNode(node int) {
 	set := NewSet()
 	set.ColdTolerance = ColdTolerance{Over: 1.5, Slack: 5}
@@ -73,17 +74,18 @@
 	f.sets[node] = set
 }
 
+// deliverAfter schedules a change of a node's set.
 func (f *coldFleet) deliverAfter(node int, delay time.Duration, apply func(set *Set)) {
 	f.updates = append(f.updates, delayedUpdate{f.now.Add(delay), node, apply})
 }
 
-// drawDelay is how long news takes; a tenth of it never comes.
+// drawDelay draws the delay of an update. It returns false for one in ten, which are lost.
 func (f *coldFleet) drawDelay(longest time.Duration) (time.Duration, bool) {
 	lost := rapid.IntRange(0, 9).Draw(f.t, "lost") == 0
-	return time.Duration(rapid.Int64Range(0, int64(longest)).Draw(f.t, "late")), !lost
+	return time.Duration(rapid.Int64Range(0, int64(longest)).Draw(f.t, "delay")), !lost
 }
 
-// restartReplicas has replicas start anew, with new ids, cold.
+// restartReplicas replaces the replicas by cold ones with new IDs.
 func (f *coldFleet) restartReplicas() {
 	for i := range f.replicas {
 		oldID := f.replicas[i].ID
@@ -99,7 +101,7 @@
 	}
 }
 
-// evacuate empties the zone of the replicas, which are cold when it ends.
+// evacuate evacuates the zone of the replicas for a while. They are cold afterwards.
 func (f *coldFleet) evacuate() {
 	for node := range f.sets {
 		f.sets[node].setEvacuated(map[string]bool{coldModelZone: true}, f.now)
@@ -119,18 +121,19 @@
 	}
 }
 
-// changeMembership has some nodes be gone, as all others see it sooner or later, or back. Those
-// that are cut off see what they saw before, and press on. An earlier cut is healed first:
-// there are as many views at once as coldViews says. With a third one, of a part that was
-// cut off before, runs of this model reach 28 of 27.5.
+// changeMembership removes some nodes from the members or adds them again, which the others learn
+// after a delay. Nodes that are cut off keep their previous view and go on sending. An earlier
+// change is completed first, so that there are at most membershipViews views at once: with a third,
+// of nodes that were cut off before, this model sends 28 requests in a second where 27.5 are
+// allowed.
 func (f *coldFleet) changeMembership() {
 	for node := range f.sets {
 		f.sets[node].Divide(f.nodeIDs[node], nodesWithoutPlace(f.nodeIDs...))
 	}
 	f.run(time.Second)
 	first := 0
-	if rapid.Bool().Draw(f.t, "some are gone") {
-		first = rapid.IntRange(0, len(f.nodeIDs)-1).Draw(f.t, "first that is there")
+	if rapid.Bool().Draw(f.t, "some leave") {
+		first = rapid.IntRange(0, len(f.nodeIDs)-1).Draw(f.t, "first remaining")
 	}
 	view := f.nodeIDs[first:]
 	cutOff := rapid.Bool().Draw(f.t, "cut off")
@@ -144,13 +147,14 @@
 	}
 }
 
+// restartNode restarts a random node, which takes a second.
 func (f *coldFleet) restartNode() {
 	node := rapid.IntRange(0, len(f.sets)-1).Draw(f.t, "node")
 	f.downUntil[node] = f.now.Add(time.Second)
 	f.startNode(node)
 }
 
-// run lets time pass, while each node sends whatever its set lets it.
+// run advances the time while each node sends what its set permits.
 func (f *coldFleet) run(length time.Duration) {
 	for end := f.now.Add(length); f.now.Before(end); f.now = f.now.Add(coldModelStep) {
 		f.deliverDue()
@@ -162,6 +166,7 @@
 	}
 }
 
+// deliverDue applies the updates that are due.
 func (f *coldFleet) deliverDue() {
 	pending := f.updates
 	f.updates = nil
@@ -174,6 +179,7 @@
 	}
 }
 
+// sendAllowed sends up to two requests of a node, and asks for a grant if it may send none.
 func (f *coldFleet) sendAllowed(node int, set *Set) {
 	criteria := &Criteria{RequestInfo: RequestInfo{Tokens: 100}}
 	for range 2 {
@@ -184,12 +190,13 @@
 		}
 		use := set.Begin(chosen.ID, criteria.RequestInfo, f.now)
 		if use == nil {
-			f.t.Fatalf("a replica that may get nothing was chosen: %+v", chosen.Cold)
+			f.t.Fatalf("a replica was chosen that must not get a request: %+v", chosen.Cold)
 		}
 		f.recordSent(use, chosen.ID)
 	}
 }
 
+// recordSent ends a request and records its time if the replica is cold.
 func (f *coldFleet) recordSent(use *Use, id string) {
 	use.End(Succeeded, f.now)
 	if f.now.Before(f.coldUntil[id]) {
@@ -197,8 +204,8 @@
 	}
 }
 
-// requestGrant has a node requestGrant one that feeds a replica for a place there. Both ways take time,
-// together no more than the asker waits.
+// requestGrant asks a sender of a cold replica for a grant. Request and reply are delayed by less,
+// in total, than a node waits for the reply.
 func (f *coldFleet) requestGrant(node int, set *Set) {
 	senders := set.ColdSenders(testPool, &Criteria{}, f.now)
 	if len(senders) == 0 {
@@ -220,7 +227,7 @@
 	})
 }
 
-// check counts what each replica got in any one second while it was cold.
+// check fails the test if a cold replica got more requests in any one second than the bound.
 func (f *coldFleet) check() {
 	for id, sent := range f.sent {
 		first := 0
@@ -229,19 +236,19 @@
 				first++
 			}
 			if count := last - first + 1; float64(count) > f.bound {
-				f.t.Fatalf("%s got %d requests in the second up to %v, %v allowed", id, count, sent[last].Sub(time.Unix(1000, 0)), f.bound)
+				f.t.Fatalf("%s got %d requests in the second up to %v, want at most %v", id, count, sent[last].Sub(time.Unix(1000, 0)), f.bound)
 			}
 		}
 	}
 }
 
-// TestColdRate_HoldsAcrossNodes drives the sets of many nodes whose views of the members
-// and of the replicas differ.
+// All nodes together keep to the rate of cold replicas while their views of the members and of the
+// replicas differ.
 func TestColdRate_HoldsAcrossNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newColdFleet(t)
 		for range rapid.IntRange(1, 3).Draw(t, "rounds") {
-			switch rapid.IntRange(0, 3).Draw(t, "what happens first") {
+			switch rapid.IntRange(0, 3).Draw(t, "first change") {
 			case 0:
 				f.changeMembership()
 			case 1:
@@ -253,7 +260,7 @@
 				f.restartReplicas()
 			}
 			f.run(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause ms")) * time.Millisecond)
-			if rapid.Bool().Draw(t, "a node restarts") {
+			if rapid.Bool().Draw(t, "restart a node") {
 				f.restartNode()
 			}
 			f.run(5 * time.Second)
--- a/internal/replica/cold_test.go
+++ b/internal/replica/cold_test.go
@@ -11,7 +11,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// admitted counts how many of some requests a set lets be sent at a moment.
+// admitted returns how many of a number of requests a set permits to be sent at once.
 func admitted(set *Set, id string, requests int, now time.Time) int {
 	count := 0
 	for range requests {
@@ -22,8 +22,8 @@
 	return count
 }
 
-// newColdSet returns a set of one of some nodes with a cold replica and, if it is asked for,
-// a warm one.
+// newColdSet returns the set of the node self, one of nodes, with the replica "cold" and, if
+// addWarm is set, the replica "warm".
 func newColdSet(self string, nodes []string, addWarm bool, now time.Time) *Set {
 	set := NewSet()
 	set.ColdTolerance = ColdTolerance{Over: 1.5, Slack: 5}
@@ -52,7 +52,7 @@
 		}
 	}
 	if sent < 10 || sent > 15 {
-		t.Errorf("300 nodes sent %d requests in a second to a replica that bears 15", sent)
+		t.Errorf("300 nodes sent %d requests in a second to a cold replica, want 10 to 15", sent)
 	}
 }
 
@@ -60,16 +60,16 @@
 	now := time.Unix(1000, 0)
 	set := newColdSet("a", []string{"a"}, false, now)
 	if set.Begin("cold", RequestInfo{}, now) == nil {
-		t.Fatal("the first request was held back")
+		t.Fatal("the first request is held back")
 	}
 	criteria := &Criteria{}
 	_, err := Pick(set.SnapshotFor(testPool, criteria, now), criteria, Weights{})
 	noReplica := (*NoReplicaError)(nil)
 	if !errors.As(err, &noReplica) || !noReplica.WaitsForCold() || noReplica.ColdWait <= 0 || noReplica.ColdWait > 300*time.Millisecond {
-		t.Fatalf("chose, or waits wrongly: %v, %+v", err, noReplica)
+		t.Fatalf("Pick returned %v, %+v, want a wait of at most 300 ms for the cold replica", err, noReplica)
 	}
 	if _, err := Pick(set.SnapshotFor(testPool, criteria, now.Add(noReplica.ColdWait)), criteria, Weights{}); err != nil {
-		t.Errorf("after the wait: %v", err)
+		t.Errorf("Pick after the wait: %v", err)
 	}
 }
 
@@ -81,7 +81,7 @@
 		criteria := &Criteria{}
 		chosen, err := Pick(set.SnapshotFor(testPool, criteria, now), criteria, Weights{})
 		if err != nil || chosen.ID != "warm" {
-			t.Fatalf("chose %v, %v", chosen, err)
+			t.Fatalf("Pick = %v, %v, want warm", chosen, err)
 		}
 		set.Begin(chosen.ID, RequestInfo{}, now)
 	}
@@ -93,11 +93,11 @@
 	set.Begin("cold", RequestInfo{}, now)
 	for at := now; at.Before(now.Add(300 * time.Millisecond)); at = at.Add(time.Millisecond) {
 		if set.Begin("cold", RequestInfo{Batch: true}, at) != nil {
-			t.Fatalf("an item was sent %v after a request", at.Sub(now))
+			t.Fatalf("an item is sent %v after a request", at.Sub(now))
 		}
 	}
 	if set.Begin("cold", RequestInfo{Batch: true}, now.Add(time.Second)) == nil {
-		t.Error("an item was held back though no request wanted the rate")
+		t.Error("an item is held back although online requests leave the rate unused")
 	}
 }
 
@@ -108,11 +108,11 @@
 	now = now.Add(10 * time.Second)
 	set.setEvacuated(nil, now)
 	if admitted(set, "warm", 5, now) != 1 {
-		t.Error("a replica of a zone that was emptied is filled at once")
+		t.Error("a replica is not limited after the evacuation of its zone")
 	}
 	later := now.Add(3 * time.Second)
 	if admitted(set, "warm", 5, later) != 5 {
-		t.Error("a replica is held to be cold for longer than its start takes")
+		t.Error("a replica is still limited after the duration of a start")
 	}
 }
 
@@ -131,10 +131,10 @@
 		tried += admitted(set, id, 5, later)
 	}
 	if tried == 0 || tried == 20 {
-		t.Errorf("one of five nodes tries %d of 20 unreachable replicas", tried)
+		t.Errorf("one of five nodes sends to %d of 20 unreachable replicas, want some but not all", tried)
 	}
 	if afterEjection := now.Add(ejectionFirst); admitted(set, "r0", 5, afterEjection) != 5 {
-		t.Error("a replica that was unreachable stays bounded")
+		t.Error("an unreachable replica is still limited after its ejection")
 	}
 }
 
@@ -146,7 +146,7 @@
 	set.Begin("warm", RequestInfo{}, now).End(Unreachable, now)
 	set.Begin("warm", RequestInfo{}, now).End(Succeeded, now)
 	if admitted(set, "warm", 5, now) != 5 {
-		t.Error("a replica that answers is bounded")
+		t.Error("a replica is still limited after it answered")
 	}
 	now = now.Add(2 * time.Second)
 	set.Begin("cold", RequestInfo{}, now).Received(now)
@@ -155,7 +155,7 @@
 	set.put(Info{ID: "warm", Pool: testPool, Slots: 8, ColdLeft: 3 * time.Second}, now)
 	set.Begin("warm", RequestInfo{}, now).End(Succeeded, now)
 	if admitted(set, "warm", 5, now) != 0 {
-		t.Error("a replica that says it is cold is not bounded any more once it answers")
+		t.Error("a replica that reports being cold is not limited after it answered")
 	}
 }
 
@@ -165,7 +165,7 @@
 	now = now.Add(10 * time.Second)
 	set.Begin("warm", RequestInfo{}, now).End(Unreachable, now)
 	if admitted(set, "warm", 5, now) != 5 {
-		t.Error("a replica is presumed to be cold by a node that hears from none")
+		t.Error("a node that receives data from no replica treats an unreachable one as cold")
 	}
 }
 
@@ -177,10 +177,10 @@
 		wasSender := set.Begin("cold", RequestInfo{}, now) != nil
 		set.Divide(node, nodesWithoutPlace(node))
 		if sends := set.Begin("cold", RequestInfo{}, now.Add(time.Millisecond)) != nil; sends && !wasSender {
-			t.Errorf("%s feeds the replica at once after a change of the members", node)
+			t.Errorf("%s sends to the cold replica immediately after a change of the members", node)
 		}
 		if set.Begin("cold", RequestInfo{}, now.Add(1100*time.Millisecond)) == nil {
-			t.Errorf("%s does not feed the replica a second after it became the only node", node)
+			t.Errorf("%s does not send to the cold replica a second after it became the only member", node)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 	set.SetColdLimits(nil)
 	for range 50 {
 		if set.Begin("cold", RequestInfo{}, now) == nil {
-			t.Fatal("a request was held back")
+			t.Fatal("a request is held back without a limit")
 		}
 	}
 }
@@ -201,14 +201,14 @@
 	set := newColdSet("a", []string{"a"}, true, now)
 	changes := set.ColdChanges(now)
 	if len(changes) != 1 || !changes[0].Cold || changes[0].Left != 3*time.Second || set.CountCold(now) != 1 {
-		t.Fatalf("told %+v", changes)
+		t.Fatalf("ColdChanges = %+v, want one change to cold", changes)
 	}
 	if again := set.ColdChanges(now); len(again) != 0 {
-		t.Errorf("told again: %+v", again)
+		t.Errorf("second call of ColdChanges = %+v, want none", again)
 	}
 	later := now.Add(3 * time.Second)
 	if changes = set.ColdChanges(later); len(changes) != 1 || changes[0].Cold || changes[0].For != 3*time.Second {
-		t.Errorf("warm again: told %+v", changes)
+		t.Errorf("ColdChanges = %+v, want one change to warm", changes)
 	}
 }
 
@@ -221,7 +221,7 @@
 				views = 1
 			}
 			if maxSent := float64(views*nodes) * (part + 1); part > 0 && maxSent > max(2, tolerance.bound(rate)+1e-9) {
-				t.Errorf("rate %v, %+v: %d nodes with %v each", rate, tolerance, nodes, part)
+				t.Errorf("rate %v, %+v: %d senders with a rate of %v each exceed the bound", rate, tolerance, nodes, part)
 			}
 		}
 	}
@@ -247,13 +247,13 @@
 			sentByZone[zones[node]] += admitted(set, id, 2, now)
 		}
 		if sentByZone["b"] == 0 || sentByZone["a"]+sentByZone["b"] != maxColdSenders {
-			t.Errorf("%s is fed by zone: %v", id, sentByZone)
+			t.Errorf("%s gets requests by zone of sender %v, want some of zone b and one per sender", id, sentByZone)
 		}
 	}
 }
 
-// TestColdRate_HoldsWithTwoMembershipViews has half of the nodes see those that were
-// there before, and the other half only itself.
+// Half of the nodes still have the previous view of the members, the other half no longer see the
+// first half.
 func TestColdRate_HoldsWithTwoMembershipViews(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var all []string
@@ -277,18 +277,14 @@
 			}
 		}
 		if got > 27 {
-			t.Errorf("%s got %d requests in a second, 27.5 allowed", id, got)
+			t.Errorf("%s got %d requests in a second, want at most 27.5", id, got)
 		}
 	}
 }
 
-// TestColdRate_HoldsWhileNodesOfZoneStartTogether has the nodes of a zone that comes back go by what others
-// know, beside a store that does not answer: each knows itself and those of the other zones. Each was
-// then the only node of the zone in its own view, and fed each cold replica there by itself.
-//
-// Seen in a soak (--seed 7244 --nodes 20 --servers 24 --slots 4 --regions 2): server-8 got 12 requests in
-// a second, 8 may. "attempt sent" to it, cold, each 500 ms by node-2, 8, 11, 14 and 17, all of its zone,
-// which had been lost and had started 2 s before, "started by what another node knows".
+// Nodes of a zone that start together during an outage of the store know the nodes of other zones,
+// but not each other. Each is the only node of its zone in its own view, and must not become a
+// sender of the zone's cold replicas for that reason.
 func TestColdRate_HoldsWhileNodesOfZoneStartTogether(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var others, starting []place.Node
@@ -321,13 +317,13 @@
 			}
 		}
 		if got > 27 {
-			t.Errorf("%s got %d requests in a second, 27.5 allowed", id, got)
+			t.Errorf("%s got %d requests in a second, want at most 27.5", id, got)
 		}
 		if fromOthers == 0 {
-			t.Errorf("%s got nothing of the nodes that know each other", id)
+			t.Errorf("%s got no request of the nodes that know each other", id)
 		}
 	}
-	// Once a node knows that it is a member, it feeds as the others do.
+	// A node that has joined becomes a sender as the others do.
 	first := sets[starting[0].ID]
 	first.SetJoined(true)
 	first.Divide(starting[0].ID, append(slices.Clone(others), starting...))
@@ -338,6 +334,6 @@
 		sent += admitted(first, id, 1, now.Add(100*time.Millisecond))
 	}
 	if sent == 0 {
-		t.Error("a node that has joined feeds none of 50 cold replicas of its zone")
+		t.Error("a node that has joined sends to none of 50 cold replicas of its zone")
 	}
 }
--- a/internal/replica/coldgrant_test.go
+++ b/internal/replica/coldgrant_test.go
@@ -9,17 +9,17 @@
 	now := time.Unix(1000, 0)
 	set := newColdSet("a", []string{"a"}, true, now)
 	if !set.GrantCold("cold", now) {
-		t.Fatal("nothing was granted though nothing was sent")
+		t.Fatal("the first grant is refused")
 	}
 	if set.GrantCold("cold", now) || admitted(set, "cold", 1, now) != 0 {
-		t.Error("the same place was given twice")
+		t.Error("one send of the rate is used twice")
 	}
 	if set.GrantCold("warm", now) || set.GrantCold("other", now) {
-		t.Error("a place at a replica that is not cold, or not there, was given")
+		t.Error("a send is granted at a replica that is warm or not listed")
 	}
 	set.setEvacuated(map[string]bool{"": true}, now)
 	if set.GrantCold("cold", now.Add(time.Second)) {
-		t.Error("a place at an evacuated replica was given")
+		t.Error("a send is granted at an evacuated replica")
 	}
 }
 
@@ -33,11 +33,11 @@
 	set := newColdSet("other", nodes, false, now)
 	senders := set.ColdSenders(testPool, &Criteria{}, now)
 	if len(senders) != maxColdSenders {
-		t.Fatalf("named %v", senders)
+		t.Fatalf("ColdSenders = %v, want one entry for each sender", senders)
 	}
 	for _, sender := range senders {
 		if sender.Replica != "cold" || !sends[sender.Node] {
-			t.Errorf("%+v does not feed it: %v", sender, sends)
+			t.Errorf("%+v is not a sender: nodes that may send are %v", sender, sends)
 		}
 	}
 }
--- a/internal/replica/coldlist_model_test.go
+++ b/internal/replica/coldlist_model_test.go
@@ -7,15 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-// listFleet is a coldFleet some nodes of which hear nothing of the list of replicas.
+// listFleet is a coldFleet in which some nodes receive no updates of the list of replicas.
 type listFleet struct {
 	*coldFleet
-	// noUpdates are those nodes.
+	// noUpdates is set for the nodes that receive none.
 	noUpdates []bool
 }
 
-// maxUpdateDelay bounds how late a node that is not cut off hears of a change: less than the
-// age from which on its list is old.
+// maxUpdateDelay is the maximum delay of a change for nodes that receive updates. It is less than
+// maxListAge.
 const maxUpdateDelay = 800 * time.Millisecond
 
 func newListFleet(t *rapid.T) *listFleet {
@@ -24,7 +24,7 @@
 	return f
 }
 
-// advance lets time advance, while nodes that are not cut off hear that the list is current.
+// advance advances the time. Nodes that receive updates know that their list is current.
 func (f *listFleet) advance(length time.Duration) {
 	for end := f.now.Add(length); f.now.Before(end); {
 		for node, set := range f.sets {
@@ -36,30 +36,30 @@
 	}
 }
 
-// stopUpdates cuts some nodes off from the list for a while.
+// stopUpdates stops the updates of some nodes and advances the time.
 func (f *listFleet) stopUpdates() {
 	for node := range f.noUpdates {
-		f.noUpdates[node] = rapid.Bool().Draw(f.t, "cut")
+		f.noUpdates[node] = rapid.Bool().Draw(f.t, "no updates")
 	}
-	f.advance(time.Duration(rapid.IntRange(0, 3000).Draw(f.t, "cut before ms")) * time.Millisecond)
+	f.advance(time.Duration(rapid.IntRange(0, 3000).Draw(f.t, "no updates for ms")) * time.Millisecond)
 }
 
-// makeCold has the replicas turn cold in the midst of their work. What they get in the first
-// second, before a list in force can tell, does not count.
+// makeCold makes the running replicas cold. Requests of the first maxListAge, in which even a
+// current list may not show it, are not counted.
 func (f *listFleet) makeCold() {
 	warmAt := f.now.Add(f.limit.Start)
 	for node := range f.sets {
 		if f.noUpdates[node] {
 			continue
 		}
-		delay := time.Duration(rapid.Int64Range(0, int64(maxUpdateDelay)).Draw(f.t, "late"))
+		delay := time.Duration(rapid.Int64Range(0, int64(maxUpdateDelay)).Draw(f.t, "delay"))
 		f.deliverAfter(node, delay, func(set *Set) { f.putCold(set, warmAt) })
 	}
 	f.advance(maxListAge)
 	for _, row := range f.replicas {
 		f.coldUntil[row.ID] = warmAt
 	}
-	f.advance(time.Duration(rapid.IntRange(0, 1500).Draw(f.t, "heals after ms")) * time.Millisecond)
+	f.advance(time.Duration(rapid.IntRange(0, 1500).Draw(f.t, "updates resume after ms")) * time.Millisecond)
 	for node, set := range f.sets {
 		if f.noUpdates[node] {
 			f.putCold(set, warmAt)
@@ -69,7 +69,7 @@
 	f.advance(warmAt.Sub(f.now))
 }
 
-// putCold gives a node the rows as they are.
+// putCold updates a node's list of replicas, which are cold until warmAt.
 func (f *listFleet) putCold(set *Set, warmAt time.Time) {
 	for _, info := range f.replicas {
 		info.ColdLeft = max(0, warmAt.Sub(f.now))
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestColdRate_HoldsWithOldLists drives the sets of many nodes, some of which hear
-// nothing of the list when replicas turn cold, and whose views of the members differ.
+// All nodes together keep to the rate of replicas that become cold while some nodes receive no
+// updates of the list and the views of the members differ.
 func TestColdRate_HoldsWithOldLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newListFleet(t)
--- a/internal/replica/coldlist_test.go
+++ b/internal/replica/coldlist_test.go
@@ -16,32 +16,32 @@
 	set := newColdSet("a", []string{"a"}, true, now)
 	later := now.Add(time.Minute)
 	if got := admitted(set, "warm", 5, later); got != 5 {
-		t.Fatalf("admitted %d of 5 though nobody tells of the list's age", got)
+		t.Fatalf("admitted %d of 5 without a list time, want all", got)
 	}
 	set.SetListTime(later, later)
 	if got := admitted(set, "warm", 5, later.Add(maxListAge)); got != 5 {
-		t.Errorf("admitted %d of 5 by a current list", got)
+		t.Errorf("admitted %d of 5 with a current list, want all", got)
 	}
 	old := later.Add(maxListAge + time.Millisecond)
 	if got := admitted(set, "warm", 5, old); got != 1 {
-		t.Errorf("admitted %d of 5 by an old list, want the one of its part", got)
+		t.Errorf("admitted %d of 5 with an old list, want 1", got)
 	}
 	if set.CountCold(old) != 0 || len(set.ColdChanges(old)) != 0 || !set.PresumesCold(old) {
-		t.Error("what is presumed counts as known")
+		t.Error("replicas that are presumed cold are counted as cold")
 	}
 	set.SetListTime(now, old)
 	if got := admitted(set, "warm", 5, old); got != 0 {
-		t.Errorf("admitted %d by an answer that is older still", got)
+		t.Errorf("admitted %d after an older list time, want 0", got)
 	}
 	changed := set.Changed()
 	set.SetListTime(old, old)
 	select {
 	case <-changed:
 	default:
-		t.Error("those that wait are not told that the list is current")
+		t.Error("waiting requests are not notified that the list is current")
 	}
 	if got := admitted(set, "warm", 5, old); got != 5 {
-		t.Errorf("admitted %d of 5 by a list that is current again", got)
+		t.Errorf("admitted %d of 5 with a list that is current again, want all", got)
 	}
 }
 
@@ -51,12 +51,12 @@
 	set.put(Info{ID: "other", Pool: "other", Slots: 8}, now)
 	set.SetListTime(now, now)
 	if got := admitted(set, "other", 5, now.Add(time.Minute)); got != 5 {
-		t.Errorf("admitted %d of 5", got)
+		t.Errorf("admitted %d of 5 in a pool without a limit, want all", got)
 	}
 }
 
-// granted counts how many of three places a set gives to a node that only presumes a
-// replica to be cold.
+// granted returns how many of three sends a set grants to a node that only presumes a replica to be
+// cold.
 func granted(set *Set, id string, now time.Time) int {
 	count := 0
 	for range 3 {
@@ -77,27 +77,27 @@
 		at       time.Time
 		want     int
 	}{
-		{"warm by a current list", "warm", now, 3},
-		{"cold, the node's own part", "cold", now, 1},
-		{"not there", "other", now, 0},
-		{"warm by an old list, the node's own part", "warm", old, 1},
+		{"warm, current list", "warm", now, 3},
+		{"cold, current list", "cold", now, 1},
+		{"not listed", "other", now, 0},
+		{"warm, old list", "warm", old, 1},
 	} {
 		if got := granted(set, tc.id, tc.at); got != tc.want {
-			t.Errorf("%s: %d places, want %d", tc.name, got, tc.want)
+			t.Errorf("%s: %d sends granted, want %d", tc.name, got, tc.want)
 		}
 	}
 	set.setEvacuated(map[string]bool{"": true}, now)
 	if granted(set, "warm", now) != 0 {
-		t.Error("a place at an evacuated replica was given")
+		t.Error("a send is granted at an evacuated replica")
 	}
 }
 
-// outageFleet is a fleet in an outage of the store: all lists are old, and no replica is
+// outageFleet simulates nodes during an outage of the store: all lists are old and no replica is
 // cold.
 type outageFleet struct {
 	sets    map[string]*Set
 	nodeIDs []string
-	// waiting are the requests without a place.
+	// waiting are the requests that have not been sent, waits the waiting times of the others.
 	waiting []outageRequest
 	waits   []time.Duration
 	random  *rand.Rand
@@ -110,7 +110,7 @@
 
 const (
 	outageStep = 5 * time.Millisecond
-	// retryInterval is the pause between two questions of a request, as in package forward.
+	// retryInterval is the pause between two requests for a grant, as in package forward.
 	retryInterval = 100 * time.Millisecond
 )
 
@@ -135,7 +135,7 @@
 	return f
 }
 
-// serve tries all waiting requests whose time has come.
+// serve tries to send the waiting requests that are due.
 func (f *outageFleet) serve(now time.Time) {
 	waiting := f.waiting[:0]
 	for _, request := range f.waiting {
@@ -153,7 +153,8 @@
 	f.waiting = waiting
 }
 
-// tryPlace looks for a place in the node's own part, then in that of a node that it asks.
+// tryPlace sends a request within the node's own part of a rate or by a grant of a sender.
+// Otherwise it returns the time to wait.
 func (f *outageFleet) tryPlace(node string, now time.Time) (wait time.Duration, placed bool) {
 	set := f.sets[node]
 	criteria := &Criteria{RequestInfo: RequestInfo{Tokens: 100}}
@@ -174,9 +175,8 @@
 	return retryInterval, f.sets[sender.Node].GrantPresumed(sender.Replica, now)
 }
 
-// TestSetListTime_RequestsAreServedDuringStoreOutage has all lists of a large deployment be old
-// for long, at its usual traffic: 335 requests a second of 76 nodes to 89 replicas. What
-// replicas that may be cold get is above that.
+// With old lists on all nodes, the rates of presumed cold replicas suffice for the usual traffic of
+// a large deployment: 335 requests a second from 76 nodes to 89 replicas.
 func TestSetListTime_RequestsAreServedDuringStoreOutage(t *testing.T) {
 	const nodes, replicas, perSecond, length = 76, 89, 335, 10 * time.Second
 	start := time.Unix(1000, 0)
@@ -191,10 +191,10 @@
 	}
 	slices.Sort(f.waits)
 	quantile := func(share float64) time.Duration { return f.waits[int(share*float64(len(f.waits)-1))] }
-	t.Logf("%d placed, %d wait; median %v, 95%% %v, 99%% %v, longest %v", len(f.waits), len(f.waiting), quantile(0.5), quantile(0.95), quantile(0.99), quantile(1))
-	// It is the time to the first event that such deployments ask for.
+	t.Logf("%d requests sent, %d waiting; wait: median %v, 95%% %v, 99%% %v, longest %v", len(f.waits), len(f.waiting), quantile(0.5), quantile(0.95), quantile(0.99), quantile(1))
+	// The objective for the first event of such deployments.
 	const objective = 300 * time.Millisecond
 	if len(f.waiting) > perSecond/10 || quantile(0.99) > objective {
-		t.Errorf("%d requests wait at the end, of the others 1%% waited for more than %v", len(f.waiting), quantile(0.99))
+		t.Errorf("%d requests still wait, 99%% of the others waited for at most %v", len(f.waiting), quantile(0.99))
 	}
 }
--- a/internal/replica/delisted_test.go
+++ b/internal/replica/delisted_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// newDividedSet returns a node's set of replicas with two slots each, divided among four nodes.
+// newDividedSet returns the set of a node with replicas of two slots each, which are divided among
+// four nodes.
 func newDividedSet(self string, replicas ...string) *Set {
 	set := NewSet()
 	for _, id := range replicas {
@@ -16,7 +17,7 @@
 	return set
 }
 
-// sharesByID returns how many slots of each replica are a node's.
+// sharesByID returns the number of slots of each replica that are allotted to the node.
 func sharesByID(set *Set, now time.Time) map[string]int {
 	shares := map[string]int{}
 	for _, candidate := range set.List(now) {
@@ -25,9 +26,8 @@
 	return shares
 }
 
-// Replicas that left the list around an outage are divided no more once they are in doubt no
-// more: a node that was cut off comes to the same division as those that were not, so that each
-// slot is some node's.
+// After the grace period, slots of replicas that were delisted around an outage are no longer
+// divided. Otherwise a node that was cut off would use another division than the other nodes.
 func TestDivide_ExcludesReplicasAfterGracePeriod(t *testing.T) {
 	now := time.Unix(1000, 0)
 	expired := []string{"gone-0", "gone-1", "gone-2", "gone-3"}
@@ -43,18 +43,18 @@
 		set.UpdateDemand(later)
 		want, got := sharesByID(newDividedSet(self, listed...), later), sharesByID(set, later)
 		if fmt.Sprint(want) != fmt.Sprint(got) {
-			t.Errorf("%s, which was cut off, has %v, others take it to have %v", self, got, want)
+			t.Errorf("%s, which was cut off, has shares %v, want %v as other nodes compute them", self, got, want)
 		}
 		if count, _ := set.Count(later); count != len(listed) {
-			t.Errorf("%d replicas are listed, want %d", count, len(listed))
+			t.Errorf("%d replicas listed, want %d", count, len(listed))
 		}
 		if capacity := set.ItemCapacity(testPool, later); capacity.Share != newDividedSet(self, listed...).ItemCapacity(testPool, later).Share {
-			t.Errorf("%s has room in slots that are gone: %+v", self, capacity)
+			t.Errorf("%s has capacity in slots of expired replicas: %+v", self, capacity)
 		}
 	}
 }
 
-// Until then they keep their slots: the division changes when it is known that they are gone.
+// During the grace period the slots of delisted replicas remain divided.
 func TestDivide_KeepsReplicasDuringGracePeriod(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := newDividedSet("node-00", "r-0", "r-1")
@@ -64,12 +64,12 @@
 	later := now.Add(delistedGrace)
 	set.UpdateDemand(later)
 	if after := sharesByID(set, later); fmt.Sprint(before) != fmt.Sprint(after) {
-		t.Errorf("shares %v become %v", before, after)
+		t.Errorf("shares changed from %v to %v in the grace period", before, after)
 	}
 	set.Put(Info{ID: "r-0", Pool: testPool, Slots: 2})
 	later = later.Add(time.Hour)
 	set.UpdateDemand(later)
 	if after := sharesByID(set, later); fmt.Sprint(before) != fmt.Sprint(after) {
-		t.Errorf("one is listed again, and shares %v become %v", before, after)
+		t.Errorf("shares changed from %v to %v after the replica was listed again", before, after)
 	}
 }
--- a/internal/replica/distance_test.go
+++ b/internal/replica/distance_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// newTwoRegionSet returns a set with so many replicas in either region.
+// newTwoRegionSet returns a set with the given numbers of replicas in two regions.
 func newTwoRegionSet(north, south int) *Set {
 	set := NewSet()
 	for i := range north {
@@ -20,6 +20,7 @@
 
 var testWeights = Weights{CrossZone: 6 * time.Millisecond, CrossRegion: 40 * time.Millisecond}
 
+// pickNorth picks a replica for a request of a node in the region "north".
 func pickNorth(t *testing.T, set *Set, affinity uint64) *Candidate {
 	t.Helper()
 	criteria := &Criteria{Zone: "n", Region: "north", Affinity: affinity, SharedTokens: 200, RequestInfo: RequestInfo{Tokens: 450}}
@@ -36,43 +37,42 @@
 		set.Begin("north-0", RequestInfo{}, now)
 	}
 	if best := pickNorth(t, set, 0); best.Region != "north" {
-		t.Fatalf("chose %s though a slot of the own region is free", best.ID)
+		t.Fatalf("picked %s although a slot in the own region is free", best.ID)
 	}
 	for range 9 {
 		set.Begin("north-0", RequestInfo{}, now)
 	}
 	if best := pickNorth(t, set, 0); best.Region != "south" {
-		t.Fatalf("chose %s though requests wait there for longer than the way to the other region takes", best.ID)
+		t.Fatalf("picked %s although the wait there exceeds the cost of crossing regions", best.ID)
 	}
 }
 
-// TestPick_AffinityReplicaPerRegion: the home of the whole fleet would be too far for
-// two of three regions, and their requests would read the prefix at any replica.
+// Each region has its own affinity replica for a prefix. A single one would be too far away for the
+// other regions, whose requests would then process the prefix at any replica.
 func TestPick_AffinityReplicaPerRegion(t *testing.T) {
 	set, now := newTwoRegionSet(6, 60), time.Now()
 	for affinity := range uint64(20) {
 		want := affinityEntry(nearby(set.pool(testPool), "north"), affinity+1, now)
 		for range 5 {
 			if best := pickNorth(t, set, affinity+1); best.ID != want.info.ID {
-				t.Fatalf("prefix %d: chose %s, its home in the north is %s", affinity, best.ID, want.info.ID)
+				t.Fatalf("prefix %d: picked %s, want its affinity replica in the region, %s", affinity, best.ID, want.info.ID)
 			}
 		}
 	}
 }
 
-// TestPick_CrossZoneCostAppliesToRegions: settings of an earlier version know no
-// cost of regions.
+// Settings without CrossRegion use CrossZone as the cost of crossing regions.
 func TestPick_CrossZoneCostAppliesToRegions(t *testing.T) {
 	set := newTwoRegionSet(1, 1)
 	criteria := &Criteria{Zone: "n", Region: "north"}
 	best, err := Pick(set.SnapshotFor(testPool, criteria, time.Now()), criteria, Weights{CrossZone: time.Millisecond})
 	if err != nil || best.Region != "north" {
-		t.Fatalf("chose %v, %v", best, err)
+		t.Fatalf("Pick = %v, %v, want a replica in the north", best, err)
 	}
 }
 
-// TestSnapshotFor_SamplesMostlyOwnRegion looks at a pool where this node has no slots: its
-// random ones are nearby but for a few.
+// A node without slots in a pool samples random replicas of its own region and at most
+// sampleOtherRegion of other regions.
 func TestSnapshotFor_SamplesMostlyOwnRegion(t *testing.T) {
 	set, now := newTwoRegionSet(30, 300), time.Now()
 	set.Divide("elsewhere", nodesWithoutPlace("elsewhere"))
@@ -88,6 +88,6 @@
 		}
 	}
 	if south == 0 || south > 50*sampleOtherRegion {
-		t.Fatalf("%d replicas of the other region in 50 samples, want some, up to %d", south, 50*sampleOtherRegion)
+		t.Fatalf("%d replicas of the other region in 50 samples, want 1 to %d", south, 50*sampleOtherRegion)
 	}
 }
--- a/internal/replica/divide_bench_test.go
+++ b/internal/replica/divide_bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// BenchmarkShares_300Nodes divides 3,000 replicas of six zones in three regions.
+// BenchmarkShares_300Nodes divides 3,000 replicas in six zones of three regions among 300 nodes.
 func BenchmarkShares_300Nodes(b *testing.B) {
 	at := func(i int) place.Place {
 		return place.Place{Zone: fmt.Sprintf("z%d", i%6), Region: fmt.Sprintf("r%d", i%6/2)}
--- a/internal/replica/divide_test.go
+++ b/internal/replica/divide_test.go
@@ -9,7 +9,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// nodesWithoutPlace returns nodes that have not told where they are.
+// nodesWithoutPlace returns nodes of unknown zone and region.
 func nodesWithoutPlace(ids ...string) []place.Node {
 	var nodes []place.Node
 	for _, id := range ids {
@@ -34,8 +34,8 @@
 	return replicas
 }
 
-// All nodes divide alike, so each slot is one node's, and no node has two more
-// than another.
+// The shares that all nodes compute allot each slot to exactly one node, and the numbers of slots
+// per node differ by at most one.
 func TestShares_EverySlotHasOneNode(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		nodes := testNodes(rapid.IntRange(1, 40).Draw(rt, "nodes"))
@@ -52,11 +52,11 @@
 		}
 		for i, r := range replicas {
 			if allotted[i] != r.Count {
-				rt.Fatalf("%d of %d slots of a replica are dealt", allotted[i], r.Count)
+				rt.Fatalf("%d of %d slots of a replica are allotted", allotted[i], r.Count)
 			}
 		}
 		if most-least > 1 {
-			rt.Fatalf("nodes have %d to %d slots", least, most)
+			rt.Fatalf("nodes have %d to %d slots, want a difference of at most one", least, most)
 		}
 	})
 }
@@ -64,13 +64,13 @@
 func TestShares_UnknownNodeGetsAllSlots(t *testing.T) {
 	for _, share := range Shares("new", testNodes(3), testReplicas(4, 8)) {
 		if share != 8 {
-			t.Fatalf("share is %d of 8", share)
+			t.Fatalf("share = %d, want 8", share)
 		}
 	}
 }
 
-// At 320 nodes and 600 replicas the division must cost little, for each node makes
-// it whenever a node or a replica comes or goes.
+// BenchmarkShares measures the division of 600 replicas among 320 nodes, which each node repeats
+// whenever a node or a replica joins or leaves.
 func BenchmarkShares(b *testing.B) {
 	nodes, replicas := testNodes(320), testReplicas(600, 8)
 	for b.Loop() {
--- a/internal/replica/evacuate_test.go
+++ b/internal/replica/evacuate_test.go
@@ -11,17 +11,17 @@
 	before := set.FreeItemSlots(testPool, now)
 	set.SetEvacuated(map[string]bool{"n1": true})
 	if after := set.FreeItemSlots(testPool, now); before < 8 || after > before-4 {
-		t.Errorf("room of %d slots fell to %d as 4 of 8 went", before, after)
+		t.Errorf("free slots fell from %d to %d when 4 of 8 slots were evacuated", before, after)
 	}
 	if share := set.PoolStats(now)[testPool].Share; share != 4 {
-		t.Errorf("%d slots are told to others", share)
+		t.Errorf("Share = %d, want 4", share)
 	}
 	set.SetEvacuated(map[string]bool{"n1": true, "s1": true})
 	if free := set.FreeItemSlots(testPool, now); free > 0 {
-		t.Errorf("room for %d items with all zones evacuated", free)
+		t.Errorf("%d free slots with all zones evacuated", free)
 	}
 	if demands := set.UpdateDemand(now); len(demands) != 1 || demands[0].Share != 0 || demands[0].Excess > 0 {
-		t.Errorf("needs %+v with all zones evacuated", demands)
+		t.Errorf("UpdateDemand = %+v with all zones evacuated, want no share and no excess", demands)
 	}
 }
 
@@ -33,13 +33,13 @@
 	}
 	set.SetEvacuated(map[string]bool{"n1": true})
 	if free := set.FreeItemSlots(testPool, now); free < 4 {
-		t.Errorf("room for %d items beside 4 that run on in the evacuated zone", free)
+		t.Errorf("%d free slots with 4 items running in the evacuated zone, want at least 4", free)
 	}
 	if demands := set.UpdateDemand(now); demands[0].Excess > 0 {
-		t.Errorf("%d items are to leave slots that nobody may use", demands[0].Excess)
+		t.Errorf("Excess = %d for items in evacuated slots, want none", demands[0].Excess)
 	}
 	if !set.IsEvacuated("north") || set.IsEvacuated("south") || set.IsEvacuated("unknown") {
-		t.Error("wrong replicas are emptied")
+		t.Error("IsEvacuated is true for the wrong replicas")
 	}
 }
 
@@ -49,7 +49,7 @@
 	for range 20 {
 		criteria := &Criteria{}
 		if chosen, err := PickUnqueued(set.SnapshotFor(testPool, criteria, now), criteria, Weights{}, false); err != nil || chosen.ID != "south" {
-			t.Fatalf("asked %v, %v for a slot", chosen, err)
+			t.Fatalf("PickUnqueued = %v, %v, want south", chosen, err)
 		}
 	}
 }
@@ -62,7 +62,7 @@
 		{Exclude: map[string]bool{"south": true}},
 	} {
 		if chosen, err := pickFor(set, criteria); err == nil && chosen.ID != "south" {
-			t.Errorf("%+v chose %s", criteria, chosen.ID)
+			t.Errorf("%+v: picked %s, want south", criteria, chosen.ID)
 		}
 	}
 }
@@ -70,10 +70,10 @@
 func TestNoReplicaError_MainReason(t *testing.T) {
 	failure := &NoReplicaError{}
 	if failure.MainReason() != Usable {
-		t.Errorf("nothing excluded, yet %s", failure.MainReason())
+		t.Errorf("MainReason without exclusions = %s, want usable", failure.MainReason())
 	}
 	failure.Counts[Tried], failure.Counts[Evacuated] = 1, 3
 	if failure.MainReason() != Evacuated {
-		t.Errorf("%s excluded most", failure.MainReason())
+		t.Errorf("MainReason = %s, want evacuated", failure.MainReason())
 	}
 }
--- a/internal/replica/evidence_test.go
+++ b/internal/replica/evidence_test.go
@@ -8,8 +8,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// newEvidenceSet returns a set of node "n0" in zone "a" with so many replicas, and nodes n0
-// to n9 that know each other.
+// newEvidenceSet returns the set of node n0 in zone a, with the nodes n0 to n9 and the given number
+// of replicas.
 func newEvidenceSet(replicas int) *Set {
 	set := newSet(replicas)
 	set.Zone = "a"
@@ -17,7 +17,7 @@
 	return set
 }
 
-// evidenceNodes are nodes n0 to n9, of which it is not known where they are.
+// evidenceNodes returns the nodes n0 to n9, of unknown zone and region.
 func evidenceNodes() []place.Node {
 	var nodes []place.Node
 	for i := range 10 {
@@ -26,12 +26,12 @@
 	return nodes
 }
 
-// failureReport is what a node tells of a replica that has just failed for it.
+// failureReport returns the report of a node for which a replica has just failed.
 func failureReport(id string, failures, successes float64) []FailureReport {
 	return []FailureReport{{Replica: Key(id), Failures: failures, Successes: successes}}
 }
 
-// isEjected reports whether a replica is left isEjected.
+// isEjected reports whether a replica is listed and ejected.
 func isEjected(set *Set, id string, now time.Time) bool {
 	for _, candidate := range set.List(now) {
 		if candidate.ID == id {
@@ -48,30 +48,29 @@
 	set.OnSharedEjection = func(ejection SharedEjection) { ejections = append(ejections, ejection) }
 	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureReport("r00", 5, 0), now)
 	if isEjected(set, "r00", now) {
-		t.Fatal("one node's word leaves a replica out")
+		t.Fatal("the report of one node ejects a replica")
 	}
 	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureReport("r00", 6, 0), now)
 	if isEjected(set, "r00", now) {
-		t.Fatal("a node that tells twice counts twice")
+		t.Fatal("two reports of one node eject a replica")
 	}
 	set.AddFailureReports(Reporter{Node: "n2", Zone: "b"}, failureReport("r00", 1, 0), now)
 	if !isEjected(set, "r00", now) || isEjected(set, "r01", now) {
-		t.Fatal("two nodes' word does not leave just that replica out")
+		t.Fatal("the reports of two nodes do not eject exactly the reported replica")
 	}
 	if len(ejections) != 1 || ejections[0].Nodes != 2 || ejections[0].Replica.ID != "r00" {
-		t.Errorf("ejections %+v", ejections)
+		t.Errorf("ejections = %+v, want one of r00 by two nodes", ejections)
 	}
 }
 
-// TestSharedEjection_CountsOwnFailures has a replica fail here after another
-// node has told of it: no second word is needed.
+// A failure on this node and the report of one other node suffice for an ejection.
 func TestSharedEjection_CountsOwnFailures(t *testing.T) {
 	now := time.Now()
 	set := newEvidenceSet(4)
 	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureReport("r00", 2, 0), now)
 	set.Begin("r00", RequestInfo{}, now).End(Failed, now)
 	if !isEjected(set, "r00", now) {
-		t.Error("a replica that failed for this node and for another is used")
+		t.Error("a replica that failed for this node and another one is not ejected")
 	}
 }
 
@@ -82,12 +81,12 @@
 		set.AddFailureReports(Reporter{Node: fmt.Sprintf("n%d", i), Zone: "a"}, failureReport("r00", 1, 9), now)
 	}
 	if isEjected(set, "r00", now) {
-		t.Error("a replica that spoils one answer of ten is left out by all")
+		t.Error("a replica that fails one request in ten is ejected")
 	}
 }
 
-// TestFailureReports_IncludeSuccesses has a replica fail now and then for
-// few nodes, while others whose answers are whole tell so.
+// Nodes report their successes at a replica that other nodes report, so that a few failures among
+// many answers do not eject it.
 func TestFailureReports_IncludeSuccesses(t *testing.T) {
 	now := time.Now()
 	set, other := newEvidenceSet(4), newEvidenceSet(4)
@@ -95,27 +94,26 @@
 		other.Begin("r00", RequestInfo{}, now).End(Succeeded, now)
 	}
 	if reports := other.FailureReports(now); len(reports) != 0 {
-		t.Fatalf("a node tells of a replica that nobody reports: %v", reports)
+		t.Fatalf("a node reports successes at a replica that no other node reports: %v", reports)
 	}
 	other.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureReport("r00", 1, 0), now)
 	reports := other.FailureReports(now)
 	if len(reports) != 1 || reports[0].Failures != 0 || reports[0].Successes != 3 {
-		t.Fatalf("a node that was served well tells %v", reports)
+		t.Fatalf("FailureReports = %v, want 3 successes", reports)
 	}
 	set.AddFailureReports(Reporter{Node: "n3", Zone: "a"}, reports, now)
 	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureReport("r00", 1, 0), now)
 	set.AddFailureReports(Reporter{Node: "n2", Zone: "b"}, failureReport("r00", 1, 0), now)
 	if isEjected(set, "r00", now) {
-		t.Error("two failures of five answers leave a replica out")
+		t.Error("two failures in five answers eject a replica")
 	}
 	set.AddFailureReports(Reporter{Node: "n2", Zone: "b"}, failureReport("r00", 3, 0), now)
 	if !isEjected(set, "r00", now) {
-		t.Error("four failures of seven answers do not leave a replica out")
+		t.Error("four failures in seven answers do not eject a replica")
 	}
 }
 
-// TestSharedEjection_InOneZoneOnly has a replica fail for the callers of one
-// zone only.
+// A replica that fails for the nodes of one zone only is ejected by these.
 func TestSharedEjection_InOneZoneOnly(t *testing.T) {
 	now := time.Now()
 	for _, tc := range []struct {
@@ -129,7 +127,7 @@
 			set.AddFailureReports(Reporter{Node: fmt.Sprintf("m%d", i), Zone: "b"}, failureReport("r00", 0, 9), now)
 		}
 		if got := isEjected(set, "r00", now); got != tc.want {
-			t.Errorf("zone %s: left out %v, want %v", tc.zone, got, tc.want)
+			t.Errorf("zone %s: ejected = %v, want %v", tc.zone, got, tc.want)
 		}
 	}
 }
@@ -146,26 +144,26 @@
 		fail(fmt.Sprintf("r%02d", i))
 	}
 	if reports := set.FailureReports(now); len(reports) != 3 {
-		t.Fatalf("%d replicas of 9 fail, want 3 told", len(reports))
+		t.Fatalf("%d replicas reported, want 3 of 9", len(reports))
 	}
 	fail("r03")
 	if reports := set.FailureReports(now); reports != nil {
-		t.Errorf("a node that reports 4 of 9 replicas tells of %d", len(reports))
+		t.Errorf("%d replicas reported although 4 of 9 fail, want none", len(reports))
 	}
 	if reports := set.FailureReports(now.Add(evidenceMemory + time.Second)); reports != nil {
-		t.Errorf("failures of long ago are told: %v", reports)
+		t.Errorf("expired failures are reported: %v", reports)
 	}
 }
 
-// TestFailureReports_CountOnlyRecentlyUsedReplicas has a node use many replicas, and later few, all
-// of which fail: the fault is likely its own, whatever it used before.
+// If all replicas that a node used recently fail, the fault is likely on the node, however many
+// others it used before.
 func TestFailureReports_CountOnlyRecentlyUsedReplicas(t *testing.T) {
 	now := time.Now()
 	set := newEvidenceSet(12)
 	for i := range 12 {
 		set.Begin(fmt.Sprintf("r%02d", i), RequestInfo{}, now).End(Succeeded, now)
 	}
-	// Reports are asked for all the while, which fades the counts.
+	// Each call of FailureReports also decays the counts.
 	for range 20 {
 		now = now.Add(evidenceMemory / 10)
 		set.FailureReports(now)
@@ -174,12 +172,12 @@
 		set.Begin(fmt.Sprintf("r%02d", i), RequestInfo{}, now).End(Failed, now)
 	}
 	if reports := set.FailureReports(now); reports != nil {
-		t.Errorf("a node for which all that it uses fails tells of %d", len(reports))
+		t.Errorf("%d replicas reported although all recently used ones fail, want none", len(reports))
 	}
 }
 
-// TestSharedEjection_Probation follows a replica through exclusion,
-// probation and ejectAgainWithin as all nodes see it.
+// After an ejection only the probers use the replica until probation ends. One failure that
+// is reported in probation ejects it again for longer.
 func TestSharedEjection_Probation(t *testing.T) {
 	now := time.Now()
 	nodes := evidenceNodes()
@@ -201,20 +199,20 @@
 		return count
 	}
 	if got := countEjected(now.Add(sharedEjectionFirst - time.Millisecond)); got != 10 {
-		t.Fatalf("%d of 10 nodes leave it out", got)
+		t.Fatalf("ejected by %d of 10 nodes, want all", got)
 	}
 	after := now.Add(sharedEjectionFirst + time.Millisecond)
 	if got := countEjected(after); got != 10-proberCount {
-		t.Fatalf("%d of 10 nodes leave it out after the exclusion, want all but %d", got, proberCount)
+		t.Fatalf("ejected by %d of 10 nodes in probation, want all but %d", got, proberCount)
 	}
 	if got := countEjected(after.Add(probation)); got != 0 {
-		t.Fatalf("%d of 10 nodes leave it out when nobody told of a failure", got)
+		t.Fatalf("ejected by %d of 10 nodes after probation without failures, want none", got)
 	}
 	for _, set := range sets {
 		set.AddFailureReports(Reporter{Node: "x3", Zone: "a"}, failureReport("r00", 1, 0), after)
 	}
 	if got := countEjected(after.Add(sharedEjectionFirst + probation)); got != 10 {
-		t.Errorf("%d of 10 nodes leave it out for longer after one failure in its probation", got)
+		t.Errorf("ejected by %d of 10 nodes after a failure in probation, want all for longer", got)
 	}
 }
 
@@ -233,7 +231,7 @@
 		}
 	}
 	if left != 2 {
-		t.Errorf("%d of 4 replicas are used when all are said to fail, want 2", left)
+		t.Errorf("%d of 4 replicas not ejected when all are reported, want 2", left)
 	}
 }
 
@@ -246,12 +244,11 @@
 		set.AddFailureReports(reporter, []FailureReport{{Replica: Key("r00"), Failures: 9, Age: evidenceMemory + time.Second}}, now)
 	}
 	if isEjected(set, "r00", now) {
-		t.Error("words that cannot be, or are old, leave a replica out")
+		t.Error("invalid or expired reports eject a replica")
 	}
 }
 
-// TestPick_NoRetryAvoidsFailingReplicas has one node tell of a replica: requests
-// that can be sent again still go there.
+// Requests that cannot be sent again avoid a replica that one node reports; others still use it.
 func TestPick_NoRetryAvoidsFailingReplicas(t *testing.T) {
 	now := time.Now()
 	set := newEvidenceSet(2)
@@ -267,10 +264,10 @@
 		seen[chosen.ID] = true
 		criteria.NoRetry = true
 		if chosen, err = Pick(set.SnapshotFor(testPool, criteria, now), criteria, Weights{}); err != nil || chosen.ID != "r01" {
-			t.Fatalf("a request that cannot be sent again goes to %v, %v", chosen, err)
+			t.Fatalf("Pick with NoRetry = %v, %v, want r01", chosen, err)
 		}
 	}
 	if !seen["r00"] {
-		t.Error("one node's word keeps all requests away")
+		t.Error("all requests avoid a replica that one node reports")
 	}
 }
--- a/internal/replica/exclusion_test.go
+++ b/internal/replica/exclusion_test.go
@@ -8,7 +8,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// newTwoZoneSet returns a set with a replica of 4 slots in each of two zones of two regions.
+// newTwoZoneSet returns a set with one replica of 4 slots in each of two zones in different
+// regions.
 func newTwoZoneSet() *Set {
 	set := NewSet()
 	set.Put(Info{ID: "north", Pool: testPool, Zone: "n1", Region: "n", Slots: 4})
@@ -16,6 +17,7 @@
 	return set
 }
 
+// pickFor picks a replica of a set's pool.
 func pickFor(set *Set, criteria *Criteria) (*Candidate, error) {
 	return Pick(set.SnapshotFor(testPool, criteria, time.Now()), criteria, Weights{})
 }
@@ -25,17 +27,17 @@
 	set.SetEvacuated(map[string]bool{"n1": true})
 	for range 20 {
 		if chosen, err := pickFor(set, &Criteria{}); err != nil || chosen.ID != "south" {
-			t.Fatalf("chose %v, %v", chosen, err)
+			t.Fatalf("Pick = %v, %v, want south", chosen, err)
 		}
 	}
 	set.SetEvacuated(map[string]bool{"n1": true, "s1": true})
 	_, err := pickFor(set, &Criteria{})
 	if noReplica := (*NoReplicaError)(nil); !errors.As(err, &noReplica) || !noReplica.Persistent() || noReplica.Counts[Evacuated] != 2 {
-		t.Errorf("all zones evacuated: %v", err)
+		t.Errorf("Pick with all zones evacuated: %v, want a persistent NoReplicaError", err)
 	}
 	set.SetEvacuated(nil)
 	if _, err := pickFor(set, &Criteria{}); err != nil {
-		t.Errorf("after the evacuations: %v", err)
+		t.Errorf("Pick after the evacuations: %v", err)
 	}
 }
 
@@ -43,12 +45,12 @@
 	set := newTwoZoneSet()
 	for range 20 {
 		if chosen, err := pickFor(set, &Criteria{Regions: place.Regions{"s"}}); err != nil || chosen.ID != "south" {
-			t.Fatalf("chose %v, %v", chosen, err)
+			t.Fatalf("Pick = %v, %v, want south", chosen, err)
 		}
 	}
 	_, err := pickFor(set, &Criteria{Regions: place.Regions{}})
 	if noReplica := (*NoReplicaError)(nil); !errors.As(err, &noReplica) || !noReplica.Persistent() || noReplica.Counts[Elsewhere] != 2 {
-		t.Errorf("no region allowed: %v", err)
+		t.Errorf("Pick without allowed regions: %v, want a persistent NoReplicaError", err)
 	}
 }
 
@@ -56,11 +58,11 @@
 	set := newTwoZoneSet()
 	_, err := pickFor(set, &Criteria{Regions: place.Regions{"s"}, Exclude: map[string]bool{"south": true}})
 	if noReplica := (*NoReplicaError)(nil); !errors.As(err, &noReplica) || noReplica.Persistent() {
-		t.Errorf("a replica that refused once lasts: %v", err)
+		t.Errorf("the exclusion of a replica that refused the request is persistent: %v", err)
 	}
 	_, err = Pick(nil, &Criteria{}, Weights{})
 	if noReplica := (*NoReplicaError)(nil); !errors.As(err, &noReplica) || noReplica.Persistent() || !errors.Is(err, ErrNoReplica) {
-		t.Errorf("an empty list lasts: %v", err)
+		t.Errorf("the error for an empty list is persistent or does not wrap ErrNoReplica: %v", err)
 	}
 }
 
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -7,7 +7,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// newSetWithHalfShare returns a set with one replica of 8 slots, 4 of them this node's.
+// newSetWithHalfShare returns a set with one replica of 8 slots, 4 of which are allotted to this
+// node.
 func newSetWithHalfShare() *Set {
 	set := NewSet()
 	set.Put(Info{ID: "r", Pool: testPool, Slots: 8})
@@ -15,9 +16,8 @@
 	return set
 }
 
-// TestUpdateDemand_ExcessIfOtherNodesNeedSlots runs items at a node without callers of
-// its own: once others tell that they need more slots than they have, its items are in
-// excess and no more are started.
+// If other nodes report that they need more slots than they have, the items of a node without
+// online requests are in excess, and no more may start.
 func TestUpdateDemand_ExcessIfOtherNodesNeedSlots(t *testing.T) {
 	set, now := newSetWithHalfShare(), time.Unix(1000, 0)
 	for range 4 {
@@ -25,7 +25,7 @@
 	}
 	excess := func() int { return set.UpdateDemand(now)[0].Excess }
 	if excess := excess(); excess > 0 {
-		t.Fatalf("%d items in excess though nobody needs their slots", excess)
+		t.Fatalf("%d items in excess although no online request needs their slots", excess)
 	}
 	for range 3 {
 		excess()
@@ -33,14 +33,14 @@
 		now = now.Add(100 * time.Millisecond)
 	}
 	if excess := excess(); excess != 4 {
-		t.Fatalf("%d items in excess, want all 4: the fleet needs every slot", excess)
+		t.Fatalf("%d items in excess when online requests need all slots, want 4", excess)
 	}
 	if free := set.FreeItemSlots(testPool, now); free > 0 {
-		t.Fatalf("room for %d items", free)
+		t.Fatalf("%d free slots when online requests need all slots", free)
 	}
 	now = now.Add(2 * fleetMaxAge)
 	if excess := excess(); excess > 0 {
-		t.Fatalf("%d items in excess by words that are old", excess)
+		t.Fatalf("%d items in excess because of expired reports", excess)
 	}
 }
 
@@ -50,12 +50,12 @@
 	set.RecordDemand(testPool, -1, 4, now)
 	set.RecordDemand(testPool, 8, 0, now)
 	if len(set.fleet) != 0 {
-		t.Fatalf("taken in: %v", set.fleet)
+		t.Fatalf("invalid reports are recorded: %v", set.fleet)
 	}
 }
 
-// TestUpdateDemand_ExcessIfOtherRegionsNeedSlots: online requests of another region that find no
-// room at home come here, and items of this region make room for them.
+// Online requests from another region whose slots are full count as demand of this region, so that
+// its items leave their slots.
 func TestUpdateDemand_ExcessIfOtherRegionsNeedSlots(t *testing.T) {
 	set, now := newSetWithHalfShare(), time.Unix(1000, 0)
 	for range 4 {
@@ -68,7 +68,7 @@
 		now = now.Add(100 * time.Millisecond)
 	}
 	if excess := set.UpdateDemand(now)[0].Excess; excess < 3 {
-		t.Fatalf("%d of 4 items in excess though guests need all 8 slots", excess)
+		t.Fatalf("%d of 4 items in excess when requests from another region need all 8 slots, want at least 3", excess)
 	}
 }
 
@@ -82,6 +82,6 @@
 	}
 	set.Begin("away", RequestInfo{Batch: true}, now)
 	if away := set.UpdateDemand(now)[0].Away; len(away) != 1 || away["south"] != 2 {
-		t.Fatalf("away are %v, want 2 in the south", away)
+		t.Fatalf("Away = %v, want 2 in the south", away)
 	}
 }
--- a/internal/replica/lend.go
+++ b/internal/replica/lend.go
@@ -32,7 +32,7 @@
 	replicas     []int
 }
 
-// groups groups replicas.
+// groups returns the totals of the groups of replicas, without their nodes.
 func groups(replicas []ReplicaSlots, by grouping) map[place.Place]*group {
 	all := map[place.Place]*group{}
 	for i, r := range replicas {
--- a/internal/replica/lend_test.go
+++ b/internal/replica/lend_test.go
@@ -10,7 +10,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// regionNodes returns nodes of a region, in two zones by turns.
+// regionNodes returns nodes of a region, alternately in its two zones.
 func regionNodes(region string, count int) []place.Node {
 	var nodes []place.Node
 	for i := range count {
@@ -19,7 +19,7 @@
 	return nodes
 }
 
-// regionReplicas returns replicas of a region, in two zones by turns.
+// regionReplicas returns replicas of a region, alternately in its two zones.
 func regionReplicas(region string, count, slots int) []ReplicaSlots {
 	var replicas []ReplicaSlots
 	for i := range count {
@@ -28,11 +28,12 @@
 	return replicas
 }
 
+// placeInRegion returns the first zone of a region for even i, the second for odd i.
 func placeInRegion(region string, i int) place.Place {
 	return place.Place{Zone: fmt.Sprintf("%s-%c", region, 'a'+i%2), Region: region}
 }
 
-// allShares returns the shares of all nodes.
+// allShares returns the shares of each node by its ID.
 func allShares(nodes []place.Node, replicas []ReplicaSlots) map[string][]int {
 	all := map[string][]int{}
 	for _, node := range nodes {
@@ -49,7 +50,7 @@
 	return sum
 }
 
-// slotsOutsideRegion counts a node's slots in other regions.
+// slotsOutsideRegion returns the number of a node's slots in other regions.
 func slotsOutsideRegion(node place.Node, replicas []ReplicaSlots, shares []int) int {
 	sum := 0
 	for i, r := range replicas {
@@ -60,9 +61,8 @@
 	return sum
 }
 
-// TestShares_EverySlotHasOneNodeAcrossRegions divides among regions of any sizes, some
-// without nodes or replicas: no slot is lost or counted twice, and no node is left with
-// less than its least part of the mean.
+// With regions of any size, some without nodes or replicas, each slot is allotted to exactly one
+// node, and no node gets less than minRegionPercent of the mean.
 func TestShares_EverySlotHasOneNodeAcrossRegions(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var nodes []place.Node
@@ -84,12 +84,12 @@
 				allotted[i] += share
 			}
 			if got := total(shares); got < minShare-2 {
-				rt.Fatalf("%s has %d slots, the least is %d", id, got, minShare)
+				rt.Fatalf("%s has %d slots, want at least %d", id, got, minShare)
 			}
 		}
 		for i, r := range replicas {
 			if allotted[i] != r.Count {
-				rt.Fatalf("%d of %d slots of a replica are dealt", allotted[i], r.Count)
+				rt.Fatalf("%d of %d slots of a replica are allotted", allotted[i], r.Count)
 			}
 		}
 	})
@@ -101,13 +101,13 @@
 	shares := allShares(nodes, replicas)
 	for _, node := range nodes {
 		if count := slotsOutsideRegion(node, replicas, shares[node.ID]); count > 0 {
-			t.Errorf("%s has %d slots in the other region", node.ID, count)
+			t.Errorf("%s has %d slots in the other region, want none", node.ID, count)
 		}
 	}
 }
 
-// TestShares_EvenAcrossZonesOfRegion: crossing to the next zone costs little, so the
-// nodes of a region have alike though one of its zones has most replicas.
+// Crossing zones costs little, so the nodes of a region have equal shares even if one of its zones
+// has most of the replicas.
 func TestShares_EvenAcrossZonesOfRegion(t *testing.T) {
 	nodes := regionNodes("north", 10)
 	replicas := regionReplicas("north", 20, 8)
@@ -118,19 +118,19 @@
 	}
 	for id, shares := range allShares(nodes, replicas) {
 		if got := total(shares); got < 15 || got > 17 {
-			t.Errorf("%s has %d of 160 slots, one of 10 nodes", id, got)
+			t.Errorf("%s, one of 10 nodes, has %d of 160 slots, want 15 to 17", id, got)
 		}
 	}
 }
 
-// TestShares_RegionWithoutReplicasGetsSlots: items that its nodes are given
-// would never run otherwise.
+// Nodes of a region without replicas get slots of other regions. Otherwise their items would never
+// run.
 func TestShares_RegionWithoutReplicasGetsSlots(t *testing.T) {
 	nodes := append(regionNodes("north", 10), regionNodes("south", 10)...)
 	replicas := regionReplicas("north", 20, 8)
 	for id, shares := range allShares(nodes, replicas) {
 		if got := total(shares); got < 4 {
-			t.Errorf("%s has %d slots; half the mean is 4", id, got)
+			t.Errorf("%s has %d slots, want at least 4, half the mean", id, got)
 		}
 	}
 }
@@ -140,13 +140,13 @@
 	replicas := append(append(regionReplicas("north", 4, 8), regionReplicas("south", 4, 8)...), regionReplicas("west", 4, 8)...)
 	for id, shares := range allShares(nodes, replicas) {
 		if got := total(shares); got != 12 {
-			t.Errorf("%s has %d of 96 slots, one of 8 nodes", id, got)
+			t.Errorf("%s, one of 8 nodes, has %d of 96 slots, want 12", id, got)
 		}
 	}
 }
 
-// TestShares_ChangeMovesFewSlots counts the slots that change their node, and the pairs
-// of node and replica that are new, for each of them costs a connection.
+// A node or replica that leaves moves few slots to other nodes. Each new pair of node and replica
+// costs a connection.
 func TestShares_ChangeMovesFewSlots(t *testing.T) {
 	nodes, replicas := threeRegions(87, 60)
 	withoutSouth := slices.DeleteFunc(slices.Clone(replicas), func(r ReplicaSlots) bool { return r.Place.Region == "south" })
@@ -155,16 +155,16 @@
 		before, after         []ReplicaSlots
 		removedNode, maxMoved int
 	}{
-		{name: "a node goes", before: replicas, after: replicas, removedNode: 40, maxMoved: 40},
-		{name: "a replica goes", before: replicas, after: replicas[1:], removedNode: -1, maxMoved: 60},
-		{name: "a node goes, one region has no replicas", before: withoutSouth, after: withoutSouth, removedNode: 40, maxMoved: 60},
-		{name: "a replica goes, one region has no replicas", before: withoutSouth, after: withoutSouth[1:], removedNode: -1, maxMoved: 80},
+		{name: "node leaves", before: replicas, after: replicas, removedNode: 40, maxMoved: 40},
+		{name: "replica leaves", before: replicas, after: replicas[1:], removedNode: -1, maxMoved: 60},
+		{name: "node leaves, region without replicas", before: withoutSouth, after: withoutSouth, removedNode: 40, maxMoved: 60},
+		{name: "replica leaves, region without replicas", before: withoutSouth, after: withoutSouth[1:], removedNode: -1, maxMoved: 80},
 	} {
 		remaining := slices.Clone(nodes)
 		if tc.removedNode >= 0 {
 			remaining = slices.Delete(remaining, tc.removedNode, tc.removedNode+1)
 		}
-		// The first replica is the one that goes.
+		// The replica that leaves is the first; its shares become 0.
 		after := allShares(remaining, tc.after)
 		if removedReplicas := len(tc.before) - len(tc.after); removedReplicas > 0 {
 			for id := range after {
@@ -172,9 +172,9 @@
 			}
 		}
 		moved, pairs := countMoves(allShares(nodes, tc.before), after)
-		t.Logf("%s: %d slots move, %d pairs are new", tc.name, moved, pairs)
+		t.Logf("%s: %d slots moved, %d new pairs", tc.name, moved, pairs)
 		if moved > tc.maxMoved {
-			t.Errorf("%s: %d slots move, at most %d should", tc.name, moved, tc.maxMoved)
+			t.Errorf("%s: %d slots moved, want at most %d", tc.name, moved, tc.maxMoved)
 		}
 	}
 }
@@ -188,7 +188,8 @@
 	return all, slots
 }
 
-// countMoves counts the slots that nodes have gained, and the replicas where a node had none.
+// countMoves returns the number of slots that nodes gained, and of pairs of a node and a replica
+// where it had no slots before.
 func countMoves(before, after map[string][]int) (slots, pairs int) {
 	for node, shares := range after {
 		for i, share := range shares {
@@ -202,8 +203,8 @@
 	return slots, pairs
 }
 
-// BenchmarkShares_Regions is BenchmarkShares with places: a third of the nodes in each
-// of three regions.
+// BenchmarkShares_Regions is BenchmarkShares with a third of the nodes and replicas in each of
+// three regions.
 func BenchmarkShares_Regions(b *testing.B) {
 	nodes, replicas := threeRegions(318, 600)
 	for b.Loop() {
@@ -211,7 +212,7 @@
 	}
 }
 
-// BenchmarkShares_Unequal is the same with replicas in one of the regions only.
+// BenchmarkShares_Unequal is the same with all replicas in one of the regions.
 func BenchmarkShares_Unequal(b *testing.B) {
 	nodes, _ := threeRegions(318, 0)
 	replicas := regionReplicas("north", 600, 8)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -20,7 +20,7 @@
 	// ID names the replica. A restarted replica may keep its ID.
 	ID string
 	// StartedUnixMs is the start time that the replica reports, in Unix milliseconds; 0 if it
-	// reports none. It tells starts under the same ID apart. Compare it for equality only, since
+	// reports none. It distinguishes starts under the same ID. Compare it for equality only, since
 	// clocks differ between machines and may step back.
 	StartedUnixMs int64
 	Pool          string
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -9,6 +9,7 @@
 
 const testPool = "pool"
 
+// newSet returns a set with replicas r00, r01 and so on of 4 slots each.
 func newSet(count int) *Set {
 	set := NewSet()
 	for i := range count {
@@ -30,7 +31,7 @@
 	set := newSet(2)
 	set.Put(Info{ID: "r00", Pool: testPool, Leaving: true})
 	if found := idSet(set.Snapshot(testPool, 0, time.Now())); found["r00"] || !found["r01"] {
-		t.Fatalf("candidates are %v", found)
+		t.Fatalf("candidates are %v, want r01 only", found)
 	}
 }
 
@@ -38,7 +39,7 @@
 	set, now := newSet(2), time.Now()
 	set.Remove("r00", now)
 	if found := idSet(set.Snapshot(testPool, 0, now)); found["r00"] {
-		t.Fatal("a replica that left the list is still a candidate")
+		t.Fatal("a removed replica is still a candidate")
 	}
 }
 
@@ -47,22 +48,22 @@
 	set.OutageEnded(6*time.Second, now)
 	set.Remove("r00", now)
 	if found := idSet(set.Snapshot(testPool, 0, now)); !found["r00"] {
-		t.Fatal("a replica whose entry lapsed in an outage is no candidate")
+		t.Fatal("a replica that was removed after a long outage is not a candidate in the grace period")
 	}
 	if found := idSet(set.Snapshot(testPool, 0, now.Add(delistedGrace+time.Millisecond))); found["r00"] {
-		t.Fatal("a lapsed replica that is not listed again is still a candidate")
+		t.Fatal("a removed replica that was not listed again is still a candidate after the grace period")
 	}
 }
 
+// The grace period is for replicas that are removed right after an outage. One that leaves later
+// may end before it completes new requests.
 func TestRemove_ImmediateIfLongAfterOutage(t *testing.T) {
-	// A finding: a replica that left 3 s after an outage was sent requests for
-	// 2.7 s more, past the drain bound.
 	set, now := newSet(2), time.Now()
 	set.OutageEnded(6*time.Second, now)
 	later := now.Add(3 * time.Second)
 	set.Remove("r00", later)
 	if found := idSet(set.Snapshot(testPool, 0, later)); found["r00"] {
-		t.Fatal("a replica that left after the outage is still a candidate")
+		t.Fatal("a replica that was removed 3 s after the outage is still a candidate")
 	}
 }
 
@@ -71,7 +72,7 @@
 	set.OutageEnded(500*time.Millisecond, now)
 	set.Remove("r00", now)
 	if found := idSet(set.Snapshot(testPool, 0, now)); found["r00"] {
-		t.Fatal("no entry lapses in half a second")
+		t.Fatal("a replica that was removed after a short outage is still a candidate")
 	}
 }
 
@@ -81,10 +82,10 @@
 		set.Begin("r00", RequestInfo{}, now).End(Failed, now)
 	}
 	if _, ejected := set.Count(now); ejected != 1 {
-		t.Fatalf("%d replicas are ejected, want 1", ejected)
+		t.Fatalf("%d replicas ejected, want 1", ejected)
 	}
 	if _, ejected := set.Count(now.Add(ejectionFirst + time.Millisecond)); ejected != 0 {
-		t.Fatal("the replica does not come back")
+		t.Fatal("the replica is still ejected after the ejection ended")
 	}
 }
 
@@ -94,7 +95,7 @@
 		set.Begin("r00", RequestInfo{}, now).End(Abandoned, now)
 	}
 	if _, ejected := set.Count(now); ejected != 0 {
-		t.Fatal("callers that left ejected a replica")
+		t.Fatal("abandoned requests eject a replica")
 	}
 }
 
@@ -105,7 +106,7 @@
 	later := now.Add(time.Second)
 	answered.Received(later)
 	if silence := waiting.Silence(later); silence != 0 {
-		t.Fatalf("silence is %v while the replica answers others", silence)
+		t.Fatalf("Silence = %v while the replica answers other requests, want 0", silence)
 	}
 }
 
@@ -116,17 +117,17 @@
 	online := set.Begin("r00", RequestInfo{}, now)
 	online.RecordLoad(Load{Running: 4, Waiting: 9, Slots: 4}, now)
 	if preempted != 0 {
-		t.Fatal("a node without batch items there is asked to give way")
+		t.Fatal("items are preempted although the node has none there")
 	}
 	set.Begin("r00", RequestInfo{Batch: true}, now)
 	online.RecordLoad(Load{Running: 4, Waiting: 9, Slots: 4}, now)
 	if preempted != 1 {
-		t.Fatalf("%d items are asked to give way, want the only one", preempted)
+		t.Fatalf("%d items preempted, want 1", preempted)
 	}
 }
 
-// A finding (kalendarik trouble-2): a replica counts requests whose prompt it reads
-// as waiting. Items gave way to them though slots were free: 1,407 times a day.
+// A replica also reports requests as waiting while their prompts are being processed. They preempt
+// no items if slots are free.
 func TestRecordLoad_NoPreemptionWhileSlotsAreFree(t *testing.T) {
 	set, now := newSet(1), time.Now()
 	preempted := 0
@@ -135,7 +136,7 @@
 	online := set.Begin("r00", RequestInfo{}, now)
 	online.RecordLoad(Load{Running: 1, Waiting: 3, Slots: 4}, now)
 	if preempted != 0 {
-		t.Fatalf("%d items are asked to give way though the slots suffice", preempted)
+		t.Fatalf("%d items preempted although slots are free", preempted)
 	}
 }
 
@@ -152,9 +153,9 @@
 		for _, candidate := range sample {
 			own += candidate.Share
 		}
-		// 1200 slots among 200 nodes.
+		// 1,200 slots are divided among 200 nodes.
 		if own != 6 || len(sample) > own+sampleRandom+1 || !idSet(sample)[preferred.info.ID] {
-			t.Fatalf("sample of %d replicas with %d own slots lacks some or the home", len(sample), own)
+			t.Fatalf("sample of %d replicas with %d own slots, want 6 own slots, the affinity replica and few others", len(sample), own)
 		}
 	}
 }
@@ -174,15 +175,15 @@
 	item := &Criteria{RequestInfo: RequestInfo{Batch: true}}
 	candidates := []Candidate{{Info: Info{ID: "a", Slots: 10}, Key: 1, Open: 2, Share: 2}}
 	if _, err := Pick(candidates, item, Weights{}); !errors.Is(err, ErrNoReplica) {
-		t.Fatalf("an item was placed in a slot of another node: %v", err)
+		t.Fatalf("Pick for an item without a free slot of this node: %v, want ErrNoReplica", err)
 	}
 	candidates[0].Share = 3
 	if _, err := Pick(candidates, item, Weights{}); err != nil {
-		t.Fatalf("an item was not placed in a free slot of this node: %v", err)
+		t.Fatalf("Pick for an item with a free slot of this node: %v", err)
 	}
 	candidates[0].Others = 7.5
 	if _, err := Pick(candidates, item, Weights{}); !errors.Is(err, ErrNoReplica) {
-		t.Fatalf("an item was placed at a replica that is full: %v", err)
+		t.Fatalf("Pick for an item at a full replica: %v, want ErrNoReplica", err)
 	}
 }
 
@@ -198,11 +199,11 @@
 	}
 	preferred.Open = 3
 	if again, _ := Pick(candidates, &criteria, Weights{}); again.ID != preferred.ID {
-		t.Fatal("a few requests drove the prefix from its home")
+		t.Fatal("the affinity replica is not picked with a few requests")
 	}
 	preferred.Open = 14
 	if again, _ := Pick(candidates, &criteria, Weights{}); again.ID == preferred.ID {
-		t.Fatal("a full home still takes the prefix")
+		t.Fatal("the affinity replica is picked although it is full")
 	}
 }
 
@@ -212,10 +213,10 @@
 		{Info: Info{ID: "b", Slots: 4}, Key: 2, Open: 6},
 	}
 	if best, _ := Pick(candidates, &Criteria{}, Weights{}); best.ID != "b" {
-		t.Fatal("an ejected replica was picked though another is sound")
+		t.Fatal("an ejected replica is picked although another one is usable")
 	}
 	if best, err := Pick(candidates[:1], &Criteria{}, Weights{}); err != nil || best.ID != "a" {
-		t.Fatal("no replica was picked though an ejected one is there")
+		t.Fatal("the ejected replica is not picked as a last resort")
 	}
 }
 
@@ -229,14 +230,14 @@
 	for range 20 {
 		best, err := Pick(candidates, &Criteria{RequestInfo: RequestInfo{Batch: true}, Reserve: 0.34}, weights)
 		if err != nil || best.ID == "fast" {
-			t.Fatalf("Pick = %v, %v", best, err)
+			t.Fatalf("Pick for an item = %v, %v, want slow or slower", best, err)
 		}
 		best.Open++
 	}
 	if best, err := Pick(candidates, &Criteria{RequestInfo: RequestInfo{Tokens: 100}}, weights); err != nil || best.ID != "fast" {
-		t.Fatalf("an online request goes to %v, %v", best, err)
+		t.Fatalf("Pick for an online request = %v, %v, want fast", best, err)
 	}
 	if _, err := Pick(candidates, &Criteria{RequestInfo: RequestInfo{Batch: true}, Reserve: 1}, weights); !errors.Is(err, ErrNoReplica) {
-		t.Fatalf("an item was placed on reserved replicas: %v", err)
+		t.Fatalf("Pick for an item with all slots reserved: %v, want ErrNoReplica", err)
 	}
 }
--- a/internal/replica/restart.go
+++ b/internal/replica/restart.go
@@ -35,7 +35,7 @@
 }
 
 // SameStart reports whether two descriptions of a replica may be of the same start. Start times or
-// addresses tell starts apart only if both are known.
+// addresses distinguish starts only if both are known.
 func (i *Info) SameStart(other *Info) bool {
 	addressDiffers := i.Address != "" && other.Address != "" && i.Address != other.Address
 	startDiffers := i.StartedUnixMs != 0 && other.StartedUnixMs != 0 && i.StartedUnixMs != other.StartedUnixMs
--- a/internal/replica/restartuse_test.go
+++ b/internal/replica/restartuse_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// restarted reports whether a request knows that its replica has started again since.
+// restarted reports whether the request was notified of a restart of its replica.
 func restarted(use *Use) bool {
 	select {
 	case <-use.Restarted():
@@ -24,34 +24,34 @@
 	var restarts []Restart
 	set.OnRestart = func(restart Restart) { restarts = append(restarts, restart) }
 	uses := beginRequests(set, now)
-	// Two ask for the channel before, one after.
+	// One channel is created before the restart, the others after it.
 	early := uses[0].Restarted()
 	if restarted(uses[1]) {
-		t.Fatal("told of a start that is not known")
+		t.Fatal("notified without a known restart")
 	}
 	set.put(infoStartedAt(firstStart), now)
 	if restarted(uses[1]) {
-		t.Fatal("told of a start that it was sent to")
+		t.Fatal("notified of the start that the request was sent to")
 	}
-	// Born is smaller: a clock has stepped back.
+	// The start time is earlier than the previous one, as after a clock stepped back.
 	set.put(infoStartedAt(secondStart), now)
 	next := set.Begin("r00", RequestInfo{}, now)
 	<-early
 	for i, use := range uses {
 		if !restarted(use) {
-			t.Errorf("request %d is not told", i)
+			t.Errorf("request %d is not notified", i)
 		}
 	}
 	if restarted(next) {
-		t.Error("a request to the new one is told")
+		t.Error("a request to the new start is notified")
 	}
 	if len(restarts) != 1 || restarts[0].Open != 3 || restarts[0].Batch != 1 || restarts[0].PreviousStartedUnixMs != firstStart || restarts[0].Replica.StartedUnixMs != secondStart {
-		t.Errorf("noticed %+v", restarts)
+		t.Errorf("OnRestart was called with %+v", restarts)
 	}
-	// Another one, and then the words are those of three starts.
+	// A second restart.
 	set.put(infoStartedAt(thirdStart), now)
 	if !restarted(next) || len(restarts) != 2 {
-		t.Errorf("the third start is not noticed: %+v", restarts)
+		t.Errorf("the second restart is not noticed: %+v", restarts)
 	}
 }
 
@@ -61,15 +61,15 @@
 	use := set.Begin("r00", RequestInfo{}, now)
 	set.put(infoStartedAt(thirdStart), now)
 	if !restarted(use) {
-		t.Error("not told of the start after the next")
+		t.Error("not notified of a restart whose predecessor was missed")
 	}
 	if _, before, _ := set.CurrentAndPrevious("r00"); before.StartedUnixMs != firstStart {
-		t.Errorf("the start before is %d", before.StartedUnixMs)
+		t.Errorf("the previous start is %d, want firstStart", before.StartedUnixMs)
 	}
 }
 
-// TestRestarted_UnlistedReplica: a replica that is not listed any more may serve on. Only
-// its next start says that it does not.
+// A replica that is no longer listed may still answer. Only when it is listed with a new start are
+// its requests notified.
 func TestRestarted_UnlistedReplica(t *testing.T) {
 	now := time.Now()
 	set := newStartedSet(2, now)
@@ -77,24 +77,24 @@
 	set.Remove("r00", now)
 	late := set.BeginAt(infoStartedAt(firstStart), RequestInfo{}, now)
 	if restarted(use) || restarted(late) {
-		t.Fatal("told of a start that is not known")
+		t.Fatal("notified without a known restart")
 	}
 	set.put(infoStartedAt(secondStart), now)
 	if !restarted(use) || !restarted(late) {
-		t.Error("not told of the start of a replica that was not listed")
+		t.Error("not notified of the restart of a replica that was unlisted")
 	}
 	if candidate := candidateByID(t, set, "r00", now); candidate.Open != 0 {
-		t.Errorf("requests of the start before count: %+v", candidate)
+		t.Errorf("requests of the previous start are counted: %+v", candidate)
 	}
 	use.End(Failed, now)
 	late.End(Failed, now)
 	if len(set.unlisted) != 0 {
-		t.Errorf("%d entries are kept of replicas that have no request", len(set.unlisted))
+		t.Errorf("%d unlisted entries without requests remain", len(set.unlisted))
 	}
 }
 
-// TestRestarted_RequestsSentAfterUnreachable: the list tells late of a start; what was
-// sent after nothing listened there reached the new one.
+// The list shows a restart with a delay. Requests that were sent after the replica had refused a
+// connection reached the new start and are not notified.
 func TestRestarted_RequestsSentAfterUnreachable(t *testing.T) {
 	now := time.Now()
 	set := newStartedSet(2, now)
@@ -106,23 +106,23 @@
 	now = now.Add(time.Second)
 	set.put(infoStartedAt(secondStart), now)
 	if !restarted(before) || restarted(after) {
-		t.Errorf("told %v, %v; want true, false", restarted(before), restarted(after))
+		t.Errorf("notified: %v, %v; want true, false", restarted(before), restarted(after))
 	}
 	if candidate := candidateByID(t, set, "r00", now); candidate.Open != 1 || candidate.Batch != 1 || candidate.PendingTokens != 7 {
-		t.Errorf("the request at the new one is not counted there: %+v", candidate)
+		t.Errorf("the request to the new start is not counted there: %+v", candidate)
 	}
 	after.MarkPreempted()
 	after.FirstEvent(now)
 	after.End(Failed, now)
 	before.End(Failed, now)
 	if candidate := candidateByID(t, set, "r00", now); candidate.Open != 0 || candidate.Batch != 0 || candidate.PendingTokens != 0 || candidate.FailureShare == 0 {
-		t.Errorf("after all ended: %+v", candidate)
+		t.Errorf("after all requests ended the candidate is %+v", candidate)
 	}
-	// A refusal long ago says nothing.
+	// A connection refused long ago is no evidence of the start that a request was sent to.
 	use := set.Begin("r00", RequestInfo{}, now)
 	set.put(infoStartedAt(thirdStart), now.Add(recentlyUnreachable+time.Second))
 	if !restarted(use) {
-		t.Error("a request is taken as sent to the new one for a refusal long ago")
+		t.Error("a request counts as sent to the new start because of a connection refused long ago")
 	}
 }
 
@@ -130,27 +130,27 @@
 	now := time.Now()
 	set := newStartedSet(2, now)
 	if _, _, _, listed := set.Follow("other"); listed {
-		t.Error("a replica is followed that is not listed")
+		t.Error("Follow accepts a replica that is not listed")
 	}
 	address, restarted, stop, _ := set.Follow("r00")
 	_, stopped, stopSecond, _ := set.Follow("r00")
 	stopSecond()
 	if candidate := candidateByID(t, set, "r00", now); address != "r00" || candidate.Open != 0 {
-		t.Errorf("at %q are requests: %+v", address, candidate)
+		t.Errorf("address %q, candidate %+v, want r00 without requests", address, candidate)
 	}
-	// It is not listed for a while.
+	// Delisting is no restart.
 	set.Remove("r00", now)
 	set.put(infoStartedAt(firstStart), now)
 	select {
 	case <-restarted:
-		t.Error("told of a start that is not known")
+		t.Error("notified without a known restart")
 	default:
 	}
 	set.put(infoStartedAt(secondStart), now)
 	<-restarted
 	select {
 	case <-stopped:
-		t.Error("who has stopped to follow is told")
+		t.Error("a stopped follower is notified")
 	default:
 	}
 	stop()
@@ -158,7 +158,7 @@
 	set.Remove("r00", now)
 	stop()
 	if len(set.unlisted) != 0 {
-		t.Errorf("%d entries are kept that nobody follows", len(set.unlisted))
+		t.Errorf("%d unlisted entries without followers remain", len(set.unlisted))
 	}
 }
 
@@ -167,15 +167,15 @@
 	set := newStartedSet(2, now)
 	set.put(infoStartedAt(secondStart), now)
 	if set.BeginAt(infoStartedAt(firstStart), RequestInfo{}, now) != nil {
-		t.Error("a request is sent to a start that is over")
+		t.Error("BeginAt accepts the previous start")
 	}
 	for _, info := range []Info{infoStartedAt(secondStart), infoStartedAt(0), {ID: "r00"}} {
 		if set.BeginAt(info, RequestInfo{}, now) == nil {
-			t.Errorf("no request is sent to %+v", info)
+			t.Errorf("BeginAt rejects %+v", info)
 		}
 	}
 	if candidate := candidateByID(t, set, "r00", now); candidate.Open != 3 {
-		t.Errorf("%d requests are counted, not 3", candidate.Open)
+		t.Errorf("Open = %d, want 3", candidate.Open)
 	}
 }
 
@@ -185,11 +185,11 @@
 	set.put(infoStartedAt(secondStart), now)
 	set.MarkFull(infoStartedAt(firstStart), now)
 	if candidate := candidateByID(t, set, "r00", now); candidate.Others != 0 {
-		t.Errorf("taken as full: %+v", candidate)
+		t.Errorf("a refusal of the previous start marks the new one as full: %+v", candidate)
 	}
 	set.MarkFull(infoStartedAt(secondStart), now)
 	if candidate := candidateByID(t, set, "r00", now); candidate.Others != 4 {
-		t.Errorf("not taken as full: %+v", candidate)
+		t.Errorf("the replica is not marked as full: %+v", candidate)
 	}
 }
 
@@ -199,15 +199,15 @@
 	first := infoStartedAt(firstStart)
 	criteria := &Criteria{Exclude: map[string]bool{first.Incarnation(): true}}
 	if _, err := Pick(set.SnapshotFor(testPool, criteria, now), criteria, Weights{}); err == nil {
-		t.Error("a replica is chosen that failed the request")
+		t.Error("Pick returns a start that failed the request")
 	}
 	set.put(infoStartedAt(secondStart), now)
 	if _, err := Pick(set.SnapshotFor(testPool, criteria, now), criteria, Weights{}); err != nil {
-		t.Errorf("the replica that has started again is left out: %v", err)
+		t.Errorf("Pick excludes the restarted replica: %v", err)
 	}
 	criteria.Exclude["r00"] = true
 	if _, err := Pick(set.SnapshotFor(testPool, criteria, now), criteria, Weights{}); err == nil {
-		t.Error("a replica is chosen that is excluded at all its starts")
+		t.Error("Pick returns a replica that is excluded by ID")
 	}
 }
 
@@ -218,11 +218,11 @@
 	set.Begin("r00", RequestInfo{}, now).End(Failed, now)
 	reports := set.FailureReports(now)
 	if len(reports) != 1 || reports[0].StartedUnixMs != firstStart {
-		t.Fatalf("told %+v", reports)
+		t.Fatalf("FailureReports = %+v, want one about firstStart", reports)
 	}
 	set.put(infoStartedAt(secondStart), now)
 	if reports := set.FailureReports(now); len(reports) != 0 {
-		t.Errorf("failures of the start before are told: %+v", reports)
+		t.Errorf("failures of the previous start are reported: %+v", reports)
 	}
 	report := func(startedUnixMs int64) {
 		for _, node := range []string{"n1", "n2", "n3"} {
@@ -232,52 +232,54 @@
 	report(firstStart)
 	report(thirdStart)
 	if isEjected(set, "r00", now) {
-		t.Error("words about other starts leave the replica out")
+		t.Error("reports about other starts eject the replica")
 	}
 	report(secondStart)
 	if !isEjected(set, "r00", now) {
-		t.Error("words about this start are passed over")
+		t.Error("reports about the current start do not eject the replica")
 	}
 }
 
-// TestColdSenders_IdentifyStart: a place granted at a start that is over would
-// come on top of the rate of the next one.
+// A grant for a previous start would exceed the rate of the current one, so requests for grants
+// name the start.
 func TestColdSenders_IdentifyStart(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := newColdSet("a", []string{"b"}, false, now)
 	set.put(Info{ID: "cold", Pool: testPool, Slots: 8, StartedUnixMs: firstStart, ColdLeft: 3 * time.Second}, now)
 	senders := set.ColdSenders(testPool, &Criteria{}, now)
 	if len(senders) != 1 || senders[0].StartedUnixMs != firstStart {
-		t.Fatalf("feeders are %+v", senders)
+		t.Fatalf("ColdSenders = %+v, want one for firstStart", senders)
 	}
 	for startedUnixMs, want := range map[int64]bool{0: true, firstStart: true, secondStart: false} {
 		if got := set.IsCurrentStart("cold", startedUnixMs); got != want {
-			t.Errorf("Started(%d) = %v", startedUnixMs, got)
+			t.Errorf("IsCurrentStart(%d) = %v", startedUnixMs, got)
 		}
 	}
 	if set.IsCurrentStart("other", 0) {
-		t.Error("a replica that is not listed has started")
+		t.Error("IsCurrentStart is true for a replica that is not listed")
 	}
 }
 
-// restartModel is what must hold of one replica, whatever is said of it and in which order.
+// restartModel is the expected state of replica r00 after any sequence of operations on a set.
 type restartModel struct {
 	set *Set
 	now time.Time
-	// start counts the starts that are known, born is that of the last; 0 if it is not known.
+	// start numbers the current start, as requests in flight refer to it. startedUnixMs is its
+	// start time; 0 if unknown.
 	start         int
 	startedUnixMs int64
-	// inFlight are the requests that have not ended.
+	// inFlight holds the requests that have not ended.
 	inFlight []sentRequest
 	listed   bool
 }
 
-// sentRequest is a request with the start that it was sent to.
+// sentRequest is a request in flight and the start that it was sent to.
 type sentRequest struct {
 	use   *Use
 	start int
 }
 
+// list lists the replica with a start time.
 func (m *restartModel) list(startedUnixMs int64) {
 	m.set.put(infoStartedAt(startedUnixMs), m.now)
 	m.listed = true
@@ -289,7 +291,7 @@
 	}
 }
 
-// open counts the requests at the last start.
+// open returns the number of requests in flight at the current start.
 func (m *restartModel) open() int {
 	count := 0
 	for _, req := range m.inFlight {
@@ -300,7 +302,8 @@
 	return count
 }
 
-// forget forgets a replica that is not listed and has no request.
+// forget resets the model if the replica is unlisted and has no requests, so that the set has no
+// entry.
 func (m *restartModel) forget() {
 	if !m.listed && m.open() == 0 {
 		m.start++
@@ -308,26 +311,27 @@
 	}
 }
 
+// check compares the set with the model.
 func (m *restartModel) check(t *rapid.T) {
 	for _, req := range m.inFlight {
 		if over := req.start != m.start; restarted(req.use) != over {
-			t.Fatalf("a request to start %d of %d is told: %v", req.start, m.start, !over)
+			t.Fatalf("request to start %d, current start %d: notified = %v", req.start, m.start, !over)
 		}
 	}
 	for _, e := range m.set.unlisted {
 		if m.listed || e.open != m.open() || e.open == 0 {
-			t.Fatalf("an entry is kept that has %d requests, there are %d", e.open, m.open())
+			t.Fatalf("an unlisted entry has %d requests, want %d", e.open, m.open())
 		}
 	}
 	for _, candidate := range m.set.List(m.now) {
 		if candidate.ID == "r00" && (candidate.Open != m.open() || candidate.Batch < 0 || candidate.PendingTokens < 0) {
-			t.Fatalf("%d requests are counted, there are %d: %+v", candidate.Open, m.open(), candidate)
+			t.Fatalf("Open = %d, want %d: %+v", candidate.Open, m.open(), candidate)
 		}
 	}
 }
 
-// TestRestart_Model lists a replica with starts in any order, drops it, sends to it and ends
-// requests in any order.
+// A set agrees with the model when a replica is listed with any start times and delisted, and
+// requests begin and end, in any order.
 func TestRestart_Model(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &restartModel{set: newSet(2), now: time.Unix(1000, 0)}
@@ -336,7 +340,7 @@
 			"": m.check,
 			"list": func(t *rapid.T) {
 				m.now = m.now.Add(time.Millisecond)
-				m.list(rapid.SampledFrom([]int64{0, firstStart, secondStart, thirdStart}).Draw(t, "born"))
+				m.list(rapid.SampledFrom([]int64{0, firstStart, secondStart, thirdStart}).Draw(t, "startedUnixMs"))
 			},
 			"drop": func(*rapid.T) {
 				m.set.Remove("r00", m.now)
@@ -347,7 +351,7 @@
 				req := RequestInfo{Tokens: 3, Batch: rapid.Bool().Draw(t, "batch")}
 				use := m.set.BeginAt(infoStartedAt(m.startedUnixMs), req, m.now)
 				if use == nil {
-					t.Fatal("a request is not sent to the start that is known")
+					t.Fatal("BeginAt rejects the current start")
 				}
 				m.inFlight = append(m.inFlight, sentRequest{use, m.start})
 			},
@@ -356,17 +360,17 @@
 	})
 }
 
-// end ends a request.
+// end ends a random request in flight.
 func (m *restartModel) end(t *rapid.T) {
 	if len(m.inFlight) == 0 {
-		t.Skip("no request")
+		t.Skip("no request in flight")
 	}
 	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "request")
 	use := m.inFlight[i].use
-	if rapid.Bool().Draw(t, "first") {
+	if rapid.Bool().Draw(t, "firstEvent") {
 		use.FirstEvent(m.now)
 	}
-	if rapid.Bool().Draw(t, "gives way") {
+	if rapid.Bool().Draw(t, "preempted") {
 		use.MarkPreempted()
 	}
 	use.End(rapid.SampledFrom([]Result{Succeeded, Failed, Refused, Abandoned}).Draw(t, "result"), m.now)
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -254,9 +254,10 @@
 
 // Snapshot returns the candidates of a pool for one choice, in the order of their IDs: replicas
 // with slots of this node, replicas that it received data from recently, a few random ones, and
-// the home of the prefix. In a small fleet these are all. Knowledge of other replicas is old, and
-// always choosing the least loaded one by old knowledge overloads it; choosing among a few random
-// ones does not (Mitzenmacher, 2001). The cost of a choice is independent of the size of the fleet.
+// the replica to which prompts with the same prefix are sent. In a small fleet these are all.
+// Knowledge of other replicas is old, and always choosing the least loaded one by old knowledge
+// overloads it; choosing among a few random ones does not (Mitzenmacher, 2001). The cost of a choice
+// is independent of the size of the fleet.
 func (s *Set) Snapshot(pool string, affinity uint64, now time.Time) []Candidate {
 	return s.SnapshotFor(pool, &Criteria{Affinity: affinity}, now)
 }
--- a/internal/replica/slope_test.go
+++ b/internal/replica/slope_test.go
@@ -15,7 +15,7 @@
 	}
 	got, ok := s.get()
 	if !ok || math.Abs(got*50000-1) > 0.1 {
-		t.Fatalf("slope is %v, %v, want 1/50000", got, ok)
+		t.Fatalf("slope = %v, %v, want about 1/50000", got, ok)
 	}
 }
 
@@ -25,6 +25,6 @@
 		s.add(450, 0.08)
 	}
 	if got, ok := s.get(); ok {
-		t.Fatalf("slope is %v though all prompts have one length", got)
+		t.Fatalf("slope = %v although all x are equal, want none", got)
 	}
 }
--- a/internal/replica/stale_test.go
+++ b/internal/replica/stale_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// newSetWithStaleReplica returns a set of replicas with so many slots each, all of which answered this node
-// a moment ago and were full then, but for "returned": that has stood empty for a while, as one
-// in a zone that was evacuated, so nothing came from it lately.
+// newSetWithStaleReplica returns a set with the given number of full replicas that just answered
+// this node, and the idle replica "returned", from which it received no data, as after an
+// evacuation of its zone.
 func newSetWithStaleReplica(slots, full int, now time.Time) *Set {
 	set := NewSet()
 	set.Put(Info{ID: "returned", Pool: testPool, Slots: slots})
@@ -23,9 +23,8 @@
 	return set
 }
 
-// A replica that nothing is known of is asked for a slot before those that are known to have
-// none, however few slots they have: else nobody sends it anything, so nothing comes from it, and
-// it is left aside as long as others answer.
+// A stale replica is asked for a reservation before replicas that are known to be full, however few
+// slots they have. Otherwise it would get no requests, and stay stale, while others answer.
 func TestPickUnqueued_StaleBeforeFull(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, slots := range []int{1, 2, 8} {
@@ -34,14 +33,14 @@
 			criteria := &Criteria{RequestInfo: req}
 			chosen, err := PickUnqueued(set.SnapshotFor(testPool, criteria, now), criteria, Weights{}, false)
 			if err != nil || chosen.ID != "returned" {
-				t.Errorf("replicas of %d slots, batch %v: asked %+v, %v", slots, req.Batch, chosen, err)
+				t.Errorf("replicas of %d slots, batch %v: PickUnqueued = %+v, %v, want returned", slots, req.Batch, chosen, err)
 			}
 		}
 	}
 }
 
-// A replica that answered a moment ago and has a free slot is asked first: the connection to it
-// is there.
+// A replica that just answered and has a free slot is asked before a stale one, since its
+// connection is open.
 func TestPickUnqueued_FreeBeforeStale(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := newSetWithStaleReplica(2, 0, now)
@@ -50,20 +49,13 @@
 	criteria := &Criteria{}
 	chosen, err := PickUnqueued(set.SnapshotFor(testPool, criteria, now), criteria, Weights{}, false)
 	if err != nil || chosen.ID != "free" {
-		t.Fatalf("asked %+v, %v", chosen, err)
+		t.Fatalf("PickUnqueued = %+v, %v, want free", chosen, err)
 	}
 }
 
-// A replica that nobody sends anything, as after an evacuation of its zone, is asked for a slot now
-// and then though others seem to have room. A new connection was always the dearer choice, for the
-// others were believed nearly idle: replicas need not tell their load, and what a node knows by
-// itself of the requests of others is little.
-//
-// Seen in a soak (--overcommit --seed 6005, servers that always tell of one running request):
-// "evacuation ended" for zone-b at 16.474 s of the minute and "taken as warm" for its three servers
-// at 19.677 s; "attempt sent" by the eight nodes from 20 to 26 s: 0 to 2 a second to zone-b, all of
-// one node, beside 19 to 30 a second to each of the other two zones, whose servers held more
-// requests than slots. Items, which leave slots to online requests, waited 5.25 s in calm.
+// A stale replica is asked once per staleProbeInterval although others seem to have free slots.
+// Otherwise it would stay unused: replicas need not report their load, and a node knows little of
+// the requests of other nodes, so the others seem nearly idle while they are full.
 func TestPickUnqueued_ProbesStaleReplica(t *testing.T) {
 	now := time.Unix(1000, 0)
 	set := newSetWithStaleReplica(2, 0, now)
@@ -83,6 +75,6 @@
 		counts[chosen.ID]++
 	}
 	if counts["returned"] != 2 {
-		t.Errorf("asked within 2 s: %v, the one not heard from should be twice", counts)
+		t.Errorf("replicas asked in 2 s: %v, want returned twice", counts)
 	}
 }
