--- a/internal/replica/coldgrant_test.go
+++ b/internal/replica/coldgrant_test.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-func TestGrantCold_ComesOutOfTheNodesOwnPart(t *testing.T) {
+func TestGrantCold_UsesOwnPartOfRate(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := coldSet("a", []string{"a"}, true, now)
+	set := newColdSet("a", []string{"a"}, true, now)
 	if !set.GrantCold("cold", now) {
-		t.Fatal("nothing was granted though nothing was sent")
+		t.Fatal("the first grant is refused")
 	}
 	if set.GrantCold("cold", now) || admitted(set, "cold", 1, now) != 0 {
-		t.Error("the same place was given twice")
+		t.Error("one send of the rate is used twice")
 	}
 	if set.GrantCold("warm", now) || set.GrantCold("other", now) {
-		t.Error("a place at a replica that is not cold, or not there, was given")
+		t.Error("a send is granted at a replica that is warm or not listed")
 	}
 	set.setEvacuated(map[string]bool{"": true}, now)
 	if set.GrantCold("cold", now.Add(time.Second)) {
-		t.Error("a place at an evacuated replica was given")
+		t.Error("a send is granted at an evacuated replica")
 	}
 }
 
-func TestFeeders_AgreeWithWhoFeeds(t *testing.T) {
+func TestColdSenders_MatchNodesThatSend(t *testing.T) {
 	now := time.Unix(1000, 0)
 	nodes := []string{"a", "b", "c", "d", "e", "f", "g"}
-	feeds := map[string]bool{}
+	sends := map[string]bool{}
 	for _, node := range nodes {
-		feeds[node] = admitted(coldSet(node, nodes, false, now), "cold", 1, now) == 1
+		sends[node] = admitted(newColdSet(node, nodes, false, now), "cold", 1, now) == 1
 	}
-	set := coldSet("other", nodes, false, now)
-	named := set.ColdSenders(testPool, &Criteria{}, now)
-	if len(named) != maxColdSenders {
-		t.Fatalf("named %v", named)
+	set := newColdSet("other", nodes, false, now)
+	senders := set.ColdSenders(testPool, &Criteria{}, now)
+	if len(senders) != maxColdSenders {
+		t.Fatalf("ColdSenders = %v, want one entry for each sender", senders)
 	}
-	for _, one := range named {
-		if one.Replica != "cold" || !feeds[one.Node] {
-			t.Errorf("%+v does not feed it: %v", one, feeds)
+	for _, sender := range senders {
+		if sender.Replica != "cold" || !sends[sender.Node] {
+			t.Errorf("%+v is not a sender: nodes that may send are %v", sender, sends)
 		}
 	}
 }
--- a/internal/replica/evidence_test.go
+++ b/internal/replica/evidence_test.go
@@ -8,16 +8,16 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// evidenceSet returns a set of node "n0" in zone "a" with so many replicas, and nodes n0
-// to n9 that know each other.
-func evidenceSet(replicas int) *Set {
+// newEvidenceSet returns the set of node n0 in zone a, with the nodes n0 to n9 and the given number
+// of replicas.
+func newEvidenceSet(replicas int) *Set {
 	set := newSet(replicas)
 	set.Zone = "a"
 	set.Divide("n0", evidenceNodes())
 	return set
 }
 
-// evidenceNodes are nodes n0 to n9, of which it is not known where they are.
+// evidenceNodes returns the nodes n0 to n9, of unknown zone and region.
 func evidenceNodes() []place.Node {
 	var nodes []place.Node
 	for i := range 10 {
@@ -26,117 +26,115 @@
 	return nodes
 }
 
-// failureOf is what a node tells of a replica that has just failed for it.
-func failureOf(id string, failures, successes float64) []FailureReport {
+// failureReport returns the report of a node for which a replica has just failed.
+func failureReport(id string, failures, successes float64) []FailureReport {
 	return []FailureReport{{Replica: Key(id), Failures: failures, Successes: successes}}
 }
 
-// out reports whether a replica is left out.
-func out(set *Set, id string, now time.Time) bool {
-	for _, one := range set.List(now) {
-		if one.ID == id {
-			return one.Ejected
+// isEjected reports whether a replica is listed and ejected.
+func isEjected(set *Set, id string, now time.Time) bool {
+	for _, candidate := range set.List(now) {
+		if candidate.ID == id {
+			return candidate.Ejected
 		}
 	}
 	return false
 }
 
-func TestEvidence_SeveralNodesEjectAReplicaAndOneDoesNot(t *testing.T) {
+func TestSharedEjection_NeedsSeveralNodes(t *testing.T) {
 	now := time.Now()
-	set := evidenceSet(4)
+	set := newEvidenceSet(4)
 	var ejections []SharedEjection
 	set.OnSharedEjection = func(ejection SharedEjection) { ejections = append(ejections, ejection) }
-	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 5, 0), now)
-	if out(set, "r00", now) {
-		t.Fatal("one node's word leaves a replica out")
+	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureReport("r00", 5, 0), now)
+	if isEjected(set, "r00", now) {
+		t.Fatal("the report of one node ejects a replica")
 	}
-	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 6, 0), now)
-	if out(set, "r00", now) {
-		t.Fatal("a node that tells twice counts twice")
+	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureReport("r00", 6, 0), now)
+	if isEjected(set, "r00", now) {
+		t.Fatal("two reports of one node eject a replica")
 	}
-	set.AddFailureReports(Reporter{Node: "n2", Zone: "b"}, failureOf("r00", 1, 0), now)
-	if !out(set, "r00", now) || out(set, "r01", now) {
-		t.Fatal("two nodes' word does not leave just that replica out")
+	set.AddFailureReports(Reporter{Node: "n2", Zone: "b"}, failureReport("r00", 1, 0), now)
+	if !isEjected(set, "r00", now) || isEjected(set, "r01", now) {
+		t.Fatal("the reports of two nodes do not eject exactly the reported replica")
 	}
 	if len(ejections) != 1 || ejections[0].Nodes != 2 || ejections[0].Replica.ID != "r00" {
-		t.Errorf("ejections %+v", ejections)
+		t.Errorf("ejections = %+v, want one of r00 by two nodes", ejections)
 	}
 }
 
-// TestEvidence_OwnFailureCountsBesideAnotherNodes has a replica fail here after another
-// node has told of it: no second word is needed.
-func TestEvidence_OwnFailureCountsBesideAnotherNodes(t *testing.T) {
+// A failure on this node and the report of one other node suffice for an ejection.
+func TestSharedEjection_CountsOwnFailures(t *testing.T) {
 	now := time.Now()
-	set := evidenceSet(4)
-	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 2, 0), now)
+	set := newEvidenceSet(4)
+	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureReport("r00", 2, 0), now)
 	set.Begin("r00", RequestInfo{}, now).End(Failed, now)
-	if !out(set, "r00", now) {
-		t.Error("a replica that failed for this node and for another is used")
+	if !isEjected(set, "r00", now) {
+		t.Error("a replica that failed for this node and another one is not ejected")
 	}
 }
 
-func TestEvidence_WholeAnswersSpeakForAReplica(t *testing.T) {
+func TestSharedEjection_NotIfMostAnswersSucceed(t *testing.T) {
 	now := time.Now()
-	set := evidenceSet(4)
+	set := newEvidenceSet(4)
 	for i := 1; i < 6; i++ {
-		set.AddFailureReports(Reporter{Node: fmt.Sprintf("n%d", i), Zone: "a"}, failureOf("r00", 1, 9), now)
+		set.AddFailureReports(Reporter{Node: fmt.Sprintf("n%d", i), Zone: "a"}, failureReport("r00", 1, 9), now)
 	}
-	if out(set, "r00", now) {
-		t.Error("a replica that spoils one answer of ten is left out by all")
+	if isEjected(set, "r00", now) {
+		t.Error("a replica that fails one request in ten is ejected")
 	}
 }
 
-// TestEvidence_NodesThatAreServedWellSpeakForAReplica has a replica fail now and then for
-// few nodes, while others whose answers are whole tell so.
-func TestEvidence_NodesThatAreServedWellSpeakForAReplica(t *testing.T) {
+// Nodes report their successes at a replica that other nodes report, so that a few failures among
+// many answers do not eject it.
+func TestFailureReports_IncludeSuccesses(t *testing.T) {
 	now := time.Now()
-	set, other := evidenceSet(4), evidenceSet(4)
+	set, other := newEvidenceSet(4), newEvidenceSet(4)
 	for range 3 {
 		other.Begin("r00", RequestInfo{}, now).End(Succeeded, now)
 	}
-	if told := other.FailureReports(now); len(told) != 0 {
-		t.Fatalf("a node tells of a replica that nobody reports: %v", told)
+	if reports := other.FailureReports(now); len(reports) != 0 {
+		t.Fatalf("a node reports successes at a replica that no other node reports: %v", reports)
 	}
-	other.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 1, 0), now)
-	told := other.FailureReports(now)
-	if len(told) != 1 || told[0].Failures != 0 || told[0].Successes != 3 {
-		t.Fatalf("a node that was served well tells %v", told)
+	other.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureReport("r00", 1, 0), now)
+	reports := other.FailureReports(now)
+	if len(reports) != 1 || reports[0].Failures != 0 || reports[0].Successes != 3 {
+		t.Fatalf("FailureReports = %v, want 3 successes", reports)
 	}
-	set.AddFailureReports(Reporter{Node: "n3", Zone: "a"}, told, now)
-	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 1, 0), now)
-	set.AddFailureReports(Reporter{Node: "n2", Zone: "b"}, failureOf("r00", 1, 0), now)
-	if out(set, "r00", now) {
-		t.Error("two failures of five answers leave a replica out")
+	set.AddFailureReports(Reporter{Node: "n3", Zone: "a"}, reports, now)
+	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureReport("r00", 1, 0), now)
+	set.AddFailureReports(Reporter{Node: "n2", Zone: "b"}, failureReport("r00", 1, 0), now)
+	if isEjected(set, "r00", now) {
+		t.Error("two failures in five answers eject a replica")
 	}
-	set.AddFailureReports(Reporter{Node: "n2", Zone: "b"}, failureOf("r00", 3, 0), now)
-	if !out(set, "r00", now) {
-		t.Error("four failures of seven answers do not leave a replica out")
+	set.AddFailureReports(Reporter{Node: "n2", Zone: "b"}, failureReport("r00", 3, 0), now)
+	if !isEjected(set, "r00", now) {
+		t.Error("four failures in seven answers do not eject a replica")
 	}
 }
 
-// TestEvidence_FailingForOneZoneIsLeftOutThere has a replica fail for the callers of one
-// zone only.
-func TestEvidence_FailingForOneZoneIsLeftOutThere(t *testing.T) {
+// A replica that fails for the nodes of one zone only is ejected by these.
+func TestSharedEjection_InOneZoneOnly(t *testing.T) {
 	now := time.Now()
-	for _, one := range []struct {
+	for _, tc := range []struct {
 		zone string
 		want bool
 	}{{"a", true}, {"b", false}} {
-		set := evidenceSet(4)
-		set.Zone = one.zone
+		set := newEvidenceSet(4)
+		set.Zone = tc.zone
 		for i := 1; i < 4; i++ {
-			set.AddFailureReports(Reporter{Node: fmt.Sprintf("n%d", i), Zone: "a"}, failureOf("r00", 3, 0), now)
-			set.AddFailureReports(Reporter{Node: fmt.Sprintf("m%d", i), Zone: "b"}, failureOf("r00", 0, 9), now)
+			set.AddFailureReports(Reporter{Node: fmt.Sprintf("n%d", i), Zone: "a"}, failureReport("r00", 3, 0), now)
+			set.AddFailureReports(Reporter{Node: fmt.Sprintf("m%d", i), Zone: "b"}, failureReport("r00", 0, 9), now)
 		}
-		if got := out(set, "r00", now); got != one.want {
-			t.Errorf("zone %s: left out %v, want %v", one.zone, got, one.want)
+		if got := isEjected(set, "r00", now); got != tc.want {
+			t.Errorf("zone %s: ejected = %v, want %v", tc.zone, got, tc.want)
 		}
 	}
 }
 
-func TestEvidence_ANodeForWhichManyFailTellsNothing(t *testing.T) {
+func TestFailureReports_NoneIfManyReplicasFail(t *testing.T) {
 	now := time.Now()
-	set := evidenceSet(9)
+	set := newEvidenceSet(9)
 	fail := func(id string) { set.Begin(id, RequestInfo{}, now).End(Failed, now) }
 	succeed := func(id string) { set.Begin(id, RequestInfo{}, now).End(Succeeded, now) }
 	for i := range 9 {
@@ -146,26 +144,26 @@
 		fail(fmt.Sprintf("r%02d", i))
 	}
 	if reports := set.FailureReports(now); len(reports) != 3 {
-		t.Fatalf("%d replicas of 9 fail, want 3 told", len(reports))
+		t.Fatalf("%d replicas reported, want 3 of 9", len(reports))
 	}
 	fail("r03")
 	if reports := set.FailureReports(now); reports != nil {
-		t.Errorf("a node that reports 4 of 9 replicas tells of %d", len(reports))
+		t.Errorf("%d replicas reported although 4 of 9 fail, want none", len(reports))
 	}
 	if reports := set.FailureReports(now.Add(evidenceMemory + time.Second)); reports != nil {
-		t.Errorf("failures of long ago are told: %v", reports)
+		t.Errorf("expired failures are reported: %v", reports)
 	}
 }
 
-// TestEvidence_ReplicasOfLongAgoAreNotUsed has a node use many replicas, and later few, all
-// of which fail: the fault is likely its own, whatever it used before.
-func TestEvidence_ReplicasOfLongAgoAreNotUsed(t *testing.T) {
+// If all replicas that a node used recently fail, the fault is likely on the node, however many
+// others it used before.
+func TestFailureReports_CountOnlyRecentlyUsedReplicas(t *testing.T) {
 	now := time.Now()
-	set := evidenceSet(12)
+	set := newEvidenceSet(12)
 	for i := range 12 {
 		set.Begin(fmt.Sprintf("r%02d", i), RequestInfo{}, now).End(Succeeded, now)
 	}
-	// Reports are asked for all the while, which fades the counts.
+	// Each call of FailureReports also decays the counts.
 	for range 20 {
 		now = now.Add(evidenceMemory / 10)
 		set.FailureReports(now)
@@ -174,103 +172,102 @@
 		set.Begin(fmt.Sprintf("r%02d", i), RequestInfo{}, now).End(Failed, now)
 	}
 	if reports := set.FailureReports(now); reports != nil {
-		t.Errorf("a node for which all that it uses fails tells of %d", len(reports))
+		t.Errorf("%d replicas reported although all recently used ones fail, want none", len(reports))
 	}
 }
 
-// TestEvidence_FewTryAReplicaAfterItsExclusion follows a replica through exclusion,
-// probation and ejectAgainWithin as all nodes see it.
-func TestEvidence_FewTryAReplicaAfterItsExclusion(t *testing.T) {
+// After an ejection only the probers use the replica until probation ends. One failure that
+// is reported in probation ejects it again for longer.
+func TestSharedEjection_Probation(t *testing.T) {
 	now := time.Now()
 	nodes := evidenceNodes()
 	var sets []*Set
 	for _, node := range nodes {
-		set := evidenceSet(4)
+		set := newEvidenceSet(4)
 		set.Divide(node.ID, nodes)
-		set.AddFailureReports(Reporter{Node: "x1", Zone: "a"}, failureOf("r00", 3, 0), now)
-		set.AddFailureReports(Reporter{Node: "x2", Zone: "b"}, failureOf("r00", 3, 0), now)
+		set.AddFailureReports(Reporter{Node: "x1", Zone: "a"}, failureReport("r00", 3, 0), now)
+		set.AddFailureReports(Reporter{Node: "x2", Zone: "b"}, failureReport("r00", 3, 0), now)
 		sets = append(sets, set)
 	}
-	excluded := func(at time.Time) int {
+	countEjected := func(at time.Time) int {
 		count := 0
 		for _, set := range sets {
-			if out(set, "r00", at) {
+			if isEjected(set, "r00", at) {
 				count++
 			}
 		}
 		return count
 	}
-	if got := excluded(now.Add(sharedEjectionFirst - time.Millisecond)); got != 10 {
-		t.Fatalf("%d of 10 nodes leave it out", got)
+	if got := countEjected(now.Add(sharedEjectionFirst - time.Millisecond)); got != 10 {
+		t.Fatalf("ejected by %d of 10 nodes, want all", got)
 	}
 	after := now.Add(sharedEjectionFirst + time.Millisecond)
-	if got := excluded(after); got != 10-proberCount {
-		t.Fatalf("%d of 10 nodes leave it out after the exclusion, want all but %d", got, proberCount)
+	if got := countEjected(after); got != 10-proberCount {
+		t.Fatalf("ejected by %d of 10 nodes in probation, want all but %d", got, proberCount)
 	}
-	if got := excluded(after.Add(probation)); got != 0 {
-		t.Fatalf("%d of 10 nodes leave it out when nobody told of a failure", got)
+	if got := countEjected(after.Add(probation)); got != 0 {
+		t.Fatalf("ejected by %d of 10 nodes after probation without failures, want none", got)
 	}
 	for _, set := range sets {
-		set.AddFailureReports(Reporter{Node: "x3", Zone: "a"}, failureOf("r00", 1, 0), after)
+		set.AddFailureReports(Reporter{Node: "x3", Zone: "a"}, failureReport("r00", 1, 0), after)
 	}
-	if got := excluded(after.Add(sharedEjectionFirst + probation)); got != 10 {
-		t.Errorf("%d of 10 nodes leave it out for longer after one failure in its probation", got)
+	if got := countEjected(after.Add(sharedEjectionFirst + probation)); got != 10 {
+		t.Errorf("ejected by %d of 10 nodes after a failure in probation, want all for longer", got)
 	}
 }
 
-func TestEvidence_HalfOfAPoolStays(t *testing.T) {
+func TestSharedEjection_AtMostHalfOfPool(t *testing.T) {
 	now := time.Now()
-	set := evidenceSet(4)
+	set := newEvidenceSet(4)
 	for i := range 4 {
 		id := fmt.Sprintf("r%02d", i)
-		set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf(id, 3, 0), now)
-		set.AddFailureReports(Reporter{Node: "n2", Zone: "b"}, failureOf(id, 3, 0), now)
+		set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureReport(id, 3, 0), now)
+		set.AddFailureReports(Reporter{Node: "n2", Zone: "b"}, failureReport(id, 3, 0), now)
 	}
 	left := 0
-	for _, one := range set.List(now) {
-		if !one.Ejected {
+	for _, candidate := range set.List(now) {
+		if !candidate.Ejected {
 			left++
 		}
 	}
 	if left != 2 {
-		t.Errorf("%d of 4 replicas are used when all are said to fail, want 2", left)
+		t.Errorf("%d of 4 replicas not ejected when all are reported, want 2", left)
 	}
 }
 
-func TestEvidence_UnsoundWordsTellNothing(t *testing.T) {
+func TestAddFailureReports_IgnoresInvalidAndOldReports(t *testing.T) {
 	now := time.Now()
-	set := evidenceSet(4)
+	set := newEvidenceSet(4)
 	for i := 1; i < 5; i++ {
-		node := Reporter{Node: fmt.Sprintf("n%d", i), Zone: fmt.Sprintf("z%d", i)}
-		set.AddFailureReports(node, []FailureReport{{Replica: Key("r00"), Failures: -1}, {Replica: 7, Failures: 9}, {Replica: Key("r00"), Failures: 9, Age: -1}}, now)
-		set.AddFailureReports(node, []FailureReport{{Replica: Key("r00"), Failures: 9, Age: evidenceMemory + time.Second}}, now)
+		reporter := Reporter{Node: fmt.Sprintf("n%d", i), Zone: fmt.Sprintf("z%d", i)}
+		set.AddFailureReports(reporter, []FailureReport{{Replica: Key("r00"), Failures: -1}, {Replica: 7, Failures: 9}, {Replica: Key("r00"), Failures: 9, Age: -1}}, now)
+		set.AddFailureReports(reporter, []FailureReport{{Replica: Key("r00"), Failures: 9, Age: evidenceMemory + time.Second}}, now)
 	}
-	if out(set, "r00", now) {
-		t.Error("words that cannot be, or are old, leave a replica out")
+	if isEjected(set, "r00", now) {
+		t.Error("invalid or expired reports eject a replica")
 	}
 }
 
-// TestPick_SingleRequestsAvoidDoubtfulReplicas has one node tell of a replica: requests
-// that can be sent again still go there.
-func TestPick_SingleRequestsAvoidDoubtfulReplicas(t *testing.T) {
+// Requests that cannot be sent again avoid a replica that one node reports; others still use it.
+func TestPick_NoRetryAvoidsFailingReplicas(t *testing.T) {
 	now := time.Now()
-	set := evidenceSet(2)
+	set := newEvidenceSet(2)
 	set.Divide("n0", evidenceNodes()[:1])
-	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureOf("r00", 3, 0), now)
+	set.AddFailureReports(Reporter{Node: "n1", Zone: "a"}, failureReport("r00", 3, 0), now)
 	seen := map[string]bool{}
 	for affinity := range uint64(40) {
-		demand := &Criteria{Affinity: affinity + 1}
-		chosen, err := Pick(set.SnapshotFor(testPool, demand, now), demand, Weights{})
+		criteria := &Criteria{Affinity: affinity + 1}
+		chosen, err := Pick(set.SnapshotFor(testPool, criteria, now), criteria, Weights{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		seen[chosen.ID] = true
-		demand.NoRetry = true
-		if chosen, err = Pick(set.SnapshotFor(testPool, demand, now), demand, Weights{}); err != nil || chosen.ID != "r01" {
-			t.Fatalf("a request that cannot be sent again goes to %v, %v", chosen, err)
+		criteria.NoRetry = true
+		if chosen, err = Pick(set.SnapshotFor(testPool, criteria, now), criteria, Weights{}); err != nil || chosen.ID != "r01" {
+			t.Fatalf("Pick with NoRetry = %v, %v, want r01", chosen, err)
 		}
 	}
 	if !seen["r00"] {
-		t.Error("one node's word keeps all requests away")
+		t.Error("all requests avoid a replica that one node reports")
 	}
 }
--- a/internal/replica/restartuse_test.go
+++ b/internal/replica/restartuse_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// told reports whether a request knows that its replica has started again since.
-func told(use *Use) bool {
+// restarted reports whether the request was notified of a restart of its replica.
+func restarted(use *Use) bool {
 	select {
 	case <-use.Restarted():
 		return true
@@ -18,139 +18,139 @@
 	}
 }
 
-func TestReborn_TellsWhatWasSentToTheStartBefore(t *testing.T) {
+func TestRestarted_NotifiesRequestsOfPreviousStart(t *testing.T) {
 	now := time.Now()
-	set := startedSet(2, now)
-	var noticed []Restart
-	set.OnRestart = func(restart Restart) { noticed = append(noticed, restart) }
-	uses := busy(set, now)
-	// Two ask for the channel before, one after.
-	asked := uses[0].Restarted()
-	if told(uses[1]) {
-		t.Fatal("told of a start that is not known")
-	}
-	set.put(listed(firstBorn), now)
-	if told(uses[1]) {
-		t.Fatal("told of a start that it was sent to")
-	}
-	// Born is smaller: a clock has stepped back.
-	set.put(listed(secondBorn), now)
+	set := newStartedSet(2, now)
+	var restarts []Restart
+	set.OnRestart = func(restart Restart) { restarts = append(restarts, restart) }
+	uses := beginRequests(set, now)
+	// One channel is created before the restart, the others after it.
+	early := uses[0].Restarted()
+	if restarted(uses[1]) {
+		t.Fatal("notified without a known restart")
+	}
+	set.put(infoStartedAt(firstStart), now)
+	if restarted(uses[1]) {
+		t.Fatal("notified of the start that the request was sent to")
+	}
+	// The start time is earlier than the previous one, as after a clock stepped back.
+	set.put(infoStartedAt(secondStart), now)
 	next := set.Begin("r00", RequestInfo{}, now)
-	<-asked
+	<-early
 	for i, use := range uses {
-		if !told(use) {
-			t.Errorf("request %d is not told", i)
+		if !restarted(use) {
+			t.Errorf("request %d is not notified", i)
 		}
 	}
-	if told(next) {
-		t.Error("a request to the new one is told")
+	if restarted(next) {
+		t.Error("a request to the new start is notified")
 	}
-	if len(noticed) != 1 || noticed[0].Open != 3 || noticed[0].Batch != 1 || noticed[0].PreviousStartedUnixMs != firstBorn || noticed[0].Replica.StartedUnixMs != secondBorn {
-		t.Errorf("noticed %+v", noticed)
+	if len(restarts) != 1 || restarts[0].Open != 3 || restarts[0].Batch != 1 || restarts[0].PreviousStartedUnixMs != firstStart || restarts[0].Replica.StartedUnixMs != secondStart {
+		t.Errorf("OnRestart was called with %+v", restarts)
 	}
-	// Another one, and then the words are those of three starts.
-	set.put(listed(thirdBorn), now)
-	if !told(next) || len(noticed) != 2 {
-		t.Errorf("the third start is not noticed: %+v", noticed)
+	// A second restart.
+	set.put(infoStartedAt(thirdStart), now)
+	if !restarted(next) || len(restarts) != 2 {
+		t.Errorf("the second restart is not noticed: %+v", restarts)
 	}
 }
 
-func TestReborn_TwoStartsBetweenTwoLooks(t *testing.T) {
+func TestRestarted_SkippedStart(t *testing.T) {
 	now := time.Now()
-	set := startedSet(2, now)
+	set := newStartedSet(2, now)
 	use := set.Begin("r00", RequestInfo{}, now)
-	set.put(listed(thirdBorn), now)
-	if !told(use) {
-		t.Error("not told of the start after the next")
+	set.put(infoStartedAt(thirdStart), now)
+	if !restarted(use) {
+		t.Error("not notified of a restart whose predecessor was missed")
 	}
-	if _, before, _ := set.CurrentAndPrevious("r00"); before.StartedUnixMs != firstBorn {
-		t.Errorf("the start before is %d", before.StartedUnixMs)
+	if _, before, _ := set.CurrentAndPrevious("r00"); before.StartedUnixMs != firstStart {
+		t.Errorf("the previous start is %d, want firstStart", before.StartedUnixMs)
 	}
 }
 
-// TestReborn_AfterItWasNotListed: a replica that is not listed any more may serve on. Only
-// its next start says that it does not.
-func TestReborn_AfterItWasNotListed(t *testing.T) {
+// A replica that is no longer listed may still answer. Only when it is listed with a new start are
+// its requests notified.
+func TestRestarted_UnlistedReplica(t *testing.T) {
 	now := time.Now()
-	set := startedSet(2, now)
+	set := newStartedSet(2, now)
 	use := set.Begin("r00", RequestInfo{}, now)
 	set.Remove("r00", now)
-	late := set.BeginAt(listed(firstBorn), RequestInfo{}, now)
-	if told(use) || told(late) {
-		t.Fatal("told of a start that is not known")
+	late := set.BeginAt(infoStartedAt(firstStart), RequestInfo{}, now)
+	if restarted(use) || restarted(late) {
+		t.Fatal("notified without a known restart")
 	}
-	set.put(listed(secondBorn), now)
-	if !told(use) || !told(late) {
-		t.Error("not told of the start of a replica that was not listed")
+	set.put(infoStartedAt(secondStart), now)
+	if !restarted(use) || !restarted(late) {
+		t.Error("not notified of the restart of a replica that was unlisted")
 	}
-	if known := seen(t, set, "r00", now); known.Open != 0 {
-		t.Errorf("requests of the start before count: %+v", known)
+	if candidate := candidateByID(t, set, "r00", now); candidate.Open != 0 {
+		t.Errorf("requests of the previous start are counted: %+v", candidate)
 	}
 	use.End(Failed, now)
 	late.End(Failed, now)
 	if len(set.unlisted) != 0 {
-		t.Errorf("%d entries are kept of replicas that have no request", len(set.unlisted))
+		t.Errorf("%d unlisted entries without requests remain", len(set.unlisted))
 	}
 }
 
-// TestReborn_RequestsSentSinceItRefusedAreTheNewOnes: the list tells late of a start; what was
-// sent after nothing listened there reached the new one.
-func TestReborn_RequestsSentSinceItRefusedAreTheNewOnes(t *testing.T) {
+// The list shows a restart with a delay. Requests that were sent after the replica had refused a
+// connection reached the new start and are not notified.
+func TestRestarted_RequestsSentAfterUnreachable(t *testing.T) {
 	now := time.Now()
-	set := startedSet(2, now)
+	set := newStartedSet(2, now)
 	before := set.Begin("r00", RequestInfo{Tokens: 5, Batch: true}, now)
 	now = now.Add(time.Second)
 	set.Begin("r00", RequestInfo{}, now).End(Unreachable, now)
 	now = now.Add(time.Second)
-	since := set.Begin("r00", RequestInfo{Tokens: 7, Batch: true}, now)
+	after := set.Begin("r00", RequestInfo{Tokens: 7, Batch: true}, now)
 	now = now.Add(time.Second)
-	set.put(listed(secondBorn), now)
-	if !told(before) || told(since) {
-		t.Errorf("told %v, %v; want true, false", told(before), told(since))
+	set.put(infoStartedAt(secondStart), now)
+	if !restarted(before) || restarted(after) {
+		t.Errorf("notified: %v, %v; want true, false", restarted(before), restarted(after))
 	}
-	if known := seen(t, set, "r00", now); known.Open != 1 || known.Batch != 1 || known.PendingTokens != 7 {
-		t.Errorf("the request at the new one is not counted there: %+v", known)
+	if candidate := candidateByID(t, set, "r00", now); candidate.Open != 1 || candidate.Batch != 1 || candidate.PendingTokens != 7 {
+		t.Errorf("the request to the new start is not counted there: %+v", candidate)
 	}
-	since.MarkPreempted()
-	since.FirstEvent(now)
-	since.End(Failed, now)
+	after.MarkPreempted()
+	after.FirstEvent(now)
+	after.End(Failed, now)
 	before.End(Failed, now)
-	if known := seen(t, set, "r00", now); known.Open != 0 || known.Batch != 0 || known.PendingTokens != 0 || known.FailureShare == 0 {
-		t.Errorf("after all ended: %+v", known)
+	if candidate := candidateByID(t, set, "r00", now); candidate.Open != 0 || candidate.Batch != 0 || candidate.PendingTokens != 0 || candidate.FailureShare == 0 {
+		t.Errorf("after all requests ended the candidate is %+v", candidate)
 	}
-	// A refusal long ago says nothing.
+	// A connection refused long ago is no evidence of the start that a request was sent to.
 	use := set.Begin("r00", RequestInfo{}, now)
-	set.put(listed(thirdBorn), now.Add(recentlyUnreachable+time.Second))
-	if !told(use) {
-		t.Error("a request is taken as sent to the new one for a refusal long ago")
+	set.put(infoStartedAt(thirdStart), now.Add(recentlyUnreachable+time.Second))
+	if !restarted(use) {
+		t.Error("a request counts as sent to the new start because of a connection refused long ago")
 	}
 }
 
-func TestFollow_TellsOfAStart(t *testing.T) {
+func TestFollow_NotifiesOfRestart(t *testing.T) {
 	now := time.Now()
-	set := startedSet(2, now)
+	set := newStartedSet(2, now)
 	if _, _, _, listed := set.Follow("other"); listed {
-		t.Error("a replica is followed that is not listed")
+		t.Error("Follow accepts a replica that is not listed")
 	}
-	address, reborn, stop, _ := set.Follow("r00")
-	_, never, stopNever, _ := set.Follow("r00")
-	stopNever()
-	if known := seen(t, set, "r00", now); address != "r00" || known.Open != 0 {
-		t.Errorf("at %q are requests: %+v", address, known)
+	address, restarted, stop, _ := set.Follow("r00")
+	_, stopped, stopSecond, _ := set.Follow("r00")
+	stopSecond()
+	if candidate := candidateByID(t, set, "r00", now); address != "r00" || candidate.Open != 0 {
+		t.Errorf("address %q, candidate %+v, want r00 without requests", address, candidate)
 	}
-	// It is not listed for a while.
+	// Delisting is no restart.
 	set.Remove("r00", now)
-	set.put(listed(firstBorn), now)
+	set.put(infoStartedAt(firstStart), now)
 	select {
-	case <-reborn:
-		t.Error("told of a start that is not known")
+	case <-restarted:
+		t.Error("notified without a known restart")
 	default:
 	}
-	set.put(listed(secondBorn), now)
-	<-reborn
+	set.put(infoStartedAt(secondStart), now)
+	<-restarted
 	select {
-	case <-never:
-		t.Error("who has stopped to follow is told")
+	case <-stopped:
+		t.Error("a stopped follower is notified")
 	default:
 	}
 	stop()
@@ -158,185 +158,189 @@
 	set.Remove("r00", now)
 	stop()
 	if len(set.unlisted) != 0 {
-		t.Errorf("%d entries are kept that nobody follows", len(set.unlisted))
+		t.Errorf("%d unlisted entries without followers remain", len(set.unlisted))
 	}
 }
 
-func TestBeginAt_ReplicaThatHasStartedAgainIsChosenAnew(t *testing.T) {
+func TestBeginAt_RejectsPreviousStart(t *testing.T) {
 	now := time.Now()
-	set := startedSet(2, now)
-	set.put(listed(secondBorn), now)
-	if set.BeginAt(listed(firstBorn), RequestInfo{}, now) != nil {
-		t.Error("a request is sent to a start that is over")
+	set := newStartedSet(2, now)
+	set.put(infoStartedAt(secondStart), now)
+	if set.BeginAt(infoStartedAt(firstStart), RequestInfo{}, now) != nil {
+		t.Error("BeginAt accepts the previous start")
 	}
-	for _, info := range []Info{listed(secondBorn), listed(0), {ID: "r00"}} {
+	for _, info := range []Info{infoStartedAt(secondStart), infoStartedAt(0), {ID: "r00"}} {
 		if set.BeginAt(info, RequestInfo{}, now) == nil {
-			t.Errorf("no request is sent to %+v", info)
+			t.Errorf("BeginAt rejects %+v", info)
 		}
 	}
-	if known := seen(t, set, "r00", now); known.Open != 3 {
-		t.Errorf("%d requests are counted, not 3", known.Open)
+	if candidate := candidateByID(t, set, "r00", now); candidate.Open != 3 {
+		t.Errorf("Open = %d, want 3", candidate.Open)
 	}
 }
 
-func TestRestart_ARefusalOfTheStartBeforeDoesNotFillIt(t *testing.T) {
+func TestMarkFull_IgnoresPreviousStart(t *testing.T) {
 	now := time.Now()
-	set := startedSet(2, now)
-	set.put(listed(secondBorn), now)
-	set.MarkFull(listed(firstBorn), now)
-	if known := seen(t, set, "r00", now); known.Others != 0 {
-		t.Errorf("taken as full: %+v", known)
+	set := newStartedSet(2, now)
+	set.put(infoStartedAt(secondStart), now)
+	set.MarkFull(infoStartedAt(firstStart), now)
+	if candidate := candidateByID(t, set, "r00", now); candidate.Others != 0 {
+		t.Errorf("a refusal of the previous start marks the new one as full: %+v", candidate)
 	}
-	set.MarkFull(listed(secondBorn), now)
-	if known := seen(t, set, "r00", now); known.Others != 4 {
-		t.Errorf("not taken as full: %+v", known)
+	set.MarkFull(infoStartedAt(secondStart), now)
+	if candidate := candidateByID(t, set, "r00", now); candidate.Others != 4 {
+		t.Errorf("the replica is not marked as full: %+v", candidate)
 	}
 }
 
-func TestRestart_WhoFailedARequestMayTakeItAfterAStart(t *testing.T) {
+func TestPick_RestartedReplicaMayRetryRequest(t *testing.T) {
 	now := time.Now()
-	set := startedSet(1, now)
-	first := listed(firstBorn)
-	demand := &Criteria{Exclude: map[string]bool{first.Incarnation(): true}}
-	if _, err := Pick(set.SnapshotFor(testPool, demand, now), demand, Weights{}); err == nil {
-		t.Error("a replica is chosen that failed the request")
+	set := newStartedSet(1, now)
+	first := infoStartedAt(firstStart)
+	criteria := &Criteria{Exclude: map[string]bool{first.Incarnation(): true}}
+	if _, err := Pick(set.SnapshotFor(testPool, criteria, now), criteria, Weights{}); err == nil {
+		t.Error("Pick returns a start that failed the request")
 	}
-	set.put(listed(secondBorn), now)
-	if _, err := Pick(set.SnapshotFor(testPool, demand, now), demand, Weights{}); err != nil {
-		t.Errorf("the replica that has started again is left out: %v", err)
+	set.put(infoStartedAt(secondStart), now)
+	if _, err := Pick(set.SnapshotFor(testPool, criteria, now), criteria, Weights{}); err != nil {
+		t.Errorf("Pick excludes the restarted replica: %v", err)
 	}
-	demand.Exclude["r00"] = true
-	if _, err := Pick(set.SnapshotFor(testPool, demand, now), demand, Weights{}); err == nil {
-		t.Error("a replica is chosen that is excluded at all its starts")
+	criteria.Exclude["r00"] = true
+	if _, err := Pick(set.SnapshotFor(testPool, criteria, now), criteria, Weights{}); err == nil {
+		t.Error("Pick returns a replica that is excluded by ID")
 	}
 }
 
-func TestEvidence_IsAboutOneStart(t *testing.T) {
+func TestFailureReports_ApplyToOneStart(t *testing.T) {
 	now := time.Now()
-	set := evidenceSet(4)
-	set.put(listed(firstBorn), now)
+	set := newEvidenceSet(4)
+	set.put(infoStartedAt(firstStart), now)
 	set.Begin("r00", RequestInfo{}, now).End(Failed, now)
 	reports := set.FailureReports(now)
-	if len(reports) != 1 || reports[0].StartedUnixMs != firstBorn {
-		t.Fatalf("told %+v", reports)
+	if len(reports) != 1 || reports[0].StartedUnixMs != firstStart {
+		t.Fatalf("FailureReports = %+v, want one about firstStart", reports)
 	}
-	set.put(listed(secondBorn), now)
+	set.put(infoStartedAt(secondStart), now)
 	if reports := set.FailureReports(now); len(reports) != 0 {
-		t.Errorf("failures of the start before are told: %+v", reports)
+		t.Errorf("failures of the previous start are reported: %+v", reports)
 	}
-	tell := func(born int64) {
+	report := func(startedUnixMs int64) {
 		for _, node := range []string{"n1", "n2", "n3"} {
-			set.AddFailureReports(Reporter{Node: node, Zone: node}, []FailureReport{{Replica: Key("r00"), StartedUnixMs: born, Failures: 5}}, now)
+			set.AddFailureReports(Reporter{Node: node, Zone: node}, []FailureReport{{Replica: Key("r00"), StartedUnixMs: startedUnixMs, Failures: 5}}, now)
 		}
 	}
-	tell(firstBorn)
-	tell(thirdBorn)
-	if out(set, "r00", now) {
-		t.Error("words about other starts leave the replica out")
+	report(firstStart)
+	report(thirdStart)
+	if isEjected(set, "r00", now) {
+		t.Error("reports about other starts eject the replica")
 	}
-	tell(secondBorn)
-	if !out(set, "r00", now) {
-		t.Error("words about this start are passed over")
+	report(secondStart)
+	if !isEjected(set, "r00", now) {
+		t.Error("reports about the current start do not eject the replica")
 	}
 }
 
-// TestFeeders_TellWhichStartTheyAreAskedAbout: a place granted at a start that is over would
-// come on top of the rate of the next one.
-func TestFeeders_TellWhichStartTheyAreAskedAbout(t *testing.T) {
+// A grant for a previous start would exceed the rate of the current one, so requests for grants
+// name the start.
+func TestColdSenders_IdentifyStart(t *testing.T) {
 	now := time.Unix(1000, 0)
-	set := coldSet("a", []string{"b"}, false, now)
-	set.put(Info{ID: "cold", Pool: testPool, Slots: 8, StartedUnixMs: firstBorn, ColdLeft: 3 * time.Second}, now)
-	feeders := set.ColdSenders(testPool, &Criteria{}, now)
-	if len(feeders) != 1 || feeders[0].StartedUnixMs != firstBorn {
-		t.Fatalf("feeders are %+v", feeders)
-	}
-	for born, want := range map[int64]bool{0: true, firstBorn: true, secondBorn: false} {
-		if got := set.IsCurrentStart("cold", born); got != want {
-			t.Errorf("Started(%d) = %v", born, got)
+	set := newColdSet("a", []string{"b"}, false, now)
+	set.put(Info{ID: "cold", Pool: testPool, Slots: 8, StartedUnixMs: firstStart, ColdLeft: 3 * time.Second}, now)
+	senders := set.ColdSenders(testPool, &Criteria{}, now)
+	if len(senders) != 1 || senders[0].StartedUnixMs != firstStart {
+		t.Fatalf("ColdSenders = %+v, want one for firstStart", senders)
+	}
+	for startedUnixMs, want := range map[int64]bool{0: true, firstStart: true, secondStart: false} {
+		if got := set.IsCurrentStart("cold", startedUnixMs); got != want {
+			t.Errorf("IsCurrentStart(%d) = %v", startedUnixMs, got)
 		}
 	}
 	if set.IsCurrentStart("other", 0) {
-		t.Error("a replica that is not listed has started")
+		t.Error("IsCurrentStart is true for a replica that is not listed")
 	}
 }
 
-// startModel is what must hold of one replica, whatever is said of it and in which order.
-type startModel struct {
+// restartModel is the expected state of replica r00 after any sequence of operations on a set.
+type restartModel struct {
 	set *Set
 	now time.Time
-	// start counts the starts that are known, born is that of the last; 0 if it is not known.
-	start int
-	born  int64
-	// sent are the requests that have not ended.
-	sent   []sentTo
-	listed bool
+	// start numbers the current start, as requests in flight refer to it. startedUnixMs is its
+	// start time; 0 if unknown.
+	start         int
+	startedUnixMs int64
+	// inFlight holds the requests that have not ended.
+	inFlight []sentRequest
+	listed   bool
 }
 
-// sentTo is a request with the start that it was sent to.
-type sentTo struct {
+// sentRequest is a request in flight and the start that it was sent to.
+type sentRequest struct {
 	use   *Use
 	start int
 }
 
-func (m *startModel) list(born int64) {
-	m.set.put(listed(born), m.now)
+// list lists the replica with a start time.
+func (m *restartModel) list(startedUnixMs int64) {
+	m.set.put(infoStartedAt(startedUnixMs), m.now)
 	m.listed = true
-	if born != 0 && m.born != 0 && born != m.born {
+	if startedUnixMs != 0 && m.startedUnixMs != 0 && startedUnixMs != m.startedUnixMs {
 		m.start++
 	}
-	if born != 0 {
-		m.born = born
+	if startedUnixMs != 0 {
+		m.startedUnixMs = startedUnixMs
 	}
 }
 
-// open counts the requests at the last start.
-func (m *startModel) open() int {
+// open returns the number of requests in flight at the current start.
+func (m *restartModel) open() int {
 	count := 0
-	for _, one := range m.sent {
-		if one.start == m.start {
+	for _, req := range m.inFlight {
+		if req.start == m.start {
 			count++
 		}
 	}
 	return count
 }
 
-// forget forgets a replica that is not listed and has no request.
-func (m *startModel) forget() {
+// forget resets the model if the replica is unlisted and has no requests, so that the set has no
+// entry.
+func (m *restartModel) forget() {
 	if !m.listed && m.open() == 0 {
 		m.start++
-		m.born = 0
+		m.startedUnixMs = 0
 	}
 }
 
-func (m *startModel) check(t *rapid.T) {
-	for _, one := range m.sent {
-		if over := one.start != m.start; told(one.use) != over {
-			t.Fatalf("a request to start %d of %d is told: %v", one.start, m.start, !over)
+// check compares the set with the model.
+func (m *restartModel) check(t *rapid.T) {
+	for _, req := range m.inFlight {
+		if over := req.start != m.start; restarted(req.use) != over {
+			t.Fatalf("request to start %d, current start %d: notified = %v", req.start, m.start, !over)
 		}
 	}
-	for _, known := range m.set.unlisted {
-		if m.listed || known.open != m.open() || known.open == 0 {
-			t.Fatalf("an entry is kept that has %d requests, there are %d", known.open, m.open())
+	for _, e := range m.set.unlisted {
+		if m.listed || e.open != m.open() || e.open == 0 {
+			t.Fatalf("an unlisted entry has %d requests, want %d", e.open, m.open())
 		}
 	}
-	for _, one := range m.set.List(m.now) {
-		if one.ID == "r00" && (one.Open != m.open() || one.Batch < 0 || one.PendingTokens < 0) {
-			t.Fatalf("%d requests are counted, there are %d: %+v", one.Open, m.open(), one)
+	for _, candidate := range m.set.List(m.now) {
+		if candidate.ID == "r00" && (candidate.Open != m.open() || candidate.Batch < 0 || candidate.PendingTokens < 0) {
+			t.Fatalf("Open = %d, want %d: %+v", candidate.Open, m.open(), candidate)
 		}
 	}
 }
 
-// TestRestart_Model lists a replica with starts in any order, drops it, sends to it and ends
-// requests in any order.
+// A set agrees with the model when a replica is listed with any start times and delisted, and
+// requests begin and end, in any order.
 func TestRestart_Model(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &startModel{set: newSet(2), now: time.Unix(1000, 0)}
-		m.list(firstBorn)
+		m := &restartModel{set: newSet(2), now: time.Unix(1000, 0)}
+		m.list(firstStart)
 		t.Repeat(map[string]func(*rapid.T){
 			"": m.check,
 			"list": func(t *rapid.T) {
 				m.now = m.now.Add(time.Millisecond)
-				m.list(rapid.SampledFrom([]int64{0, firstBorn, secondBorn, thirdBorn}).Draw(t, "born"))
+				m.list(rapid.SampledFrom([]int64{0, firstStart, secondStart, thirdStart}).Draw(t, "startedUnixMs"))
 			},
 			"drop": func(*rapid.T) {
 				m.set.Remove("r00", m.now)
@@ -344,32 +348,32 @@
 				m.forget()
 			},
 			"send": func(t *rapid.T) {
-				ask := RequestInfo{Tokens: 3, Batch: rapid.Bool().Draw(t, "batch")}
-				use := m.set.BeginAt(listed(m.born), ask, m.now)
+				req := RequestInfo{Tokens: 3, Batch: rapid.Bool().Draw(t, "batch")}
+				use := m.set.BeginAt(infoStartedAt(m.startedUnixMs), req, m.now)
 				if use == nil {
-					t.Fatal("a request is not sent to the start that is known")
+					t.Fatal("BeginAt rejects the current start")
 				}
-				m.sent = append(m.sent, sentTo{use, m.start})
+				m.inFlight = append(m.inFlight, sentRequest{use, m.start})
 			},
 			"end": m.end,
 		})
 	})
 }
 
-// end ends a request.
-func (m *startModel) end(t *rapid.T) {
-	if len(m.sent) == 0 {
-		t.Skip("no request")
-	}
-	at := rapid.IntRange(0, len(m.sent)-1).Draw(t, "request")
-	use := m.sent[at].use
-	if rapid.Bool().Draw(t, "first") {
+// end ends a random request in flight.
+func (m *restartModel) end(t *rapid.T) {
+	if len(m.inFlight) == 0 {
+		t.Skip("no request in flight")
+	}
+	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "request")
+	use := m.inFlight[i].use
+	if rapid.Bool().Draw(t, "firstEvent") {
 		use.FirstEvent(m.now)
 	}
-	if rapid.Bool().Draw(t, "gives way") {
+	if rapid.Bool().Draw(t, "preempted") {
 		use.MarkPreempted()
 	}
 	use.End(rapid.SampledFrom([]Result{Succeeded, Failed, Refused, Abandoned}).Draw(t, "result"), m.now)
-	m.sent = slices.Delete(m.sent, at, at+1)
+	m.inFlight = slices.Delete(m.inFlight, i, i+1)
 	m.forget()
 }
