--- a/internal/lab/emulator/answer.go
+++ b/internal/lab/emulator/answer.go
@@ -10,8 +10,8 @@
 // DefaultMaxTokens bounds an answer whose request names no limit.
 const DefaultMaxTokens = 64
 
-// minAnswerShare is the shortest answer, as a share of the limit, in percent.
-const minAnswerShare = 50
+// minAnswerPercent is the shortest answer, as a share of the limit, in percent.
+const minAnswerPercent = 50
 
 var vocabulary = strings.Fields(`crew site hours Monday Tuesday Wednesday Thursday Friday
 	concrete scaffold crane shift paper glass plastic bin street calendar holiday week
@@ -36,8 +36,8 @@
 		_, _ = digest.Write([]byte{0})
 	}
 	key := digest.Sum64()
-	shortest := max(1, maxTokens*minAnswerShare/100)
-	length := shortest + int((key>>8)%uint64(maxTokens-shortest+1))
+	minLength := max(1, maxTokens*minAnswerPercent/100)
+	length := minLength + int((key>>8)%uint64(maxTokens-minLength+1))
 	return Answer{key: key, length: length}
 }
 
@@ -46,12 +46,12 @@
 
 // Token returns token i, with its trailing space.
 func (a Answer) Token(i int) string {
-	mixed := a.key ^ (uint64(i)+1)*0x9E3779B97F4A7C15
-	mixed ^= mixed >> 29
-	mixed *= 0xBF58476D1CE4E5B9
-	mixed ^= mixed >> 32
-	word := vocabulary[mixed%uint64(len(vocabulary))]
-	return word + strconv.FormatUint((mixed>>40)%1000, 10) + " "
+	hash := a.key ^ (uint64(i)+1)*0x9E3779B97F4A7C15
+	hash ^= hash >> 29
+	hash *= 0xBF58476D1CE4E5B9
+	hash ^= hash >> 32
+	word := vocabulary[hash%uint64(len(vocabulary))]
+	return word + strconv.FormatUint((hash>>40)%1000, 10) + " "
 }
 
 // Text returns the whole answer.
--- a/internal/lab/emulator/engine.go
+++ b/internal/lab/emulator/engine.go
@@ -46,7 +46,7 @@
 	state    engine.State
 	serving  engine.Order
 	reports  []engine.Load
-	loadings int
+	lastLoadID int
 }
 
 // NewEngine returns an engine that serves its configured version. Run steps it.
@@ -61,12 +61,12 @@
 	e.mux = http.NewServeMux()
 	e.mux.HandleFunc("POST "+openai.PathChatCompletions, e.complete)
 	e.mux.HandleFunc("POST "+openai.PathCompletions, e.complete)
-	e.mux.HandleFunc("GET /v1/requests/{id}", e.requestStatus)
+	e.mux.HandleFunc("GET /v1/requests/{id}", e.getRequestStatus)
 	e.mux.HandleFunc("GET /v1/requests/{id}/stream", e.resume)
 	e.mux.HandleFunc("POST /v1/requests/{id}/abort", e.abort)
-	e.mux.HandleFunc("GET /load", e.loadReport)
-	e.mux.HandleFunc("GET /orders", e.currentOrder)
-	e.mux.HandleFunc("PUT /orders", e.obey)
+	e.mux.HandleFunc("GET /load", e.getLoad)
+	e.mux.HandleFunc("GET /orders", e.getOrder)
+	e.mux.HandleFunc("PUT /orders", e.putOrder)
 	return e
 }
 
@@ -79,8 +79,8 @@
 	e.scheduler.run(ctx)
 }
 
-// Leave marks the engine as leaving in its load reports.
-func (e *Engine) Leave() {
+// MarkLeaving marks the engine as leaving in its load reports.
+func (e *Engine) MarkLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.state = engine.StateLeaving
@@ -103,8 +103,8 @@
 // Slots returns the number of sequences that run at a time.
 func (e *Engine) Slots() int { return e.config.Generation.MaxSequences }
 
-// Open returns the number of attempts that wait or run.
-func (e *Engine) Open() int {
+// OpenAttempts returns the number of attempts that wait or run.
+func (e *Engine) OpenAttempts() int {
 	e.scheduler.mu.Lock()
 	defer e.scheduler.mu.Unlock()
 	return len(e.scheduler.waiting) + len(e.scheduler.running)
@@ -117,20 +117,20 @@
 	}
 	request, err := openai.ParseCompletion(body)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, openai.TypeInvalidRequest, err.Error())
+		writeError(w, http.StatusBadRequest, openai.TypeInvalidRequest, err.Error())
 		return
 	}
-	seq, refusal := e.newSequence(r.Header.Get(engine.HeaderRequestID), &request)
-	if refusal != "" {
-		refuse(w, http.StatusServiceUnavailable, openai.TypeOverloaded, refusal)
+	seq, reason := e.newSequence(r.Header.Get(engine.HeaderRequestID), &request)
+	if reason != "" {
+		writeError(w, http.StatusServiceUnavailable, openai.TypeOverloaded, reason)
 		return
 	}
 	seq.readers = 1
 	if !e.scheduler.add(seq) {
-		refuse(w, http.StatusTooManyRequests, openai.TypeOverloaded, "queue full or request id in use")
+		writeError(w, http.StatusTooManyRequests, openai.TypeOverloaded, "queue full or request id in use")
 		return
 	}
-	e.answer(w, r, seq, request.Stream, r.URL.Path == openai.PathChatCompletions, 0)
+	e.serveSequence(w, r, seq, request.Stream, r.URL.Path == openai.PathChatCompletions, 0)
 }
 
 // newSequence builds the sequence of a request, or says why it is refused.
@@ -169,7 +169,7 @@
 	return false
 }
 
-func refuse(w http.ResponseWriter, status int, kind openai.ErrorType, message string) {
+func writeError(w http.ResponseWriter, status int, kind openai.ErrorType, message string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(openai.ErrorAnswer{Error: openai.ErrorDetail{Message: message, Type: kind}})
@@ -180,7 +180,7 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-func (e *Engine) requestStatus(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) getRequestStatus(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	e.scheduler.mu.Lock()
 	seq, ok := e.scheduler.byID[id]
@@ -205,7 +205,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			report := e.measure(now)
+			report := e.measureLoad(now)
 			e.mu.Lock()
 			e.reports = append(e.reports, report)
 			for len(e.reports) > 1 && e.reports[1].ReportedUnixMs <= now.Add(-e.config.LoadLag).UnixMilli() {
@@ -216,7 +216,7 @@
 	}
 }
 
-func (e *Engine) measure(now time.Time) engine.Load {
+func (e *Engine) measureLoad(now time.Time) engine.Load {
 	e.mu.Lock()
 	load := engine.Load{
 		State: e.state, Role: e.serving.Role, Model: e.config.Model,
@@ -248,8 +248,8 @@
 	return load
 }
 
-// lagged returns the newest report that is at least LoadLag old.
-func (e *Engine) lagged() engine.Load {
+// laggedLoad returns the newest report that is at least LoadLag old.
+func (e *Engine) laggedLoad() engine.Load {
 	e.mu.Lock()
 	if len(e.reports) > 0 {
 		report := e.reports[0]
@@ -257,15 +257,15 @@
 		return report
 	}
 	e.mu.Unlock()
-	return e.measure(time.Now())
+	return e.measureLoad(time.Now())
 }
 
-func (e *Engine) loadReport(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, e.lagged())
+func (e *Engine) getLoad(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, e.laggedLoad())
 }
 
 func (e *Engine) loadHeader() string {
-	report, err := json.Marshal(e.lagged())
+	report, err := json.Marshal(e.laggedLoad())
 	if err != nil {
 		return ""
 	}
--- a/internal/lab/emulator/engineorders.go
+++ b/internal/lab/emulator/engineorders.go
@@ -12,21 +12,21 @@
 	"github.com/wheelhoist/wheelhoist/internal/object"
 )
 
-// loadRetryDelay is the pause before weights are asked for again.
-const loadRetryDelay = 200 * time.Millisecond
+// weightRetryDelay is the pause before weights are asked for again.
+const weightRetryDelay = 200 * time.Millisecond
 
-func (e *Engine) currentOrder(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) getOrder(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	writeJSON(w, e.serving)
 }
 
-// obey carries out a fenced order, or refuses it with the order in force when
+// putOrder carries out a fenced order, or refuses it with the order in force when
 // its fence is lower than that one's.
-func (e *Engine) obey(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) putOrder(w http.ResponseWriter, r *http.Request) {
 	var order engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
-		refuse(w, http.StatusBadRequest, openai.TypeInvalidRequest, err.Error())
+		writeError(w, http.StatusBadRequest, openai.TypeInvalidRequest, err.Error())
 		return
 	}
 	e.mu.Lock()
@@ -41,12 +41,12 @@
 	previous := e.serving
 	e.serving = order
 	newVersion := order.Version != previous.Version
-	fetch := missingWeights(e.config.Model, previous, order)
+	missing := missingWeights(e.config.Model, previous, order)
 	if newVersion && e.state == engine.StateReady {
 		e.state = engine.StateLoading
 	}
-	e.loadings++
-	loading := e.loadings
+	e.lastLoadID++
+	loadID := e.lastLoadID
 	e.mu.Unlock()
 	e.config.Recorder.Record(history.Event{
 		Source: "engine/" + e.config.Replica, Type: history.EngineOrder, Replica: e.config.Replica,
@@ -57,7 +57,7 @@
 		e.scheduler.cache.clear()
 		e.scheduler.mu.Unlock()
 	}
-	go e.load(fetch, loading, newVersion)
+	go e.loadWeights(missing, loadID, newVersion)
 	w.WriteHeader(http.StatusAccepted)
 }
 
@@ -67,12 +67,12 @@
 	if next.Version != previous.Version {
 		keys = append(keys, WeightKey(model, next.Version))
 	}
-	have := map[string]bool{}
+	loaded := map[string]bool{}
 	for _, adapter := range previous.Adapters {
-		have[adapter] = true
+		loaded[adapter] = true
 	}
 	for _, adapter := range next.Adapters {
-		if !have[adapter] {
+		if !loaded[adapter] {
 			keys = append(keys, WeightKey(model, "adapter-"+adapter))
 		}
 	}
@@ -82,20 +82,20 @@
 // WeightKey is the key of a version's or adapter's weights in the weight store.
 func WeightKey(model, version string) string { return "weights/" + model + "/" + version }
 
-// load fetches weights and then serves, unless a newer order came meanwhile.
-func (e *Engine) load(keys []string, loading int, restart bool) {
+// loadWeights fetches weights and then serves, unless a newer order came meanwhile.
+func (e *Engine) loadWeights(keys []string, loadID int, restart bool) {
 	if restart {
 		e.awaitIdle()
 	}
 	for _, key := range keys {
-		e.fetch(key)
+		e.fetchWeights(key)
 	}
 	if restart {
 		time.Sleep(e.config.Generation.LoadBase)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.loadings == loading && e.state == engine.StateLoading {
+	if e.lastLoadID == loadID && e.state == engine.StateLoading {
 		e.state = engine.StateReady
 	}
 }
@@ -103,12 +103,12 @@
 // awaitIdle lets the attempts of the old version end before it is unloaded.
 func (e *Engine) awaitIdle() {
 	const checkInterval = 20 * time.Millisecond
-	for e.Open() > 0 {
+	for e.OpenAttempts() > 0 {
 		time.Sleep(checkInterval)
 	}
 }
 
-func (e *Engine) fetch(key string) {
+func (e *Engine) fetchWeights(key string) {
 	if e.config.Weights == nil {
 		return
 	}
@@ -118,6 +118,6 @@
 		if err == nil {
 			return
 		}
-		time.Sleep(loadRetryDelay)
+		time.Sleep(weightRetryDelay)
 	}
 }
--- a/internal/lab/emulator/enginestream.go
+++ b/internal/lab/emulator/enginestream.go
@@ -20,20 +20,20 @@
 	}
 	e.scheduler.mu.Lock()
 	seq, ok := e.scheduler.byID[r.PathValue("id")]
-	known := ok && seq.state != engine.RequestAborted && seq.state != engine.RequestNotRun
-	if known {
+	readable := ok && seq.state != engine.RequestAborted && seq.state != engine.RequestNotRun
+	if readable {
 		seq.readers++
 	}
 	e.scheduler.mu.Unlock()
-	if !known {
-		refuse(w, http.StatusNotFound, openai.TypeNotFound, "request id not known")
+	if !readable {
+		writeError(w, http.StatusNotFound, openai.TypeNotFound, "request id not known")
 		return
 	}
-	e.answer(w, r, seq, true, r.URL.Query().Get("api") != "completions", offset)
+	e.serveSequence(w, r, seq, true, r.URL.Query().Get("api") != "completions", offset)
 }
 
-// answer serves a sequence whose reader has been counted already.
-func (e *Engine) answer(w http.ResponseWriter, r *http.Request, seq *sequence, stream, chat bool, offset int) {
+// serveSequence serves a sequence whose reader has been counted already.
+func (e *Engine) serveSequence(w http.ResponseWriter, r *http.Request, seq *sequence, stream, chat bool, offset int) {
 	defer e.detach(seq)
 	writer := &answerWriter{engine: e, seq: seq, chat: chat, created: time.Now().Unix()}
 	if stream {
@@ -44,14 +44,14 @@
 		dropConnection(w)
 		return
 	}
-	writer.whole(w)
+	writer.writeCompletion(w)
 }
 
 func (e *Engine) detach(seq *sequence) {
 	e.scheduler.mu.Lock()
 	defer e.scheduler.mu.Unlock()
 	seq.readers--
-	seq.detached = time.Now()
+	seq.detachedAt = time.Now()
 }
 
 // answerWriter renders one sequence for one reader.
@@ -89,19 +89,19 @@
 	}
 }
 
-func (a *answerWriter) whole(w http.ResponseWriter) {
+func (a *answerWriter) writeCompletion(w http.ResponseWriter) {
 	path := openai.PathCompletions
 	if a.chat {
 		path = openai.PathChatCompletions
 	}
-	completion := a.completion()
+	completion := a.newCompletion()
 	completion.Usage = a.usage()
 	completion = openai.WholeAnswer(completion, a.seq.answer.Text(), path)
 	w.Header().Set(engine.HeaderLoad, a.engine.loadHeader())
 	writeJSON(w, completion)
 }
 
-func (a *answerWriter) completion() openai.Completion {
+func (a *answerWriter) newCompletion() openai.Completion {
 	object := "text_completion"
 	if a.chat {
 		object = "chat.completion"
@@ -131,10 +131,10 @@
 	for {
 		available, state, changed := a.progress()
 		for ; sent < available; sent++ {
-			a.event(buffer, sent+1, a.seq.answer.Token(sent), false)
+			a.writeEvent(buffer, sent+1, a.seq.answer.Token(sent), false)
 		}
 		if state == engine.RequestDone {
-			a.event(buffer, sent, "", true)
+			a.writeEvent(buffer, sent, "", true)
 			_, _ = buffer.WriteString("data: " + openai.DoneMarker + "\n\n")
 			_ = buffer.Flush()
 			return
@@ -154,8 +154,8 @@
 	}
 }
 
-func (a *answerWriter) event(buffer *bufio.Writer, id int, token string, last bool) {
-	chunk := a.completion()
+func (a *answerWriter) writeEvent(buffer *bufio.Writer, id int, token string, last bool) {
+	chunk := a.newCompletion()
 	choice := openai.Choice{}
 	if a.chat {
 		chunk.Object = "chat.completion.chunk"
--- a/internal/lab/emulator/fault.go
+++ b/internal/lab/emulator/fault.go
@@ -70,50 +70,50 @@
 	return f.calls, f.throttled
 }
 
-type verdict struct {
+type callFault struct {
 	drop     bool
 	throttle bool
 	lose     bool
 	delay    time.Duration
 }
 
-func (f *Faults) decide() verdict {
+func (f *Faults) nextFault() callFault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls++
-	decision := verdict{drop: f.condition.Down, delay: f.condition.Delay}
-	if decision.drop {
-		return decision
+	fault := callFault{drop: f.condition.Down, delay: f.condition.Delay}
+	if fault.drop {
+		return fault
 	}
 	if f.limiter != nil && !f.limiter.Allow() {
 		f.throttled++
-		decision.throttle = true
-		return decision
+		fault.throttle = true
+		return fault
 	}
-	decision.lose = f.random.Float64() < f.condition.LoseAnswers
-	return decision
+	fault.lose = f.random.Float64() < f.condition.LoseAnswers
+	return fault
 }
 
 // Wrap applies the condition to every call of next.
 func (f *Faults) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		decision := f.decide()
+		fault := f.nextFault()
 		switch {
-		case decision.drop:
+		case fault.drop:
 			dropConnection(w)
 			return
-		case decision.throttle:
+		case fault.throttle:
 			f.throttle(w)
 			return
 		}
-		if decision.delay > 0 {
+		if fault.delay > 0 {
 			select {
-			case <-time.After(decision.delay):
+			case <-time.After(fault.delay):
 			case <-r.Context().Done():
 				return
 			}
 		}
-		if decision.lose {
+		if fault.lose {
 			next.ServeHTTP(httptest.NewRecorder(), r)
 			dropConnection(w)
 			return
--- a/internal/lab/emulator/machinelist.go
+++ b/internal/lab/emulator/machinelist.go
@@ -23,11 +23,11 @@
 	mu      sync.Mutex
 	lag     time.Duration
 	current map[string]machines.Machine
-	pending []pendingMachine
+	pending []pendingChange
 }
 
-type pendingMachine struct {
-	visible time.Time
+type pendingChange struct {
+	visibleAt time.Time
 	machine machines.Machine
 	removed bool
 }
@@ -54,14 +54,14 @@
 func (l *MachineList) Set(machine machines.Machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.pending = append(l.pending, pendingMachine{visible: time.Now().Add(l.lag), machine: machine})
+	l.pending = append(l.pending, pendingChange{visibleAt: time.Now().Add(l.lag), machine: machine})
 }
 
 // Remove takes a machine off the list after the lag.
 func (l *MachineList) Remove(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	change := pendingMachine{visible: time.Now().Add(l.lag), removed: true}
+	change := pendingChange{visibleAt: time.Now().Add(l.lag), removed: true}
 	change.machine.ID = id
 	l.pending = append(l.pending, change)
 }
@@ -69,7 +69,7 @@
 // Handler serves the list as a JSON array.
 func (l *MachineList) Handler() http.Handler {
 	return l.Faults.Wrap(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, err := json.Marshal(l.visible(time.Now()))
+		body, err := json.Marshal(l.visibleMachines(time.Now()))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
@@ -85,21 +85,21 @@
 	}))
 }
 
-func (l *MachineList) visible(now time.Time) []machines.Machine {
+func (l *MachineList) visibleMachines(now time.Time) []machines.Machine {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var waiting []pendingMachine
+	var pending []pendingChange
 	for _, change := range l.pending {
 		switch {
-		case change.visible.After(now):
-			waiting = append(waiting, change)
+		case change.visibleAt.After(now):
+			pending = append(pending, change)
 		case change.removed:
 			delete(l.current, change.machine.ID)
 		default:
 			l.current[change.machine.ID] = change.machine
 		}
 	}
-	l.pending = waiting
+	l.pending = pending
 	list := make([]machines.Machine, 0, len(l.current))
 	for _, machine := range l.current {
 		list = append(list, machine)
--- a/internal/lab/emulator/scheduler.go
+++ b/internal/lab/emulator/scheduler.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// endedRetention is how long a finished attempt can still be read or resumed.
-	endedRetention = 20 * time.Second
-	// detachedGrace is how long an attempt without readers goes on.
-	detachedGrace = 3 * time.Second
+	// finishedRetention is how long a finished attempt can still be read or resumed.
+	finishedRetention = 20 * time.Second
+	// detachedTimeout is how long an attempt without readers goes on.
+	detachedTimeout = 3 * time.Second
 	// reapInterval bounds how often forgotten attempts are looked for.
 	reapInterval = 100 * time.Millisecond
 	// maxQueue bounds the waiting sequences of one engine.
@@ -36,13 +36,13 @@
 	waiting   []*sequence
 	running   []*sequence
 	byID      map[string]*sequence
-	nextOrder uint64
+	lastArrival uint64
 	cache     *prefixCache
 	stepTime  time.Duration
 	// slowdown multiplies every step; 1 is healthy.
 	slowdown float64
 	totals   EngineTotals
-	reaped   time.Time
+	lastReap   time.Time
 }
 
 // EngineTotals counts an engine's work since it started.
@@ -80,7 +80,7 @@
 func (s *scheduler) run(ctx context.Context) {
 	next := time.Now()
 	for ctx.Err() == nil {
-		duration, busy := s.plan(time.Now())
+		duration, busy := s.planStep(time.Now())
 		if !busy {
 			select {
 			case <-ctx.Done():
@@ -105,7 +105,7 @@
 	}
 }
 
-func (s *scheduler) poke() {
+func (s *scheduler) wakeRunner() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -119,33 +119,33 @@
 	if _, taken := s.byID[seq.id]; taken || len(s.waiting) >= maxQueue {
 		return false
 	}
-	s.nextOrder++
-	seq.order = s.nextOrder
+	s.lastArrival++
+	seq.arrival = s.lastArrival
 	seq.state = engine.RequestQueued
 	seq.changed = make(chan struct{})
 	s.byID[seq.id] = seq
 	s.enqueue(seq)
 	s.record(history.EngineReceived, seq)
-	s.poke()
+	s.wakeRunner()
 	return true
 }
 
 // enqueue inserts by priority, then arrival. The caller holds mu.
 func (s *scheduler) enqueue(seq *sequence) {
-	at, _ := slices.BinarySearchFunc(s.waiting, seq, func(a, b *sequence) int {
+	index, _ := slices.BinarySearchFunc(s.waiting, seq, func(a, b *sequence) int {
 		if a.priority != b.priority {
 			return int(a.priority) - int(b.priority)
 		}
-		if a.order < b.order {
+		if a.arrival < b.arrival {
 			return -1
 		}
 		return 1
 	})
-	s.waiting = slices.Insert(s.waiting, at, seq)
+	s.waiting = slices.Insert(s.waiting, index, seq)
 }
 
-// plan admits sequences and returns the duration of the next step.
-func (s *scheduler) plan(now time.Time) (time.Duration, bool) {
+// planStep admits sequences and returns the duration of the next step.
+func (s *scheduler) planStep(now time.Time) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reap(now)
@@ -157,11 +157,11 @@
 	decoding, prefill := s.assignPrefill()
 	duration := time.Duration(float64(s.generation.StepTime(decoding, prefill)) * s.slowdown)
 	s.stepTime = duration
-	s.account(duration)
+	s.countSlotTime(duration)
 	return duration, true
 }
 
-func (s *scheduler) account(duration time.Duration) {
+func (s *scheduler) countSlotTime(duration time.Duration) {
 	s.totals.BusySteps++
 	s.totals.BusyTime += duration
 	s.totals.SlotTime += duration * time.Duration(len(s.running))
@@ -228,7 +228,7 @@
 		if seq.priority <= candidate.priority {
 			continue
 		}
-		if victim < 0 || worse(seq, s.running[victim]) {
+		if victim < 0 || preemptedBefore(seq, s.running[victim]) {
 			victim = i
 		}
 	}
@@ -246,11 +246,11 @@
 	return true
 }
 
-func worse(a, b *sequence) bool {
+func preemptedBefore(a, b *sequence) bool {
 	if a.priority != b.priority {
 		return a.priority > b.priority
 	}
-	return a.order > b.order
+	return a.arrival > b.arrival
 }
 
 // assignPrefill hands the step's prompt budget out in priority order and
@@ -260,7 +260,7 @@
 		if a.priority != b.priority {
 			return int(a.priority) - int(b.priority)
 		}
-		return int(a.order) - int(b.order)
+		return int(a.arrival) - int(b.arrival)
 	})
 	budget := s.generation.PrefillChunk
 	for _, seq := range s.running {
@@ -268,10 +268,10 @@
 			decoding++
 			continue
 		}
-		share := min(budget, seq.prefillTokens()-seq.prefilled)
-		seq.prefilled += share
-		budget -= share
-		prefill += share
+		tokens := min(budget, seq.prefillTokens()-seq.prefilled)
+		seq.prefilled += tokens
+		budget -= tokens
+		prefill += tokens
 	}
 	s.totals.PrefillTokens += uint64(prefill)
 	return decoding, prefill
@@ -306,7 +306,7 @@
 	}
 	if seq.generated >= seq.answer.Length() {
 		seq.state = engine.RequestDone
-		seq.ended = now
+		seq.finishedAt = now
 		s.cache.store(seq.blocks, s.generation.KVTokens-s.kvUsed())
 		s.record(history.EngineEnd, seq)
 	}
@@ -321,12 +321,12 @@
 	if !ok {
 		return engine.RequestStatus{ID: id, State: engine.RequestUnknown}
 	}
-	s.giveUp(seq, time.Now())
+	s.abortSequence(seq, time.Now())
 	return seq.status()
 }
 
-// giveUp ends an unfinished sequence. The caller holds mu.
-func (s *scheduler) giveUp(seq *sequence, now time.Time) {
+// abortSequence ends an unfinished sequence. The caller holds mu.
+func (s *scheduler) abortSequence(seq *sequence, now time.Time) {
 	if seq.finished() {
 		return
 	}
@@ -335,7 +335,7 @@
 		seq.state = engine.RequestAborted
 		s.totals.AbortedTokens += uint64(seq.generated)
 	}
-	seq.ended = now
+	seq.finishedAt = now
 	s.waiting = slices.DeleteFunc(s.waiting, func(other *sequence) bool { return other == seq })
 	s.running = slices.DeleteFunc(s.running, func(other *sequence) bool { return other == seq })
 	s.record(history.EngineAbort, seq)
@@ -344,18 +344,18 @@
 
 // reap drops attempts nobody reads and forgets old finished ones. The caller holds mu.
 func (s *scheduler) reap(now time.Time) {
-	if now.Sub(s.reaped) < reapInterval {
+	if now.Sub(s.lastReap) < reapInterval {
 		return
 	}
-	s.reaped = now
+	s.lastReap = now
 	for id, seq := range s.byID {
 		switch {
 		case seq.finished():
-			if now.Sub(seq.ended) > endedRetention {
+			if now.Sub(seq.finishedAt) > finishedRetention {
 				delete(s.byID, id)
 			}
-		case seq.readers == 0 && now.Sub(seq.detached) > detachedGrace:
-			s.giveUp(seq, now)
+		case seq.readers == 0 && now.Sub(seq.detachedAt) > detachedTimeout:
+			s.abortSequence(seq, now)
 		}
 	}
 }
--- a/internal/lab/emulator/sequence.go
+++ b/internal/lab/emulator/sequence.go
@@ -11,7 +11,7 @@
 type sequence struct {
 	id          string
 	priority    engine.Priority
-	order       uint64
+	arrival       uint64
 	prompt      string
 	seed        int64
 	maxTokens   int
@@ -28,10 +28,10 @@
 	generated int
 	// recompute counts generated tokens whose KV cache was dropped by preemption.
 	recompute int
-	ended     time.Time
+	finishedAt     time.Time
 	// readers counts attached responses; detached is when the last one left.
 	readers  int
-	detached time.Time
+	detachedAt time.Time
 	// changed is closed and replaced whenever generated or state changes.
 	changed chan struct{}
 }
--- a/internal/lab/emulator/silence.go
+++ b/internal/lab/emulator/silence.go
@@ -13,8 +13,8 @@
 
 	mu   sync.Mutex
 	open map[*silentConn]bool
-	// silenced are connections that this side has closed and the caller has not heard of.
-	silenced []net.Conn
+	// closedSilently are connections that this side has closed and the caller has not heard of.
+	closedSilently []net.Conn
 }
 
 // Accept implements net.Listener.
@@ -23,14 +23,14 @@
 	if err != nil {
 		return nil, err
 	}
-	one := &silentConn{Conn: conn, listener: l, silent: make(chan struct{}), closed: make(chan struct{})}
+	wrapped := &silentConn{Conn: conn, listener: l, silent: make(chan struct{}), closed: make(chan struct{})}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open == nil {
 		l.open = map[*silentConn]bool{}
 	}
-	l.open[one] = true
-	return one, nil
+	l.open[wrapped] = true
+	return wrapped, nil
 }
 
 // Silence has all open connections go silent. It returns how many these are.
@@ -38,9 +38,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	count := 0
-	for one := range l.open {
-		if !one.isSilent() {
-			close(one.silent)
+	for conn := range l.open {
+		if !conn.isSilent() {
+			close(conn.silent)
 			count++
 		}
 	}
@@ -50,8 +50,8 @@
 // Close implements net.Listener.
 func (l *SilentListener) Close() error {
 	l.mu.Lock()
-	silenced := l.silenced
-	l.silenced = nil
+	silenced := l.closedSilently
+	l.closedSilently = nil
 	l.mu.Unlock()
 	for _, conn := range silenced {
 		// Its end has nobody left to report a failure to.
@@ -78,8 +78,8 @@
 }
 
 // Read implements net.Conn. What comes over a silent connection is lost, and so is its end.
-func (c *silentConn) Read(piece []byte) (int, error) {
-	n, err := c.Conn.Read(piece)
+func (c *silentConn) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
 	if c.isSilent() {
 		<-c.closed
 		return 0, net.ErrClosed
@@ -88,21 +88,21 @@
 }
 
 // Write implements net.Conn. What is sent over a silent connection is lost.
-func (c *silentConn) Write(piece []byte) (int, error) {
+func (c *silentConn) Write(buffer []byte) (int, error) {
 	if c.isSilent() {
-		return len(piece), nil
+		return len(buffer), nil
 	}
-	return c.Conn.Write(piece)
+	return c.Conn.Write(buffer)
 }
 
 // Close implements net.Conn. The caller of a silent connection does not hear of it.
 func (c *silentConn) Close() error {
 	err := net.ErrClosed
-	c.once.Do(func() { err = c.end() })
+	c.once.Do(func() { err = c.closeConn() })
 	return err
 }
 
-func (c *silentConn) end() error {
+func (c *silentConn) closeConn() error {
 	close(c.closed)
 	l := c.listener
 	l.mu.Lock()
@@ -111,6 +111,6 @@
 	if !c.isSilent() {
 		return c.Conn.Close()
 	}
-	l.silenced = append(l.silenced, c.Conn)
+	l.closedSilently = append(l.closedSilently, c.Conn)
 	return nil
 }
--- a/internal/lab/emulator/silence_test.go
+++ b/internal/lab/emulator/silence_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// silentServer serves one line, and a second one when told, before a SilentListener.
-func silentServer(t *testing.T, more chan struct{}) *SilentListener {
+// startSilentServer serves one line, and a second one when told, before a SilentListener.
+func startSilentServer(t *testing.T, release chan struct{}) *SilentListener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -21,7 +21,7 @@
 	server := &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("first\n"))
 		w.(http.Flusher).Flush()
-		<-more
+		<-release
 		_, _ = w.Write([]byte("second\n"))
 	})}
 	go func() { _ = server.Serve(silent) }()
@@ -29,8 +29,8 @@
 	return silent
 }
 
-// askFirst asks over a new connection and reads the first line of the answer.
-func askFirst(t *testing.T, address string) (net.Conn, *bufio.Scanner) {
+// requestFirstLine asks over a new connection and reads the first line of the answer.
+func requestFirstLine(t *testing.T, address string) (net.Conn, *bufio.Scanner) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -47,21 +47,21 @@
 }
 
 // An answer that is under way says nothing more, and not its end either; the next one is whole.
-func TestSilentListener_AnswerUnderWay(t *testing.T) {
-	more := make(chan struct{})
-	listener := silentServer(t, more)
-	conn, lines := askFirst(t, listener.Addr().String())
+func TestSilentListener_SilencesOpenConnections(t *testing.T) {
+	release := make(chan struct{})
+	listener := startSilentServer(t, release)
+	conn, lines := requestFirstLine(t, listener.Addr().String())
 	if count := listener.Silence(); count != 1 {
 		t.Fatalf("%d connections went silent", count)
 	}
-	close(more)
+	close(release)
 	if err := conn.SetReadDeadline(time.Now().Add(200 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
 	if lines.Scan() || !errors.Is(lines.Err(), os.ErrDeadlineExceeded) {
 		t.Errorf("read %q, error %v", lines.Text(), lines.Err())
 	}
-	if _, lines := askFirst(t, listener.Addr().String()); !lines.Scan() || lines.Text() != "second" {
+	if _, lines := requestFirstLine(t, listener.Addr().String()); !lines.Scan() || lines.Text() != "second" {
 		t.Errorf("the next answer has %q, error %v", lines.Text(), lines.Err())
 	}
 }
--- a/internal/lab/emulator/tablestore.go
+++ b/internal/lab/emulator/tablestore.go
@@ -20,10 +20,10 @@
 }
 
 func (v attributeValue) equal(other attributeValue) bool {
-	return same(v.S, other.S) && same(v.N, other.N) && same(v.B, other.B)
+	return equalStrings(v.S, other.S) && equalStrings(v.N, other.N) && equalStrings(v.B, other.B)
 }
 
-func same(a, b *string) bool {
+func equalStrings(a, b *string) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
@@ -45,11 +45,11 @@
 type TableStore struct {
 	// Faults guards all calls.
 	Faults  *Faults
-	history *history.Recorder
+	recorder *history.Recorder
 
 	mu         sync.Mutex
 	partitions map[string]map[string]item
-	tokens     map[string]string
+	requestTokens     map[string]string
 	writes     uint64
 	reads      uint64
 }
@@ -57,9 +57,9 @@
 // NewTableStore returns an empty table that records its effects.
 func NewTableStore(seed uint64, recorder *history.Recorder) *TableStore {
 	store := &TableStore{
-		history:    recorder,
+		recorder:    recorder,
 		partitions: map[string]map[string]item{},
-		tokens:     map[string]string{},
+		requestTokens:     map[string]string{},
 	}
 	store.Faults = NewFaults(seed, func(w http.ResponseWriter) {
 		writeTableError(w, tableError{kind: "ThrottlingException", message: "rate exceeded"})
@@ -86,10 +86,10 @@
 
 func (e tableError) Error() string { return e.kind + ": " + e.message }
 
-func writeTableError(w http.ResponseWriter, failure tableError) {
+func writeTableError(w http.ResponseWriter, tableErr tableError) {
 	type reason struct{ Code string }
 	var reasons []reason
-	for _, code := range failure.reasons {
+	for _, code := range tableErr.reasons {
 		reasons = append(reasons, reason{Code: code})
 	}
 	w.Header().Set("Content-Type", "application/x-amz-json-1.0")
@@ -98,7 +98,7 @@
 		Type    string   `json:"__type"`
 		Message string   `json:"message"`
 		Reasons []reason `json:"CancellationReasons,omitempty"`
-	}{"com.amazonaws.dynamodb.v20120810#" + failure.kind, failure.message, reasons})
+	}{"com.amazonaws.dynamodb.v20120810#" + tableErr.kind, tableErr.message, reasons})
 }
 
 func (t *TableStore) serve(w http.ResponseWriter, r *http.Request) {
@@ -108,31 +108,31 @@
 	var err error
 	switch operation {
 	case "GetItem":
-		answer, err = handle(decoder, t.getItem)
+		answer, err = decodeAndCall(decoder, t.getItem)
 	case "Query":
-		answer, err = handle(decoder, t.query)
+		answer, err = decodeAndCall(decoder, t.query)
 	case "TransactWriteItems":
-		answer, err = handle(decoder, t.transact)
+		answer, err = decodeAndCall(decoder, t.transact)
 	default:
 		err = tableError{kind: "UnknownOperationException", message: operation}
 	}
 	if err != nil {
-		failure, ok := err.(tableError)
+		tableErr, ok := err.(tableError)
 		if !ok {
-			failure = tableError{kind: "SerializationException", message: err.Error()}
+			tableErr = tableError{kind: "SerializationException", message: err.Error()}
 		}
-		writeTableError(w, failure)
+		writeTableError(w, tableErr)
 		return
 	}
 	w.Header().Set("Content-Type", "application/x-amz-json-1.0")
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-func handle[Input, Output any](decoder *json.Decoder, call func(Input) (Output, error)) (Output, error) {
+func decodeAndCall[Input, Output any](decoder *json.Decoder, call func(Input) (Output, error)) (Output, error) {
 	var input Input
 	if err := decoder.Decode(&input); err != nil {
-		var none Output
-		return none, err
+		var zero Output
+		return zero, err
 	}
 	return call(input)
 }
@@ -217,8 +217,8 @@
 	if err != nil {
 		return transactOutput{}, err
 	}
-	if seen, ok := t.tokens[input.ClientRequestToken]; ok {
-		if seen != string(fingerprint) {
+	if previous, ok := t.requestTokens[input.ClientRequestToken]; ok {
+		if previous != string(fingerprint) {
 			return transactOutput{}, tableError{kind: "IdempotentParameterMismatchException", message: "token used with other parameters"}
 		}
 		return transactOutput{}, nil
@@ -226,16 +226,16 @@
 	reasons := make([]string, len(input.TransactItems))
 	failed := false
 	for i, entry := range input.TransactItems {
-		write := firstWrite(entry.Put, entry.Delete, entry.ConditionCheck)
+		write := firstNonNil(entry.Put, entry.Delete, entry.ConditionCheck)
 		if write == nil {
 			return transactOutput{}, tableError{kind: "ValidationException", message: "empty transaction item"}
 		}
-		holds, err := t.holds(*write)
+		satisfied, err := t.checkCondition(*write)
 		if err != nil {
 			return transactOutput{}, err
 		}
 		reasons[i] = "None"
-		if !holds {
+		if !satisfied {
 			reasons[i] = "ConditionalCheckFailed"
 			failed = true
 		}
@@ -247,12 +247,12 @@
 		t.apply(entry.Put, entry.Delete)
 	}
 	if input.ClientRequestToken != "" {
-		t.tokens[input.ClientRequestToken] = string(fingerprint)
+		t.requestTokens[input.ClientRequestToken] = string(fingerprint)
 	}
 	return transactOutput{}, nil
 }
 
-func firstWrite(candidates ...*conditionalWrite) *conditionalWrite {
+func firstNonNil(candidates ...*conditionalWrite) *conditionalWrite {
 	for _, candidate := range candidates {
 		if candidate != nil {
 			return candidate
@@ -261,8 +261,8 @@
 	return nil
 }
 
-// holds evaluates a condition. The caller holds mu.
-func (t *TableStore) holds(write conditionalWrite) (bool, error) {
+// checkCondition evaluates a condition. The caller checkCondition mu.
+func (t *TableStore) checkCondition(write conditionalWrite) (bool, error) {
 	partition, sortKey := write.key()
 	current, exists := t.partitions[partition][sortKey]
 	switch write.ConditionExpression {
@@ -300,7 +300,7 @@
 	if value := stored["version"].N; value != nil {
 		version, _ = strconv.ParseUint(*value, 10, 64)
 	}
-	t.history.Record(history.Event{
+	t.recorder.Record(history.Event{
 		Source: "table", Type: history.TableEffect,
 		Key: partition + "/" + sortKey, Operation: stored.text("operation"), Revision: version,
 	})
--- a/internal/lab/experiment/fault.go
+++ b/internal/lab/experiment/fault.go
@@ -193,7 +193,7 @@
 		leaver := r.randomEngine()
 		r.options.Progress("%s leaves", leaver.ID)
 		r.recorder.Record(history.Event{Source: "lab", Type: history.ReplicaLeaving, Replica: leaver.ID})
-		leaver.Leave()
+		leaver.MarkLeaving()
 		r.site.SetEngineState(leaver, machines.Leaving)
 		if err := r.site.ReplaceEngine(leaver); err != nil {
 			r.fail(err)
