--- a/internal/lab/emulator/answer.go
+++ b/internal/lab/emulator/answer.go
@@ -7,19 +7,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DefaultMaxTokens bounds an answer whose request names no limit.
+// DefaultMaxTokens is the token limit of a request that sets none.
 const DefaultMaxTokens = 64
 
-// minAnswerPercent is the shortest answer, as a share of the limit, in percent.
+// minAnswerPercent is the minimum length of an answer, in percent of the token limit.
 const minAnswerPercent = 50
 
 var vocabulary = strings.Fields(`crew site hours Monday Tuesday Wednesday Thursday Friday
 	concrete scaffold crane shift paper glass plastic bin street calendar holiday week
 	north south east west gate close open early late confirmed entered moved collected`)
 
-// Answer is the text that an emulated engine generates. It is a function of
-// prompt, seed, model, version and limit alone, so that any reader can check
-// whether an answer is whole and belongs to its request.
+// Answer is the text that an emulated engine generates. It depends only on the prompt, seed, model,
+// version and token limit, so a client can verify that an answer is complete and belongs to its
+// request.
 type Answer struct {
 	key    uint64
 	length int
@@ -41,10 +41,10 @@
 	return Answer{key: key, length: length}
 }
 
-// Length is the number of tokens.
+// Length returns the number of tokens.
 func (a Answer) Length() int { return a.length }
 
-// Token returns token i, with its trailing space.
+// Token returns token i, including its trailing space.
 func (a Answer) Token(i int) string {
 	hash := a.key ^ (uint64(i)+1)*0x9E3779B97F4A7C15
 	hash ^= hash >> 29
@@ -54,7 +54,7 @@
 	return word + strconv.FormatUint((hash>>40)%1000, 10) + " "
 }
 
-// Text returns the whole answer.
+// Text returns the complete answer.
 func (a Answer) Text() string {
 	var builder strings.Builder
 	for i := range a.length {
--- a/internal/lab/emulator/cost.go
+++ b/internal/lab/emulator/cost.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Generation is the cost model of one hardware generation. docs/EMULATOR.md
-// states the equations.
+// Generation is the cost model of one hardware generation. docs/EMULATOR.md has the equations.
 type Generation struct {
 	Name string
-	// StepBase is the time of a decode step with no sequence (weights are read once a step).
+	// StepBase is the fixed time of a step: the weights are read once per step.
 	StepBase time.Duration
-	// StepPerSequence is added for each decoding sequence.
+	// StepPerSequence is the additional step time per decoding sequence.
 	StepPerSequence time.Duration
-	// PrefillTokensPerSecond is the rate at which prompts are computed.
+	// PrefillTokensPerSecond is the prefill throughput.
 	PrefillTokensPerSecond float64
-	// PrefillChunk bounds the prompt tokens computed within one step.
+	// PrefillChunk is the maximum number of prompt tokens computed per step.
 	PrefillChunk int
-	// KVTokens is the KV memory, in tokens, shared by running sequences and the prefix cache.
+	// KVTokens is the size of the KV cache, in tokens. Running sequences and the prefix cache
+	// share it.
 	KVTokens int
-	// MaxSequences bounds the sequences of one step.
+	// MaxSequences is the maximum number of sequences per step.
 	MaxSequences int
-	// LoadBase is the time to start a version once its weights are fetched.
+	// LoadBase is the time to start a model version after its weights are fetched.
 	LoadBase time.Duration
 }
 
-// Generations of the profiles.
+// Hardware generations used by the profiles.
 var (
 	// Older is the older hardware generation.
 	Older = Generation{
@@ -48,7 +48,7 @@
 	}
 )
 
-// StepTime is the duration of one step that decodes for the given number of
+// StepTime returns the duration of a step that decodes one token for each of the given number of
 // sequences and computes the given number of prompt tokens.
 func (g Generation) StepTime(decoding, prefillTokens int) time.Duration {
 	step := g.StepBase + time.Duration(decoding)*g.StepPerSequence
--- a/internal/lab/emulator/engine.go
+++ b/internal/lab/emulator/engine.go
@@ -27,29 +27,30 @@
 	Version    string
 	Adapters   []string
 	Generation Generation
-	// LoadLag is the age of the load reports.
+	// LoadLag is the minimum age of the load reports that the engine serves.
 	LoadLag time.Duration
-	// Weights is the weight store; nil loads at once.
+	// Weights is the weight store. If nil, no weights are fetched.
 	Weights  object.Store
 	Recorder *history.Recorder
 	Seed     uint64
 }
 
-// Engine is an emulated model engine (one replica).
+// Engine is an emulated inference engine, one per replica.
 type Engine struct {
 	config    EngineConfig
 	scheduler *scheduler
 	mux       *http.ServeMux
 	started   time.Time
 
-	mu       sync.Mutex
-	state    engine.State
-	serving  engine.Order
-	reports  []engine.Load
+	mu      sync.Mutex
+	state   engine.State
+	serving engine.Order
+	reports []engine.Load
+	// lastLoadID identifies the most recent weight load; earlier loads must not change state.
 	lastLoadID int
 }
 
-// NewEngine returns an engine that serves its configured version. Run steps it.
+// NewEngine returns an engine that serves its configured version. Call Run to execute steps.
 func NewEngine(config EngineConfig) *Engine {
 	e := &Engine{
 		config:  config,
@@ -70,23 +71,23 @@
 	return e
 }
 
-// Handler serves the engine protocol.
+// Handler returns the HTTP handler of the engine protocol.
 func (e *Engine) Handler() http.Handler { return e.mux }
 
-// Run steps the engine until the context ends.
+// Run executes steps and samples the load until ctx is done.
 func (e *Engine) Run(ctx context.Context) {
 	go e.sampleLoad(ctx)
 	e.scheduler.run(ctx)
 }
 
-// MarkLeaving marks the engine as leaving in its load reports.
+// MarkLeaving makes the engine report that it is leaving.
 func (e *Engine) MarkLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.state = engine.StateLeaving
 }
 
-// SetSlowdown multiplies the time of every step from now on.
+// SetSlowdown multiplies the duration of all following steps by factor; 1 is normal speed.
 func (e *Engine) SetSlowdown(factor float64) {
 	e.scheduler.mu.Lock()
 	defer e.scheduler.mu.Unlock()
@@ -100,10 +101,10 @@
 	return e.scheduler.totals
 }
 
-// Slots returns the number of sequences that run at a time.
+// Slots returns the maximum number of sequences that run concurrently.
 func (e *Engine) Slots() int { return e.config.Generation.MaxSequences }
 
-// OpenAttempts returns the number of attempts that wait or run.
+// OpenAttempts returns the number of queued and running attempts.
 func (e *Engine) OpenAttempts() int {
 	e.scheduler.mu.Lock()
 	defer e.scheduler.mu.Unlock()
@@ -133,7 +134,7 @@
 	e.serveSequence(w, r, seq, request.Stream, r.URL.Path == openai.PathChatCompletions, 0)
 }
 
-// newSequence builds the sequence of a request, or says why it is refused.
+// newSequence returns the sequence for a request, or the reason why the request is refused.
 func (e *Engine) newSequence(id string, request *openai.CompletionRequest) (*sequence, string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -196,7 +197,7 @@
 	writeJSON(w, e.scheduler.abort(r.PathValue("id")))
 }
 
-// sampleLoad keeps the reports of the recent past, so that an old one can be served.
+// sampleLoad records load reports periodically and keeps those that laggedLoad still needs.
 func (e *Engine) sampleLoad(ctx context.Context) {
 	ticker := time.NewTicker(loadSampleInterval)
 	defer ticker.Stop()
@@ -248,7 +249,8 @@
 	return load
 }
 
-// laggedLoad returns the newest report that is at least LoadLag old.
+// laggedLoad returns the newest report that is at least LoadLag old, the oldest one if none is, or
+// the current load before the first sample.
 func (e *Engine) laggedLoad() engine.Load {
 	e.mu.Lock()
 	if len(e.reports) > 0 {
--- a/internal/lab/emulator/engineorders.go
+++ b/internal/lab/emulator/engineorders.go
@@ -12,7 +12,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/object"
 )
 
-// weightRetryDelay is the pause before weights are asked for again.
+// weightRetryDelay is the delay between attempts to fetch weights.
 const weightRetryDelay = 200 * time.Millisecond
 
 func (e *Engine) getOrder(w http.ResponseWriter, _ *http.Request) {
@@ -21,8 +21,8 @@
 	writeJSON(w, e.serving)
 }
 
-// putOrder carries out a fenced order, or refuses it with the order in force when
-// its fence is lower than that one's.
+// putOrder applies a fenced order. If its fence is lower than that of the current order, it responds
+// with 409 Conflict and the current order.
 func (e *Engine) putOrder(w http.ResponseWriter, r *http.Request) {
 	var order engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
@@ -61,7 +61,7 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// missingWeights names the weight objects that an order needs anew.
+// missingWeights returns the keys of the weight objects that next needs and previous did not.
 func missingWeights(model string, previous, next engine.Order) []string {
 	var keys []string
 	if next.Version != previous.Version {
@@ -79,10 +79,10 @@
 	return keys
 }
 
-// WeightKey is the key of a version's or adapter's weights in the weight store.
+// WeightKey returns the weight store key of a version or an adapter.
 func WeightKey(model, version string) string { return "weights/" + model + "/" + version }
 
-// loadWeights fetches weights and then serves, unless a newer order came meanwhile.
+// loadWeights fetches weights and marks the engine ready, unless a newer order arrived meanwhile.
 func (e *Engine) loadWeights(keys []string, loadID int, restart bool) {
 	if restart {
 		e.awaitIdle()
@@ -100,7 +100,7 @@
 	}
 }
 
-// awaitIdle lets the attempts of the old version end before it is unloaded.
+// awaitIdle waits until all attempts have finished, so that the old version can be unloaded.
 func (e *Engine) awaitIdle() {
 	const checkInterval = 20 * time.Millisecond
 	for e.OpenAttempts() > 0 {
--- a/internal/lab/emulator/enginestream.go
+++ b/internal/lab/emulator/enginestream.go
@@ -11,8 +11,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/engine"
 )
 
-// resume continues a stream after the event named by Last-Event-ID. Event ids
-// are the number of tokens sent so far, so that id 0 is the start.
+// resume continues a stream after the event given by Last-Event-ID. An event ID is the number of
+// tokens sent so far, so ID 0 is the start of the stream.
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	offset, err := strconv.Atoi(r.Header.Get(engine.HeaderLastEventID))
 	if err != nil {
@@ -32,7 +32,7 @@
 	e.serveSequence(w, r, seq, true, r.URL.Query().Get("api") != "completions", offset)
 }
 
-// serveSequence serves a sequence whose reader has been counted already.
+// serveSequence writes the answer of a sequence. The caller has already incremented seq.readers.
 func (e *Engine) serveSequence(w http.ResponseWriter, r *http.Request, seq *sequence, stream, chat bool, offset int) {
 	defer e.detach(seq)
 	writer := &answerWriter{engine: e, seq: seq, chat: chat, created: time.Now().Unix()}
@@ -54,7 +54,7 @@
 	seq.detachedAt = time.Now()
 }
 
-// answerWriter renders one sequence for one reader.
+// answerWriter writes the answer of a sequence to one response.
 type answerWriter struct {
 	engine  *Engine
 	seq     *sequence
@@ -62,16 +62,16 @@
 	created int64
 }
 
-// progress returns the tokens available, the state and a channel that is
-// closed at the next change.
+// progress returns the number of available tokens, the state, and a channel that is closed on the
+// next change.
 func (a *answerWriter) progress() (int, engine.RequestState, <-chan struct{}) {
 	a.engine.scheduler.mu.Lock()
 	defer a.engine.scheduler.mu.Unlock()
 	return a.seq.generated, a.seq.state, a.seq.changed
 }
 
-// wait blocks until the sequence is done; it reports false when it was given
-// up or the reader left.
+// wait blocks until the sequence is done. It returns false if the sequence was aborted or the client
+// disconnected.
 func (a *answerWriter) wait(r *http.Request) bool {
 	for {
 		_, state, changed := a.progress()
@@ -119,7 +119,7 @@
 	}
 }
 
-// stream sends server-sent events from token offset on.
+// stream writes server-sent events, starting with the token at offset.
 func (a *answerWriter) stream(w http.ResponseWriter, r *http.Request, offset int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(engine.HeaderLoad, a.engine.loadHeader())
--- a/internal/lab/emulator/fault.go
+++ b/internal/lab/emulator/fault.go
@@ -1,6 +1,6 @@
-// Package emulator holds the stand-ins for everything outside wheelhoist: the
-// table service, the object and weight stores, the machine list and the model
-// engines. They speak the published protocols over HTTP and fail on demand.
+// Package emulator emulates the services that wheelhoist depends on: the table service, the object
+// and weight stores, the machine list and the inference engines. The emulators speak the real
+// protocols over HTTP and inject faults on demand.
 package emulator
 
 import (
@@ -13,19 +13,20 @@
 	"golang.org/x/time/rate"
 )
 
-// Condition is the state of health a stand-in service simulates.
+// Condition is the fault state of an emulated service. The zero value is healthy.
 type Condition struct {
-	// Down drops every connection without an answer and without an effect.
+	// Down closes every connection without a response; the call has no effect.
 	Down bool
-	// Delay is added before each call takes effect.
+	// Delay is the latency added before a call takes effect.
 	Delay time.Duration
-	// LoseAnswers is the probability that a call takes effect but its answer is lost.
+	// LoseAnswers is the probability that a call takes effect but its response is lost.
 	LoseAnswers float64
-	// CallsPerSecond limits the rate; zero means no limit.
+	// CallsPerSecond is the rate limit; zero means no limit.
 	CallsPerSecond float64
 }
 
-// Faults guards a stand-in's handler with a changeable Condition.
+// Faults injects faults into the handler of an emulated service according to its current Condition.
+// It is safe for concurrent use.
 type Faults struct {
 	mu        sync.Mutex
 	condition Condition
@@ -33,16 +34,16 @@
 	random    *rand.Rand
 	calls     uint64
 	throttled uint64
-	// Throttle writes the protocol's own answer for an exceeded rate.
+	// throttle writes the protocol's response to a call above the rate limit.
 	throttle func(http.ResponseWriter)
 }
 
-// NewFaults returns a healthy guard with its own random source.
+// NewFaults returns a fault injector without faults. It has its own random source, seeded with seed.
 func NewFaults(seed uint64, throttle func(http.ResponseWriter)) *Faults {
 	return &Faults{random: rand.New(rand.NewPCG(seed, 1)), throttle: throttle}
 }
 
-// Set changes the condition for all calls that arrive from now on.
+// Set replaces the condition for all calls that arrive after it.
 func (f *Faults) Set(condition Condition) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -54,7 +55,7 @@
 	}
 }
 
-// Change edits the condition in place.
+// Change applies edit to the current condition.
 func (f *Faults) Change(edit func(*Condition)) {
 	f.mu.Lock()
 	condition := f.condition
@@ -63,7 +64,7 @@
 	f.Set(condition)
 }
 
-// Calls returns how many calls arrived and how many of them were throttled.
+// Calls returns the number of received calls and how many of them were throttled.
 func (f *Faults) Calls() (calls, throttled uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -94,7 +95,7 @@
 	return fault
 }
 
-// Wrap applies the condition to every call of next.
+// Wrap returns a handler that applies the current condition to every call of next.
 func (f *Faults) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fault := f.nextFault()
@@ -122,7 +123,7 @@
 	})
 }
 
-// dropConnection ends the connection without an answer.
+// dropConnection closes the connection without a response.
 func dropConnection(w http.ResponseWriter) {
 	hijacker, ok := w.(http.Hijacker)
 	if !ok {
--- a/internal/lab/emulator/machinelist.go
+++ b/internal/lab/emulator/machinelist.go
@@ -14,10 +14,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/machines"
 )
 
-// MachineList is a stand-in for the platform's machine list. Changes show
-// only after Lag.
+// MachineList emulates the platform's machine list. Changes become visible only after a lag.
 type MachineList struct {
-	// Faults guards all calls.
+	// Faults applies to all calls.
 	Faults *Faults
 
 	mu      sync.Mutex
@@ -28,11 +27,11 @@
 
 type pendingChange struct {
 	visibleAt time.Time
-	machine machines.Machine
-	removed bool
+	machine   machines.Machine
+	removed   bool
 }
 
-// NewMachineList returns an empty list whose changes show after lag.
+// NewMachineList returns an empty list whose changes become visible after lag.
 func NewMachineList(seed uint64, lag time.Duration) *MachineList {
 	return &MachineList{
 		Faults: NewFaults(seed, func(w http.ResponseWriter) {
@@ -43,21 +42,21 @@
 	}
 }
 
-// Add lists a machine at once, as one that has long been there.
+// Add adds or replaces a machine without the lag.
 func (l *MachineList) Add(machine machines.Machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.current[machine.ID] = machine
 }
 
-// Set changes or adds a machine after the lag.
+// Set adds or replaces a machine; the change becomes visible after the lag.
 func (l *MachineList) Set(machine machines.Machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pending = append(l.pending, pendingChange{visibleAt: time.Now().Add(l.lag), machine: machine})
 }
 
-// Remove takes a machine off the list after the lag.
+// Remove removes a machine; the change becomes visible after the lag.
 func (l *MachineList) Remove(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,7 +65,7 @@
 	l.pending = append(l.pending, change)
 }
 
-// Handler serves the list as a JSON array.
+// Handler returns the HTTP handler that serves the list as a JSON array with an ETag.
 func (l *MachineList) Handler() http.Handler {
 	return l.Faults.Wrap(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := json.Marshal(l.visibleMachines(time.Now()))
--- a/internal/lab/emulator/objectstore.go
+++ b/internal/lab/emulator/objectstore.go
@@ -11,17 +11,17 @@
 	"golang.org/x/time/rate"
 )
 
-// ObjectStore is a stand-in for an S3-compatible store with path-style
-// addressing: PUT, GET, HEAD and DELETE of whole objects.
+// ObjectStore emulates an S3-compatible store with path-style addressing. It supports PUT, GET, HEAD
+// and DELETE of whole objects.
 type ObjectStore struct {
-	// Faults guards all calls.
+	// Faults applies to all calls.
 	Faults *Faults
 
 	mu      sync.Mutex
 	objects map[string][]byte
 	puts    uint64
 	gets    uint64
-	// bandwidth limits the bytes read per second; nil means no limit.
+	// bandwidth limits the bytes served per second; nil means no limit.
 	bandwidth *rate.Limiter
 }
 
@@ -35,17 +35,17 @@
 	}
 }
 
-// LimitBandwidth bounds the bytes served per second over all readers.
+// LimitBandwidth limits the bytes per second served to all readers together.
 func (o *ObjectStore) LimitBandwidth(bytesPerSecond int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.bandwidth = rate.NewLimiter(rate.Limit(bytesPerSecond), bytesPerSecond)
 }
 
-// Handler serves the protocol.
+// Handler returns the HTTP handler of the store.
 func (o *ObjectStore) Handler() http.Handler { return o.Faults.Wrap(http.HandlerFunc(o.serve)) }
 
-// Seed stores an object without a call, as if it had always been there.
+// Seed stores an object directly, bypassing Faults and the call counters. The path includes the bucket.
 func (o *ObjectStore) Seed(path string, body []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/lab/emulator/prefixcache.go
+++ b/internal/lab/emulator/prefixcache.go
@@ -6,8 +6,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/engine"
 )
 
-// prefixCache is an LRU set of prompt blocks in the KV memory that running
-// sequences leave free. It is guarded by the scheduler's lock.
+// prefixCache is an LRU set of prompt blocks. It uses the KV memory that running sequences leave
+// free. The scheduler's mu guards it.
 type prefixCache struct {
 	order  *list.List
 	blocks map[uint64]*list.Element
@@ -17,8 +17,7 @@
 	return &prefixCache{order: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
-// match returns how many leading tokens of the blocks are cached, and marks
-// them as recently used.
+// match returns the number of leading tokens that are cached and marks their blocks as recently used.
 func (c *prefixCache) match(blocks []uint64) int {
 	matched := 0
 	for _, block := range blocks {
@@ -32,7 +31,7 @@
 	return matched * engine.PrefixBlockWords
 }
 
-// store adds blocks and evicts the least recently used beyond capacity tokens.
+// store adds blocks and evicts the least recently used ones above capacityTokens.
 func (c *prefixCache) store(blocks []uint64, capacityTokens int) {
 	for _, block := range blocks {
 		if element, ok := c.blocks[block]; ok {
@@ -44,7 +43,7 @@
 	c.shrink(capacityTokens)
 }
 
-// shrink evicts down to capacity tokens.
+// shrink evicts the least recently used blocks until the cache fits in capacityTokens.
 func (c *prefixCache) shrink(capacityTokens int) {
 	limit := max(0, capacityTokens/engine.PrefixBlockWords)
 	for c.order.Len() > limit {
--- a/internal/lab/emulator/scheduler.go
+++ b/internal/lab/emulator/scheduler.go
@@ -11,48 +11,48 @@
 )
 
 const (
-	// finishedRetention is how long a finished attempt can still be read or resumed.
+	// finishedRetention is how long a finished attempt remains readable and resumable.
 	finishedRetention = 20 * time.Second
-	// detachedTimeout is how long an attempt without readers goes on.
+	// detachedTimeout is how long an attempt without readers keeps running.
 	detachedTimeout = 3 * time.Second
-	// reapInterval bounds how often forgotten attempts are looked for.
+	// reapInterval is the minimum time between scans for detached and expired attempts.
 	reapInterval = 100 * time.Millisecond
-	// maxQueue bounds the waiting sequences of one engine.
+	// maxQueue is the maximum number of waiting sequences.
 	maxQueue = 512
 )
 
-// scheduler is the continuous-batching core of an emulated engine.
+// scheduler implements the continuous batching of an emulated engine.
 //
-// Each step it admits waiting sequences by priority, preempting the newest
-// sequence of the lowest priority when slots or KV memory are short, computes
-// a chunk of prompt tokens and decodes one token for every ready sequence.
+// In each step it admits waiting sequences by priority, computes a chunk of prompt tokens and decodes
+// one token for every sequence whose prefill is done. If slots or KV memory run out, it preempts the
+// newest sequence of the lowest priority.
 type scheduler struct {
 	generation Generation
 	replica    string
 	recorder   *history.Recorder
 	wake       chan struct{}
 
-	mu        sync.Mutex
-	waiting   []*sequence
-	running   []*sequence
-	byID      map[string]*sequence
+	mu          sync.Mutex
+	waiting     []*sequence
+	running     []*sequence
+	byID        map[string]*sequence
 	lastArrival uint64
-	cache     *prefixCache
-	stepTime  time.Duration
-	// slowdown multiplies every step; 1 is healthy.
+	cache       *prefixCache
+	stepTime    time.Duration
+	// slowdown multiplies the step duration; 1 is normal speed.
 	slowdown float64
 	totals   EngineTotals
-	lastReap   time.Time
+	lastReap time.Time
 }
 
-// EngineTotals counts an engine's work since it started.
+// EngineTotals counts the work of an engine since its start.
 type EngineTotals struct {
 	OnlineTokens  uint64
 	BatchTokens   uint64
 	PrefillTokens uint64
 	CachedTokens  uint64
 	PromptTokens  uint64
-	// OnlinePromptTokens and OnlineCachedTokens are those of online requests.
+	// OnlinePromptTokens and OnlineCachedTokens count online requests only.
 	OnlinePromptTokens uint64
 	OnlineCachedTokens uint64
 	RecomputeTokens    uint64
@@ -76,7 +76,7 @@
 	}
 }
 
-// run steps until the context ends.
+// run executes steps until ctx is done.
 func (s *scheduler) run(ctx context.Context) {
 	next := time.Now()
 	for ctx.Err() == nil {
@@ -91,8 +91,8 @@
 			next = time.Now()
 			continue
 		}
-		// A step that overslept is made up for by the next one, so that the
-		// emulated speed does not depend on the timer's resolution.
+		// Step ends are scheduled relative to each other, so a late wake-up shortens the next
+		// step and the emulated speed does not depend on the timer resolution.
 		next = next.Add(duration)
 		if delay := time.Until(next); delay > 0 {
 			time.Sleep(delay)
@@ -112,7 +112,7 @@
 	}
 }
 
-// add queues a sequence. It reports false when the queue is full or the id is taken.
+// add queues a sequence. It returns false if the queue is full or the ID is in use.
 func (s *scheduler) add(seq *sequence) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +130,7 @@
 	return true
 }
 
-// enqueue inserts by priority, then arrival. The caller holds mu.
+// enqueue inserts a sequence into the queue, ordered by priority, then arrival. The caller holds mu.
 func (s *scheduler) enqueue(seq *sequence) {
 	index, _ := slices.BinarySearchFunc(s.waiting, seq, func(a, b *sequence) int {
 		if a.priority != b.priority {
@@ -144,7 +144,8 @@
 	s.waiting = slices.Insert(s.waiting, index, seq)
 }
 
-// planStep admits sequences and returns the duration of the next step.
+// planStep admits sequences and returns the duration of the next step, or false if there is nothing
+// to run.
 func (s *scheduler) planStep(now time.Time) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,7 +173,7 @@
 	}
 }
 
-// admit moves waiting sequences into the running set. The caller holds mu.
+// admit moves waiting sequences to the running set, preempting if necessary. The caller holds mu.
 func (s *scheduler) admit() {
 	for len(s.waiting) > 0 {
 		candidate := s.waiting[0]
@@ -202,7 +203,7 @@
 	return used
 }
 
-// start begins or resumes execution. The caller holds mu.
+// start begins or resumes the execution of a sequence. The caller holds mu.
 func (s *scheduler) start(seq *sequence) {
 	seq.state = engine.RequestRunning
 	cached := s.cache.match(seq.blocks)
@@ -220,8 +221,9 @@
 	s.running = append(s.running, seq)
 }
 
-// preemptFor gives up the newest running sequence of a lower priority. Its KV
-// cache is dropped and recomputed later. The caller holds mu.
+// preemptFor requeues the newest running sequence of the lowest priority below the candidate's. Its
+// KV cache is dropped and recomputed when it resumes. It returns false if there is no such sequence.
+// The caller holds mu.
 func (s *scheduler) preemptFor(candidate *sequence) bool {
 	victim := -1
 	for i, seq := range s.running {
@@ -246,6 +248,7 @@
 	return true
 }
 
+// preemptedBefore reports whether a is preempted before b.
 func preemptedBefore(a, b *sequence) bool {
 	if a.priority != b.priority {
 		return a.priority > b.priority
@@ -253,8 +256,8 @@
 	return a.arrival > b.arrival
 }
 
-// assignPrefill hands the step's prompt budget out in priority order and
-// returns how many sequences decode and how many prompt tokens are computed.
+// assignPrefill distributes the prefill budget of a step in order of priority and arrival. It returns
+// the number of sequences that decode and the number of prompt tokens to compute.
 func (s *scheduler) assignPrefill() (decoding, prefill int) {
 	slices.SortStableFunc(s.running, func(a, b *sequence) int {
 		if a.priority != b.priority {
@@ -277,7 +280,8 @@
 	return decoding, prefill
 }
 
-// finishStep emits one token for every sequence whose prompt is computed.
+// finishStep emits one token for every sequence whose prefill is done and removes finished sequences
+// from the running set.
 func (s *scheduler) finishStep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -313,7 +317,7 @@
 	seq.notify()
 }
 
-// abort gives an attempt up and returns its status.
+// abort aborts an attempt and returns its status.
 func (s *scheduler) abort(id string) engine.RequestStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -325,7 +329,8 @@
 	return seq.status()
 }
 
-// abortSequence ends an unfinished sequence. The caller holds mu.
+// abortSequence ends an unfinished sequence as aborted, or as not run if it never started. The caller
+// holds mu.
 func (s *scheduler) abortSequence(seq *sequence, now time.Time) {
 	if seq.finished() {
 		return
@@ -342,7 +347,8 @@
 	seq.notify()
 }
 
-// reap drops attempts nobody reads and forgets old finished ones. The caller holds mu.
+// reap aborts attempts that have had no reader for detachedTimeout and deletes those that finished
+// more than finishedRetention ago. The caller holds mu.
 func (s *scheduler) reap(now time.Time) {
 	if now.Sub(s.lastReap) < reapInterval {
 		return
--- a/internal/lab/emulator/sequence.go
+++ b/internal/lab/emulator/sequence.go
@@ -6,12 +6,11 @@
 	"github.com/wheelhoist/wheelhoist/internal/engine"
 )
 
-// sequence is one attempt in an emulated engine. It is guarded by the
-// scheduler's lock.
+// sequence is one attempt in an emulated engine. The scheduler's mu guards it.
 type sequence struct {
 	id          string
 	priority    engine.Priority
-	arrival       uint64
+	arrival     uint64
 	prompt      string
 	seed        int64
 	maxTokens   int
@@ -23,33 +22,33 @@
 	state     engine.RequestState
 	started   bool
 	prefilled int
-	// generated counts the tokens a reader may see; it never falls, also when
-	// the sequence is preempted and recomputes its KV cache.
+	// generated is the number of tokens available to readers. It never decreases, even if the
+	// sequence is preempted and has to recompute its KV cache.
 	generated int
-	// recompute counts generated tokens whose KV cache was dropped by preemption.
-	recompute int
-	finishedAt     time.Time
-	// readers counts attached responses; detached is when the last one left.
-	readers  int
+	// recompute is the number of generated tokens whose KV cache was dropped by preemption.
+	recompute  int
+	finishedAt time.Time
+	// readers is the number of attached responses; detachedAt is when one last detached.
+	readers    int
 	detachedAt time.Time
-	// changed is closed and replaced whenever generated or state changes.
+	// changed is closed and replaced on every change of generated or state.
 	changed chan struct{}
 }
 
-// prefillTokens is the length of what must be in the KV cache before the next
-// token can be decoded.
+// prefillTokens returns the number of tokens that must be in the KV cache before the next token can
+// be decoded.
 func (s *sequence) prefillTokens() int { return s.promptWords + s.recompute }
 
 func (s *sequence) prefillDone() bool { return s.prefilled >= s.prefillTokens() }
 
-// kvTokens is the KV memory reserved while the sequence runs.
+// kvTokens returns the KV memory, in tokens, reserved while the sequence runs.
 func (s *sequence) kvTokens() int { return s.promptWords + s.answer.Length() }
 
 func (s *sequence) finished() bool {
 	return s.state == engine.RequestDone || s.state == engine.RequestAborted || s.state == engine.RequestNotRun
 }
 
-// notify wakes all readers.
+// notify wakes all readers. The caller holds the scheduler's mu.
 func (s *sequence) notify() {
 	if s.readers == 0 {
 		return
--- a/internal/lab/emulator/silence.go
+++ b/internal/lab/emulator/silence.go
@@ -5,15 +5,16 @@
 	"sync"
 )
 
-// SilentListener is a listener whose open connections can go silent: nothing passes in
-// either direction any more, and the caller hears of no end, until the listener closes.
-// Connections that come later work. The zero value with a Listener works.
+// SilentListener is a listener that can silence its open connections: all data in both directions is
+// discarded, and the peer sees no close until the listener closes. New connections are not affected.
+// It is ready to use once Listener is set.
 type SilentListener struct {
 	net.Listener
 
 	mu   sync.Mutex
 	open map[*silentConn]bool
-	// closedSilently are connections that this side has closed and the caller has not heard of.
+	// closedSilently holds connections that the server has closed but that are kept open toward
+	// the peer.
 	closedSilently []net.Conn
 }
 
@@ -33,7 +34,7 @@
 	return wrapped, nil
 }
 
-// Silence has all open connections go silent. It returns how many these are.
+// Silence silences all open connections and returns the number of newly silenced ones.
 func (l *SilentListener) Silence() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,7 +55,7 @@
 	l.closedSilently = nil
 	l.mu.Unlock()
 	for _, conn := range silenced {
-		// Its end has nobody left to report a failure to.
+		// The server has already closed the connection, so an error has no receiver.
 		_ = conn.Close()
 	}
 	return l.Listener.Close()
@@ -77,7 +78,8 @@
 	}
 }
 
-// Read implements net.Conn. What comes over a silent connection is lost, and so is its end.
+// Read implements net.Conn. Data and errors received on a silent connection are discarded: Read
+// blocks until the connection is closed locally.
 func (c *silentConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	if c.isSilent() {
@@ -87,7 +89,7 @@
 	return n, err
 }
 
-// Write implements net.Conn. What is sent over a silent connection is lost.
+// Write implements net.Conn. Data written to a silent connection is discarded.
 func (c *silentConn) Write(buffer []byte) (int, error) {
 	if c.isSilent() {
 		return len(buffer), nil
@@ -95,7 +97,7 @@
 	return c.Conn.Write(buffer)
 }
 
-// Close implements net.Conn. The caller of a silent connection does not hear of it.
+// Close implements net.Conn. The peer of a silent connection sees no close.
 func (c *silentConn) Close() error {
 	err := net.ErrClosed
 	c.once.Do(func() { err = c.closeConn() })
--- a/internal/lab/emulator/silence_test.go
+++ b/internal/lab/emulator/silence_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// startSilentServer serves one line, and a second one when told, before a SilentListener.
+// startSilentServer starts a server on a SilentListener. It answers with one line, and with a second
+// one after release is closed.
 func startSilentServer(t *testing.T, release chan struct{}) *SilentListener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,7 +30,7 @@
 	return silent
 }
 
-// requestFirstLine asks over a new connection and reads the first line of the answer.
+// requestFirstLine sends a request on a new connection and reads the first line of the response.
 func requestFirstLine(t *testing.T, address string) (net.Conn, *bufio.Scanner) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -46,22 +47,23 @@
 	return conn, lines
 }
 
-// An answer that is under way says nothing more, and not its end either; the next one is whole.
+// Guards against data or a close reaching the client of a silenced connection, and against silencing
+// connections opened later.
 func TestSilentListener_SilencesOpenConnections(t *testing.T) {
 	release := make(chan struct{})
 	listener := startSilentServer(t, release)
 	conn, lines := requestFirstLine(t, listener.Addr().String())
 	if count := listener.Silence(); count != 1 {
-		t.Fatalf("%d connections went silent", count)
+		t.Fatalf("Silence returned %d, want 1", count)
 	}
 	close(release)
 	if err := conn.SetReadDeadline(time.Now().Add(200 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
 	if lines.Scan() || !errors.Is(lines.Err(), os.ErrDeadlineExceeded) {
-		t.Errorf("read %q, error %v", lines.Text(), lines.Err())
+		t.Errorf("read %q, error %v on a silent connection, want a read timeout", lines.Text(), lines.Err())
 	}
 	if _, lines := requestFirstLine(t, listener.Addr().String()); !lines.Scan() || lines.Text() != "second" {
-		t.Errorf("the next answer has %q, error %v", lines.Text(), lines.Err())
+		t.Errorf("read %q, error %v on a new connection, want %q", lines.Text(), lines.Err(), "second")
 	}
 }
--- a/internal/lab/emulator/tablestore.go
+++ b/internal/lab/emulator/tablestore.go
@@ -11,8 +11,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/lab/history"
 )
 
-// attributeValue is a DynamoDB attribute value in its JSON form. Only the
-// types S, N and B are supported.
+// attributeValue is a DynamoDB attribute value in JSON form. Only the types S, N and B are supported.
 type attributeValue struct {
 	S *string `json:"S,omitempty"`
 	N *string `json:"N,omitempty"`
@@ -39,27 +38,26 @@
 	return ""
 }
 
-// TableStore is a stand-in for the table service. It speaks the part of the
-// DynamoDB protocol (API version 2012-08-10) that wheelhoist uses and rejects
-// every other call and every condition form it does not know.
+// TableStore emulates the table service. It implements the part of the DynamoDB protocol (API version
+// 2012-08-10) that wheelhoist uses and rejects all other operations and condition expressions.
 type TableStore struct {
-	// Faults guards all calls.
-	Faults  *Faults
+	// Faults applies to all calls.
+	Faults   *Faults
 	recorder *history.Recorder
 
-	mu         sync.Mutex
-	partitions map[string]map[string]item
-	requestTokens     map[string]string
-	writes     uint64
-	reads      uint64
+	mu            sync.Mutex
+	partitions    map[string]map[string]item
+	requestTokens map[string]string
+	writes        uint64
+	reads         uint64
 }
 
-// NewTableStore returns an empty table that records its effects.
+// NewTableStore returns an empty table that records every committed put with recorder.
 func NewTableStore(seed uint64, recorder *history.Recorder) *TableStore {
 	store := &TableStore{
-		recorder:    recorder,
-		partitions: map[string]map[string]item{},
-		requestTokens:     map[string]string{},
+		recorder:      recorder,
+		partitions:    map[string]map[string]item{},
+		requestTokens: map[string]string{},
 	}
 	store.Faults = NewFaults(seed, func(w http.ResponseWriter) {
 		writeTableError(w, tableError{kind: "ThrottlingException", message: "rate exceeded"})
@@ -67,10 +65,10 @@
 	return store
 }
 
-// Handler serves the protocol.
+// Handler returns the HTTP handler of the table service.
 func (t *TableStore) Handler() http.Handler { return t.Faults.Wrap(http.HandlerFunc(t.serve)) }
 
-// Counts returns how many row writes and read calls were carried out.
+// Counts returns the number of row writes and of read calls.
 func (t *TableStore) Counts() (writes, reads uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,7 +78,7 @@
 type tableError struct {
 	kind    string
 	message string
-	// reasons are the codes of a TransactionCanceledException, one an item.
+	// reasons are the cancellation codes of a TransactionCanceledException, one per item.
 	reasons []string
 }
 
@@ -261,7 +259,7 @@
 	return nil
 }
 
-// checkCondition evaluates a condition. The caller checkCondition mu.
+// checkCondition reports whether the condition of a write is satisfied. The caller holds mu.
 func (t *TableStore) checkCondition(write conditionalWrite) (bool, error) {
 	partition, sortKey := write.key()
 	current, exists := t.partitions[partition][sortKey]
@@ -277,7 +275,7 @@
 	}
 }
 
-// apply carries out one item of a transaction. The caller holds mu.
+// apply executes the put or delete of one transaction item. The caller holds mu.
 func (t *TableStore) apply(put, remove *conditionalWrite) {
 	switch {
 	case put != nil:
