--- a/internal/lab/history/check.go
+++ b/internal/lab/history/check.go
@@ -48,7 +48,7 @@
 // checker holds a history in the order of time.
 type checker struct {
 	events []Event
-	found  []Violation
+	violations  []Violation
 	// crashed tells whether anything but planned stops happened.
 	crashed bool
 }
@@ -71,22 +71,22 @@
 	c.checkConfigReverts()
 	c.checkConfigAccepted()
 	c.checkConfigWrites()
-	return c.found
+	return c.violations
 }
 
-func (c *checker) violate(rule Rule, format string, arguments ...any) {
-	c.found = append(c.found, Violation{Rule: rule, Detail: fmt.Sprintf(format, arguments...)})
+func (c *checker) report(rule Rule, format string, arguments ...any) {
+	c.violations = append(c.violations, Violation{Rule: rule, Detail: fmt.Sprintf(format, arguments...)})
 }
 
-// logical returns the request that an attempt belongs to.
-func logical(attempt string) string {
+// requestOf returns the request that an attempt belongs to.
+func requestOf(attempt string) string {
 	request, _, _ := strings.Cut(attempt, "~")
 	return request
 }
 
 // jobOf returns the job of a batch attempt, "job-line~...".
 func jobOf(attempt string) string {
-	request := logical(attempt)
+	request := requestOf(attempt)
 	if cut := strings.LastIndexByte(request, '-'); cut > 0 {
 		return request[:cut]
 	}
@@ -95,28 +95,28 @@
 
 // checkJobs: every accepted job reaches a final state, with all its items.
 func (c *checker) checkJobs() {
-	accepted := map[string]int{}
+	itemCounts := map[string]int{}
 	final := map[string]Event{}
 	cancelled := map[string]bool{}
 	for _, event := range c.events {
 		switch event.Type {
 		case BatchAccepted:
-			accepted[event.Job] = event.Count
+			itemCounts[event.Job] = event.Count
 		case BatchFinal:
 			final[event.Job] = event
 		case BatchCancelled:
 			cancelled[event.Job] = true
 		}
 	}
-	for job, count := range accepted {
+	for job, count := range itemCounts {
 		end, ended := final[job]
 		switch {
 		case !ended && !cancelled[job]:
-			c.violate(RuleJobFinishes, "job %s was accepted and never finished", job)
+			c.report(RuleJobFinishes, "job %s was accepted and never finished", job)
 		case ended && cancelled[job] && end.Outcome != "cancelled":
-			c.violate(RuleCancelStops, "job %s was cancelled and ended as %s", job, end.Outcome)
+			c.report(RuleCancelStops, "job %s was cancelled and ended as %s", job, end.Outcome)
 		case ended && (end.Outcome == "completed" || end.Outcome == "expired") && end.Count != count:
-			c.violate(RuleItemOnce, "job %s has %d items ended of %d", job, end.Count, count)
+			c.report(RuleItemOnce, "job %s has %d items ended of %d", job, end.Count, count)
 		}
 	}
 }
@@ -124,40 +124,40 @@
 // checkItems: a finished job has exactly one right result for each item.
 func (c *checker) checkItems() {
 	results := map[string]map[string]int{}
-	ended := map[string]bool{}
-	accepted := map[string]int{}
+	finished := map[string]bool{}
+	itemCounts := map[string]int{}
 	for _, event := range c.events {
 		switch event.Type {
 		case BatchAccepted:
-			accepted[event.Job] = event.Count
+			itemCounts[event.Job] = event.Count
 		case BatchFinal:
-			ended[event.Job] = event.Outcome == "completed" || event.Outcome == "expired"
+			finished[event.Job] = event.Outcome == "completed" || event.Outcome == "expired"
 		case BatchResult:
 			if results[event.Job] == nil {
 				results[event.Job] = map[string]int{}
 			}
 			results[event.Job][event.Item]++
 			if !event.Match {
-				c.violate(RuleItemResult, "job %s item %s: result is not the item's own (%s)", event.Job, event.Item, event.Outcome)
+				c.report(RuleItemResult, "job %s item %s: result is not the item's own (%s)", event.Job, event.Item, event.Outcome)
 			}
 			if event.Outcome == "outcome_unknown" && (event.Repeatable || !c.crashed) {
-				c.violate(RuleItemResult, "job %s item %s ended as unknown, repeatable %v, crashes %v", event.Job, event.Item, event.Repeatable, c.crashed)
+				c.report(RuleItemResult, "job %s item %s ended as unknown, repeatable %v, crashes %v", event.Job, event.Item, event.Repeatable, c.crashed)
 			}
 			if event.Outcome == "item_failed" {
-				c.violate(RuleItemResult, "job %s item %s failed: %s", event.Job, event.Item, event.Detail)
+				c.report(RuleItemResult, "job %s item %s failed: %s", event.Job, event.Item, event.Detail)
 			}
 		}
 	}
 	for job, items := range results {
-		for item, times := range items {
-			if times != 1 {
-				c.violate(RuleItemOnce, "job %s item %s has %d results", job, item, times)
+		for item, count := range items {
+			if count != 1 {
+				c.report(RuleItemOnce, "job %s item %s has %d results", job, item, count)
 			}
 		}
 	}
-	for job, done := range ended {
-		if done && len(results[job]) != accepted[job] {
-			c.violate(RuleItemOnce, "job %s has results for %d of %d items", job, len(results[job]), accepted[job])
+	for job, done := range finished {
+		if done && len(results[job]) != itemCounts[job] {
+			c.report(RuleItemOnce, "job %s has results for %d of %d items", job, len(results[job]), itemCounts[job])
 		}
 	}
 }
@@ -165,22 +165,22 @@
 // checkAtMostOnce: a request or item that is not repeatable starts at most
 // once at all engines together.
 func (c *checker) checkAtMostOnce() {
-	once := map[string]bool{}
+	notRepeatable := map[string]bool{}
 	starts := map[string]int{}
 	for _, event := range c.events {
 		switch {
 		case event.Type == ClientSend && !event.Repeatable:
-			once[event.Request] = true
+			notRepeatable[event.Request] = true
 		case event.Type == EngineStart && strings.HasSuffix(event.Attempt, "~once"):
-			once[logical(event.Attempt)] = true
+			notRepeatable[requestOf(event.Attempt)] = true
 		}
 		if event.Type == EngineStart {
-			starts[logical(event.Attempt)]++
+			starts[requestOf(event.Attempt)]++
 		}
 	}
-	for request := range once {
+	for request := range notRepeatable {
 		if starts[request] > 1 {
-			c.violate(RuleAtMostOnce, "%s ran %d times", request, starts[request])
+			c.report(RuleAtMostOnce, "%s ran %d times", request, starts[request])
 		}
 	}
 }
@@ -188,32 +188,32 @@
 // checkNotRun: between a sending and its refusal as not run, and from there to
 // the next sending, the request does not start at any engine.
 func (c *checker) checkNotRun() {
-	type sending struct {
+	type send struct {
 		starts  int
 		refused bool
 	}
-	open := map[string]*sending{}
+	sends := map[string]*send{}
 	for _, event := range c.events {
 		switch event.Type {
 		case ClientSend:
-			open[event.Request] = &sending{}
+			sends[event.Request] = &send{}
 		case EngineStart:
-			state := open[logical(event.Attempt)]
-			if state == nil {
+			current := sends[requestOf(event.Attempt)]
+			if current == nil {
 				continue
 			}
-			state.starts++
-			if state.refused {
-				c.violate(RuleNotRun, "%s started after it was refused as not run", logical(event.Attempt))
+			current.starts++
+			if current.refused {
+				c.report(RuleNotRun, "%s started after it was refused as not run", requestOf(event.Attempt))
 			}
 		case ClientRefused:
-			state := open[event.Request]
-			if state == nil || event.Executed != "no" {
+			current := sends[event.Request]
+			if current == nil || event.Executed != "no" {
 				continue
 			}
-			state.refused = true
-			if state.starts > 0 {
-				c.violate(RuleNotRun, "%s was refused as not run and had started: %s", event.Request, event.Detail)
+			current.refused = true
+			if current.starts > 0 {
+				c.report(RuleNotRun, "%s was refused as not run and had started: %s", event.Request, event.Detail)
 			}
 		}
 	}
@@ -223,7 +223,7 @@
 func (c *checker) checkAnswers() {
 	for _, event := range c.events {
 		if event.Type == ClientAnswer && (!event.Whole || !event.Match) {
-			c.violate(RuleWholeAnswer, "%s got an answer that is not its own or not whole", event.Request)
+			c.report(RuleWholeAnswer, "%s got an answer that is not its own or not whole", event.Request)
 		}
 	}
 }
--- a/internal/lab/history/check_test.go
+++ b/internal/lab/history/check_test.go
@@ -8,8 +8,8 @@
 
 const second = int64(time.Second)
 
-// badHistories holds, for each rule, a history that breaks it and no other.
-var badHistories = map[Rule][]Event{
+// violatingHistories holds, for each rule, a history that breaks it and no other.
+var violatingHistories = map[Rule][]Event{
 	RuleJobFinishes: {
 		{Type: BatchAccepted, Job: "j", Count: 1},
 	},
@@ -76,8 +76,8 @@
 	},
 }
 
-func TestCheck_EachRuleFails(t *testing.T) {
-	for rule, events := range badHistories {
+func TestCheck_DetectsEachViolation(t *testing.T) {
+	for rule, events := range violatingHistories {
 		t.Run(string(rule), func(t *testing.T) {
 			found := Check(events)
 			if len(found) == 0 {
@@ -93,7 +93,7 @@
 }
 
 // A planned stop is no excuse for an item that nobody can tell about.
-func TestCheck_UnknownItemNeedsACrash(t *testing.T) {
+func TestCheck_UnknownOutcomeNeedsCrash(t *testing.T) {
 	events := []Event{
 		{Type: BatchAccepted, Job: "j", Count: 1},
 		{Time: 1, Type: NodeStopping, Detail: "node-0"},
@@ -109,8 +109,8 @@
 	}
 }
 
-func TestCheck_GoodHistoryPasses(t *testing.T) {
-	good := []Event{
+func TestCheck_AcceptsValidHistory(t *testing.T) {
+	valid := []Event{
 		{Type: BatchAccepted, Job: "j", Count: 1},
 		{Time: 1, Type: EngineReceived, Class: Online, Replica: "e", Attempt: "r~a.1"},
 		{Time: 2, Type: EngineStart, Class: Online, Replica: "e", Attempt: "r~a.1"},
@@ -128,12 +128,12 @@
 		{Time: 14, Type: ConfigInvoke, Source: "b", Detail: "write", Operation: "2", Key: "k", Expect: 3},
 		{Time: 15, Type: ConfigReturn, Source: "b", Detail: "write", Operation: "2", Key: "k", Expect: 3, Outcome: OutcomeAccepted, Revision: 4},
 	}
-	if found := Check(good); len(found) > 0 {
+	if found := Check(valid); len(found) > 0 {
 		t.Fatalf("violations in a good history: %v", found)
 	}
 }
 
-func TestRead_TellsTheBrokenEvent(t *testing.T) {
+func TestRead_ErrorNamesInvalidEvent(t *testing.T) {
 	_, err := Read(strings.NewReader("{\"type\":\"client_send\"}\n{broken"))
 	if err == nil || !strings.Contains(err.Error(), "event 2") {
 		t.Fatalf("error %v does not name event 2", err)
--- a/internal/lab/history/checkconfig.go
+++ b/internal/lab/history/checkconfig.go
@@ -11,15 +11,15 @@
 // checkConfigReverts: the revision in force on a node never falls while the
 // node runs; after a restart it is at least what the node last held.
 func (c *checker) checkConfigReverts() {
-	held := map[string]uint64{}
+	highest := map[string]uint64{}
 	for _, event := range c.events {
 		if event.Type != ConfigApplied {
 			continue
 		}
-		if event.Revision < held[event.Source] {
-			c.violate(RuleConfigReverts, "%s went from revision %d to %d", event.Source, held[event.Source], event.Revision)
+		if event.Revision < highest[event.Source] {
+			c.report(RuleConfigReverts, "%s went from revision %d to %d", event.Source, highest[event.Source], event.Revision)
 		}
-		held[event.Source] = max(held[event.Source], event.Revision)
+		highest[event.Source] = max(highest[event.Source], event.Revision)
 	}
 }
 
@@ -27,14 +27,14 @@
 // accepted sees at least that write's revision, through whichever node.
 func (c *checker) checkConfigAccepted() {
 	accepted := map[string]uint64{}
-	floor := map[string]uint64{}
+	minimum := map[string]uint64{}
 	for _, event := range c.events {
 		switch {
 		case event.Type == ConfigInvoke && event.Detail == configRead:
-			floor[event.Operation] = accepted[event.Key]
+			minimum[event.Operation] = accepted[event.Key]
 		case event.Type == ConfigReturn && event.Detail == configRead && event.Outcome == outcomeOK:
-			if event.Revision < floor[event.Operation] {
-				c.violate(RuleConfigAccepted, "%s read revision %d of %s after %d was accepted", event.Source, event.Revision, event.Key, floor[event.Operation])
+			if event.Revision < minimum[event.Operation] {
+				c.report(RuleConfigAccepted, "%s read revision %d of %s after %d was accepted", event.Source, event.Revision, event.Key, minimum[event.Operation])
 			}
 		case event.Type == ConfigReturn && event.Detail == configWrite && event.Outcome == OutcomeAccepted:
 			accepted[event.Key] = max(accepted[event.Key], event.Revision)
@@ -63,9 +63,9 @@
 type configInput struct {
 	key    string
 	expect uint64
-	// unclaimed are the revisions of the resource in the table's own record that
+	// unacknowledged are the revisions of the resource in the table's own record that
 	// no caller was told: what a write with an unknown outcome may have taken.
-	unclaimed []uint64
+	unacknowledged []uint64
 }
 
 // configOutput is what the caller learned.
@@ -96,24 +96,24 @@
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(state, input, output any) []any {
 		version := state.(uint64)
-		wanted := input.(configInput)
-		got := output.(configOutput)
-		switch got.outcome {
+		in := input.(configInput)
+		out := output.(configOutput)
+		switch out.outcome {
 		case OutcomeAccepted, OutcomePending:
-			if wanted.expect != version || got.revision <= version {
+			if in.expect != version || out.revision <= version {
 				return nil
 			}
-			return []any{got.revision}
+			return []any{out.revision}
 		case OutcomeConflict:
-			if wanted.expect == version {
+			if in.expect == version {
 				return nil
 			}
 			return []any{version}
 		case OutcomeUnknown:
 			// It took no effect, or it took the revision found out later.
 			states := []any{version}
-			for _, revision := range wanted.unclaimed {
-				if wanted.expect == version && revision > version {
+			for _, revision := range in.unacknowledged {
+				if in.expect == version && revision > version {
 					states = append(states, revision)
 				}
 			}
@@ -136,16 +136,16 @@
 	}
 	model := configModel.ToModel()
 	if !porcupine.CheckOperations(model, operations) {
-		c.violate(RuleConfigWrites, "%d writes have no order that explains their answers", len(operations))
+		c.report(RuleConfigWrites, "%d writes have no order that explains their answers", len(operations))
 	}
 }
 
 // configOperations pairs the calls with their answers. A call with an unknown
 // outcome may take effect until the end of the history.
 func (c *checker) configOperations() []porcupine.Operation {
-	unclaimed := c.unclaimedRevisions()
+	unacknowledged := c.unacknowledgedRevisions()
 	invoked := map[string]Event{}
-	client := map[string]int{}
+	clientIDs := map[string]int{}
 	var operations []porcupine.Operation
 	for _, event := range c.events {
 		if event.Detail != configWrite {
@@ -159,16 +159,16 @@
 			if !ok {
 				continue
 			}
-			if _, known := client[event.Source]; !known {
-				client[event.Source] = len(client)
+			if _, known := clientIDs[event.Source]; !known {
+				clientIDs[event.Source] = len(clientIDs)
 			}
 			operation := porcupine.Operation{
-				ClientId: client[event.Source], Call: call.Time, Return: event.Time,
+				ClientId: clientIDs[event.Source], Call: call.Time, Return: event.Time,
 				Input:  configInput{key: call.Key, expect: call.Expect},
 				Output: configOutput{outcome: event.Outcome, revision: event.Revision},
 			}
 			if event.Outcome == OutcomeUnknown {
-				operation.Input = configInput{key: call.Key, expect: call.Expect, unclaimed: unclaimed[call.Key]}
+				operation.Input = configInput{key: call.Key, expect: call.Expect, unacknowledged: unacknowledged[call.Key]}
 				operation.Return = math.MaxInt64
 			}
 			operations = append(operations, operation)
@@ -177,21 +177,21 @@
 	return operations
 }
 
-// unclaimedRevisions returns, for each resource, the revisions in the table's
+// unacknowledgedRevisions returns, for each resource, the revisions in the table's
 // record that no write was told.
-func (c *checker) unclaimedRevisions() map[string][]uint64 {
-	told := map[uint64]bool{}
+func (c *checker) unacknowledgedRevisions() map[string][]uint64 {
+	acknowledged := map[uint64]bool{}
 	for _, event := range c.events {
 		if event.Type == ConfigReturn && event.Detail == configWrite && event.Revision != 0 {
-			told[event.Revision] = true
+			acknowledged[event.Revision] = true
 		}
 	}
-	unclaimed := map[string][]uint64{}
+	unacknowledged := map[string][]uint64{}
 	for _, event := range c.events {
 		key, isConfig := strings.CutPrefix(event.Key, "config/")
-		if event.Type == TableEffect && isConfig && !told[event.Revision] {
-			unclaimed[key] = append(unclaimed[key], event.Revision)
+		if event.Type == TableEffect && isConfig && !acknowledged[event.Revision] {
+			unacknowledged[key] = append(unacknowledged[key], event.Revision)
 		}
 	}
-	return unclaimed
+	return unacknowledged
 }
--- a/internal/lab/history/checkfleet.go
+++ b/internal/lab/history/checkfleet.go
@@ -25,7 +25,7 @@
 		case event.Type == EngineStart && event.Class == Online, event.Type == EngineAbort:
 			delete(waiting[event.Replica], event.Attempt)
 		case event.Type == EngineStart && event.Class == Batch && len(waiting[event.Replica]) > 0:
-			c.violate(RuleBehindBatch, "%s started %s while %d online requests waited", event.Replica, event.Attempt, len(waiting[event.Replica]))
+			c.report(RuleBehindBatch, "%s started %s while %d online requests waited", event.Replica, event.Attempt, len(waiting[event.Replica]))
 		}
 	}
 }
@@ -40,7 +40,7 @@
 		case EngineReceived:
 			since, ok := leaving[event.Replica]
 			if ok && time.Duration(event.Time-since) > LeavingGrace {
-				c.violate(RuleLeaving, "%s received %s %.1f s after it began to leave", event.Replica, event.Attempt, time.Duration(event.Time-since).Seconds())
+				c.report(RuleLeaving, "%s received %s %.1f s after it began to leave", event.Replica, event.Attempt, time.Duration(event.Time-since).Seconds())
 			}
 		}
 	}
@@ -59,7 +59,7 @@
 	}
 	for _, event := range c.events {
 		if event.Type == ClientFailed && stops > 0 {
-			c.violate(RulePlannedStop, "%s was cut off: %s", event.Request, event.Detail)
+			c.report(RulePlannedStop, "%s was cut off: %s", event.Request, event.Detail)
 		}
 	}
 }
@@ -88,20 +88,20 @@
 // no item of the job starts or goes on.
 func (c *checker) checkCancel() {
 	cancelled := map[string]int64{}
-	storeDown := false
+	storeFault := false
 	for _, event := range c.events {
 		switch event.Type {
 		case FaultStart:
-			storeDown = storeDown || strings.HasPrefix(event.Detail, "store-")
+			storeFault = storeFault || strings.HasPrefix(event.Detail, "store-")
 		case BatchCancelled:
 			cancelled[event.Job] = event.Time
 		case EngineStart, EngineEnd:
-			if event.Class != Batch || storeDown {
+			if event.Class != Batch || storeFault {
 				continue
 			}
 			since, ok := cancelled[jobOf(event.Attempt)]
 			if ok && time.Duration(event.Time-since) > CancelGrace {
-				c.violate(RuleCancelStops, "%s of %s %.1f s after the job was cancelled", event.Type, event.Attempt, time.Duration(event.Time-since).Seconds())
+				c.report(RuleCancelStops, "%s of %s %.1f s after the job was cancelled", event.Type, event.Attempt, time.Duration(event.Time-since).Seconds())
 			}
 		}
 	}
@@ -115,7 +115,7 @@
 			continue
 		}
 		if event.Revision < highest[event.Replica] {
-			c.violate(RuleFencedOrders, "%s obeyed fence %d after %d", event.Replica, event.Revision, highest[event.Replica])
+			c.report(RuleFencedOrders, "%s obeyed fence %d after %d", event.Replica, event.Revision, highest[event.Replica])
 		}
 		highest[event.Replica] = max(highest[event.Replica], event.Revision)
 	}
