--- a/internal/lab/history/check.go
+++ b/internal/lab/history/check.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Rule names an invariant.
+// Rule identifies an invariant of a history.
 type Rule string
 
-// Rules.
+// Rules that Check verifies.
 const (
 	RuleItemOnce       Rule = "item-exactly-once"
 	RuleItemResult     Rule = "item-result-readable"
@@ -28,32 +28,32 @@
 	RuleFencedOrders   Rule = "orders-fenced"
 )
 
-// Limits of the rules.
+// Grace periods of the rules.
 const (
-	// LeavingGrace is the time after which a leaving replica must get nothing.
+	// LeavingGrace is the time after which a leaving replica must not receive requests.
 	LeavingGrace = 3 * time.Second
-	// CancelGrace is the time in which a cancelled job's items must stop.
+	// CancelGrace is the time within which the items of a cancelled job must stop.
 	CancelGrace = 2 * time.Second
 )
 
-// Violation is a broken rule.
+// Violation describes one violation of a rule.
 type Violation struct {
 	Rule   Rule   `json:"rule"`
 	Detail string `json:"detail"`
 }
 
-// String renders the violation in one line.
+// String formats the violation on one line.
 func (v Violation) String() string { return string(v.Rule) + ": " + v.Detail }
 
-// checker holds a history in the order of time.
+// checker holds a history sorted by time and the violations found in it.
 type checker struct {
-	events []Event
-	violations  []Violation
-	// crashed tells whether anything but planned stops happened.
+	events     []Event
+	violations []Violation
+	// crashed reports whether the history contains failures other than planned stops.
 	crashed bool
 }
 
-// Check returns the violations of a history.
+// Check returns the violations found in a history. The events need not be sorted.
 func Check(events []Event) []Violation {
 	sorted := append([]Event(nil), events...)
 	sort.SliceStable(sorted, func(i, j int) bool { return sorted[i].Time < sorted[j].Time })
@@ -78,13 +78,13 @@
 	c.violations = append(c.violations, Violation{Rule: rule, Detail: fmt.Sprintf(format, arguments...)})
 }
 
-// requestOf returns the request that an attempt belongs to.
+// requestOf returns the request ID of an attempt ID, "request~...".
 func requestOf(attempt string) string {
 	request, _, _ := strings.Cut(attempt, "~")
 	return request
 }
 
-// jobOf returns the job of a batch attempt, "job-line~...".
+// jobOf returns the job ID of a batch attempt ID, "job-line~...".
 func jobOf(attempt string) string {
 	request := requestOf(attempt)
 	if cut := strings.LastIndexByte(request, '-'); cut > 0 {
@@ -93,7 +93,8 @@
 	return request
 }
 
-// checkJobs: every accepted job reaches a final state, with all its items.
+// checkJobs checks that every accepted job that is not cancelled reaches a final state, that all its
+// items are counted in it, and that cancelled jobs do not end in another state.
 func (c *checker) checkJobs() {
 	itemCounts := map[string]int{}
 	final := map[string]Event{}
@@ -121,7 +122,7 @@
 	}
 }
 
-// checkItems: a finished job has exactly one right result for each item.
+// checkItems checks that a finished job has exactly one result per item and that it is correct.
 func (c *checker) checkItems() {
 	results := map[string]map[string]int{}
 	finished := map[string]bool{}
@@ -162,8 +163,8 @@
 	}
 }
 
-// checkAtMostOnce: a request or item that is not repeatable starts at most
-// once at all engines together.
+// checkAtMostOnce checks that a request or item that is not repeatable starts at most once across all
+// engines.
 func (c *checker) checkAtMostOnce() {
 	notRepeatable := map[string]bool{}
 	starts := map[string]int{}
@@ -185,8 +186,8 @@
 	}
 }
 
-// checkNotRun: between a sending and its refusal as not run, and from there to
-// the next sending, the request does not start at any engine.
+// checkNotRun checks that a request that was refused as not run started on no engine, neither before
+// the refusal nor between the refusal and the next send.
 func (c *checker) checkNotRun() {
 	type send struct {
 		starts  int
@@ -219,7 +220,7 @@
 	}
 }
 
-// checkAnswers: an answer that ended as whole is the request's own.
+// checkAnswers checks that every answer is complete and belongs to its request.
 func (c *checker) checkAnswers() {
 	for _, event := range c.events {
 		if event.Type == ClientAnswer && (!event.Whole || !event.Match) {
--- a/internal/lab/history/check_test.go
+++ b/internal/lab/history/check_test.go
@@ -8,7 +8,7 @@
 
 const second = int64(time.Second)
 
-// violatingHistories holds, for each rule, a history that breaks it and no other.
+// violatingHistories maps each rule to a history that violates this rule only.
 var violatingHistories = map[Rule][]Event{
 	RuleJobFinishes: {
 		{Type: BatchAccepted, Job: "j", Count: 1},
@@ -81,18 +81,18 @@
 		t.Run(string(rule), func(t *testing.T) {
 			found := Check(events)
 			if len(found) == 0 {
-				t.Fatal("the bad history passed")
+				t.Fatal("Check found no violation")
 			}
 			for _, violation := range found {
 				if violation.Rule != rule {
-					t.Errorf("also broke %s", violation)
+					t.Errorf("unexpected violation: %s", violation)
 				}
 			}
 		})
 	}
 }
 
-// A planned stop is no excuse for an item that nobody can tell about.
+// Guards against accepting an item with an unknown outcome after planned stops only.
 func TestCheck_UnknownOutcomeNeedsCrash(t *testing.T) {
 	events := []Event{
 		{Type: BatchAccepted, Job: "j", Count: 1},
@@ -101,7 +101,7 @@
 		{Time: 3, Type: BatchResult, Job: "j", Item: "a", Match: true, Outcome: "outcome_unknown"},
 	}
 	if found := Check(events); len(found) != 1 || found[0].Rule != RuleItemResult {
-		t.Fatalf("violations %v", found)
+		t.Fatalf("violations %v, want one of %s", found, RuleItemResult)
 	}
 	events[1].Type = NodeKilled
 	if found := Check(events); len(found) != 0 {
@@ -129,7 +129,7 @@
 		{Time: 15, Type: ConfigReturn, Source: "b", Detail: "write", Operation: "2", Key: "k", Expect: 3, Outcome: OutcomeAccepted, Revision: 4},
 	}
 	if found := Check(valid); len(found) > 0 {
-		t.Fatalf("violations in a good history: %v", found)
+		t.Fatalf("violations in a valid history: %v", found)
 	}
 }
 
--- a/internal/lab/history/checkconfig.go
+++ b/internal/lab/history/checkconfig.go
@@ -8,8 +8,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// checkConfigReverts: the revision in force on a node never falls while the
-// node runs; after a restart it is at least what the node last held.
+// checkConfigReverts checks that the revision applied by a node never decreases, including across
+// restarts of the node.
 func (c *checker) checkConfigReverts() {
 	highest := map[string]uint64{}
 	for _, event := range c.events {
@@ -23,8 +23,8 @@
 	}
 }
 
-// checkConfigAccepted: a read that began after a write was acknowledged as
-// accepted sees at least that write's revision, through whichever node.
+// checkConfigAccepted checks that a read invoked after a write was acknowledged as accepted returns at
+// least the revision of that write, regardless of the node.
 func (c *checker) checkConfigAccepted() {
 	accepted := map[string]uint64{}
 	minimum := map[string]uint64{}
@@ -42,40 +42,40 @@
 	}
 }
 
-// Details and outcomes of configuration calls.
+// Details and outcomes of configuration calls. The values are recorded in histories.
 const (
 	configRead  = "read"
 	configWrite = "write"
 	outcomeOK   = "ok"
-	// OutcomeAccepted: committed and in force on all nodes.
+	// OutcomeAccepted means committed and applied by all nodes.
 	OutcomeAccepted = "accepted"
-	// OutcomePending: committed, not yet in force on all nodes.
+	// OutcomePending means committed, but not yet applied by all nodes.
 	OutcomePending = "pending"
-	// OutcomeConflict: refused for its expected version.
+	// OutcomeConflict means rejected because the expected version did not match.
 	OutcomeConflict = "conflict"
-	// OutcomeRefused: provably not done.
+	// OutcomeRefused means refused with a guarantee of no effect.
 	OutcomeRefused = "refused"
-	// OutcomeUnknown: no answer, or an undecided one.
+	// OutcomeUnknown means no response, or one that does not tell whether the call took effect.
 	OutcomeUnknown = "unknown"
 )
 
-// configInput is a compare-and-set of one resource.
+// configInput is the input of a compare-and-set on one resource.
 type configInput struct {
 	key    string
 	expect uint64
-	// unacknowledged are the revisions of the resource in the table's own record that
-	// no caller was told: what a write with an unknown outcome may have taken.
+	// unacknowledged holds the revisions that the table committed for the resource but that no
+	// write returned. A write with an unknown outcome may have produced one of them.
 	unacknowledged []uint64
 }
 
-// configOutput is what the caller learned.
+// configOutput is the result that the caller received.
 type configOutput struct {
 	outcome  string
 	revision uint64
 }
 
-// configModel is a resource as a versioned register: a write with the right
-// expected version sets a higher one.
+// configModel models a resource as a versioned register: a write with the correct expected version
+// sets a higher version. Each resource is checked separately.
 var configModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -110,7 +110,7 @@
 			}
 			return []any{version}
 		case OutcomeUnknown:
-			// It took no effect, or it took the revision found out later.
+			// It had no effect, or it committed one of the unacknowledged revisions.
 			states := []any{version}
 			for _, revision := range in.unacknowledged {
 				if in.expect == version && revision > version {
@@ -128,7 +128,7 @@
 	},
 }
 
-// checkConfigWrites: all compare-and-set writes together are linearizable.
+// checkConfigWrites checks that the compare-and-set writes are linearizable.
 func (c *checker) checkConfigWrites() {
 	operations := c.configOperations()
 	if len(operations) == 0 {
@@ -140,8 +140,9 @@
 	}
 }
 
-// configOperations pairs the calls with their answers. A call with an unknown
-// outcome may take effect until the end of the history.
+// configOperations pairs write invocations with their returns. A write with an unknown outcome may
+// take effect at any later time, so its return time is
+// unbounded.
 func (c *checker) configOperations() []porcupine.Operation {
 	unacknowledged := c.unacknowledgedRevisions()
 	invoked := map[string]Event{}
@@ -177,8 +178,8 @@
 	return operations
 }
 
-// unacknowledgedRevisions returns, for each resource, the revisions in the table's
-// record that no write was told.
+// unacknowledgedRevisions returns, per resource, the revisions that the table committed but that no
+// write returned.
 func (c *checker) unacknowledgedRevisions() map[string][]uint64 {
 	acknowledged := map[uint64]bool{}
 	for _, event := range c.events {
--- a/internal/lab/history/checkfleet.go
+++ b/internal/lab/history/checkfleet.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// checkBehindBatch: no engine starts a batch item while an online request that
-// it has received waits.
+// checkBehindBatch checks that no engine starts a batch item while an online request waits in its
+// queue.
 func (c *checker) checkBehindBatch() {
 	waiting := map[string]map[string]bool{}
 	for _, event := range c.events {
@@ -30,7 +30,7 @@
 	}
 }
 
-// checkLeaving: a leaving replica receives nothing after the grace.
+// checkLeaving checks that a leaving replica receives no attempts after LeavingGrace.
 func (c *checker) checkLeaving() {
 	leaving := map[string]int64{}
 	for _, event := range c.events {
@@ -46,7 +46,7 @@
 	}
 }
 
-// checkPlannedStops: in a history without any crash, no caller loses an answer.
+// checkPlannedStops checks that no client request fails in a history with planned stops and no crash.
 func (c *checker) checkPlannedStops() {
 	if c.crashed {
 		return
@@ -64,7 +64,7 @@
 	}
 }
 
-// crashed reports whether a history has failures that nobody planned.
+// crashed reports whether a history contains unplanned failures.
 func crashed(events []Event) bool {
 	for _, event := range events {
 		switch event.Type {
@@ -79,13 +79,13 @@
 	return false
 }
 
-// plannedFault reports whether a fault is a planned action of operators.
+// plannedFault reports whether a fault is a planned operation rather than a failure.
 func plannedFault(name string) bool {
 	return strings.HasPrefix(name, "rolling-") || strings.HasPrefix(name, "racing-") || strings.HasPrefix(name, "engine-leaving") || name == "none"
 }
 
-// checkCancel: within the grace after a cancellation, while the store is up,
-// no item of the job starts or goes on.
+// checkCancel checks that no item of a cancelled job starts or ends on an engine later than
+// CancelGrace after the cancellation. Events after the first store fault are not checked.
 func (c *checker) checkCancel() {
 	cancelled := map[string]int64{}
 	storeFault := false
@@ -107,7 +107,7 @@
 	}
 }
 
-// checkOrders: an engine obeys orders with rising fences only.
+// checkOrders checks that the fences of the orders applied by an engine never decrease.
 func (c *checker) checkOrders() {
 	highest := map[string]uint64{}
 	for _, event := range c.events {
--- a/internal/lab/history/event.go
+++ b/internal/lab/history/event.go
@@ -1,80 +1,83 @@
-// Package history records what every process of a run did and checks it.
+// Package history records the events of a lab run and checks them for violations of invariants.
 //
-// Clients, nodes, engines and the platform stand-ins append events. All of
-// them run on one machine, so their clocks are the same clock.
+// Clients, nodes, engines and the emulated platform services record events. They all run on one
+// machine, so their timestamps are comparable.
 package history
 
-// Type names what happened.
+// Type is the kind of an event.
 type Type string
 
-// Event types. The comment says who records it and which fields are set.
+// Event types. Each comment names the fields that are set in addition to Time, Source and Type.
 const (
-	// EngineStart: an engine began to execute Attempt of Request.
+	// EngineStart: an engine started executing Attempt.
 	EngineStart Type = "engine_start"
-	// EngineEnd: an engine finished Attempt; Tokens were generated.
+	// EngineEnd: an engine completed Attempt with Tokens generated tokens.
 	EngineEnd Type = "engine_end"
-	// EngineAbort: an engine gave Attempt up; Tokens were generated until then.
+	// EngineAbort: an engine aborted Attempt after Tokens generated tokens.
 	EngineAbort Type = "engine_abort"
-	// EngineReceived: an engine accepted Attempt into its queue.
+	// EngineReceived: an engine queued Attempt.
 	EngineReceived Type = "engine_received"
-	// EngineOrder: an engine obeyed a fenced order; Revision is the fencing token.
+	// EngineOrder: an engine applied an order; Revision is its fencing token.
 	EngineOrder Type = "engine_order"
-	// EngineDied: an engine was killed by the lab; nothing more comes from it.
+	// EngineDied: the lab killed the engine of Replica; it records no further events.
 	EngineDied Type = "engine_died"
-	// ReplicaLeaving: the platform told Replica to leave.
+	// ReplicaLeaving: the platform requested Replica to leave.
 	ReplicaLeaving Type = "replica_leaving"
 
-	// ClientSend: a caller sent Request.
+	// ClientSend: a client sent Request.
 	ClientSend Type = "client_send"
-	// ClientAnswer: a caller got an answer; Whole and Match tell its quality.
+	// ClientAnswer: a client received an answer; Whole and Match report whether it is complete
+	// and has the expected content.
 	ClientAnswer Type = "client_answer"
-	// ClientRefused: a caller was refused; Executed is the header's value.
+	// ClientRefused: a client request was refused; Executed is the value of the response header.
 	ClientRefused Type = "client_refused"
-	// ClientFailed: the answer never came or broke off.
+	// ClientFailed: a client received no answer or an interrupted one.
 	ClientFailed Type = "client_failed"
 
-	// BatchAccepted: a submission of Count items was acknowledged as Job.
+	// BatchAccepted: the submission of Job with Count items was acknowledged.
 	BatchAccepted Type = "batch_accepted"
-	// BatchCancelled: a cancellation of Job was acknowledged.
+	// BatchCancelled: the cancellation of Job was acknowledged.
 	BatchCancelled Type = "batch_cancelled"
-	// BatchResult: a reader saw the result of Item of Job; Match tells whether
-	// the content is the expected one, Outcome the item's outcome.
+	// BatchResult: a client read the result of Item of Job; Match reports whether the content is
+	// the expected one, Outcome is the item's outcome.
 	BatchResult Type = "batch_result"
-	// BatchFinal: a reader saw Job in its final state, in Outcome.
+	// BatchFinal: a client read Job in the final state Outcome; Count items have ended.
 	BatchFinal Type = "batch_final"
 
-	// ConfigInvoke and ConfigReturn frame an operator's call in Operation.
+	// ConfigInvoke: an operator's call started. Operation identifies the call, Detail is "read"
+	// or "write", Key the resource, Expect the expected version of a write.
 	ConfigInvoke Type = "config_invoke"
-	// ConfigReturn: see ConfigInvoke; Outcome is ok, conflict, refused or unknown.
+	// ConfigReturn: the call returned. Outcome is "ok", accepted, pending, conflict, refused or
+	// unknown; Revision is the returned revision.
 	ConfigReturn Type = "config_return"
-	// ConfigApplied: node Source put Revision in force.
+	// ConfigApplied: node Source applied Revision.
 	ConfigApplied Type = "config_applied"
 
-	// TableEffect: the table service committed Operation on Key as Revision.
+	// TableEffect: the table service committed Operation on Key with Revision.
 	TableEffect Type = "table_effect"
-	// NodeStarted and NodeKilled: the lab started or killed node Source.
+	// NodeStarted: the lab started the node named in Detail.
 	NodeStarted Type = "node_started"
-	// NodeKilled: see NodeStarted.
+	// NodeKilled: the lab killed the node named in Detail.
 	NodeKilled Type = "node_killed"
-	// NodeStopping: the lab asked node Source for a planned stop.
+	// NodeStopping: the lab started a planned stop of the node named in Detail.
 	NodeStopping Type = "node_stopping"
-	// FaultStart and FaultEnd frame an injected fault in Detail.
+	// FaultStart: the injection of the fault named in Detail started.
 	FaultStart Type = "fault_start"
-	// FaultEnd: see FaultStart.
+	// FaultEnd: the injection of the fault named in Detail ended.
 	FaultEnd Type = "fault_end"
 )
 
-// Class tells online from batch executions.
+// Class distinguishes online requests from batch items.
 type Class string
 
 const (
-	// Online is a request somebody waits for.
+	// Online is an interactive request.
 	Online Class = "online"
 	// Batch is an item of a batch job.
 	Batch Class = "batch"
 )
 
-// Event is one recorded fact. Unused fields stay empty.
+// Event is one recorded event. Fields that do not apply to its type are empty.
 type Event struct {
 	// Time is in nanoseconds since the Unix epoch.
 	Time   int64  `json:"time"`
@@ -89,7 +92,7 @@
 	Item    string `json:"item,omitempty"`
 	Count   int    `json:"count,omitempty"`
 	Tokens  int    `json:"tokens,omitempty"`
-	// Repeatable is false for requests that may run at most once.
+	// Repeatable is false for a request or item that may run at most once.
 	Repeatable bool   `json:"repeatable,omitempty"`
 	Whole      bool   `json:"whole,omitempty"`
 	Match      bool   `json:"match,omitempty"`
@@ -103,7 +106,7 @@
 	Expect    uint64 `json:"expect,omitempty"`
 	Detail    string `json:"detail,omitempty"`
 
-	// TTFT and Elapsed are milliseconds measured by a caller.
+	// TTFT (time to first token) and Elapsed are in milliseconds, measured by the client.
 	TTFT    float64 `json:"ttft_ms,omitempty"`
 	Elapsed float64 `json:"elapsed_ms,omitempty"`
 }
--- a/internal/lab/history/recorder.go
+++ b/internal/lab/history/recorder.go
@@ -14,14 +14,14 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("history")
 
-// Recorder collects events. The zero value is ready; a nil Recorder drops
-// events. It is safe for concurrent use.
+// Recorder collects events. The zero value is ready to use; Record on a nil Recorder drops the event.
+// It is safe for concurrent use.
 type Recorder struct {
 	mu     sync.Mutex
 	events []Event
 }
 
-// Record appends an event and stamps it with the current time.
+// Record appends an event. If event.Time is zero, it is set to the current time.
 func (r *Recorder) Record(event Event) {
 	if r == nil {
 		return
@@ -34,14 +34,14 @@
 	r.events = append(r.events, event)
 }
 
-// Events returns a copy of what was recorded so far.
+// Events returns a copy of the events recorded so far.
 func (r *Recorder) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Event(nil), r.events...)
 }
 
-// WriteFile stores events as JSON lines.
+// WriteFile writes events to a file as JSON lines.
 func WriteFile(path string, events []Event) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return Error.Wrap(group.Err())
 }
 
-// Read parses JSON lines.
+// Read parses events from JSON lines. An error names the number of the invalid event.
 func Read(reader io.Reader) ([]Event, error) {
 	decoder := json.NewDecoder(reader)
 	var events []Event
@@ -78,7 +78,7 @@
 	}
 }
 
-// ReadFile parses a file of JSON lines.
+// ReadFile reads events from a file of JSON lines.
 func ReadFile(path string) ([]Event, error) {
 	file, err := os.Open(path)
 	if err != nil {
