--- a/internal/lab/experiment/fault.go
+++ b/internal/lab/experiment/fault.go
@@ -14,10 +14,10 @@
 
 // Fault is a failure that is injected while the load runs.
 type Fault struct {
-	Name  string
-	About string
-	// Processes tells that the nodes must be real processes.
-	Processes bool
+	Name        string
+	Description string
+	// NeedsProcesses tells that the nodes must be real processes.
+	NeedsProcesses bool
 	// Inject injects the fault, possibly several times, and heals it before it
 	// returns. The context ends with the run.
 	Inject func(ctx context.Context, r *run)
@@ -25,14 +25,14 @@
 
 // Times of the faults.
 const (
-	killEvery    = 4 * time.Second
-	restartAfter = time.Second
-	// pauseLength is beyond the lease's time to live and its detection.
-	pauseLength   = 6 * time.Second
-	slowDelay     = 400 * time.Millisecond
-	throttledRate = 25
-	lostShare     = 0.15
-	stopLimit     = 30 * time.Second
+	faultInterval = 4 * time.Second
+	restartDelay  = time.Second
+	// pauseDuration is beyond the lease's time to live and its detection.
+	pauseDuration           = 6 * time.Second
+	storeDelay              = 400 * time.Millisecond
+	throttledCallsPerSecond = 25
+	lostAnswerProbability   = 0.15
+	drainTimeout            = 30 * time.Second
 )
 
 var faults = []Fault{
@@ -66,36 +66,36 @@
 	return nodes[r.random.IntN(len(nodes))]
 }
 
-// restart starts a killed node again; the run must not end without it.
-func (r *run) restart(ctx context.Context, member *site.Member) {
+// restartNode starts a killed node again; the run must not end without it.
+func (r *run) restartNode(ctx context.Context, member *site.Member) {
 	if _, err := r.site.StartNode(context.WithoutCancel(ctx), member.Slot); err != nil {
-		r.fail(err)
+		r.addError(err)
 	}
 }
 
 func killNodes(ctx context.Context, r *run) {
-	for retry.Sleep(ctx, killEvery) {
+	for retry.Sleep(ctx, faultInterval) {
 		victim := r.randomNode()
 		if !victim.Running() {
 			continue
 		}
 		r.options.Progress("kill %s", victim.ID)
 		victim.Kill()
-		retry.Sleep(ctx, restartAfter)
-		r.restart(ctx, victim)
+		retry.Sleep(ctx, restartDelay)
+		r.restartNode(ctx, victim)
 	}
 }
 
 // killAfterAck kills the node that has just acknowledged a job.
 func killAfterAck(ctx context.Context, r *run) {
-	submitter := r.submitter()
-	for round := 0; retry.Sleep(ctx, killEvery); round++ {
+	submitter := r.newSubmitter()
+	for round := 0; retry.Sleep(ctx, faultInterval); round++ {
 		victim := r.randomNode()
 		if !victim.Running() {
 			continue
 		}
 		submitter.URLs = func() []string { return []string{victim.URL()} }
-		job, err := submitter.Submit(ctx, r.smallJob(round), jobWindow, "")
+		job, err := submitter.Submit(ctx, r.smallJob(round), completionWindow, "")
 		victim.Kill()
 		r.options.Progress("killed %s right after its answer", victim.ID)
 		if err == nil {
@@ -103,8 +103,8 @@
 			r.jobs = append(r.jobs, job)
 			r.mu.Unlock()
 		}
-		retry.Sleep(ctx, restartAfter)
-		r.restart(ctx, victim)
+		retry.Sleep(ctx, restartDelay)
+		r.restartNode(ctx, victim)
 	}
 }
 
@@ -115,20 +115,20 @@
 			continue
 		}
 		r.options.Progress("paused %s", victim.ID)
-		time.Sleep(pauseLength)
+		time.Sleep(pauseDuration)
 		if err := victim.Signal(syscall.SIGCONT); err != nil {
-			r.fail(err)
+			r.addError(err)
 		}
 		r.options.Progress("woke %s", victim.ID)
 	}
 }
 
-// storeFault changes the condition of the table and the object store for half
+// injectStoreFault changes the condition of the table and the object store for half
 // of the run, from its second quarter on.
-func (r *run) storeFault(ctx context.Context, edit func(*emulator.Condition)) {
+func (r *run) injectStoreFault(ctx context.Context, edit func(*emulator.Condition)) {
 	quarter := r.options.Duration / 4
 	retry.Sleep(ctx, quarter)
-	before := r.tableRate(ctx, rateWindow)
+	rateBefore := r.tableCallRate(ctx, callRateWindow)
 	r.options.Progress("store fault begins")
 	r.site.Platform.Table.Faults.Change(edit)
 	r.site.Platform.Objects.Faults.Change(edit)
@@ -138,37 +138,37 @@
 	r.site.Platform.Objects.Faults.Change(heal)
 	r.options.Progress("store fault ends")
 	// What callers and nodes held back must not come all at once.
-	returning := r.tableRate(context.WithoutCancel(ctx), rateWindow)
-	r.figure("table_calls_per_s_before", before)
-	r.figure("table_calls_per_s_at_return", returning)
+	rateAfter := r.tableCallRate(context.WithoutCancel(ctx), callRateWindow)
+	r.addFigure("table_calls_per_s_before", rateBefore)
+	r.addFigure("table_calls_per_s_at_return", rateAfter)
 }
 
-// rateWindow is the time over which the table's calls are counted.
-const rateWindow = 2 * time.Second
+// callRateWindow is the time over which the table's calls are counted.
+const callRateWindow = 2 * time.Second
 
-// tableRate counts the calls to the table over a time.
-func (r *run) tableRate(ctx context.Context, window time.Duration) float64 {
+// tableCallRate counts the calls to the table over a time.
+func (r *run) tableCallRate(ctx context.Context, window time.Duration) float64 {
 	first, _ := r.site.Platform.Table.Faults.Calls()
-	began := time.Now()
+	start := time.Now()
 	retry.Sleep(ctx, window)
 	last, _ := r.site.Platform.Table.Faults.Calls()
-	return float64(last-first) / time.Since(began).Seconds()
+	return float64(last-first) / time.Since(start).Seconds()
 }
 
 func storeDown(ctx context.Context, r *run) {
-	r.storeFault(ctx, func(condition *emulator.Condition) { condition.Down = true })
+	r.injectStoreFault(ctx, func(condition *emulator.Condition) { condition.Down = true })
 }
 
 func storeSlow(ctx context.Context, r *run) {
-	r.storeFault(ctx, func(condition *emulator.Condition) { condition.Delay = slowDelay })
+	r.injectStoreFault(ctx, func(condition *emulator.Condition) { condition.Delay = storeDelay })
 }
 
 func storeThrottled(ctx context.Context, r *run) {
-	r.storeFault(ctx, func(condition *emulator.Condition) { condition.CallsPerSecond = throttledRate })
+	r.injectStoreFault(ctx, func(condition *emulator.Condition) { condition.CallsPerSecond = throttledCallsPerSecond })
 }
 
 func storeLostAnswers(ctx context.Context, r *run) {
-	r.storeFault(ctx, func(condition *emulator.Condition) { condition.LoseAnswers = lostShare })
+	r.injectStoreFault(ctx, func(condition *emulator.Condition) { condition.LoseAnswers = lostAnswerProbability })
 }
 
 func (r *run) randomEngine() *site.Engine {
@@ -177,43 +177,43 @@
 }
 
 func killEngines(ctx context.Context, r *run) {
-	for retry.Sleep(ctx, killEvery) {
+	for retry.Sleep(ctx, faultInterval) {
 		victim := r.randomEngine()
 		r.options.Progress("kill %s", victim.ID)
 		r.site.KillEngine(victim)
-		retry.Sleep(ctx, restartAfter)
+		retry.Sleep(ctx, restartDelay)
 		if err := r.site.ReplaceEngine(victim); err != nil {
-			r.fail(err)
+			r.addError(err)
 		}
 	}
 }
 
 func leaveEngines(ctx context.Context, r *run) {
-	for retry.Sleep(ctx, killEvery) {
-		leaver := r.randomEngine()
-		r.options.Progress("%s leaves", leaver.ID)
-		r.recorder.Record(history.Event{Source: "lab", Type: history.ReplicaLeaving, Replica: leaver.ID})
-		leaver.MarkLeaving()
-		r.site.SetEngineState(leaver, machines.Leaving)
-		if err := r.site.ReplaceEngine(leaver); err != nil {
-			r.fail(err)
+	for retry.Sleep(ctx, faultInterval) {
+		leaving := r.randomEngine()
+		r.options.Progress("%s leaves", leaving.ID)
+		r.recorder.Record(history.Event{Source: "lab", Type: history.ReplicaLeaving, Replica: leaving.ID})
+		leaving.MarkLeaving()
+		r.site.SetEngineState(leaving, machines.Leaving)
+		if err := r.site.ReplaceEngine(leaving); err != nil {
+			r.addError(err)
 		}
 	}
 }
 
 func slowEngines(ctx context.Context, r *run) {
 	const factor = 8
-	for retry.Sleep(ctx, killEvery) {
+	for retry.Sleep(ctx, faultInterval) {
 		victim := r.randomEngine()
 		r.options.Progress("%s becomes slow", victim.ID)
 		victim.SetSlowdown(factor)
-		retry.Sleep(ctx, killEvery)
+		retry.Sleep(ctx, faultInterval)
 		victim.SetSlowdown(1)
 	}
 }
 
 func silenceEngines(ctx context.Context, r *run) {
-	for retry.Sleep(ctx, killEvery) {
+	for retry.Sleep(ctx, faultInterval) {
 		victim := r.randomEngine()
 		r.options.Progress("%d connections of %s go silent", victim.Silence(), victim.ID)
 	}
@@ -223,26 +223,26 @@
 	third := r.options.Duration / 3
 	retry.Sleep(ctx, third)
 	zones := r.options.Profile.Zones
-	lost := zones[r.random.IntN(len(zones))]
-	r.options.Progress("zone %s cut off from the table", lost)
-	r.site.Cut(lost, true)
+	zone := zones[r.random.IntN(len(zones))]
+	r.options.Progress("zone %s cut off from the table", zone)
+	r.site.Cut(zone, true)
 	retry.Sleep(ctx, third)
-	r.site.Cut(lost, false)
-	r.options.Progress("zone %s back", lost)
+	r.site.Cut(zone, false)
+	r.options.Progress("zone %s back", zone)
 }
 
 func rollingRestart(ctx context.Context, r *run) {
 	for _, member := range r.site.Nodes() {
-		if !retry.Sleep(ctx, restartAfter) {
+		if !retry.Sleep(ctx, restartDelay) {
 			return
 		}
 		r.options.Progress("stop %s as planned", member.ID)
-		stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopLimit)
+		stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), drainTimeout)
 		err := member.Drain(stopCtx)
 		cancel()
 		if err != nil {
-			r.fail(err)
+			r.addError(err)
 		}
-		r.restart(ctx, member)
+		r.restartNode(ctx, member)
 	}
 }
--- a/internal/lab/experiment/mix.go
+++ b/internal/lab/experiment/mix.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// jobWindow is the deadline of jobs that must finish.
-	jobWindow = time.Hour
+	// completionWindow is the deadline of jobs that must finish.
+	completionWindow = time.Hour
 	// onlineRetries is how often callers send a "not run" request again.
 	onlineRetries = 20
 )
 
-func (r *run) online(ctx context.Context) {
+func (r *run) replayOnline(ctx context.Context) {
 	caller := (&load.Caller{
 		Model: r.options.Profile.Model, Key: site.TenantKey, Version: r.options.Profile.Version,
 		Recorder: r.recorder, Stats: r.stats, URLs: r.site.ReadyURLs, Delay: r.options.Profile.ClientDelay,
@@ -34,7 +34,7 @@
 	mix := r.scenario.Mix
 	arrivals := load.Schedule(r.options.Profile.Online, r.options.Seed, r.options.Duration, mix.Online)
 	for i := range arrivals {
-		if r.random.Float64() < mix.OnceShare {
+		if r.random.Float64() < mix.NotRepeatableShare {
 			arrivals[i].Once = true
 			if i%2 == 0 {
 				arrivals[i].Key = arrivals[i].ID
@@ -45,21 +45,21 @@
 	caller.Replay(context.WithoutCancel(ctx), arrivals)
 }
 
-func (r *run) submitter() *load.Submitter {
+func (r *run) newSubmitter() *load.Submitter {
 	return &load.Submitter{
 		Model: r.options.Profile.Model, Key: site.TenantKey, Recorder: r.recorder, URLs: r.site.ReadyURLs,
 	}
 }
 
-// submitHeaps submits a heap of jobs at once, and again every HeapEvery.
-func (r *run) submitHeaps(ctx context.Context) {
-	for heap := 0; ; heap++ {
+// submitWaves submits a heap of jobs at once, and again every HeapEvery.
+func (r *run) submitWaves(ctx context.Context) {
+	for wave := 0; ; wave++ {
 		var group sync.WaitGroup
 		for job := range r.scenario.Mix.Jobs {
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				r.submitJob(ctx, heap*r.scenario.Mix.Jobs+job)
+				r.submitJob(ctx, wave*r.scenario.Mix.Jobs+job)
 			}()
 		}
 		group.Wait()
@@ -78,84 +78,84 @@
 		count = r.options.Profile.Batch.Items
 	}
 	name := fmt.Sprintf("job%d", number)
-	items := load.Items(r.options.Profile.Batch, r.options.Seed+uint64(number), name, count, mix.OnceItems && number%3 == 2)
-	sendings := 1
+	items := load.Items(r.options.Profile.Batch, r.options.Seed+uint64(number), name, count, mix.NotRepeatableItems && number%3 == 2)
+	submissions := 1
 	if mix.Resend {
-		sendings = 2
+		submissions = 2
 	}
-	jobs := make([]*load.Job, sendings)
+	jobs := make([]*load.Job, submissions)
 	var group sync.WaitGroup
-	for i := range sendings {
+	for i := range submissions {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			job, err := r.submitter().Submit(ctx, items, jobWindow, "")
+			job, err := r.newSubmitter().Submit(ctx, items, completionWindow, "")
 			if err != nil && ctx.Err() == nil {
-				r.fail(err)
+				r.addError(err)
 			}
 			jobs[i] = job
 		}()
 	}
 	group.Wait()
-	r.accepted(ctx, jobs, number)
+	r.addAcceptedJob(ctx, jobs, number)
 }
 
-// accepted checks that all sendings met one job and keeps it.
-func (r *run) accepted(ctx context.Context, jobs []*load.Job, number int) {
-	var kept *load.Job
+// addAcceptedJob checks that all sendings met one job and keeps it.
+func (r *run) addAcceptedJob(ctx context.Context, jobs []*load.Job, number int) {
+	var accepted *load.Job
 	for _, job := range jobs {
 		switch {
 		case job == nil:
-		case kept == nil:
-			kept = job
-		case kept.ID != job.ID:
-			r.fail(fmt.Errorf("resent job met %s and %s", kept.ID, job.ID))
+		case accepted == nil:
+			accepted = job
+		case accepted.ID != job.ID:
+			r.addError(fmt.Errorf("resent job met %s and %s", accepted.ID, job.ID))
 		}
 	}
-	if kept == nil {
+	if accepted == nil {
 		return
 	}
 	r.mu.Lock()
-	r.jobs = append(r.jobs, kept)
+	r.jobs = append(r.jobs, accepted)
 	r.mu.Unlock()
 	if r.scenario.Mix.Cancel && number%4 == 3 {
 		const cancelAfter = time.Second
 		time.Sleep(cancelAfter)
-		if err := r.submitter().Cancel(context.WithoutCancel(ctx), kept); err != nil {
-			r.fail(err)
+		if err := r.newSubmitter().Cancel(context.WithoutCancel(ctx), accepted); err != nil {
+			r.addError(err)
 		}
 	}
 }
 
-// finishJobs waits for all jobs and reads their results.
-func (r *run) finishJobs(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, finishLimit)
+// verifyJobs waits for all jobs and reads their results.
+func (r *run) verifyJobs(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, jobsTimeout)
 	defer cancel()
 	var group sync.WaitGroup
 	for _, job := range r.jobs {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			submitter := r.submitter()
+			submitter := r.newSubmitter()
 			batch, err := submitter.Await(ctx, job)
 			if err != nil {
-				r.fail(fmt.Errorf("job %s: %w", job.ID, err))
+				r.addError(fmt.Errorf("job %s: %w", job.ID, err))
 				return
 			}
 			if batch.Status == openai.BatchCancelled {
 				return
 			}
 			if _, err := submitter.Verify(ctx, job); err != nil {
-				r.fail(fmt.Errorf("job %s results: %w", job.ID, err))
+				r.addError(fmt.Errorf("job %s results: %w", job.ID, err))
 			}
 		}()
 	}
 	group.Wait()
 }
 
-// operate races with other operators: it reads a resource through one node and
+// runOperator races with other operators: it reads a resource through one node and
 // writes it through another, naming the version it read.
-func (r *run) operate(ctx context.Context, operator int) {
+func (r *run) runOperator(ctx context.Context, operator int) {
 	source := fmt.Sprintf("operator/%d", operator)
 	for round := 0; ctx.Err() == nil; round++ {
 		name := fmt.Sprintf("policy-%d", r.random.IntN(2))
@@ -171,7 +171,7 @@
 	}
 }
 
-func (r *run) anyNode() (*client.Client, bool) {
+func (r *run) randomClient() (*client.Client, bool) {
 	urls := r.site.URLs()
 	if len(urls) == 0 {
 		return nil, false
@@ -180,7 +180,7 @@
 }
 
 func (r *run) readPolicy(ctx context.Context, source, name string, round int) (uint64, bool) {
-	caller, ok := r.anyNode()
+	nodeClient, ok := r.randomClient()
 	if !ok {
 		return 0, false
 	}
@@ -191,7 +191,7 @@
 	r.recorder.Record(event)
 	callCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	resource, err := caller.Get(callCtx, v1.KindSitePolicy, name)
+	resource, err := nodeClient.Get(callCtx, v1.KindSitePolicy, name)
 	event.Type = history.ConfigReturn
 	var status *client.StatusError
 	switch {
@@ -207,7 +207,7 @@
 }
 
 func (r *run) writePolicy(ctx context.Context, source, name string, expect uint64, round int) {
-	caller, ok := r.anyNode()
+	nodeClient, ok := r.randomClient()
 	if !ok {
 		return
 	}
@@ -217,27 +217,27 @@
 	}
 	spec, err := json.Marshal(v1.SitePolicySpec{Note: event.Operation})
 	if err != nil {
-		r.fail(err)
+		r.addError(err)
 		return
 	}
 	r.recorder.Record(event)
 	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 15*time.Second)
 	defer cancel()
-	answer, err := caller.Put(callCtx, &v1.Resource{
+	written, err := nodeClient.Put(callCtx, &v1.Resource{
 		APIVersion: v1.APIVersion, Kind: v1.KindSitePolicy, Metadata: v1.Metadata{Name: name}, Spec: spec,
 	}, &expect)
 	event.Type = history.ConfigReturn
-	event.Outcome, event.Revision = writeOutcome(answer, err)
+	event.Outcome, event.Revision = writeOutcome(written, err)
 	r.recorder.Record(event)
 }
 
-func writeOutcome(answer *v1.Resource, err error) (string, uint64) {
+func writeOutcome(written *v1.Resource, err error) (string, uint64) {
 	var status *client.StatusError
 	switch {
-	case err == nil && answer.Status.Accepted():
-		return history.OutcomeAccepted, answer.Metadata.ResourceVersion
+	case err == nil && written.Status.Accepted():
+		return history.OutcomeAccepted, written.Metadata.ResourceVersion
 	case err == nil:
-		return history.OutcomePending, answer.Metadata.ResourceVersion
+		return history.OutcomePending, written.Metadata.ResourceVersion
 	case errors.As(err, &status) && status.Status == http.StatusPreconditionFailed:
 		return history.OutcomeConflict, 0
 	case errors.As(err, &status) && status.Executed == "no":
@@ -247,25 +247,25 @@
 	}
 }
 
-// rollout changes the pool's version after a third of the run.
-func (r *run) rollout(ctx context.Context) {
+// rollOutVersion changes the pool's version after a third of the run.
+func (r *run) rollOutVersion(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-time.After(r.options.Duration / 3):
 	}
 	for ctx.Err() == nil {
-		caller, ok := r.anyNode()
+		nodeClient, ok := r.randomClient()
 		if ok {
-			if _, err := caller.Put(ctx, r.site.Pool("v2"), nil); err == nil {
+			if _, err := nodeClient.Put(ctx, r.site.Pool("v2"), nil); err == nil {
 				return
 			}
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryDelay)
 	}
 }
 
-const retryPause = 200 * time.Millisecond
+const retryDelay = 200 * time.Millisecond
 
 // smallJob makes the items of a job for a fault's own use.
 func (r *run) smallJob(number int) []load.Item {
--- a/internal/lab/experiment/overload.go
+++ b/internal/lab/experiment/overload.go
@@ -12,17 +12,17 @@
 	// capacity of its replicas.
 	var variants []variant
 	for _, scale := range []float64{2, 4, 8, 12, 16, 24} {
-		variants = append(variants, variant{name: fmt.Sprintf("load x%g", scale), online: scale})
+		variants = append(variants, variant{name: fmt.Sprintf("load x%g", scale), onlineScale: scale})
 	}
-	result, all, err := compare(ctx, options, variants)
+	result, measurements, err := compareVariants(ctx, options, variants)
 	if err != nil {
 		return nil, err
 	}
 	peak := 0.0
-	for _, one := range all {
-		peak = max(peak, one.row.Figures[figureGoodput])
+	for _, m := range measurements {
+		peak = max(peak, m.row.Figures[figureGoodput])
 	}
-	last := all[len(all)-1]
+	last := measurements[len(measurements)-1]
 	result.Online, result.Points, result.Events = last.stats.Summary(), last.stats.Points(), last.events
 	result.Figures["goodput_share_at_highest_load"] = last.row.Figures[figureGoodput] / peak
 	return result, nil
--- a/internal/lab/experiment/scenario.go
+++ b/internal/lab/experiment/scenario.go
@@ -37,15 +37,15 @@
 type Mix struct {
 	// Online scales the profile's online rate; 0 means none.
 	Online float64
-	// OnceShare is the share of online requests that may run only once; half
+	// NotRepeatableShare is the share of online requests that may run only once; half
 	// of them carry an Idempotency-Key.
-	OnceShare float64
+	NotRepeatableShare float64
 	// Jobs is the number of jobs of one heap; 0 means no batch.
 	Jobs int
 	// Items is the number of items of a job; 0 takes the profile's.
 	Items int
-	// OnceItems makes every third job's items not repeatable.
-	OnceItems bool
+	// NotRepeatableItems makes every third job's items not repeatable.
+	NotRepeatableItems bool
 	// Cancel cancels every fourth job while it runs.
 	Cancel bool
 	// Resend submits every job twice at the same time.
@@ -58,20 +58,20 @@
 
 // Scenario is a named experiment.
 type Scenario struct {
-	Name  string
-	About string
-	Mix   Mix
-	Nodes int
+	Name        string
+	Description string
+	Mix         Mix
+	Nodes       int
 	// Faults are injected while the load runs.
 	Faults []Fault
 	// Run, when set, replaces the common course of a run.
 	Run func(ctx context.Context, options Options) (*Result, error)
 }
 
-// processes reports whether a fault needs the nodes to be real processes.
-func (s *Scenario) processes() bool {
+// needsProcesses reports whether a fault needs the nodes to be real needsProcesses.
+func (s *Scenario) needsProcesses() bool {
 	for _, fault := range s.Faults {
-		if fault.Processes {
+		if fault.NeedsProcesses {
 			return true
 		}
 	}
@@ -80,26 +80,26 @@
 
 // Batch is the summary of the batch work.
 type Batch struct {
-	Jobs       int     `json:"jobs"`
-	Items      int     `json:"items"`
-	PerSecond  float64 `json:"items_per_s"`
-	WastedPart float64 `json:"wasted_token_share"`
+	Jobs             int     `json:"jobs"`
+	Items            int     `json:"items"`
+	PerSecond        float64 `json:"items_per_s"`
+	WastedTokenShare float64 `json:"wasted_token_share"`
 	// TableWrites is the number of row writes of the table per 1,000 items.
 	TableWrites float64 `json:"table_writes_per_1000_items,omitempty"`
 }
 
 // Result is the outcome of a run.
 type Result struct {
-	Scenario   string             `json:"scenario"`
-	Profile    string             `json:"profile"`
-	Seed       uint64             `json:"seed"`
-	Violations []string           `json:"violations"`
-	Online     load.Online        `json:"online"`
-	Batch      Batch              `json:"batch"`
-	VersusOne  *float64           `json:"ttft_p99_vs_alone,omitempty"`
-	IdleUse    *float64           `json:"idle_use,omitempty"`
-	Figures    map[string]float64 `json:"figures,omitempty"`
-	Rows       []Row              `json:"rows,omitempty"`
+	Scenario           string             `json:"scenario"`
+	Profile            string             `json:"profile"`
+	Seed               uint64             `json:"seed"`
+	Violations         []string           `json:"violations"`
+	Online             load.Online        `json:"online"`
+	Batch              Batch              `json:"batch"`
+	TTFTP99VersusAlone *float64           `json:"ttft_p99_vs_alone,omitempty"`
+	IdleUse            *float64           `json:"idle_use,omitempty"`
+	Figures            map[string]float64 `json:"figures,omitempty"`
+	Rows               []Row              `json:"rows,omitempty"`
 
 	Events []history.Event `json:"-"`
 	Points []load.Point    `json:"-"`
@@ -153,8 +153,8 @@
 
 const (
 	defaultNodes = 4
-	// finishLimit bounds the wait for the jobs after the load has ended.
-	finishLimit = 90 * time.Second
+	// jobsTimeout bounds the wait for the jobs after the load has ended.
+	jobsTimeout = 90 * time.Second
 )
 
 // Execute runs a scenario.
@@ -190,7 +190,7 @@
 	var err error
 	r.site, err = site.Start(ctx, site.Config{
 		Profile: options.Profile, Nodes: nodes, Listen: "127.0.0.1:0", Seed: options.Seed,
-		Recorder: r.recorder, Processes: scenario.processes(),
+		Recorder: r.recorder, Processes: scenario.needsProcesses(),
 	})
 	if err != nil {
 		return nil, err
@@ -198,17 +198,17 @@
 	defer r.site.Close()
 	options.Progress("site ready: %d nodes, %d replicas", nodes, options.Profile.ReplicaCount())
 	r.started = time.Now()
-	r.loadAndFaults(ctx)
-	r.finishJobs(ctx)
+	r.runLoadAndFaults(ctx)
+	r.verifyJobs(ctx)
 	return r.result(), nil
 }
 
-// loadAndFaults runs everything that lasts for the run's duration.
-func (r *run) loadAndFaults(ctx context.Context) {
+// runLoadAndFaults runs everything that lasts for the run's duration.
+func (r *run) runLoadAndFaults(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.Duration)
 	defer cancel()
 	var group sync.WaitGroup
-	start := func(action func(context.Context)) {
+	spawn := func(action func(context.Context)) {
 		group.Add(1)
 		go func() {
 			defer group.Done()
@@ -217,19 +217,19 @@
 	}
 	mix := r.scenario.Mix
 	if mix.Online > 0 {
-		start(r.online)
+		spawn(r.replayOnline)
 	}
 	if mix.Jobs > 0 {
-		start(r.submitHeaps)
+		spawn(r.submitWaves)
 	}
 	for operator := range mix.Operators {
-		start(func(ctx context.Context) { r.operate(ctx, operator) })
+		spawn(func(ctx context.Context) { r.runOperator(ctx, operator) })
 	}
 	if mix.Rollout {
-		start(r.rollout)
+		spawn(r.rollOutVersion)
 	}
 	for _, fault := range r.scenario.Faults {
-		start(func(ctx context.Context) {
+		spawn(func(ctx context.Context) {
 			r.recorder.Record(history.Event{Source: "lab", Type: history.FaultStart, Detail: fault.Name})
 			fault.Inject(ctx, r)
 			r.recorder.Record(history.Event{Source: "lab", Type: history.FaultEnd, Detail: fault.Name})
@@ -238,14 +238,14 @@
 	group.Wait()
 }
 
-func (r *run) fail(err error) {
+func (r *run) addError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.errors = append(r.errors, err)
 }
 
-// figure adds a figure to the result.
-func (r *run) figure(name string, value float64) {
+// addFigure adds a addFigure to the result.
+func (r *run) addFigure(name string, value float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.figures[name] = value
@@ -293,7 +293,7 @@
 		wasted += totals.AbortedTokens
 	}
 	if batchTokens > 0 {
-		summary.WastedPart = float64(wasted) / float64(batchTokens)
+		summary.WastedTokenShare = float64(wasted) / float64(batchTokens)
 	}
 	if summary.Items > 0 {
 		writes, _ := r.site.Platform.Table.Counts()
@@ -316,10 +316,10 @@
 		return nil, Error.New("unknown scenario %q, see run --list", name)
 	}
 	combined := &Scenario{Name: name, Mix: base.mix, Nodes: base.nodes}
-	for _, part := range strings.Split(list, "+") {
-		fault, ok := faultByName(part)
+	for _, faultName := range strings.Split(list, "+") {
+		fault, ok := faultByName(faultName)
 		if !ok {
-			return nil, Error.New("unknown scenario %q: no fault %q", name, part)
+			return nil, Error.New("unknown scenario %q: no fault %q", name, faultName)
 		}
 		combined.Faults = append(combined.Faults, fault)
 	}
@@ -329,7 +329,7 @@
 // All returns the named scenarios: each family with each fault alone, and the
 // ones with a course of their own.
 func All() []*Scenario {
-	var list []*Scenario
+	var scenarios []*Scenario
 	var names []string
 	for name := range families {
 		names = append(names, name)
@@ -337,42 +337,42 @@
 	sort.Strings(names)
 	for _, name := range names {
 		for _, fault := range faults {
-			list = append(list, &Scenario{
-				Name: name + "-" + fault.Name, About: fmt.Sprintf("%s under: %s", families[name].about, fault.About),
+			scenarios = append(scenarios, &Scenario{
+				Name: name + "-" + fault.Name, Description: fmt.Sprintf("%s under: %s", families[name].description, fault.Description),
 				Mix: families[name].mix, Nodes: families[name].nodes, Faults: []Fault{fault},
 			})
 		}
 	}
-	return append(list, special...)
+	return append(scenarios, standaloneScenarios...)
 }
 
 // family is a load that every fault can be combined with.
 type family struct {
-	about string
-	mix   Mix
-	nodes int
+	description string
+	mix         Mix
+	nodes       int
 }
 
 var families = map[string]family{
 	"batch": {
-		about: "jobs in heaps, some resent, cancelled or not repeatable, beside light online load",
-		mix:   Mix{Online: 0.3, Jobs: 3, OnceItems: true, Cancel: true, Resend: true},
+		description: "jobs in heaps, some resent, cancelled or not repeatable, beside light online load",
+		mix:         Mix{Online: 0.3, Jobs: 3, NotRepeatableItems: true, Cancel: true, Resend: true},
 	},
 	"online": {
-		about: "online bursts, a part not repeatable, beside a batch",
-		mix:   Mix{Online: 1, OnceShare: 0.2, Jobs: 1},
+		description: "online bursts, a part not repeatable, beside a batch",
+		mix:         Mix{Online: 1, NotRepeatableShare: 0.2, Jobs: 1},
 	},
 	"config": {
-		about: "operators racing on the same resources",
-		mix:   Mix{Online: 0.2, Operators: 6},
+		description: "operators racing on the same resources",
+		mix:         Mix{Online: 0.2, Operators: 6},
 	},
 	"placement": {
-		about: "a new version rolled out under load",
-		mix:   Mix{Online: 0.5, Jobs: 1, Operators: 1, Rollout: true},
+		description: "a new version rolled out under load",
+		mix:         Mix{Online: 0.5, Jobs: 1, Operators: 1, Rollout: true},
 	},
 	"membership": {
-		about: "nodes watching each other under light load",
-		mix:   Mix{Online: 0.2, Operators: 2},
-		nodes: 6,
+		description: "nodes watching each other under light load",
+		mix:         Mix{Online: 0.2, Operators: 2},
+		nodes:       6,
 	},
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -35,18 +35,18 @@
 	online := result.Online
 	line("online\t%d requests, %d whole, %d refused, %d failed", online.Requests, online.Answered, online.Refused, online.Failed)
 	line("first token\tp50 %.0f ms, p95 %.0f ms, p99 %.0f ms", online.TTFTP50, online.TTFTP95, online.TTFTP99)
-	line("batch\t%d jobs, %d items, %.0f items/s, %.1f%% of tokens wasted", result.Batch.Jobs, result.Batch.Items, result.Batch.PerSecond, 100*result.Batch.WastedPart)
-	if result.VersusOne != nil {
-		line("first token p99 against online alone\t%.3f", *result.VersusOne)
+	line("batch\t%d jobs, %d items, %.0f items/s, %.1f%% of tokens wasted", result.Batch.Jobs, result.Batch.Items, result.Batch.PerSecond, 100*result.Batch.WastedTokenShare)
+	if result.TTFTP99VersusAlone != nil {
+		line("first token p99 against online alone\t%.3f", *result.TTFTP99VersusAlone)
 	}
 	if result.IdleUse != nil {
 		line("idle capacity used\t%.3f", *result.IdleUse)
 	}
 	for _, row := range result.Rows {
-		line("%s\t%s", row.Name, figures(row.Figures))
+		line("%s\t%s", row.Name, formatFigures(row.Figures))
 	}
 	if len(result.Figures) > 0 {
-		line("figures\t%s", figures(result.Figures))
+		line("figures\t%s", formatFigures(result.Figures))
 	}
 	line("violations\t%d", len(result.Violations))
 	for _, violation := range result.Violations {
@@ -55,7 +55,7 @@
 	return Error.Wrap(writer.Flush())
 }
 
-func figures(values map[string]float64) string {
+func formatFigures(values map[string]float64) string {
 	text := ""
 	for _, name := range sortedKeys(values) {
 		text += fmt.Sprintf("%s=%.4g  ", name, values[name])
@@ -130,15 +130,15 @@
 	page := components.NewPage()
 	page.PageTitle = "wheelhoist: " + result.Scenario
 	if len(result.Points) > 0 {
-		page.AddCharts(timeline(result.Points))
+		page.AddCharts(ttftChart(result.Points))
 	}
 	if len(result.Rows) > 0 {
-		page.AddCharts(frontier(result.Rows))
+		page.AddCharts(throughputChart(result.Rows))
 	}
 	return page.Render(out)
 }
 
-func timeline(points []load.Point) *charts.Scatter {
+func ttftChart(points []load.Point) *charts.Scatter {
 	scatter := charts.NewScatter()
 	scatter.SetGlobalOptions(
 		charts.WithTitleOpts(opts.Title{Title: "First token over time"}),
@@ -153,8 +153,8 @@
 	return scatter
 }
 
-// frontier plots batch throughput against the online tail, a point a row.
-func frontier(rows []experiment.Row) *charts.Scatter {
+// throughputChart plots batch throughput against the online tail, a point a row.
+func throughputChart(rows []experiment.Row) *charts.Scatter {
 	scatter := charts.NewScatter()
 	scatter.SetGlobalOptions(
 		charts.WithTitleOpts(opts.Title{Title: "Batch throughput against the online tail"}),
