--- a/internal/lab/experiment/fault.go
+++ b/internal/lab/experiment/fault.go
@@ -12,22 +12,22 @@
 	"github.com/wheelhoist/wheelhoist/internal/retry"
 )
 
-// Fault is a failure that is injected while the load runs.
+// Fault is a fault or a planned operation that is injected while the load runs.
 type Fault struct {
 	Name        string
 	Description string
-	// NeedsProcesses tells that the nodes must be real processes.
+	// NeedsProcesses is set if the nodes must run as separate processes.
 	NeedsProcesses bool
-	// Inject injects the fault, possibly several times, and heals it before it
-	// returns. The context ends with the run.
+	// Inject injects the fault, possibly several times, and reverts it before it returns. The
+	// context ends when the load ends.
 	Inject func(ctx context.Context, r *run)
 }
 
-// Times of the faults.
+// Parameters of the faults.
 const (
 	faultInterval = 4 * time.Second
 	restartDelay  = time.Second
-	// pauseDuration is beyond the lease's time to live and its detection.
+	// pauseDuration exceeds the lease TTL plus the time to detect its expiry.
 	pauseDuration           = 6 * time.Second
 	storeDelay              = 400 * time.Millisecond
 	throttledCallsPerSecond = 25
@@ -37,18 +37,18 @@
 
 var faults = []Fault{
 	{"kill-node", "SIGKILL of a random node every 4 s, restarted after 1 s", true, killNodes},
-	{"kill-after-ack", "SIGKILL of the node that acknowledged, right after", true, killAfterAck},
-	{"pause-node", "SIGSTOP of a random node beyond its lease, then SIGCONT", true, pauseNodes},
+	{"kill-after-ack", "SIGKILL of a node right after it acknowledges a job", true, killAfterAck},
+	{"pause-node", "SIGSTOP of a random node for longer than its lease, then SIGCONT", true, pauseNodes},
 	{"store-down", "table and object store down for half of the run", false, storeDown},
 	{"store-slow", "every store call takes 400 ms longer", false, storeSlow},
 	{"store-throttled", "the table allows 25 calls a second", false, storeThrottled},
-	{"store-lost-answers", "15% of store calls take effect and lose their answer", false, storeLostAnswers},
+	{"store-lost-answers", "15% of store calls take effect, but their response is lost", false, storeLostAnswers},
 	{"engine-death", "a random engine dies every 4 s and is replaced", false, killEngines},
-	{"engine-leaving", "a random engine is told to leave every 4 s", false, leaveEngines},
-	{"engine-slow", "a random engine becomes 8 times slower for a while", false, slowEngines},
-	{"engine-silent", "the open connections of a random engine go silent for good every 4 s; new ones work", false, silenceEngines},
-	{"zone-cut", "a zone is cut off from the table for a third of the run", false, cutZone},
-	{"rolling-restart", "every node in turn is stopped as planned and started again", true, rollingRestart},
+	{"engine-leaving", "a random engine is requested to leave every 4 s", false, leaveEngines},
+	{"engine-slow", "a random engine runs 8 times slower for 4 s", false, slowEngines},
+	{"engine-silent", "the open connections of a random engine are silenced every 4 s; new ones work", false, silenceEngines},
+	{"zone-cut", "a zone is partitioned from the table for a third of the run", false, cutZone},
+	{"rolling-restart", "all nodes are drained and restarted one after the other", true, rollingRestart},
 	{"none", "no fault", false, func(context.Context, *run) {}},
 }
 
@@ -66,7 +66,7 @@
 	return nodes[r.random.IntN(len(nodes))]
 }
 
-// restartNode starts a killed node again; the run must not end without it.
+// restartNode starts a stopped node again, even if ctx is done, so that every run ends with all nodes.
 func (r *run) restartNode(ctx context.Context, member *site.Member) {
 	if _, err := r.site.StartNode(context.WithoutCancel(ctx), member.Slot); err != nil {
 		r.addError(err)
@@ -86,7 +86,7 @@
 	}
 }
 
-// killAfterAck kills the node that has just acknowledged a job.
+// killAfterAck submits a job to a random node and kills the node as soon as the call returns.
 func killAfterAck(ctx context.Context, r *run) {
 	submitter := r.newSubmitter()
 	for round := 0; retry.Sleep(ctx, faultInterval); round++ {
@@ -123,8 +123,9 @@
 	}
 }
 
-// injectStoreFault changes the condition of the table and the object store for half
-// of the run, from its second quarter on.
+// injectStoreFault applies edit to the condition of the table and the object store during the second
+// and third quarter of the run. It reports the rate of table calls before the fault and right after
+// it.
 func (r *run) injectStoreFault(ctx context.Context, edit func(*emulator.Condition)) {
 	quarter := r.options.Duration / 4
 	retry.Sleep(ctx, quarter)
@@ -137,16 +138,16 @@
 	r.site.Platform.Table.Faults.Change(heal)
 	r.site.Platform.Objects.Faults.Change(heal)
 	r.options.Progress("store fault ends")
-	// What callers and nodes held back must not come all at once.
+	// The rate right after recovery shows whether clients and nodes retry all at once.
 	rateAfter := r.tableCallRate(context.WithoutCancel(ctx), callRateWindow)
 	r.addFigure("table_calls_per_s_before", rateBefore)
 	r.addFigure("table_calls_per_s_at_return", rateAfter)
 }
 
-// callRateWindow is the time over which the table's calls are counted.
+// callRateWindow is the time over which the rate of table calls is measured.
 const callRateWindow = 2 * time.Second
 
-// tableCallRate counts the calls to the table over a time.
+// tableCallRate measures the table calls per second over a time window.
 func (r *run) tableCallRate(ctx context.Context, window time.Duration) float64 {
 	first, _ := r.site.Platform.Table.Faults.Calls()
 	start := time.Now()
--- a/internal/lab/experiment/mix.go
+++ b/internal/lab/experiment/mix.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// completionWindow is the deadline of jobs that must finish.
+	// completionWindow is the completion window of all jobs, longer than any run.
 	completionWindow = time.Hour
-	// onlineRetries is how often callers send a "not run" request again.
+	// onlineRetries is the maximum number of retries of a request that was refused as not run.
 	onlineRetries = 20
 )
 
@@ -41,7 +41,7 @@
 			}
 		}
 	}
-	// The schedule ends with the run; its last answers may take longer.
+	// The schedule ends with ctx, but answers that are still open must be able to complete.
 	caller.Replay(context.WithoutCancel(ctx), arrivals)
 }
 
@@ -51,7 +51,8 @@
 	}
 }
 
-// submitWaves submits a heap of jobs at once, and again every HeapEvery.
+// submitWaves submits waves of concurrent jobs until ctx is done. The pause between waves is the
+// profile's HeapEvery.
 func (r *run) submitWaves(ctx context.Context) {
 	for wave := 0; ; wave++ {
 		var group sync.WaitGroup
@@ -100,7 +101,8 @@
 	r.addAcceptedJob(ctx, jobs, number)
 }
 
-// addAcceptedJob checks that all sendings met one job and keeps it.
+// addAcceptedJob checks that all submissions of a job returned the same ID, adds the job to r.jobs and
+// cancels it if the mix requires it.
 func (r *run) addAcceptedJob(ctx context.Context, jobs []*load.Job, number int) {
 	var accepted *load.Job
 	for _, job := range jobs {
@@ -127,7 +129,7 @@
 	}
 }
 
-// verifyJobs waits for all jobs and reads their results.
+// verifyJobs waits until all jobs are final and verifies the results of those not cancelled.
 func (r *run) verifyJobs(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, jobsTimeout)
 	defer cancel()
@@ -153,8 +155,8 @@
 	group.Wait()
 }
 
-// runOperator races with other operators: it reads a resource through one node and
-// writes it through another, naming the version it read.
+// runOperator races with other operators until ctx is done: it reads a policy through a random node
+// and writes it through another one, conditional on the version it read.
 func (r *run) runOperator(ctx context.Context, operator int) {
 	source := fmt.Sprintf("operator/%d", operator)
 	for round := 0; ctx.Err() == nil; round++ {
@@ -247,7 +249,8 @@
 	}
 }
 
-// rollOutVersion changes the pool's version after a third of the run.
+// rollOutVersion changes the model version of the pool after a third of the run, retrying until it is
+// accepted.
 func (r *run) rollOutVersion(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -267,7 +270,7 @@
 
 const retryDelay = 200 * time.Millisecond
 
-// smallJob makes the items of a job for a fault's own use.
+// smallJob returns the items of a small job that a fault submits itself.
 func (r *run) smallJob(number int) []load.Item {
 	const items = 40
 	return load.Items(r.options.Profile.Batch, r.options.Seed+7000+uint64(number), fmt.Sprintf("small%d", number), items, false)
--- a/internal/lab/experiment/overload.go
+++ b/internal/lab/experiment/overload.go
@@ -5,11 +5,10 @@
 	"fmt"
 )
 
-// runOverload raises the load to twice what the site can take. Goodput is the
-// number of whole answers a second.
+// runOverload measures goodput, in correct answers per second, at increasing online load.
 func runOverload(ctx context.Context, options Options) (*Result, error) {
-	// Loads are multiples of the profile's rate; the largest is about twice the
-	// capacity of its replicas.
+	// The scales multiply the rate of the profile; the largest load is about twice the capacity
+	// of the replicas.
 	var variants []variant
 	for _, scale := range []float64{2, 4, 8, 12, 16, 24} {
 		variants = append(variants, variant{name: fmt.Sprintf("load x%g", scale), onlineScale: scale})
--- a/internal/lab/experiment/scenario.go
+++ b/internal/lab/experiment/scenario.go
@@ -1,5 +1,5 @@
-// Package experiment runs the lab's scenarios: a site under load, with faults,
-// whose history is checked at the end.
+// Package experiment runs the scenarios of the lab. A scenario runs a site under load, injects faults
+// and checks the recorded history at the end.
 package experiment
 
 import (
@@ -22,37 +22,37 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("experiment")
 
-// Options are the choices of one run.
+// Options configures one run.
 type Options struct {
 	Profile  profile.Profile
 	Seed     uint64
 	Duration time.Duration
-	// Nodes is the number of nodes; 0 takes the scenario's own.
+	// Nodes is the number of nodes; 0 uses the number of the scenario.
 	Nodes int
-	// Progress is told what happens; nil drops it.
+	// Progress receives progress messages; nil discards them.
 	Progress func(format string, arguments ...any)
 }
 
-// Mix is the load of a scenario beside its faults.
+// Mix describes the load of a scenario.
 type Mix struct {
 	// Online scales the profile's online rate; 0 means none.
 	Online float64
-	// NotRepeatableShare is the share of online requests that may run only once; half
-	// of them carry an Idempotency-Key.
+	// NotRepeatableShare is the share of online requests that are not repeatable. About half of
+	// them have an Idempotency-Key.
 	NotRepeatableShare float64
-	// Jobs is the number of jobs of one heap; 0 means no batch.
+	// Jobs is the number of jobs per wave; 0 means no batch load.
 	Jobs int
-	// Items is the number of items of a job; 0 takes the profile's.
+	// Items is the number of items per job; 0 uses the number of the profile.
 	Items int
-	// NotRepeatableItems makes every third job's items not repeatable.
+	// NotRepeatableItems makes the items of every third job not repeatable.
 	NotRepeatableItems bool
-	// Cancel cancels every fourth job while it runs.
+	// Cancel cancels every fourth job one second after it is accepted.
 	Cancel bool
-	// Resend submits every job twice at the same time.
+	// Resend submits every job twice concurrently.
 	Resend bool
-	// Operators is the number of operators that race on two resources.
+	// Operators is the number of operators that concurrently update two resources.
 	Operators int
-	// Rollout changes the pool's version in the middle of the run.
+	// Rollout changes the model version of the pool during the run.
 	Rollout bool
 }
 
@@ -62,13 +62,13 @@
 	Description string
 	Mix         Mix
 	Nodes       int
-	// Faults are injected while the load runs.
+	// Faults are injected concurrently while the load runs.
 	Faults []Fault
-	// Run, when set, replaces the common course of a run.
+	// Run, if set, replaces the standard run of Mix and Faults.
 	Run func(ctx context.Context, options Options) (*Result, error)
 }
 
-// needsProcesses reports whether a fault needs the nodes to be real needsProcesses.
+// needsProcesses reports whether any fault needs the nodes to run as separate processes.
 func (s *Scenario) needsProcesses() bool {
 	for _, fault := range s.Faults {
 		if fault.NeedsProcesses {
@@ -78,17 +78,17 @@
 	return false
 }
 
-// Batch is the summary of the batch work.
+// Batch summarizes the batch load of a run.
 type Batch struct {
 	Jobs             int     `json:"jobs"`
 	Items            int     `json:"items"`
 	PerSecond        float64 `json:"items_per_s"`
 	WastedTokenShare float64 `json:"wasted_token_share"`
-	// TableWrites is the number of row writes of the table per 1,000 items.
+	// TableWrites is the number of table row writes per 1,000 items.
 	TableWrites float64 `json:"table_writes_per_1000_items,omitempty"`
 }
 
-// Result is the outcome of a run.
+// Result is the result of a run.
 type Result struct {
 	Scenario           string             `json:"scenario"`
 	Profile            string             `json:"profile"`
@@ -105,13 +105,13 @@
 	Points []load.Point    `json:"-"`
 }
 
-// Row is one line of a comparison.
+// Row holds the figures of one variant in a comparison.
 type Row struct {
 	Name    string             `json:"name"`
 	Figures map[string]float64 `json:"figures"`
 }
 
-// run is the state of a scenario that follows the common course.
+// run is the state of a standard run.
 type run struct {
 	options  Options
 	scenario *Scenario
@@ -127,7 +127,7 @@
 	figures map[string]float64
 }
 
-// lockedRandom is a random source for several goroutines.
+// lockedRandom is a random source that is safe for concurrent use.
 type lockedRandom struct {
 	mu     sync.Mutex
 	source *rand.Rand
@@ -153,11 +153,11 @@
 
 const (
 	defaultNodes = 4
-	// jobsTimeout bounds the wait for the jobs after the load has ended.
+	// jobsTimeout bounds the wait for all jobs after the load has ended.
 	jobsTimeout = 90 * time.Second
 )
 
-// Execute runs a scenario.
+// Execute runs a scenario. Violations are part of the result, not an error.
 func Execute(ctx context.Context, scenario *Scenario, options Options) (*Result, error) {
 	if options.Progress == nil {
 		options.Progress = func(string, ...any) {}
@@ -173,8 +173,8 @@
 	return executeMix(ctx, scenario, options)
 }
 
-// executeMix runs the common course: load and faults side by side, then the
-// wait for all jobs, then the check.
+// executeMix executes a standard run: load and faults concurrently, then the wait for all jobs, then
+// the check of the history.
 func executeMix(ctx context.Context, scenario *Scenario, options Options) (*Result, error) {
 	nodes := options.Nodes
 	if nodes == 0 {
@@ -203,7 +203,7 @@
 	return r.result(), nil
 }
 
-// runLoadAndFaults runs everything that lasts for the run's duration.
+// runLoadAndFaults runs the load and the faults concurrently for the duration of the run.
 func (r *run) runLoadAndFaults(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.Duration)
 	defer cancel()
@@ -244,14 +244,14 @@
 	r.errors = append(r.errors, err)
 }
 
-// addFigure adds a addFigure to the result.
+// addFigure sets a figure of the result.
 func (r *run) addFigure(name string, value float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.figures[name] = value
 }
 
-// result checks the history and sums up.
+// result checks the history and summarizes the run.
 func (r *run) result() *Result {
 	elapsed := time.Since(r.started).Seconds()
 	events := r.recorder.Events()
@@ -302,8 +302,8 @@
 	return summary
 }
 
-// Find returns a scenario by its name. A name may join faults of one family
-// with "+", as in "batch-kill-node+store-down".
+// Find returns the scenario with the given name. A name can combine several faults with "+", as in
+// "batch-kill-node+store-down".
 func Find(name string) (*Scenario, error) {
 	for _, scenario := range All() {
 		if scenario.Name == name {
@@ -326,8 +326,8 @@
 	return combined, nil
 }
 
-// All returns the named scenarios: each family with each fault alone, and the
-// ones with a course of their own.
+// All returns all scenarios: every family with every single fault, sorted by family, then the
+// standalone ones.
 func All() []*Scenario {
 	var scenarios []*Scenario
 	var names []string
@@ -346,7 +346,7 @@
 	return append(scenarios, standaloneScenarios...)
 }
 
-// family is a load that every fault can be combined with.
+// family is a load that can be combined with any fault.
 type family struct {
 	description string
 	mix         Mix
@@ -355,23 +355,23 @@
 
 var families = map[string]family{
 	"batch": {
-		description: "jobs in heaps, some resent, cancelled or not repeatable, beside light online load",
+		description: "waves of jobs, some resent, cancelled or not repeatable, with light online load",
 		mix:         Mix{Online: 0.3, Jobs: 3, NotRepeatableItems: true, Cancel: true, Resend: true},
 	},
 	"online": {
-		description: "online bursts, a part not repeatable, beside a batch",
+		description: "online bursts, some requests not repeatable, with batch load",
 		mix:         Mix{Online: 1, NotRepeatableShare: 0.2, Jobs: 1},
 	},
 	"config": {
-		description: "operators racing on the same resources",
+		description: "operators updating the same resources concurrently",
 		mix:         Mix{Online: 0.2, Operators: 6},
 	},
 	"placement": {
-		description: "a new version rolled out under load",
+		description: "rollout of a new version under load",
 		mix:         Mix{Online: 0.5, Jobs: 1, Operators: 1, Rollout: true},
 	},
 	"membership": {
-		description: "nodes watching each other under light load",
+		description: "node membership under light load",
 		mix:         Mix{Online: 0.2, Operators: 2},
 		nodes:       6,
 	},
--- a/internal/lab/experiment/standalone.go
+++ b/internal/lab/experiment/standalone.go
@@ -2,20 +2,20 @@
 
 import "context"
 
-// standaloneScenarios are the scenarios with a course of their own.
+// standaloneScenarios holds the scenarios that belong to no family.
 var standaloneScenarios = []*Scenario{
-	{Name: "yield", Description: "both measures: the online tail against online alone, and the idle capacity used", Run: runYield},
-	{Name: "yield-frontier", Description: "headrooms against the baselines", Run: runFrontier},
-	{Name: "batch-alone", Description: "how much of an idle fleet a batch uses", Run: runBatchAlone},
+	{Name: "yield", Description: "online tail latency relative to online alone, and the share of idle capacity used", Run: runYield},
+	{Name: "yield-frontier", Description: "batch headrooms compared with the baselines", Run: runFrontier},
+	{Name: "batch-alone", Description: "share of an idle fleet that a batch uses", Run: runBatchAlone},
 	{
-		Name: "batch-large", Description: "one job of 12,000 items: what it costs the table",
+		Name: "batch-large", Description: "table writes of one job of 12,000 items",
 		Mix: Mix{Jobs: 1, Items: endlessItems}, Faults: []Fault{{Name: "none", Inject: func(context.Context, *run) {}}},
 	},
 	{
-		Name: "rolling-restart", Description: "every node stopped as planned and started again under load: nothing cut, nothing refused",
+		Name: "rolling-restart", Description: "all nodes drained and restarted one after the other under load, without failed requests",
 		Mix: Mix{Online: 1, Jobs: 1}, Faults: []Fault{mustFault("rolling-restart")},
 	},
-	{Name: "overload", Description: "goodput at half, one and two times the capacity", Run: runOverload},
+	{Name: "overload", Description: "goodput at loads up to about twice the capacity", Run: runOverload},
 }
 
 func mustFault(name string) Fault {
--- a/internal/lab/experiment/yield.go
+++ b/internal/lab/experiment/yield.go
@@ -13,20 +13,20 @@
 	"github.com/wheelhoist/wheelhoist/internal/retry"
 )
 
-// variant is one way to run the same online load.
+// variant is one configuration in a comparison under the same online load.
 type variant struct {
 	name string
-	// batch runs an endless batch beside the online load.
+	// batch adds a batch job that outlasts the run.
 	batch  bool
 	policy *v1.BatchPolicy
-	// split gives half of the replicas to online and half to batch.
+	// split dedicates half of the replicas to online and half to batch.
 	split bool
-	// onlineScale scales the onlineScale load; 0 means 1.
+	// onlineScale scales the online rate of the profile; 0 means 1.
 	onlineScale float64
 	nodes       int
 }
 
-// Names of figures.
+// Names of figures in results.
 const (
 	figureTTFTP50            = "ttft_p50_ms"
 	figureTTFTP99            = "ttft_p99_ms"
@@ -44,21 +44,21 @@
 	figureOnlineSlotShare    = "online_slot_share"
 )
 
-// endlessItems is the size of a job that outlasts every run.
+// endlessItems is the number of items of a job that outlasts a run.
 const endlessItems = 12_000
 
-// warmupDuration lets the batch fill the replicas before the online load begins.
+// warmupDuration is the time for the batch to fill the replicas before the online load starts.
 const warmupDuration = 2500 * time.Millisecond
 
-// measurement is a variant's outcome.
+// measurement is the result of running a variant.
 type measurement struct {
 	row    Row
 	stats  *load.Stats
 	events []history.Event
 }
 
-// runVariant runs one variant and measures it between the first and the last
-// online arrival.
+// runVariant runs one variant. The measurement covers the replay of the online schedule, without the
+// warm-up.
 func runVariant(ctx context.Context, options Options, v variant) (*measurement, error) {
 	options.Progress("variant %s", v.name)
 	recorder := &history.Recorder{}
@@ -109,8 +109,8 @@
 	return &measurement{row: row, stats: stats, events: recorder.Events()}, nil
 }
 
-// splitRoles gives every second replica to batch and the others to online, and
-// waits for the roles to be in force.
+// splitRoles assigns the batch role to every second replica and the online role to the others, then
+// waits for roleDelay so that the engines apply them.
 func splitRoles(ctx context.Context, labSite *site.Site) error {
 	byRole := map[string][]string{}
 	for i, engine := range labSite.Engines() {
@@ -148,8 +148,8 @@
 	return items
 }
 
-// slotFigures works out how the engines' sequence slots were used. Idle use is
-// the slot time of batch work as a share of what online work left over.
+// slotFigures computes how the sequence slots of the engines were used. Idle use is the slot time of
+// batch work divided by the slot time not used by online work.
 func slotFigures(labSite *site.Site, before, after []emulator.EngineTotals, elapsed time.Duration) map[string]float64 {
 	var capacity, online, all time.Duration
 	var batchTokens, aborted, recomputed, prompt, cached uint64
@@ -178,7 +178,7 @@
 	return figures
 }
 
-// replicaSpread is the greatest online slot time of a replica over the mean.
+// replicaSpread returns the maximum online slot time per replica divided by the mean.
 func replicaSpread(before, after []emulator.EngineTotals) float64 {
 	var maximum, sum float64
 	for i := range after {
@@ -201,8 +201,8 @@
 	figures[figureGoodput] = float64(online.Answered-online.Wrong) / elapsed.Seconds()
 }
 
-// compareVariants runs variants one after the other with the same seed; the first is
-// the one the others are compared with.
+// compareVariants runs variants one after the other with the same seed. The first one is the baseline
+// for figureTTFTP99VersusAlone.
 func compareVariants(ctx context.Context, options Options, variants []variant) (*Result, []*measurement, error) {
 	result := &Result{Violations: []string{}, Figures: map[string]float64{}}
 	var measurements []*measurement
@@ -232,12 +232,12 @@
 
 func onlineAloneVariant() variant { return variant{name: "online-alone"} }
 
-// minimalOnlineScale scales the online load down to a request now and then, so that the
-// measurement has its times and the batch nearly all of the capacity.
+// minimalOnlineScale reduces the online load to rare requests: runVariant measures while the online
+// schedule is replayed, but the batch gets nearly all of the capacity.
 const minimalOnlineScale = 0.002
 
-// runYield measures both of the users' measures: what batch does to the online
-// tail, and how much of the idle capacity it uses.
+// runYield measures the online tail latency with batch relative to online alone, and the share of the
+// idle capacity that batch uses.
 func runYield(ctx context.Context, options Options) (*Result, error) {
 	result, measurements, err := compareVariants(ctx, options, []variant{onlineAloneVariant(), {name: "with-batch", batch: true}})
 	if err != nil {
@@ -256,7 +256,8 @@
 	return result, nil
 }
 
-// runFrontier measures headrooms against the baselines.
+// runFrontier compares several batch headrooms with the baselines: online alone, batch alone and a
+// static split of the replicas.
 func runFrontier(ctx context.Context, options Options) (*Result, error) {
 	variants := []variant{
 		onlineAloneVariant(),
@@ -272,7 +273,7 @@
 	return result, err
 }
 
-// runBatchAlone measures the batch without online work.
+// runBatchAlone measures batch with almost no online load.
 func runBatchAlone(ctx context.Context, options Options) (*Result, error) {
 	result, measurements, err := compareVariants(ctx, options, []variant{{name: "batch alone", batch: true, onlineScale: minimalOnlineScale}})
 	if err != nil {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes the outcome of experiments for people: a text summary,
-// an HTML page with plots and a raw table.
+// Package report writes the results of experiments as a text summary, JSON, a CSV table and an HTML
+// page with charts.
 package report
 
 import (
@@ -26,7 +26,7 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("report")
 
-// Text prints a summary.
+// Text writes a summary of result as text.
 func Text(out io.Writer, result *experiment.Result) error {
 	const padding = 2
 	writer := tabwriter.NewWriter(out, 0, 0, padding, ' ', 0)
@@ -72,7 +72,8 @@
 	return keys
 }
 
-// Write stores history, summary, raw table and report in a directory.
+// Write writes history.jsonl, result.json, table.csv and report.html to a directory, which is created
+// if necessary.
 func Write(directory string, result *experiment.Result) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return Error.Wrap(err)
@@ -100,7 +101,8 @@
 	return group.Err()
 }
 
-// writeTable writes the rows of a comparison, or the answered requests.
+// writeTable writes the rows of a comparison as CSV, or one row per answered request if there are
+// none.
 func writeTable(out io.Writer, result *experiment.Result) error {
 	writer := csv.NewWriter(out)
 	if len(result.Rows) > 0 {
@@ -125,7 +127,7 @@
 
 func formatFloat(value float64) string { return strconv.FormatFloat(value, 'f', 3, 64) }
 
-// writePage renders the plots.
+// writePage writes the HTML page with the charts.
 func writePage(out io.Writer, result *experiment.Result) error {
 	page := components.NewPage()
 	page.PageTitle = "wheelhoist: " + result.Scenario
@@ -153,7 +155,7 @@
 	return scatter
 }
 
-// throughputChart plots batch throughput against the online tail, a point a row.
+// throughputChart plots batch throughput against online tail latency, one point per row.
 func throughputChart(rows []experiment.Row) *charts.Scatter {
 	scatter := charts.NewScatter()
 	scatter.SetGlobalOptions(
