--- a/internal/lab/experiment/standalone.go
+++ b/internal/lab/experiment/standalone.go
@@ -12,7 +12,7 @@
 		Mix: Mix{Jobs: 1, Items: endlessItems}, Faults: []Fault{{Name: "none", Inject: func(context.Context, *run) {}}},
 	},
 	{
-		Name: "rolling-restart", Description: "all nodes drained and restarted one after the other under load, without failed requests",
+		Name: "rolling-restart", Description: "all nodes drained and restarted one after the other under load, without interrupted or refused requests",
 		Mix: Mix{Online: 1, Jobs: 1}, Faults: []Fault{mustFault("rolling-restart")},
 	},
 	{Name: "overload", Description: "goodput at loads up to about twice the capacity", Run: runOverload},
--- a/internal/lab/history/checkconfig.go
+++ b/internal/lab/history/checkconfig.go
@@ -141,8 +141,7 @@
 }
 
 // configOperations pairs write invocations with their returns. A write with an unknown outcome may
-// take effect at any later time, so its return time is
-// unbounded.
+// take effect at any later time, so its return time is unbounded.
 func (c *checker) configOperations() []porcupine.Operation {
 	unacknowledged := c.unacknowledgedRevisions()
 	invoked := map[string]Event{}
