--- a/internal/lab/emulator/sequence.go
+++ b/internal/lab/emulator/sequence.go
@@ -31,7 +31,7 @@
 	// readers is the number of attached responses; detachedAt is when one last detached.
 	readers    int
 	detachedAt time.Time
-	// changed is closed and replaced on every change of generated or state.
+	// changed is closed and replaced when generated or state changes while there are readers.
 	changed chan struct{}
 }
 
--- a/internal/lab/experiment/mix.go
+++ b/internal/lab/experiment/mix.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// submitWaves submits waves of concurrent jobs until ctx is done. The pause between waves is the
-// profile's HeapEvery.
+// submitWaves submits waves of concurrent jobs until ctx is done. The profile sets the pause between
+// waves.
 func (r *run) submitWaves(ctx context.Context) {
 	for wave := 0; ; wave++ {
 		var group sync.WaitGroup
