--- a/internal/lab/emulator/enginestream.go
+++ b/internal/lab/emulator/enginestream.go
@@ -11,8 +11,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/engine"
 )
 
-// resume continues a stream after the event named by Last-Event-ID. Event ids
-// are the number of tokens sent so far, so that id 0 is the start.
+// resume continues a stream after the event given by Last-Event-ID. An event ID is the number of
+// tokens sent so far, so ID 0 is the start of the stream.
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	offset, err := strconv.Atoi(r.Header.Get(engine.HeaderLastEventID))
 	if err != nil {
@@ -20,20 +20,20 @@
 	}
 	e.scheduler.mu.Lock()
 	seq, ok := e.scheduler.byID[r.PathValue("id")]
-	known := ok && seq.state != engine.RequestAborted && seq.state != engine.RequestNotRun
-	if known {
+	readable := ok && seq.state != engine.RequestAborted && seq.state != engine.RequestNotRun
+	if readable {
 		seq.readers++
 	}
 	e.scheduler.mu.Unlock()
-	if !known {
-		refuse(w, http.StatusNotFound, openai.TypeNotFound, "request id not known")
+	if !readable {
+		writeError(w, http.StatusNotFound, openai.TypeNotFound, "request id not known")
 		return
 	}
-	e.answer(w, r, seq, true, r.URL.Query().Get("api") != "completions", offset)
+	e.serveSequence(w, r, seq, true, r.URL.Query().Get("api") != "completions", offset)
 }
 
-// answer serves a sequence whose reader has been counted already.
-func (e *Engine) answer(w http.ResponseWriter, r *http.Request, seq *sequence, stream, chat bool, offset int) {
+// serveSequence writes the answer of a sequence. The caller has already incremented seq.readers.
+func (e *Engine) serveSequence(w http.ResponseWriter, r *http.Request, seq *sequence, stream, chat bool, offset int) {
 	defer e.detach(seq)
 	writer := &answerWriter{engine: e, seq: seq, chat: chat, created: time.Now().Unix()}
 	if stream {
@@ -44,17 +44,17 @@
 		dropConnection(w)
 		return
 	}
-	writer.whole(w)
+	writer.writeCompletion(w)
 }
 
 func (e *Engine) detach(seq *sequence) {
 	e.scheduler.mu.Lock()
 	defer e.scheduler.mu.Unlock()
 	seq.readers--
-	seq.detached = time.Now()
+	seq.detachedAt = time.Now()
 }
 
-// answerWriter renders one sequence for one reader.
+// answerWriter writes the answer of a sequence to one response.
 type answerWriter struct {
 	engine  *Engine
 	seq     *sequence
@@ -62,16 +62,16 @@
 	created int64
 }
 
-// progress returns the tokens available, the state and a channel that is
-// closed at the next change.
+// progress returns the number of available tokens, the state, and a channel that is closed on the
+// next change.
 func (a *answerWriter) progress() (int, engine.RequestState, <-chan struct{}) {
 	a.engine.scheduler.mu.Lock()
 	defer a.engine.scheduler.mu.Unlock()
 	return a.seq.generated, a.seq.state, a.seq.changed
 }
 
-// wait blocks until the sequence is done; it reports false when it was given
-// up or the reader left.
+// wait blocks until the sequence is done. It returns false if the sequence was aborted or the client
+// disconnected.
 func (a *answerWriter) wait(r *http.Request) bool {
 	for {
 		_, state, changed := a.progress()
@@ -89,19 +89,19 @@
 	}
 }
 
-func (a *answerWriter) whole(w http.ResponseWriter) {
+func (a *answerWriter) writeCompletion(w http.ResponseWriter) {
 	path := openai.PathCompletions
 	if a.chat {
 		path = openai.PathChatCompletions
 	}
-	completion := a.completion()
+	completion := a.newCompletion()
 	completion.Usage = a.usage()
 	completion = openai.WholeAnswer(completion, a.seq.answer.Text(), path)
 	w.Header().Set(engine.HeaderLoad, a.engine.loadHeader())
 	writeJSON(w, completion)
 }
 
-func (a *answerWriter) completion() openai.Completion {
+func (a *answerWriter) newCompletion() openai.Completion {
 	object := "text_completion"
 	if a.chat {
 		object = "chat.completion"
@@ -119,7 +119,7 @@
 	}
 }
 
-// stream sends server-sent events from token offset on.
+// stream writes server-sent events, starting with the token at offset.
 func (a *answerWriter) stream(w http.ResponseWriter, r *http.Request, offset int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(engine.HeaderLoad, a.engine.loadHeader())
@@ -131,10 +131,10 @@
 	for {
 		available, state, changed := a.progress()
 		for ; sent < available; sent++ {
-			a.event(buffer, sent+1, a.seq.answer.Token(sent), false)
+			a.writeEvent(buffer, sent+1, a.seq.answer.Token(sent), false)
 		}
 		if state == engine.RequestDone {
-			a.event(buffer, sent, "", true)
+			a.writeEvent(buffer, sent, "", true)
 			_, _ = buffer.WriteString("data: " + openai.DoneMarker + "\n\n")
 			_ = buffer.Flush()
 			return
@@ -154,8 +154,8 @@
 	}
 }
 
-func (a *answerWriter) event(buffer *bufio.Writer, id int, token string, last bool) {
-	chunk := a.completion()
+func (a *answerWriter) writeEvent(buffer *bufio.Writer, id int, token string, last bool) {
+	chunk := a.newCompletion()
 	choice := openai.Choice{}
 	if a.chat {
 		chunk.Object = "chat.completion.chunk"
--- a/internal/lab/emulator/tablestore.go
+++ b/internal/lab/emulator/tablestore.go
@@ -11,8 +11,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/lab/history"
 )
 
-// attributeValue is a DynamoDB attribute value in its JSON form. Only the
-// types S, N and B are supported.
+// attributeValue is a DynamoDB attribute value in JSON form. Only the types S, N and B are supported.
 type attributeValue struct {
 	S *string `json:"S,omitempty"`
 	N *string `json:"N,omitempty"`
@@ -20,10 +19,10 @@
 }
 
 func (v attributeValue) equal(other attributeValue) bool {
-	return same(v.S, other.S) && same(v.N, other.N) && same(v.B, other.B)
+	return equalStrings(v.S, other.S) && equalStrings(v.N, other.N) && equalStrings(v.B, other.B)
 }
 
-func same(a, b *string) bool {
+func equalStrings(a, b *string) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
@@ -39,27 +38,26 @@
 	return ""
 }
 
-// TableStore is a stand-in for the table service. It speaks the part of the
-// DynamoDB protocol (API version 2012-08-10) that wheelhoist uses and rejects
-// every other call and every condition form it does not know.
+// TableStore emulates the table service. It implements the part of the DynamoDB protocol (API version
+// 2012-08-10) that wheelhoist uses and rejects all other operations and condition expressions.
 type TableStore struct {
-	// Faults guards all calls.
-	Faults  *Faults
-	history *history.Recorder
+	// Faults applies to all calls.
+	Faults   *Faults
+	recorder *history.Recorder
 
-	mu         sync.Mutex
-	partitions map[string]map[string]item
-	tokens     map[string]string
-	writes     uint64
-	reads      uint64
+	mu            sync.Mutex
+	partitions    map[string]map[string]item
+	requestTokens map[string]string
+	writes        uint64
+	reads         uint64
 }
 
-// NewTableStore returns an empty table that records its effects.
+// NewTableStore returns an empty table that records every committed put with recorder.
 func NewTableStore(seed uint64, recorder *history.Recorder) *TableStore {
 	store := &TableStore{
-		history:    recorder,
-		partitions: map[string]map[string]item{},
-		tokens:     map[string]string{},
+		recorder:      recorder,
+		partitions:    map[string]map[string]item{},
+		requestTokens: map[string]string{},
 	}
 	store.Faults = NewFaults(seed, func(w http.ResponseWriter) {
 		writeTableError(w, tableError{kind: "ThrottlingException", message: "rate exceeded"})
@@ -67,10 +65,10 @@
 	return store
 }
 
-// Handler serves the protocol.
+// Handler returns the HTTP handler of the table service.
 func (t *TableStore) Handler() http.Handler { return t.Faults.Wrap(http.HandlerFunc(t.serve)) }
 
-// Counts returns how many row writes and read calls were carried out.
+// Counts returns the number of row writes and of read calls.
 func (t *TableStore) Counts() (writes, reads uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,16 +78,16 @@
 type tableError struct {
 	kind    string
 	message string
-	// reasons are the codes of a TransactionCanceledException, one an item.
+	// reasons are the cancellation codes of a TransactionCanceledException, one per item.
 	reasons []string
 }
 
 func (e tableError) Error() string { return e.kind + ": " + e.message }
 
-func writeTableError(w http.ResponseWriter, failure tableError) {
+func writeTableError(w http.ResponseWriter, tableErr tableError) {
 	type reason struct{ Code string }
 	var reasons []reason
-	for _, code := range failure.reasons {
+	for _, code := range tableErr.reasons {
 		reasons = append(reasons, reason{Code: code})
 	}
 	w.Header().Set("Content-Type", "application/x-amz-json-1.0")
@@ -98,7 +96,7 @@
 		Type    string   `json:"__type"`
 		Message string   `json:"message"`
 		Reasons []reason `json:"CancellationReasons,omitempty"`
-	}{"com.amazonaws.dynamodb.v20120810#" + failure.kind, failure.message, reasons})
+	}{"com.amazonaws.dynamodb.v20120810#" + tableErr.kind, tableErr.message, reasons})
 }
 
 func (t *TableStore) serve(w http.ResponseWriter, r *http.Request) {
@@ -108,31 +106,31 @@
 	var err error
 	switch operation {
 	case "GetItem":
-		answer, err = handle(decoder, t.getItem)
+		answer, err = decodeAndCall(decoder, t.getItem)
 	case "Query":
-		answer, err = handle(decoder, t.query)
+		answer, err = decodeAndCall(decoder, t.query)
 	case "TransactWriteItems":
-		answer, err = handle(decoder, t.transact)
+		answer, err = decodeAndCall(decoder, t.transact)
 	default:
 		err = tableError{kind: "UnknownOperationException", message: operation}
 	}
 	if err != nil {
-		failure, ok := err.(tableError)
+		tableErr, ok := err.(tableError)
 		if !ok {
-			failure = tableError{kind: "SerializationException", message: err.Error()}
+			tableErr = tableError{kind: "SerializationException", message: err.Error()}
 		}
-		writeTableError(w, failure)
+		writeTableError(w, tableErr)
 		return
 	}
 	w.Header().Set("Content-Type", "application/x-amz-json-1.0")
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-func handle[Input, Output any](decoder *json.Decoder, call func(Input) (Output, error)) (Output, error) {
+func decodeAndCall[Input, Output any](decoder *json.Decoder, call func(Input) (Output, error)) (Output, error) {
 	var input Input
 	if err := decoder.Decode(&input); err != nil {
-		var none Output
-		return none, err
+		var zero Output
+		return zero, err
 	}
 	return call(input)
 }
@@ -217,8 +215,8 @@
 	if err != nil {
 		return transactOutput{}, err
 	}
-	if seen, ok := t.tokens[input.ClientRequestToken]; ok {
-		if seen != string(fingerprint) {
+	if previous, ok := t.requestTokens[input.ClientRequestToken]; ok {
+		if previous != string(fingerprint) {
 			return transactOutput{}, tableError{kind: "IdempotentParameterMismatchException", message: "token used with other parameters"}
 		}
 		return transactOutput{}, nil
@@ -226,16 +224,16 @@
 	reasons := make([]string, len(input.TransactItems))
 	failed := false
 	for i, entry := range input.TransactItems {
-		write := firstWrite(entry.Put, entry.Delete, entry.ConditionCheck)
+		write := firstNonNil(entry.Put, entry.Delete, entry.ConditionCheck)
 		if write == nil {
 			return transactOutput{}, tableError{kind: "ValidationException", message: "empty transaction item"}
 		}
-		holds, err := t.holds(*write)
+		satisfied, err := t.checkCondition(*write)
 		if err != nil {
 			return transactOutput{}, err
 		}
 		reasons[i] = "None"
-		if !holds {
+		if !satisfied {
 			reasons[i] = "ConditionalCheckFailed"
 			failed = true
 		}
@@ -247,12 +245,12 @@
 		t.apply(entry.Put, entry.Delete)
 	}
 	if input.ClientRequestToken != "" {
-		t.tokens[input.ClientRequestToken] = string(fingerprint)
+		t.requestTokens[input.ClientRequestToken] = string(fingerprint)
 	}
 	return transactOutput{}, nil
 }
 
-func firstWrite(candidates ...*conditionalWrite) *conditionalWrite {
+func firstNonNil(candidates ...*conditionalWrite) *conditionalWrite {
 	for _, candidate := range candidates {
 		if candidate != nil {
 			return candidate
@@ -261,8 +259,8 @@
 	return nil
 }
 
-// holds evaluates a condition. The caller holds mu.
-func (t *TableStore) holds(write conditionalWrite) (bool, error) {
+// checkCondition reports whether the condition of a write is satisfied. The caller holds mu.
+func (t *TableStore) checkCondition(write conditionalWrite) (bool, error) {
 	partition, sortKey := write.key()
 	current, exists := t.partitions[partition][sortKey]
 	switch write.ConditionExpression {
@@ -277,7 +275,7 @@
 	}
 }
 
-// apply carries out one item of a transaction. The caller holds mu.
+// apply executes the put or delete of one transaction item. The caller holds mu.
 func (t *TableStore) apply(put, remove *conditionalWrite) {
 	switch {
 	case put != nil:
@@ -300,7 +298,7 @@
 	if value := stored["version"].N; value != nil {
 		version, _ = strconv.ParseUint(*value, 10, 64)
 	}
-	t.history.Record(history.Event{
+	t.recorder.Record(history.Event{
 		Source: "table", Type: history.TableEffect,
 		Key: partition + "/" + sortKey, Operation: stored.text("operation"), Revision: version,
 	})
--- a/internal/lab/history/checkfleet.go
+++ b/internal/lab/history/checkfleet.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// checkBehindBatch: no engine starts a batch item while an online request that
-// it has received waits.
+// checkBehindBatch checks that no engine starts a batch item while an online request waits in its
+// queue.
 func (c *checker) checkBehindBatch() {
 	waiting := map[string]map[string]bool{}
 	for _, event := range c.events {
@@ -25,12 +25,12 @@
 		case event.Type == EngineStart && event.Class == Online, event.Type == EngineAbort:
 			delete(waiting[event.Replica], event.Attempt)
 		case event.Type == EngineStart && event.Class == Batch && len(waiting[event.Replica]) > 0:
-			c.violate(RuleBehindBatch, "%s started %s while %d online requests waited", event.Replica, event.Attempt, len(waiting[event.Replica]))
+			c.report(RuleBehindBatch, "%s started %s while %d online requests waited", event.Replica, event.Attempt, len(waiting[event.Replica]))
 		}
 	}
 }
 
-// checkLeaving: a leaving replica receives nothing after the grace.
+// checkLeaving checks that a leaving replica receives no attempts after LeavingGrace.
 func (c *checker) checkLeaving() {
 	leaving := map[string]int64{}
 	for _, event := range c.events {
@@ -40,13 +40,13 @@
 		case EngineReceived:
 			since, ok := leaving[event.Replica]
 			if ok && time.Duration(event.Time-since) > LeavingGrace {
-				c.violate(RuleLeaving, "%s received %s %.1f s after it began to leave", event.Replica, event.Attempt, time.Duration(event.Time-since).Seconds())
+				c.report(RuleLeaving, "%s received %s %.1f s after it began to leave", event.Replica, event.Attempt, time.Duration(event.Time-since).Seconds())
 			}
 		}
 	}
 }
 
-// checkPlannedStops: in a history without any crash, no caller loses an answer.
+// checkPlannedStops checks that no client request fails in a history with planned stops and no crash.
 func (c *checker) checkPlannedStops() {
 	if c.crashed {
 		return
@@ -59,12 +59,12 @@
 	}
 	for _, event := range c.events {
 		if event.Type == ClientFailed && stops > 0 {
-			c.violate(RulePlannedStop, "%s was cut off: %s", event.Request, event.Detail)
+			c.report(RulePlannedStop, "%s was cut off: %s", event.Request, event.Detail)
 		}
 	}
 }
 
-// crashed reports whether a history has failures that nobody planned.
+// crashed reports whether a history contains unplanned failures.
 func crashed(events []Event) bool {
 	for _, event := range events {
 		switch event.Type {
@@ -79,35 +79,35 @@
 	return false
 }
 
-// plannedFault reports whether a fault is a planned action of operators.
+// plannedFault reports whether a fault is a planned operation rather than a failure.
 func plannedFault(name string) bool {
 	return strings.HasPrefix(name, "rolling-") || strings.HasPrefix(name, "racing-") || strings.HasPrefix(name, "engine-leaving") || name == "none"
 }
 
-// checkCancel: within the grace after a cancellation, while the store is up,
-// no item of the job starts or goes on.
+// checkCancel checks that no item of a cancelled job starts or ends on an engine later than
+// CancelGrace after the cancellation. Events after the first store fault are not checked.
 func (c *checker) checkCancel() {
 	cancelled := map[string]int64{}
-	storeDown := false
+	storeFault := false
 	for _, event := range c.events {
 		switch event.Type {
 		case FaultStart:
-			storeDown = storeDown || strings.HasPrefix(event.Detail, "store-")
+			storeFault = storeFault || strings.HasPrefix(event.Detail, "store-")
 		case BatchCancelled:
 			cancelled[event.Job] = event.Time
 		case EngineStart, EngineEnd:
-			if event.Class != Batch || storeDown {
+			if event.Class != Batch || storeFault {
 				continue
 			}
 			since, ok := cancelled[jobOf(event.Attempt)]
 			if ok && time.Duration(event.Time-since) > CancelGrace {
-				c.violate(RuleCancelStops, "%s of %s %.1f s after the job was cancelled", event.Type, event.Attempt, time.Duration(event.Time-since).Seconds())
+				c.report(RuleCancelStops, "%s of %s %.1f s after the job was cancelled", event.Type, event.Attempt, time.Duration(event.Time-since).Seconds())
 			}
 		}
 	}
 }
 
-// checkOrders: an engine obeys orders with rising fences only.
+// checkOrders checks that the fences of the orders applied by an engine never decrease.
 func (c *checker) checkOrders() {
 	highest := map[string]uint64{}
 	for _, event := range c.events {
@@ -115,7 +115,7 @@
 			continue
 		}
 		if event.Revision < highest[event.Replica] {
-			c.violate(RuleFencedOrders, "%s obeyed fence %d after %d", event.Replica, event.Revision, highest[event.Replica])
+			c.report(RuleFencedOrders, "%s obeyed fence %d after %d", event.Replica, event.Revision, highest[event.Replica])
 		}
 		highest[event.Replica] = max(highest[event.Replica], event.Revision)
 	}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes the outcome of experiments for people: a text summary,
-// an HTML page with plots and a raw table.
+// Package report writes the results of experiments as a text summary, JSON, a CSV table and an HTML
+// page with charts.
 package report
 
 import (
@@ -26,7 +26,7 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("report")
 
-// Text prints a summary.
+// Text writes a summary of result as text.
 func Text(out io.Writer, result *experiment.Result) error {
 	const padding = 2
 	writer := tabwriter.NewWriter(out, 0, 0, padding, ' ', 0)
@@ -35,18 +35,18 @@
 	online := result.Online
 	line("online\t%d requests, %d whole, %d refused, %d failed", online.Requests, online.Answered, online.Refused, online.Failed)
 	line("first token\tp50 %.0f ms, p95 %.0f ms, p99 %.0f ms", online.TTFTP50, online.TTFTP95, online.TTFTP99)
-	line("batch\t%d jobs, %d items, %.0f items/s, %.1f%% of tokens wasted", result.Batch.Jobs, result.Batch.Items, result.Batch.PerSecond, 100*result.Batch.WastedPart)
-	if result.VersusOne != nil {
-		line("first token p99 against online alone\t%.3f", *result.VersusOne)
+	line("batch\t%d jobs, %d items, %.0f items/s, %.1f%% of tokens wasted", result.Batch.Jobs, result.Batch.Items, result.Batch.PerSecond, 100*result.Batch.WastedTokenShare)
+	if result.TTFTP99VersusAlone != nil {
+		line("first token p99 against online alone\t%.3f", *result.TTFTP99VersusAlone)
 	}
 	if result.IdleUse != nil {
 		line("idle capacity used\t%.3f", *result.IdleUse)
 	}
 	for _, row := range result.Rows {
-		line("%s\t%s", row.Name, figures(row.Figures))
+		line("%s\t%s", row.Name, formatFigures(row.Figures))
 	}
 	if len(result.Figures) > 0 {
-		line("figures\t%s", figures(result.Figures))
+		line("figures\t%s", formatFigures(result.Figures))
 	}
 	line("violations\t%d", len(result.Violations))
 	for _, violation := range result.Violations {
@@ -55,7 +55,7 @@
 	return Error.Wrap(writer.Flush())
 }
 
-func figures(values map[string]float64) string {
+func formatFigures(values map[string]float64) string {
 	text := ""
 	for _, name := range sortedKeys(values) {
 		text += fmt.Sprintf("%s=%.4g  ", name, values[name])
@@ -72,7 +72,8 @@
 	return keys
 }
 
-// Write stores history, summary, raw table and report in a directory.
+// Write writes history.jsonl, result.json, table.csv and report.html to a directory, which is created
+// if necessary.
 func Write(directory string, result *experiment.Result) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return Error.Wrap(err)
@@ -100,7 +101,8 @@
 	return group.Err()
 }
 
-// writeTable writes the rows of a comparison, or the answered requests.
+// writeTable writes the rows of a comparison as CSV, or one row per answered request if there are
+// none.
 func writeTable(out io.Writer, result *experiment.Result) error {
 	writer := csv.NewWriter(out)
 	if len(result.Rows) > 0 {
@@ -125,20 +127,20 @@
 
 func formatFloat(value float64) string { return strconv.FormatFloat(value, 'f', 3, 64) }
 
-// writePage renders the plots.
+// writePage writes the HTML page with the charts.
 func writePage(out io.Writer, result *experiment.Result) error {
 	page := components.NewPage()
 	page.PageTitle = "wheelhoist: " + result.Scenario
 	if len(result.Points) > 0 {
-		page.AddCharts(timeline(result.Points))
+		page.AddCharts(ttftChart(result.Points))
 	}
 	if len(result.Rows) > 0 {
-		page.AddCharts(frontier(result.Rows))
+		page.AddCharts(throughputChart(result.Rows))
 	}
 	return page.Render(out)
 }
 
-func timeline(points []load.Point) *charts.Scatter {
+func ttftChart(points []load.Point) *charts.Scatter {
 	scatter := charts.NewScatter()
 	scatter.SetGlobalOptions(
 		charts.WithTitleOpts(opts.Title{Title: "First token over time"}),
@@ -153,8 +155,8 @@
 	return scatter
 }
 
-// frontier plots batch throughput against the online tail, a point a row.
-func frontier(rows []experiment.Row) *charts.Scatter {
+// throughputChart plots batch throughput against online tail latency, one point per row.
+func throughputChart(rows []experiment.Row) *charts.Scatter {
 	scatter := charts.NewScatter()
 	scatter.SetGlobalOptions(
 		charts.WithTitleOpts(opts.Title{Title: "Batch throughput against the online tail"}),
