--- a/internal/lab/experiment/mix.go
+++ b/internal/lab/experiment/mix.go
@@ -66,7 +66,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(r.options.Profile.Batch.HeapEvery):
+		case <-time.After(r.options.Profile.Batch.BurstInterval):
 		}
 	}
 }
--- a/internal/lab/load/online.go
+++ b/internal/lab/load/online.go
@@ -50,14 +50,14 @@
 	exponential := func(mean time.Duration) time.Duration {
 		return time.Duration(random.ExpFloat64() * float64(mean))
 	}
-	at := exponential(p.Quiet)
+	at := exponential(p.MeanIdle)
 	for at < length {
-		end := at + exponential(p.Busy)
+		end := at + exponential(p.MeanBurst)
 		for at < end && at < length {
 			arrivals = append(arrivals, arrival(p, random, at, len(arrivals), seed))
 			at += time.Duration(random.ExpFloat64() / (p.Rate * scale) * float64(time.Second))
 		}
-		at = max(at, end) + exponential(p.Quiet)
+		at = max(at, end) + exponential(p.MeanIdle)
 	}
 	return arrivals
 }
--- a/internal/lab/port/port.go
+++ b/internal/lab/port/port.go
@@ -13,69 +13,69 @@
 // The range lies below the ports that the kernel gives to outgoing
 // connections, so that a port stays free while its owner restarts.
 const (
-	first = 15000
-	last  = 32000
+	minPort = 15000
+	endPort = 32000
 )
 
-// ErrNone reports that no free port was found.
-var ErrNone = errors.New("no free loopback port")
+// ErrNoneFree reports that no free port was found.
+var ErrNoneFree = errors.New("no free loopback port")
 
-// chooser chooses ports from a range, first to last-1.
-type chooser struct {
-	first, last int
+// allocator chooses ports from a range, first to last-1.
+type allocator struct {
+	min, end int
 
 	mu sync.Mutex
-	// given holds the guards of what was given out, until the process ends.
-	given map[int]io.Closer
+	// reservations holds the guards of what was reservations out, until the process ends.
+	reservations map[int]io.Closer
 }
 
-var whole = chooser{first: first, last: last}
+var defaultAllocator = allocator{min: minPort, end: endPort}
 
 // Free returns a loopback host:port that is free for TCP and UDP. It does not
 // return the same one twice, and no other process that asks this package gets it
 // while this one runs, whether somebody listens there or not.
-func Free() (string, error) { return whole.free() }
+func Free() (string, error) { return defaultAllocator.allocate() }
 
-func (c *chooser) free() (string, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	count := c.last - c.first
-	begin := rand.IntN(count)
+func (a *allocator) allocate() (string, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	count := a.end - a.min
+	offset := rand.IntN(count)
 	for i := range count {
-		candidate := c.first + (begin+i)%count
-		if c.take(candidate) {
+		candidate := a.min + (offset+i)%count
+		if a.tryAllocate(candidate) {
 			return address(candidate), nil
 		}
 	}
-	return "", ErrNone
+	return "", ErrNoneFree
 }
 
-// take takes a port if it is free. The guard comes before the look: a look listens on
+// tryAllocate takes a port if it is free. The guard comes before the look: a look listens on
 // the port for a moment, which would keep its owner from it.
-func (c *chooser) take(port int) bool {
-	if c.given[port] != nil {
+func (a *allocator) tryAllocate(port int) bool {
+	if a.reservations[port] != nil {
 		return false
 	}
-	held, err := guard(port)
+	reservation, err := reserve(port)
 	if err != nil {
 		// Another process has it.
 		return false
 	}
-	if !unused(address(port)) {
-		_ = held.Close()
+	if !isUnused(address(port)) {
+		_ = reservation.Close()
 		return false
 	}
-	if c.given == nil {
-		c.given = map[int]io.Closer{}
+	if a.reservations == nil {
+		a.reservations = map[int]io.Closer{}
 	}
-	c.given[port] = held
+	a.reservations[port] = reservation
 	return true
 }
 
 func address(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
 
-// unused reports whether nobody listens on an address.
-func unused(address string) bool {
+// isUnused reports whether nobody listens on an address.
+func isUnused(address string) bool {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
--- a/internal/lab/port/port_test.go
+++ b/internal/lab/port/port_test.go
@@ -12,7 +12,7 @@
 
 // A finding (CI beside a soak): a port that the kernel had given out was taken by an
 // outgoing connection before the gateway that it was meant for listened there.
-func TestFree_OutgoingConnectionsCannotTakeIt(t *testing.T) {
+func TestFree_AvoidsEphemeralRange(t *testing.T) {
 	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
 		t.Skip("the kernel does not tell its range")
@@ -34,14 +34,14 @@
 }
 
 // A port that is in use by somebody who did not ask this package is not chosen.
-func TestFree_WhatOthersListenOnIsNotChosen(t *testing.T) {
+func TestFree_SkipsPortsInUse(t *testing.T) {
 	for _, network := range []string{"tcp", "udp"} {
-		listener, taken, err := listen(network)
+		listener, usedPort, err := listen(network)
 		if err != nil {
 			t.Fatal(err)
 		}
-		here := chooser{first: taken, last: taken + 1}
-		if address, err := here.free(); !errors.Is(err, ErrNone) {
+		local := allocator{min: usedPort, end: usedPort + 1}
+		if address, err := local.allocate(); !errors.Is(err, ErrNoneFree) {
 			t.Errorf("%s: got %s, error %v", network, address, err)
 		}
 		if err := listener.Close(); err != nil {
--- a/internal/lab/port/guard_linux_test.go
+++ b/internal/lab/port/reserve_linux_test.go
@@ -20,17 +20,17 @@
 	if _, err := fmt.Sscan(os.Getenv(helperEnv), &low, &high); err != nil {
 		os.Exit(m.Run())
 	}
-	taken := chooser{first: low, last: high}
-	for address, err := taken.free(); err == nil; address, err = taken.free() {
+	helper := allocator{min: low, end: high}
+	for address, err := helper.allocate(); err == nil; address, err = helper.allocate() {
 		fmt.Println(address)
 	}
 	fmt.Println("end")
 	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
-// takeElsewhere has another process take all ports of a range and keep them until the
+// allocateInHelper has another process take all ports of a range and keep them until the
 // returned function is called. It returns how many it took.
-func takeElsewhere(t *testing.T, low, high int) (count int, end func()) {
+func allocateInHelper(t *testing.T, low, high int) (count int, release func()) {
 	t.Helper()
 	helper := exec.CommandContext(t.Context(), os.Args[0])
 	helper.Env = append(os.Environ(), fmt.Sprintf("%s=%d %d", helperEnv, low, high))
@@ -60,21 +60,21 @@
 // A finding (CI beside other work): a node of the soak did not serve. Packages are tested
 // in processes of their own at once, and a port that one had chosen for a node that was
 // still to be started was free for the choice of another.
-func TestFree_NoOtherProcessGetsThePortWhileItsOwnerLives(t *testing.T) {
+func TestFree_ReservesPortAcrossProcesses(t *testing.T) {
 	// Below the range that Free chooses from, so that no other package is disturbed, and
 	// at a place of chance, for the same test may run elsewhere on the machine.
-	low := first - 8*(1+rand.IntN(500))
+	low := minPort - 8*(1+rand.IntN(500))
 	high := low + 8
-	count, end := takeElsewhere(t, low, high)
+	count, release := allocateInHelper(t, low, high)
 	if count == 0 {
 		t.Fatal("the other process found no port")
 	}
-	here := chooser{first: low, last: high}
-	if address, err := here.free(); !errors.Is(err, ErrNone) {
+	local := allocator{min: low, end: high}
+	if address, err := local.allocate(); !errors.Is(err, ErrNoneFree) {
 		t.Errorf("got %s, error %v, while another process has all %d", address, err, count)
 	}
-	end()
-	if _, err := here.free(); err != nil {
+	release()
+	if _, err := local.allocate(); err != nil {
 		t.Errorf("after the end of the other process: %v", err)
 	}
 }
--- a/internal/lab/port/guard_other.go
+++ b/internal/lab/port/reserve_other.go
@@ -6,8 +6,8 @@
 
 // guard keeps nothing where the kernel has no names of the network namespace; there
 // a port is only looked at before it is given out.
-func guard(int) (io.Closer, error) { return unguarded{}, nil }
+func reserve(int) (io.Closer, error) { return noReservation{}, nil }
 
-type unguarded struct{}
+type noReservation struct{}
 
-func (unguarded) Close() error { return nil }
+func (noReservation) Close() error { return nil }
--- a/internal/lab/profile/profile.go
+++ b/internal/lab/profile/profile.go
@@ -18,9 +18,9 @@
 
 // Online describes the online load.
 type Online struct {
-	// Busy and Quiet are the mean lengths of bursts and of the idle time between.
-	Busy  time.Duration
-	Quiet time.Duration
+	// MeanBurst and Quiet are the mean lengths of bursts and of the idle time between.
+	MeanBurst time.Duration
+	MeanIdle  time.Duration
 	// Rate is the number of requests a second within a burst.
 	Rate float64
 	// Conversations share the beginning of their prompts; the rest are one-shot.
@@ -33,8 +33,8 @@
 
 // Batch describes the batch load.
 type Batch struct {
-	// HeapEvery is the time between two heaps of jobs.
-	HeapEvery time.Duration
+	// BurstInterval is the time between two heaps of jobs.
+	BurstInterval time.Duration
 	// Jobs and Items size a heap.
 	Jobs  int
 	Items int
@@ -73,10 +73,10 @@
 	},
 	ClientDelay: 2 * time.Millisecond, ZoneDelay: 500 * time.Microsecond,
 	Online: Online{
-		Busy: 3 * time.Second, Quiet: 2 * time.Second, Rate: 60,
+		MeanBurst: 3 * time.Second, MeanIdle: 2 * time.Second, Rate: 60,
 		ConversationShare: 0.6, SharedWords: 320, PromptWords: 90, MaxTokens: 64,
 	},
-	Batch:  Batch{HeapEvery: 8 * time.Second, Jobs: 3, Items: 400, PromptWords: 120, MaxTokens: 48},
+	Batch:  Batch{BurstInterval: 8 * time.Second, Jobs: 3, Items: 400, PromptWords: 120, MaxTokens: 48},
 	Policy: v1.BatchPolicy{},
 }
 
@@ -93,10 +93,10 @@
 	},
 	ClientDelay: 2 * time.Millisecond, ZoneDelay: 500 * time.Microsecond,
 	Online: Online{
-		Busy: 3 * time.Second, Quiet: 3 * time.Second, Rate: 60,
+		MeanBurst: 3 * time.Second, MeanIdle: 3 * time.Second, Rate: 60,
 		ConversationShare: 0.35, SharedWords: 240, PromptWords: 60, MaxTokens: 56,
 	},
-	Batch:  Batch{HeapEvery: 9 * time.Second, Jobs: 4, Items: 900, PromptWords: 100, MaxTokens: 40},
+	Batch:  Batch{BurstInterval: 9 * time.Second, Jobs: 4, Items: 900, PromptWords: 100, MaxTokens: 40},
 	Policy: v1.BatchPolicy{},
 }
 
--- a/internal/lab/tail/tail.go
+++ b/internal/lab/tail/tail.go
@@ -9,30 +9,30 @@
 
 // What a report holds of a log at most; the whole log stays where it is.
 const (
-	Lines = 10
-	Bytes = 4 << 10
+	MaxLines = 10
+	MaxBytes = 4 << 10
 )
 
 // Of returns the last lines of a text, at most Lines and Bytes.
 func Of(text []byte) string {
 	text = bytes.TrimRight(text, "\n")
-	text = text[max(0, len(text)-Bytes):]
+	text = text[max(0, len(text)-MaxBytes):]
 	lines := strings.Split(string(text), "\n")
-	return strings.Join(lines[max(0, len(lines)-Lines):], "\n")
+	return strings.Join(lines[max(0, len(lines)-MaxLines):], "\n")
 }
 
 // Writer keeps the end of what is written to it. It is safe for concurrent use.
 type Writer struct {
-	mu   sync.Mutex
-	kept []byte
+	mu     sync.Mutex
+	buffer []byte
 }
 
 // Write implements io.Writer. It does not fail.
 func (w *Writer) Write(text []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.kept = append(w.kept, text...)
-	w.kept = append(w.kept[:0], w.kept[max(0, len(w.kept)-2*Bytes):]...)
+	w.buffer = append(w.buffer, text...)
+	w.buffer = append(w.buffer[:0], w.buffer[max(0, len(w.buffer)-2*MaxBytes):]...)
 	return len(text), nil
 }
 
@@ -40,5 +40,5 @@
 func (w *Writer) String() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return Of(w.kept)
+	return Of(w.buffer)
 }
--- a/internal/lab/tail/tail_test.go
+++ b/internal/lab/tail/tail_test.go
@@ -12,10 +12,10 @@
 		_, _ = fmt.Fprintf(&text, "line %d\n", i)
 	}
 	got := strings.Split(Of([]byte(text.String())), "\n")
-	if len(got) != Lines || got[Lines-1] != "line 999" {
+	if len(got) != MaxLines || got[MaxLines-1] != "line 999" {
 		t.Errorf("got %q", got)
 	}
-	if long := Of([]byte(strings.Repeat("x", 10*Bytes))); len(long) != Bytes {
+	if long := Of([]byte(strings.Repeat("x", 10*MaxBytes))); len(long) != MaxBytes {
 		t.Errorf("got %d bytes of one long line", len(long))
 	}
 	if none := Of(nil); none != "" {
@@ -30,7 +30,7 @@
 			t.Fatal(n, err)
 		}
 	}
-	if got := w.String(); !strings.HasSuffix(got, "line 9998\nline 9999") || len(w.kept) > 2*Bytes {
-		t.Errorf("got %q of %d bytes kept", got, len(w.kept))
+	if got := w.String(); !strings.HasSuffix(got, "line 9998\nline 9999") || len(w.buffer) > 2*MaxBytes {
+		t.Errorf("got %q of %d bytes kept", got, len(w.buffer))
 	}
 }
