--- a/internal/lab/port/port.go
+++ b/internal/lab/port/port.go
@@ -10,30 +10,31 @@
 	"sync"
 )
 
-// The range lies below the ports that the kernel gives to outgoing
-// connections, so that a port stays free while its owner restarts.
+// Ports are allocated from minPort to endPort-1. The range lies below the ephemeral ports that the
+// kernel assigns to outgoing connections, so that a port stays free while its owner restarts.
 const (
 	minPort = 15000
 	endPort = 32000
 )
 
-// ErrNoneFree reports that no free port was found.
+// ErrNoneFree is returned by Free when all ports of the range are in use or reserved.
 var ErrNoneFree = errors.New("no free loopback port")
 
-// allocator chooses ports from a range, first to last-1.
+// allocator allocates ports from min to end-1. It is safe for concurrent use.
 type allocator struct {
 	min, end int
 
 	mu sync.Mutex
-	// reservations holds the guards of what was reservations out, until the process ends.
+	// reservations holds the reservation of each allocated port. They are released when the process
+	// exits.
 	reservations map[int]io.Closer
 }
 
 var defaultAllocator = allocator{min: minPort, end: endPort}
 
-// Free returns a loopback host:port that is free for TCP and UDP. It does not
-// return the same one twice, and no other process that asks this package gets it
-// while this one runs, whether somebody listens there or not.
+// Free returns a loopback host:port that is free for TCP and UDP. It never returns the same address
+// twice, and Free in other processes does not return it while this process runs, even if nothing
+// listens on it.
 func Free() (string, error) { return defaultAllocator.allocate() }
 
 func (a *allocator) allocate() (string, error) {
@@ -50,15 +51,16 @@
 	return "", ErrNoneFree
 }
 
-// tryAllocate takes a port if it is free. The guard comes before the look: a look listens on
-// the port for a moment, which would keep its owner from it.
+// tryAllocate allocates port if it is free and reports whether it did. The port is reserved before
+// isUnused checks it, because the check listens on the port briefly and could make the owner of a
+// reserved port fail to listen.
 func (a *allocator) tryAllocate(port int) bool {
 	if a.reservations[port] != nil {
 		return false
 	}
 	reservation, err := reserve(port)
 	if err != nil {
-		// Another process has it.
+		// Another process has reserved the port.
 		return false
 	}
 	if !isUnused(address(port)) {
@@ -74,7 +76,7 @@
 
 func address(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
 
-// isUnused reports whether nobody listens on an address.
+// isUnused reports whether no TCP or UDP socket is bound to address.
 func isUnused(address string) bool {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/lab/port/port_test.go
+++ b/internal/lab/port/port_test.go
@@ -10,12 +10,11 @@
 	"testing"
 )
 
-// A finding (CI beside a soak): a port that the kernel had given out was taken by an
-// outgoing connection before the gateway that it was meant for listened there.
+// Guards against ports that an outgoing connection can occupy before the owner listens on them.
 func TestFree_AvoidsEphemeralRange(t *testing.T) {
 	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
-		t.Skip("the kernel does not tell its range")
+		t.Skip("the ephemeral port range of the kernel cannot be read")
 	}
 	var low, high int
 	if _, err := fmt.Sscan(string(text), &low, &high); err != nil {
@@ -28,12 +27,12 @@
 		}
 		_, port, _ := net.SplitHostPort(address)
 		if number, _ := strconv.Atoi(port); number >= low && number <= high {
-			t.Fatalf("port %d is one that the kernel gives to outgoing connections", number)
+			t.Fatalf("port %d is in the ephemeral port range of the kernel", number)
 		}
 	}
 }
 
-// A port that is in use by somebody who did not ask this package is not chosen.
+// Ports used by processes that do not allocate them with this package are skipped, for TCP and UDP.
 func TestFree_SkipsPortsInUse(t *testing.T) {
 	for _, network := range []string{"tcp", "udp"} {
 		listener, usedPort, err := listen(network)
@@ -50,7 +49,7 @@
 	}
 }
 
-// listen takes any port.
+// listen opens a socket on a port that the kernel chooses.
 func listen(network string) (listener io.Closer, port int, err error) {
 	if network == "udp" {
 		packets, err := net.ListenPacket(network, address(0))
--- a/internal/lab/port/reserve_linux.go
+++ b/internal/lab/port/reserve_linux.go
@@ -6,9 +6,9 @@
 	"strconv"
 )
 
-// reserve keeps a port from the choice of other processes on the same loopback
-// interface, until it is closed or this process ends. It is a socket with a name of
-// the network namespace, which the kernel gives to one process at a time.
+// reserve prevents other processes in the same network namespace from allocating port until the
+// result is closed or this process exits. It listens on an abstract Unix socket, whose name can be
+// bound by only one process of the namespace at a time.
 func reserve(port int) (io.Closer, error) {
 	return net.Listen("unix", "@wheelhoist-port-"+strconv.Itoa(port))
 }
--- a/internal/lab/port/reserve_linux_test.go
+++ b/internal/lab/port/reserve_linux_test.go
@@ -11,10 +11,11 @@
 	"testing"
 )
 
-// helperEnv names the range in which a process of the test takes all ports.
+// helperEnv is the environment variable that makes the test binary allocate all ports of a range.
 const helperEnv = "WHEELHOIST_TEST_PORTS"
 
-// TestMain lets a test run a second process that takes ports and keeps them.
+// TestMain runs the tests or, if helperEnv is set, allocates the ports of that range, prints them
+// and keeps them until its standard input is closed.
 func TestMain(m *testing.M) {
 	var low, high int
 	if _, err := fmt.Sscan(os.Getenv(helperEnv), &low, &high); err != nil {
@@ -28,8 +29,8 @@
 	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
-// allocateInHelper has another process take all ports of a range and keep them until the
-// returned function is called. It returns how many it took.
+// allocateInHelper starts a process that allocates all ports from low to high-1 and keeps them until
+// release is called. It returns the number of ports allocated.
 func allocateInHelper(t *testing.T, low, high int) (count int, release func()) {
 	t.Helper()
 	helper := exec.CommandContext(t.Context(), os.Args[0])
@@ -57,24 +58,23 @@
 	}
 }
 
-// A finding (CI beside other work): a node of the soak did not serve. Packages are tested
-// in processes of their own at once, and a port that one had chosen for a node that was
-// still to be started was free for the choice of another.
+// Tests of different packages run in parallel processes. Guards against a port that one process has
+// allocated, but does not listen on yet, being allocated by another.
 func TestFree_ReservesPortAcrossProcesses(t *testing.T) {
-	// Below the range that Free chooses from, so that no other package is disturbed, and
-	// at a place of chance, for the same test may run elsewhere on the machine.
+	// Below the range of Free, so that other packages are not disturbed, and at a random offset,
+	// because the same test may run elsewhere on the machine.
 	low := minPort - 8*(1+rand.IntN(500))
 	high := low + 8
 	count, release := allocateInHelper(t, low, high)
 	if count == 0 {
-		t.Fatal("the other process found no port")
+		t.Fatal("the other process allocated no port")
 	}
 	local := allocator{min: low, end: high}
 	if address, err := local.allocate(); !errors.Is(err, ErrNoneFree) {
-		t.Errorf("got %s, error %v, while another process has all %d", address, err, count)
+		t.Errorf("got %s, error %v, while another process has reserved all %d ports", address, err, count)
 	}
 	release()
 	if _, err := local.allocate(); err != nil {
-		t.Errorf("after the end of the other process: %v", err)
+		t.Errorf("after the other process exited: %v", err)
 	}
 }
--- a/internal/lab/port/reserve_other.go
+++ b/internal/lab/port/reserve_other.go
@@ -4,8 +4,8 @@
 
 import "io"
 
-// guard keeps nothing where the kernel has no names of the network namespace; there
-// a port is only looked at before it is given out.
+// reserve does nothing on systems without abstract Unix sockets. There a port is only checked for
+// listeners before it is allocated.
 func reserve(int) (io.Closer, error) { return noReservation{}, nil }
 
 type noReservation struct{}
--- a/internal/lab/profile/profile.go
+++ b/internal/lab/profile/profile.go
@@ -1,5 +1,4 @@
-// Package profile describes the deployments that the lab emulates: their
-// zones, replicas and load.
+// Package profile describes the deployments that the lab emulates: their zones, replicas and load.
 package profile
 
 import (
@@ -9,41 +8,44 @@
 	v1 "github.com/wheelhoist/wheelhoist/api/v1"
 )
 
-// Replicas is a group of equal replicas in one zone.
+// Replicas is a group of identical replicas in one zone.
 type Replicas struct {
-	Zone       string
+	Zone string
+	// Generation is the name of the hardware generation, "newer" or "older".
 	Generation string
 	Count      int
 }
 
-// Online describes the online load.
+// Online describes the online load: bursts of requests with idle time between them.
 type Online struct {
 	// MeanBurst and Quiet are the mean lengths of bursts and of the idle time between.
 	MeanBurst time.Duration
 	MeanIdle  time.Duration
-	// Rate is the number of requests a second within a burst.
+	// Rate is the mean number of requests per second within a burst.
 	Rate float64
-	// Conversations share the beginning of their prompts; the rest are one-shot.
+	// ConversationShare is the fraction of requests that belong to a conversation. Requests of the
+	// same conversation share a prompt prefix.
 	ConversationShare float64
-	// SharedWords, PromptWords and MaxTokens size requests.
+	// SharedWords is the length of the shared prefix in words. PromptWords and MaxTokens are the
+	// mean length of the rest of the prompt and the mean token limit of a request.
 	SharedWords int
 	PromptWords int
 	MaxTokens   int
 }
 
-// Batch describes the batch load.
+// Batch describes the batch load: bursts of jobs.
 type Batch struct {
 	// BurstInterval is the time between two heaps of jobs.
 	BurstInterval time.Duration
-	// Jobs and Items size a heap.
+	// Jobs is the number of jobs per burst, Items the number of items per job.
 	Jobs  int
 	Items int
-	// PromptWords and MaxTokens size items.
+	// PromptWords and MaxTokens are the mean prompt length and the mean token limit of an item.
 	PromptWords int
 	MaxTokens   int
 }
 
-// Profile is one deployment.
+// Profile describes one deployment.
 type Profile struct {
 	Name     string
 	Model    string
@@ -52,17 +54,17 @@
 	Zones    []string
 	Region   string
 	Replicas []Replicas
-	// ClientDelay is the way from callers to a zone; ZoneDelay between zones.
+	// ClientDelay is the network delay from callers to a zone, ZoneDelay the one between zones.
 	ClientDelay time.Duration
 	ZoneDelay   time.Duration
 	Online      Online
 	Batch       Batch
-	// Policy is how batch gives way; the deployments weigh it differently.
+	// Policy sets how batch work yields to online work.
 	Policy v1.BatchPolicy
 }
 
-// Urnik is the time-sheet deployment: three zones, 12 replicas, a tail that
-// people on building sites wait for.
+// Urnik is a time-sheet service with three zones and 12 replicas. Its users wait for online answers,
+// so tail latency matters most.
 var Urnik = Profile{
 	Name: "urnik", Model: "urnik-llm", Pool: "urnik", Version: "v1", Region: "ljubljana",
 	Zones: []string{"hall-bezigrad", "hall-vic", "hall-moste"},
@@ -80,8 +82,8 @@
 	Policy: v1.BatchPolicy{},
 }
 
-// Kalendarik is the bin-calendar deployment: four zones, 18 replicas, large
-// batches of notices.
+// Kalendarik is a waste-collection calendar with four zones and 18 replicas. It sends notices in
+// large batches.
 var Kalendarik = Profile{
 	Name: "kalendarik", Model: "odvoz-llm", Pool: "odvoz", Version: "v1", Region: "slovakia-west",
 	Zones: []string{"trnava-a", "trnava-b", "nitra-a", "nitra-b"},
@@ -100,10 +102,10 @@
 	Policy: v1.BatchPolicy{},
 }
 
-// All lists the profiles.
+// All lists the known profiles.
 var All = []Profile{Urnik, Kalendarik}
 
-// Find returns a profile by name.
+// Find returns the profile with the given name.
 func Find(name string) (Profile, error) {
 	for _, candidate := range All {
 		if candidate.Name == name {
@@ -113,7 +115,7 @@
 	return Profile{}, fmt.Errorf("unknown profile %q", name)
 }
 
-// ReplicaCount is the number of replicas.
+// ReplicaCount returns the total number of replicas.
 func (p Profile) ReplicaCount() int {
 	count := 0
 	for _, group := range p.Replicas {
--- a/internal/lab/tail/tail.go
+++ b/internal/lab/tail/tail.go
@@ -1,4 +1,4 @@
-// Package tail keeps the end of what a process says, for reports.
+// Package tail keeps the last lines of a log for error messages and reports.
 package tail
 
 import (
@@ -7,13 +7,13 @@
 	"sync"
 )
 
-// What a report holds of a log at most; the whole log stays where it is.
+// Limits of the text that is kept.
 const (
 	MaxLines = 10
 	MaxBytes = 4 << 10
 )
 
-// Of returns the last lines of a text, at most Lines and Bytes.
+// Of returns the last lines of text, at most MaxLines lines and MaxBytes bytes.
 func Of(text []byte) string {
 	text = bytes.TrimRight(text, "\n")
 	text = text[max(0, len(text)-MaxBytes):]
@@ -21,13 +21,14 @@
 	return strings.Join(lines[max(0, len(lines)-MaxLines):], "\n")
 }
 
-// Writer keeps the end of what is written to it. It is safe for concurrent use.
+// Writer is an io.Writer that keeps only the end of the data written to it. It is safe for
+// concurrent use.
 type Writer struct {
 	mu     sync.Mutex
 	buffer []byte
 }
 
-// Write implements io.Writer. It does not fail.
+// Write implements io.Writer. It always returns a nil error.
 func (w *Writer) Write(text []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -36,7 +37,7 @@
 	return len(text), nil
 }
 
-// String returns the last lines.
+// String returns the last lines written, within the limits of Of.
 func (w *Writer) String() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/lab/tail/tail_test.go
+++ b/internal/lab/tail/tail_test.go
@@ -13,13 +13,13 @@
 	}
 	got := strings.Split(Of([]byte(text.String())), "\n")
 	if len(got) != MaxLines || got[MaxLines-1] != "line 999" {
-		t.Errorf("got %q", got)
+		t.Errorf("last lines are %q", got)
 	}
 	if long := Of([]byte(strings.Repeat("x", 10*MaxBytes))); len(long) != MaxBytes {
-		t.Errorf("got %d bytes of one long line", len(long))
+		t.Errorf("kept %d bytes of a single long line", len(long))
 	}
 	if none := Of(nil); none != "" {
-		t.Errorf("got %q of nothing", none)
+		t.Errorf("last lines of an empty text are %q", none)
 	}
 }
 
@@ -31,6 +31,6 @@
 		}
 	}
 	if got := w.String(); !strings.HasSuffix(got, "line 9998\nline 9999") || len(w.buffer) > 2*MaxBytes {
-		t.Errorf("got %q of %d bytes kept", got, len(w.buffer))
+		t.Errorf("last lines are %q, %d bytes are buffered", got, len(w.buffer))
 	}
 }
