--- a/internal/lab/experiment/fault.go
+++ b/internal/lab/experiment/fault.go
@@ -225,9 +225,9 @@
 	zones := r.options.Profile.Zones
 	lost := zones[r.random.IntN(len(zones))]
 	r.options.Progress("zone %s cut off from the table", lost)
-	r.site.Cut(lost, true)
+	r.site.SetCutOff(lost, true)
 	retry.Sleep(ctx, third)
-	r.site.Cut(lost, false)
+	r.site.SetCutOff(lost, false)
 	r.options.Progress("zone %s back", lost)
 }
 
--- a/internal/lab/experiment/yield.go
+++ b/internal/lab/experiment/yield.go
@@ -141,7 +141,7 @@
 func itemsDone(running *site.Site) uint64 {
 	var items uint64
 	for _, member := range running.Nodes() {
-		if inner := member.Inner(); inner != nil {
+		if inner := member.InProcess(); inner != nil {
 			items += inner.ItemsCompleted()
 		}
 	}
--- a/internal/lab/site/balancer.go
+++ b/internal/lab/site/balancer.go
@@ -28,7 +28,7 @@
 	ticker := time.NewTicker(balanceInterval)
 	defer ticker.Stop()
 	for {
-		b.look(ctx, site)
+		b.probe(ctx, site)
 		select {
 		case <-ctx.Done():
 			b.client.CloseIdleConnections()
@@ -38,7 +38,7 @@
 	}
 }
 
-func (b *balancer) look(ctx context.Context, site *Site) {
+func (b *balancer) probe(ctx context.Context, site *Site) {
 	members := site.Nodes()
 	results := make([]bool, len(members))
 	var group sync.WaitGroup
--- a/internal/lab/site/declare.go
+++ b/internal/lab/site/declare.go
@@ -43,8 +43,8 @@
 	return &v1.Resource{APIVersion: v1.APIVersion, Kind: kind, Metadata: v1.Metadata{Name: name}, Spec: encoded}
 }
 
-// declare applies the site's resources through the first node.
-func (s *Site) declare(ctx context.Context) error {
+// applyResources applies the site's resources through the first node.
+func (s *Site) applyResources(ctx context.Context) error {
 	if err := s.await(ctx, s.Nodes()[0], s.ready); err != nil {
 		return err
 	}
@@ -66,9 +66,9 @@
 	return probeReady(ctx, http.DefaultClient, member.URL())
 }
 
-// settled reports whether a node sees all running nodes and replicas, and the
+// converged reports whether a node sees all running nodes and replicas, and the
 // declared resources.
-func (s *Site) settled(ctx context.Context, member *Member) bool {
+func (s *Site) converged(ctx context.Context, member *Member) bool {
 	body, err := client.New(member.URL(), OperatorKey).Status(ctx)
 	var status server.NodeStatus
 	if err != nil || json.Unmarshal(body, &status) != nil {
@@ -85,7 +85,7 @@
 			ready++
 		}
 	}
-	return alive >= len(s.URLs()) && ready >= s.config.Profile.ReplicaCount() && status.Revision >= declaredResources
+	return alive >= len(s.URLs()) && ready >= s.config.Profile.ReplicaCount() && status.Revision >= initialResources
 }
 
 // DeclareRole gives replicas a role.
@@ -96,5 +96,5 @@
 	return Error.Wrap(err)
 }
 
-// declaredResources is the number of resources that a site begins with.
-const declaredResources = 2
+// initialResources is the number of resources that a site begins with.
+const initialResources = 2
--- a/internal/lab/site/drain_test.go
+++ b/internal/lab/site/drain_test.go
@@ -17,9 +17,9 @@
 //
 // A stream is open at a node that drains; a batch that was begun before comes to its end.
 func TestSite_NodeThatDrainsHoldsUpNoItems(t *testing.T) {
-	running := start(t, 3)
+	testSite := start(t, 3)
 	ctx := t.Context()
-	draining := sdk(running, 0)
+	draining := sdk(testSite, 0)
 	stream := draining.Chat.Completions.NewStreaming(ctx, openai.ChatCompletionNewParams{
 		Model: profile.Urnik.Model, MaxTokens: openai.Int(8000), Seed: openai.Int(3),
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("hours of crew 7")},
@@ -28,17 +28,17 @@
 		t.Fatal(stream.Err())
 	}
 	defer func() { _ = stream.Close() }()
-	streamed := make(chan struct{})
+	streamEnded := make(chan struct{})
 	go func() {
-		defer close(streamed)
+		defer close(streamEnded)
 		for stream.Next() {
 		}
 	}()
-	batch := submitWith(ctx, t, sdk(running, 1), load.Items(profile.Urnik.Batch, 5, "drain", 400, false))
+	batch := submitWith(ctx, t, sdk(testSite, 1), load.Items(profile.Urnik.Batch, 5, "drain", 400, false))
 	time.Sleep(300 * time.Millisecond)
 	drained := make(chan error, 1)
-	go func() { drained <- running.Nodes()[0].Drain(context.WithoutCancel(ctx)) }()
-	client := sdk(running, 2)
+	go func() { drained <- testSite.Nodes()[0].Drain(context.WithoutCancel(ctx)) }()
+	client := sdk(testSite, 2)
 	for batch.Status != openai.BatchStatusCompleted {
 		time.Sleep(50 * time.Millisecond)
 		var err error
@@ -46,7 +46,7 @@
 			t.Fatal(err)
 		}
 		select {
-		case <-streamed:
+		case <-streamEnded:
 			t.Fatalf("batch is %s, %+v, when the stream at the draining node has ended", batch.Status, batch.RequestCounts)
 		default:
 		}
--- a/internal/lab/site/member.go
+++ b/internal/lab/site/member.go
@@ -24,14 +24,14 @@
 // process is a node that runs as a process of its own.
 type process struct {
 	command *exec.Cmd
-	// last is the end of what it said.
-	last    tail.Writer
+	// logTail is the end of what it said.
+	logTail tail.Writer
 	exited  chan struct{}
 	readers sync.WaitGroup
 }
 
-// EndedError reports that a node's process ended while it was waited for.
-type EndedError struct {
+// ExitError reports that a node's process ended while it was waited for.
+type ExitError struct {
 	Node string
 	// State is how it ended, as in "exit status 1".
 	State string
@@ -39,7 +39,7 @@
 	Log string
 }
 
-func (e *EndedError) Error() string {
+func (e *ExitError) Error() string {
 	return fmt.Sprintf("site: node %s ended: %s; it said last:\n%s", e.Node, e.State, e.Log)
 }
 
@@ -58,23 +58,23 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	started := &process{command: command, exited: make(chan struct{})}
-	command.Stderr = io.MultiWriter(os.Stderr, &started.last)
+	proc := &process{command: command, exited: make(chan struct{})}
+	command.Stderr = io.MultiWriter(os.Stderr, &proc.logTail)
 	if err := command.Start(); err != nil {
 		return Error.Wrap(err)
 	}
-	started.readers.Add(1)
+	proc.readers.Add(1)
 	go func() {
-		defer started.readers.Done()
-		m.readLog(io.TeeReader(output, &started.last))
+		defer proc.readers.Done()
+		m.readLog(io.TeeReader(output, &proc.logTail))
 	}()
 	go func() {
-		started.readers.Wait()
+		proc.readers.Wait()
 		_ = command.Wait()
-		close(started.exited)
+		close(proc.exited)
 	}()
 	m.mu.Lock()
-	m.process = started
+	m.process = proc
 	m.mu.Unlock()
 	return nil
 }
@@ -119,14 +119,14 @@
 
 // Kill ends the node at once: SIGKILL for a process.
 func (m *Member) Kill() {
-	inner, running := m.detach()
+	inProcess, proc := m.detach()
 	m.recorder.Record(history.Event{Source: "lab", Type: history.NodeKilled, Detail: m.ID})
-	if inner != nil {
-		_ = inner.Close()
+	if inProcess != nil {
+		_ = inProcess.Close()
 	}
-	if running != nil {
-		_ = running.command.Process.Kill()
-		<-running.exited
+	if proc != nil {
+		_ = proc.command.Process.Kill()
+		<-proc.exited
 	}
 }
 
@@ -135,7 +135,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.process == nil {
-		return Error.Wrap(errNotStarted)
+		return Error.Wrap(errNoProcess)
 	}
 	return Error.Wrap(m.process.command.Process.Signal(signal))
 }
@@ -144,16 +144,16 @@
 func (m *Member) Drain(ctx context.Context) error {
 	m.recorder.Record(history.Event{Source: "lab", Type: history.NodeStopping, Detail: m.ID})
 	m.mu.Lock()
-	inner, running := m.inner, m.process
+	inProcess, proc := m.inProcess, m.process
 	m.mu.Unlock()
 	var err error
-	if inner != nil {
-		err = inner.Drain(ctx)
+	if inProcess != nil {
+		err = inProcess.Drain(ctx)
 	}
-	if running != nil {
-		err = running.command.Process.Signal(syscall.SIGTERM)
+	if proc != nil {
+		err = proc.command.Process.Signal(syscall.SIGTERM)
 		select {
-		case <-running.exited:
+		case <-proc.exited:
 		case <-ctx.Done():
 			err = ctx.Err()
 		}
@@ -162,34 +162,34 @@
 	return Error.Wrap(err)
 }
 
-// whileRunning returns a context that ends with the first process of a node that ends,
+// withCancelOnExit returns a context that ends with the first process of a node that ends,
 // with an EndedError as its cause. Nodes that are no processes do not end it.
-func (s *Site) whileRunning(ctx context.Context) (context.Context, context.CancelFunc) {
+func (s *Site) withCancelOnExit(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	for _, member := range s.Nodes() {
 		member.mu.Lock()
-		running := member.process
+		proc := member.process
 		member.mu.Unlock()
-		if running != nil {
-			go running.cancelAtEnd(ctx, member.ID, cancel)
+		if proc != nil {
+			go proc.cancelOnExit(ctx, member.ID, cancel)
 		}
 	}
 	return ctx, func() { cancel(nil) }
 }
 
-// cancelAtEnd waits for the end of the process or of the context.
-func (p *process) cancelAtEnd(ctx context.Context, id string, cancel context.CancelCauseFunc) {
+// cancelOnExit waits for the end of the process or of the context.
+func (p *process) cancelOnExit(ctx context.Context, id string, cancel context.CancelCauseFunc) {
 	select {
 	case <-p.exited:
-		cancel(&EndedError{Node: id, State: p.command.ProcessState.String(), Log: p.last.String()})
+		cancel(&ExitError{Node: id, State: p.command.ProcessState.String(), Log: p.logTail.String()})
 	case <-ctx.Done():
 	}
 }
 
 // await waits until a node meets a condition or the context ends.
-func (s *Site) await(ctx context.Context, member *Member, met func(context.Context, *Member) bool) error {
+func (s *Site) await(ctx context.Context, member *Member, condition func(context.Context, *Member) bool) error {
 	const interval = 50 * time.Millisecond
-	for !met(ctx, member) {
+	for !condition(ctx, member) {
 		if !retry.Sleep(ctx, interval) {
 			return Error.Wrap(fmt.Errorf("node %s not ready: %w", member.ID, context.Cause(ctx)))
 		}
@@ -198,10 +198,10 @@
 }
 
 // detach marks the node as not running and returns what ran.
-func (m *Member) detach() (inner *node.Node, running *process) {
+func (m *Member) detach() (inProcess *node.Node, proc *process) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	inner, running = m.inner, m.process
-	m.inner, m.process = nil, nil
-	return inner, running
+	inProcess, proc = m.inProcess, m.process
+	m.inProcess, m.process = nil, nil
+	return inProcess, proc
 }
--- a/internal/lab/site/platform.go
+++ b/internal/lab/site/platform.go
@@ -25,9 +25,9 @@
 	// MachineLag is the lag of the machine list.
 	MachineLag = 3 * time.Second
 	// LoadLag is the lag of the engines' load reports.
-	LoadLag      = 150 * time.Millisecond
-	weightBytes  = 256 << 10
-	weightPerSec = 1 << 20
+	LoadLag         = 150 * time.Millisecond
+	weightSize      = 256 << 10
+	weightBandwidth = 1 << 20
 
 	tableName    = "wheelhoist"
 	bucketName   = "wheelhoist"
@@ -50,9 +50,9 @@
 		return nil, Error.Wrap(err)
 	}
 	server := &http.Server{Handler: handler}
-	silent := &emulator.SilentListener{Listener: listener}
-	go func() { _ = server.Serve(silent) }()
-	return &endpoint{url: "http://" + listener.Addr().String(), server: server, listener: silent}, nil
+	silenceable := &emulator.SilentListener{Listener: listener}
+	go func() { _ = server.Serve(silenceable) }()
+	return &endpoint{url: "http://" + listener.Addr().String(), server: server, listener: silenceable}, nil
 }
 
 // Platform is the set of stand-ins for the platform's services.
@@ -81,12 +81,12 @@
 		Weights:  emulator.NewObjectStore(seed + 2),
 		Machines: emulator.NewMachineList(seed+3, MachineLag),
 	}
-	p.Weights.LimitBandwidth(weightPerSec)
+	p.Weights.LimitBandwidth(weightBandwidth)
 	var group errs.Group
 	start := func(target **endpoint, handler http.Handler) {
-		started, err := serve(handler)
+		ep, err := serve(handler)
 		group.Add(err)
-		*target = started
+		*target = ep
 	}
 	start(&p.table, p.Table.Handler())
 	start(&p.objects, p.Objects.Handler())
@@ -110,14 +110,14 @@
 
 // SeedWeights stores the weights of a version or adapter.
 func (p *Platform) SeedWeights(model, version string) {
-	p.Weights.Seed(weightBucket+"/"+emulator.WeightKey(model, version), make([]byte, weightBytes))
+	p.Weights.Seed(weightBucket+"/"+emulator.WeightKey(model, version), make([]byte, weightSize))
 }
 
 // Close stops the stand-ins.
 func (p *Platform) Close() error {
 	var group errs.Group
-	for _, one := range []*endpoint{p.table, p.objects, p.weights, p.machines} {
-		group.Add(one.server.Close())
+	for _, ep := range []*endpoint{p.table, p.objects, p.weights, p.machines} {
+		group.Add(ep.server.Close())
 	}
 	return group.Err()
 }
@@ -133,30 +133,30 @@
 	endpoint *endpoint
 	cancel   context.CancelFunc
 	done     sync.WaitGroup
-	once     sync.Once
-	// gone is set once the engine is killed or leaving.
-	gone atomic.Bool
+	killOnce sync.Once
+	// retired is set once the engine is killed or leaving.
+	retired atomic.Bool
 }
 
 // StartEngine starts an emulated engine.
 func StartEngine(config emulator.EngineConfig, zone string) (*Engine, error) {
-	started := &Engine{
+	engine := &Engine{
 		ID: config.Replica, Zone: zone, Generation: config.Generation.Name,
 		Engine: emulator.NewEngine(config),
 	}
 	var err error
-	if started.endpoint, err = serve(started.Handler()); err != nil {
+	if engine.endpoint, err = serve(engine.Handler()); err != nil {
 		return nil, err
 	}
-	started.URL = started.endpoint.url
+	engine.URL = engine.endpoint.url
 	ctx, cancel := context.WithCancel(context.Background())
-	started.cancel = cancel
-	started.done.Add(1)
+	engine.cancel = cancel
+	engine.done.Add(1)
 	go func() {
-		defer started.done.Done()
-		started.Run(ctx)
+		defer engine.done.Done()
+		engine.Run(ctx)
 	}()
-	return started, nil
+	return engine, nil
 }
 
 // Silence has the engine's open connections go silent without an end. It returns how many.
@@ -164,12 +164,12 @@
 
 // Kill stops the engine and breaks all its connections.
 func (e *Engine) Kill() {
-	e.once.Do(func() {
+	e.killOnce.Do(func() {
 		e.cancel()
 		_ = e.endpoint.server.Close()
 		e.done.Wait()
 	})
 }
 
-// errNotStarted reports use of a part that was not started.
-var errNotStarted = errors.New("not started")
+// errNoProcess reports use of a part that was not started.
+var errNoProcess = errors.New("not started")
--- a/internal/lab/site/process_test.go
+++ b/internal/lab/site/process_test.go
@@ -24,29 +24,29 @@
 
 // As in the soak: a node whose process has ended is not waited for, and what it said last
 // is told. A site that does not start leaves no process behind.
-func TestStart_ProcessThatEnds(t *testing.T) {
-	first := neighbours(t)
-	running, err := Start(t.Context(), Config{Profile: profile.Urnik, Nodes: 2, Listen: first, Seed: 1, Processes: true})
+func TestStart_ProcessThatExits(t *testing.T) {
+	address := occupyNextPort(t)
+	testSite, err := Start(t.Context(), Config{Profile: profile.Urnik, Nodes: 2, Listen: address, Seed: 1, Processes: true})
 	if err == nil {
-		running.Close()
+		testSite.Close()
 	}
-	var ended *EndedError
-	if !errors.As(err, &ended) {
+	var exit *ExitError
+	if !errors.As(err, &exit) {
 		t.Fatalf("got %v", err)
 	}
-	if ended.Node != "node-1" || ended.State != "exit status 1" || !strings.Contains(ended.Error(), syscall.EADDRINUSE.Error()) {
-		t.Fatalf("got %v", ended)
+	if exit.Node != "node-1" || exit.State != "exit status 1" || !strings.Contains(exit.Error(), syscall.EADDRINUSE.Error()) {
+		t.Fatalf("got %v", exit)
 	}
-	again, err := net.Listen("tcp", first)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatalf("the first node still runs: %v", err)
 	}
-	_ = again.Close()
+	_ = listener.Close()
 }
 
-// neighbours returns a free address and listens on the one a port above it. Both are
+// occupyNextPort returns a free address and listens on the one a port above it. Both are
 // below the range that package port chooses from, so that no other package is disturbed.
-func neighbours(t *testing.T) (first string) {
+func occupyNextPort(t *testing.T) (first string) {
 	t.Helper()
 	const low, high = 10000, 14000
 	for {
--- a/internal/lab/site/site.go
+++ b/internal/lab/site/site.go
@@ -50,41 +50,41 @@
 	config   Config
 	Platform *Platform
 
-	balancer *balancer
-	stop     context.CancelFunc
+	balancer     *balancer
+	stopBalancer context.CancelFunc
 
 	mu      sync.Mutex
 	engines []*Engine
 	nodes   []*Member
-	cut     map[string]bool
+	cutOff  map[string]bool
 }
 
-// readyLimit is how long a site may take to serve where the caller's context has no
+// readyTimeout is how long a site may take to serve where the caller's context has no
 // end: 400 times the 0.3 s that one of two nodes took, and an end for runs that nobody
 // looks at.
-const readyLimit = 2 * time.Minute
+const readyTimeout = 2 * time.Minute
 
 // Start starts a site and applies its resources. It returns once all nodes
 // serve with the declared state in force; the context bounds the wait for that, not
 // the life of the site. A node's process that ends meanwhile is an EndedError.
 func Start(ctx context.Context, config Config) (*Site, error) {
-	if _, bounded := ctx.Deadline(); !bounded {
+	if _, hasDeadline := ctx.Deadline(); !hasDeadline {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, readyLimit)
+		ctx, cancel = context.WithTimeout(ctx, readyTimeout)
 		defer cancel()
 	}
 	platform, err := StartPlatform(config.Seed, config.Recorder)
 	if err != nil {
 		return nil, err
 	}
-	s := &Site{config: config, Platform: platform, cut: map[string]bool{}, balancer: newBalancer()}
+	s := &Site{config: config, Platform: platform, cutOff: map[string]bool{}, balancer: newBalancer()}
 	balanceCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	s.stop = cancel
+	s.stopBalancer = cancel
 	if err := s.start(ctx); err != nil {
 		s.Close()
 		return nil, err
 	}
-	s.balancer.look(balanceCtx, s)
+	s.balancer.probe(balanceCtx, s)
 	go s.balancer.run(balanceCtx, s)
 	return s, nil
 }
@@ -102,9 +102,9 @@
 			return err
 		}
 	}
-	ctx, cancel := s.whileRunning(ctx)
+	ctx, cancel := s.withCancelOnExit(ctx)
 	defer cancel()
-	if err := s.declare(ctx); err != nil {
+	if err := s.applyResources(ctx); err != nil {
 		return err
 	}
 	return s.awaitReady(ctx)
@@ -130,24 +130,24 @@
 		hardware = emulator.Older
 	}
 	s.mu.Lock()
-	order := uint64(len(s.engines))
+	index := uint64(len(s.engines))
 	s.mu.Unlock()
-	started, err := StartEngine(emulator.EngineConfig{
+	engine, err := StartEngine(emulator.EngineConfig{
 		Replica: id, Model: s.config.Profile.Model, Version: s.config.Profile.Version, Generation: hardware,
 		LoadLag: LoadLag,
-		Weights: s.Platform.WeightStore(), Recorder: s.config.Recorder, Seed: s.config.Seed + order,
+		Weights: s.Platform.WeightStore(), Recorder: s.config.Recorder, Seed: s.config.Seed + index,
 	}, zone)
 	if err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
-	s.engines = append(s.engines, started)
+	s.engines = append(s.engines, engine)
 	s.mu.Unlock()
 	s.Platform.Machines.Add(machines.Machine{
 		ID: id, Role: machines.RoleEngine, Zone: zone, Region: s.config.Profile.Region,
-		Generation: generation, State: machines.Live, Address: started.URL, Pool: s.config.Profile.Pool,
+		Generation: generation, State: machines.Live, Address: engine.URL, Pool: s.config.Profile.Pool,
 	})
-	return started, nil
+	return engine, nil
 }
 
 // Engines returns the engines started so far.
@@ -183,26 +183,26 @@
 	settings *settings.Settings
 	recorder *history.Recorder
 
-	mu      sync.Mutex
-	inner   *node.Node
-	process *process
+	mu        sync.Mutex
+	inProcess *node.Node
+	process   *process
 }
 
 // URL returns the node's base URL.
 func (m *Member) URL() string { return "http://" + m.settings.Node.Listen }
 
-// Inner returns the in-process node, or nil.
-func (m *Member) Inner() *node.Node {
+// InProcess returns the in-process node, or nil.
+func (m *Member) InProcess() *node.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.inner
+	return m.inProcess
 }
 
 // Running reports whether the node runs.
 func (m *Member) Running() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.inner != nil || m.process != nil
+	return m.inProcess != nil || m.process != nil
 }
 
 // StartNode starts the node of a slot, for the first time or again.
@@ -219,9 +219,9 @@
 	if output == nil {
 		output = io.Discard
 	}
-	inner, err := node.Start(ctx, member.settings, node.Options{
+	inProcess, err := node.Start(ctx, member.settings, node.Options{
 		Log: zerolog.New(output).With().Timestamp().Logger(),
-		Cut: func() bool { return s.cutOff(member.Zone) },
+		Cut: func() bool { return s.isCutOff(member.Zone) },
 		Applied: func(revision uint64) {
 			s.config.Recorder.Record(history.Event{
 				Source: "node/" + member.ID, Type: history.ConfigApplied, Revision: revision,
@@ -232,7 +232,7 @@
 		return nil, err
 	}
 	member.mu.Lock()
-	member.inner = inner
+	member.inProcess = inProcess
 	member.mu.Unlock()
 	return member, nil
 }
@@ -293,22 +293,22 @@
 	return config
 }
 
-// Cut cuts a zone's nodes off from the table, or heals the cut.
-func (s *Site) Cut(zone string, cut bool) {
+// SetCutOff cuts a zone's nodes off from the table, or heals the cut.
+func (s *Site) SetCutOff(zone string, cutOff bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut[zone] = cut
+	s.cutOff[zone] = cutOff
 }
 
-func (s *Site) cutOff(zone string) bool {
+func (s *Site) isCutOff(zone string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cut[zone]
+	return s.cutOff[zone]
 }
 
 // Close stops everything.
 func (s *Site) Close() {
-	s.stop()
+	s.stopBalancer()
 	var group sync.WaitGroup
 	for _, member := range s.Nodes() {
 		group.Add(1)
@@ -318,8 +318,8 @@
 		}()
 	}
 	group.Wait()
-	for _, one := range s.Engines() {
-		one.Kill()
+	for _, engine := range s.Engines() {
+		engine.Kill()
 	}
 	_ = s.Platform.Close()
 }
@@ -334,7 +334,7 @@
 		if err := s.await(ctx, member, s.ready); err != nil {
 			return err
 		}
-		if err := s.await(ctx, member, s.settled); err != nil {
+		if err := s.await(ctx, member, s.converged); err != nil {
 			return err
 		}
 	}
@@ -344,20 +344,20 @@
 // LiveEngines returns the engines that run and are not leaving.
 func (s *Site) LiveEngines() []*Engine {
 	var live []*Engine
-	for _, one := range s.Engines() {
-		if !one.gone.Load() {
-			live = append(live, one)
+	for _, engine := range s.Engines() {
+		if !engine.retired.Load() {
+			live = append(live, engine)
 		}
 	}
 	return live
 }
 
 // KillEngine kills an engine; its machine leaves the list after the lag.
-func (s *Site) KillEngine(victim *Engine) {
-	victim.gone.Store(true)
-	victim.Kill()
-	s.config.Recorder.Record(history.Event{Source: "lab", Type: history.EngineDied, Replica: victim.ID})
-	s.Platform.Machines.Remove(victim.ID)
+func (s *Site) KillEngine(engine *Engine) {
+	engine.retired.Store(true)
+	engine.Kill()
+	s.config.Recorder.Record(history.Event{Source: "lab", Type: history.EngineDied, Replica: engine.ID})
+	s.Platform.Machines.Remove(engine.ID)
 }
 
 // ReplaceEngine starts a new engine like a given one.
@@ -370,12 +370,12 @@
 }
 
 // SetEngineState changes an engine's state on the machine list, after the lag.
-func (s *Site) SetEngineState(one *Engine, state machines.State) {
+func (s *Site) SetEngineState(engine *Engine, state machines.State) {
 	if state == machines.Leaving {
-		one.gone.Store(true)
+		engine.retired.Store(true)
 	}
 	s.Platform.Machines.Set(machines.Machine{
-		ID: one.ID, Role: machines.RoleEngine, Zone: one.Zone, Region: s.config.Profile.Region,
-		Generation: one.Generation, State: state, Address: one.URL, Pool: s.config.Profile.Pool,
+		ID: engine.ID, Role: machines.RoleEngine, Zone: engine.Zone, Region: s.config.Profile.Region,
+		Generation: engine.Generation, State: state, Address: engine.URL, Pool: s.config.Profile.Pool,
 	})
 }
--- a/internal/lab/site/site_test.go
+++ b/internal/lab/site/site_test.go
@@ -21,9 +21,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/lab/site"
 )
 
-// untilDeadline returns a context that ends a little before the test's time is over, so
+// beforeDeadline returns a context that ends a little before the test's time is over, so
 // that a failure is told.
-func untilDeadline(t *testing.T) context.Context {
+func beforeDeadline(t *testing.T) context.Context {
 	t.Helper()
 	const margin = 30 * time.Second
 	deadline, ok := t.Deadline()
@@ -37,30 +37,30 @@
 
 func start(t *testing.T, nodes int) *site.Site {
 	t.Helper()
-	running, err := site.Start(untilDeadline(t), site.Config{Profile: profile.Urnik, Nodes: nodes, Listen: "127.0.0.1:0", Seed: 1})
+	testSite, err := site.Start(beforeDeadline(t), site.Config{Profile: profile.Urnik, Nodes: nodes, Listen: "127.0.0.1:0", Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(running.Close)
-	return running
+	t.Cleanup(testSite.Close)
+	return testSite
 }
 
-func sdk(running *site.Site, node int) openai.Client {
+func sdk(testSite *site.Site, node int) openai.Client {
 	return openai.NewClient(
-		option.WithBaseURL(running.Nodes()[node].URL()+"/v1"), option.WithAPIKey(site.TenantKey), option.WithMaxRetries(0),
+		option.WithBaseURL(testSite.Nodes()[node].URL()+"/v1"), option.WithAPIKey(site.TenantKey), option.WithMaxRetries(0),
 	)
 }
 
 // The official client streams, uploads a file, and creates, polls, reads and
 // cancels a batch, each call through another node.
 func TestSite_OpenAIClient(t *testing.T) {
-	running := start(t, 3)
+	testSite := start(t, 3)
 	ctx := t.Context()
-	streamWith(ctx, t, running)
+	streamWith(ctx, t, testSite)
 
 	items := load.Items(profile.Urnik.Batch, 5, "sdk", 60, false)
-	batch := submitWith(ctx, t, sdk(running, 1), items)
-	client := sdk(running, 2)
+	batch := submitWith(ctx, t, sdk(testSite, 1), items)
+	client := sdk(testSite, 2)
 	var err error
 	for batch.Status != openai.BatchStatusCompleted {
 		time.Sleep(100 * time.Millisecond)
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	checkResults(t, content.Body, items)
-	cancelWith(ctx, t, running)
+	cancelWith(ctx, t, testSite)
 }
 
 // submitWith uploads items and creates a batch over them.
@@ -96,9 +96,9 @@
 	return batch
 }
 
-func streamWith(ctx context.Context, t *testing.T, running *site.Site) {
+func streamWith(ctx context.Context, t *testing.T, testSite *site.Site) {
 	t.Helper()
-	client := sdk(running, 0)
+	client := sdk(testSite, 0)
 	stream := client.Chat.Completions.NewStreaming(ctx, openai.ChatCompletionNewParams{
 		Model: profile.Urnik.Model, MaxTokens: openai.Int(40), Seed: openai.Int(3),
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("hours of crew 7")},
@@ -116,15 +116,15 @@
 	if text.String() != expected {
 		t.Fatalf("streamed %q, want %q", text.String(), expected)
 	}
-	whole, err := client.Chat.Completions.New(ctx, openai.ChatCompletionNewParams{
+	completion, err := client.Chat.Completions.New(ctx, openai.ChatCompletionNewParams{
 		Model: profile.Urnik.Model, MaxTokens: openai.Int(40), Seed: openai.Int(3),
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("hours of crew 7")},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if whole.Choices[0].Message.Content != expected {
-		t.Fatalf("whole answer %q, want %q", whole.Choices[0].Message.Content, expected)
+	if completion.Choices[0].Message.Content != expected {
+		t.Fatalf("whole answer %q, want %q", completion.Choices[0].Message.Content, expected)
 	}
 }
 
@@ -142,7 +142,7 @@
 		if err := json.Unmarshal(line.Response.Body, &completion); err != nil {
 			t.Fatal(err)
 		}
-		if _, twice := results[line.CustomID]; twice {
+		if _, duplicate := results[line.CustomID]; duplicate {
 			t.Errorf("item %s has two results", line.CustomID)
 		}
 		results[line.CustomID] = completion.Text()
@@ -159,11 +159,11 @@
 	}
 }
 
-func cancelWith(ctx context.Context, t *testing.T, running *site.Site) {
+func cancelWith(ctx context.Context, t *testing.T, testSite *site.Site) {
 	t.Helper()
-	client := sdk(running, 0)
+	client := sdk(testSite, 0)
 	batch := submitWith(ctx, t, client, load.Items(profile.Urnik.Batch, 6, "cancel", 5000, false))
-	other := sdk(running, 1)
+	other := sdk(testSite, 1)
 	cancelled, err := other.Batches.Cancel(ctx, batch.ID)
 	if err != nil {
 		t.Fatal(err)
@@ -171,28 +171,28 @@
 	if cancelled.Status != openai.BatchStatusCancelled {
 		t.Fatalf("cancelled batch is %s", cancelled.Status)
 	}
-	again, err := client.Batches.Get(ctx, batch.ID)
-	if err != nil || again.Status != openai.BatchStatusCancelled {
-		t.Fatalf("batch is %s afterwards, error %v", again.Status, err)
+	current, err := client.Batches.Get(ctx, batch.ID)
+	if err != nil || current.Status != openai.BatchStatusCancelled {
+		t.Fatalf("batch is %s afterwards, error %v", current.Status, err)
 	}
 }
 
 // Bad input is refused with an error in the form of the API that says that
 // nothing ran.
 func TestSite_BadInput(t *testing.T) {
-	running := start(t, 1)
-	url := running.Nodes()[0].URL()
-	good := `{"model":"urnik-llm","messages":[{"role":"user","content":"x"}]}`
+	testSite := start(t, 1)
+	url := testSite.Nodes()[0].URL()
+	valid := `{"model":"urnik-llm","messages":[{"role":"user","content":"x"}]}`
 	cases := []struct {
 		name, path, key, body string
 		status                int
 	}{
 		{"malformed", wire.PathChatCompletions, site.TenantKey, `{"model":`, http.StatusBadRequest},
 		{"no messages", wire.PathChatCompletions, site.TenantKey, `{"model":"urnik-llm"}`, http.StatusBadRequest},
-		{"unknown model", wire.PathChatCompletions, site.TenantKey, strings.Replace(good, "urnik-llm", "none", 1), http.StatusNotFound},
-		{"wrong key", wire.PathChatCompletions, "nobody", good, http.StatusUnauthorized},
-		{"operator is no tenant", wire.PathChatCompletions, site.OperatorKey, good, http.StatusUnauthorized},
-		{"too large", wire.PathChatCompletions, site.TenantKey, strings.Repeat(" ", 5<<20) + good, http.StatusRequestEntityTooLarge},
+		{"unknown model", wire.PathChatCompletions, site.TenantKey, strings.Replace(valid, "urnik-llm", "none", 1), http.StatusNotFound},
+		{"wrong key", wire.PathChatCompletions, "nobody", valid, http.StatusUnauthorized},
+		{"operator is no tenant", wire.PathChatCompletions, site.OperatorKey, valid, http.StatusUnauthorized},
+		{"too large", wire.PathChatCompletions, site.TenantKey, strings.Repeat(" ", 5<<20) + valid, http.StatusRequestEntityTooLarge},
 		{"unknown file", wire.PathBatches, site.TenantKey, `{"input_file_id":"file-x","endpoint":"/v1/chat/completions"}`, http.StatusNotFound},
 		{"bad window", wire.PathBatches, site.TenantKey, `{"input_file_id":"file-x","completion_window":"soon"}`, http.StatusBadRequest},
 	}
@@ -223,9 +223,9 @@
 }
 
 // A job over a file with broken lines fails, and says which lines.
-func TestSite_BrokenLines(t *testing.T) {
-	running := start(t, 1)
-	tenant := running.Tenant(0)
+func TestSite_MalformedLines(t *testing.T) {
+	testSite := start(t, 1)
+	tenant := testSite.Tenant(0)
 	items := load.Items(profile.Urnik.Batch, 5, "broken", 3, false)
 	source := string(load.JSONL(profile.Urnik.Model, items)) + "{\"custom_id\":\n"
 	file, err := tenant.Upload(t.Context(), "items.jsonl", strings.NewReader(source))
