--- a/internal/lab/experiment/mix.go
+++ b/internal/lab/experiment/mix.go
@@ -35,9 +35,9 @@
 	arrivals := load.Schedule(r.options.Profile.Online, r.options.Seed, r.options.Duration, mix.Online)
 	for i := range arrivals {
 		if r.random.Float64() < mix.OnceShare {
-			arrivals[i].Once = true
+			arrivals[i].NotRepeatable = true
 			if i%2 == 0 {
-				arrivals[i].Key = arrivals[i].ID
+				arrivals[i].IdempotencyKey = arrivals[i].ID
 			}
 		}
 	}
--- a/internal/lab/labcmd/check.go
+++ b/internal/lab/labcmd/check.go
@@ -22,13 +22,13 @@
 			if err != nil {
 				return err
 			}
-			found := history.Check(events)
-			for _, violation := range found {
+			violations := history.Check(events)
+			for _, violation := range violations {
 				_, _ = fmt.Fprintln(std.out, violation)
 			}
-			_, _ = fmt.Fprintf(std.out, "%d events, %d violations\n", len(events), len(found))
-			if len(found) > 0 {
-				return fmt.Errorf("%w: %d", errViolations, len(found))
+			_, _ = fmt.Fprintf(std.out, "%d events, %d violations\n", len(events), len(violations))
+			if len(violations) > 0 {
+				return fmt.Errorf("%w: %d", errViolations, len(violations))
 			}
 			return nil
 		},
--- a/internal/lab/labcmd/demo.go
+++ b/internal/lab/labcmd/demo.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	demoSeed   = 1
-	demoNodes  = 3
-	demoOnline = 8 * time.Second
-	demoItems  = 1500
-	demoLimit  = 28 * time.Second
+	demoSeed       = 1
+	demoNodes      = 3
+	demoOnlineTime = 8 * time.Second
+	demoItems      = 1500
+	demoTimeout    = 28 * time.Second
 	// progressInterval is the time between two looks at the job.
 	progressInterval = time.Second
 )
@@ -47,13 +47,13 @@
 		Name: "demo", ShortUsage: "wheelhoist-lab demo [flags]", FlagSet: flags,
 		ShortHelp: "online streams beside a batch job, in one process, in under 30 s",
 		Exec: func(ctx context.Context, _ []string) error {
-			chosen, err := profile.Find(*profileName)
+			prof, err := profile.Find(*profileName)
 			if err != nil {
 				return err
 			}
-			ctx, cancel := context.WithTimeout(ctx, demoLimit)
+			ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 			defer cancel()
-			result, err := runDemo(ctx, chosen, std.out)
+			result, err := runDemo(ctx, prof, std.out)
 			if err != nil {
 				return err
 			}
@@ -70,45 +70,45 @@
 	}
 }
 
-func runDemo(ctx context.Context, chosen profile.Profile, out io.Writer) (*demoResult, error) {
-	say := func(format string, arguments ...any) { _, _ = fmt.Fprintf(out, format+"\n", arguments...) }
+func runDemo(ctx context.Context, prof profile.Profile, out io.Writer) (*demoResult, error) {
+	printf := func(format string, arguments ...any) { _, _ = fmt.Fprintf(out, format+"\n", arguments...) }
 	recorder := &history.Recorder{}
-	running, err := site.Start(ctx, site.Config{
-		Profile: chosen, Nodes: demoNodes, Listen: "127.0.0.1:0", Seed: demoSeed, Recorder: recorder,
+	labSite, err := site.Start(ctx, site.Config{
+		Profile: prof, Nodes: demoNodes, Listen: "127.0.0.1:0", Seed: demoSeed, Recorder: recorder,
 	})
 	if err != nil {
 		return nil, err
 	}
-	defer running.Close()
-	say("site %s: %d nodes in %d zones before %d replicas of two hardware generations",
-		chosen.Name, demoNodes, len(chosen.Zones), chosen.ReplicaCount())
+	defer labSite.Close()
+	printf("site %s: %d nodes in %d zones before %d replicas of two hardware generations",
+		prof.Name, demoNodes, len(prof.Zones), prof.ReplicaCount())
 
 	result := &demoResult{Violations: []string{}}
 	stats := load.NewStats()
 	caller := (&load.Caller{
-		Model: chosen.Model, Key: site.TenantKey, Version: chosen.Version, Recorder: recorder,
-		Stats: stats, URLs: running.URLs, Delay: chosen.ClientDelay,
+		Model: prof.Model, Key: site.TenantKey, Version: prof.Version, Recorder: recorder,
+		Stats: stats, URLs: labSite.URLs, Delay: prof.ClientDelay,
 	}).Open()
 	defer caller.Close()
-	online := make(chan struct{})
+	onlineDone := make(chan struct{})
 	go func() {
-		defer close(online)
-		caller.Replay(ctx, load.Schedule(chosen.Online, demoSeed, demoOnline, 1))
+		defer close(onlineDone)
+		caller.Replay(ctx, load.Schedule(prof.Online, demoSeed, demoOnlineTime, 1))
 	}()
-	if err := demoConfig(ctx, running, result); err != nil {
+	if err := demoConfig(ctx, labSite, result); err != nil {
 		return nil, err
 	}
-	say("configuration revision %d in force on %d nodes after %.0f ms", result.Revision, result.InForceNodes, result.InForceMs)
-	if err := demoBatch(ctx, running, chosen, recorder, out, result); err != nil {
+	printf("configuration revision %d in force on %d nodes after %.0f ms", result.Revision, result.InForceNodes, result.InForceMs)
+	if err := demoBatch(ctx, labSite, prof, recorder, out, result); err != nil {
 		return nil, err
 	}
-	<-online
+	<-onlineDone
 	result.Online = stats.Summary()
-	say("batch: %d items in %.1f s (%.0f items/s), each with exactly one result, all as expected",
+	printf("batch: %d items in %.1f s (%.0f items/s), each with exactly one result, all as expected",
 		result.BatchItems, result.BatchSeconds, result.ItemsPerSec)
-	say("online beside it: %d streams, %d whole and as expected, %d refused, %d failed",
+	printf("online beside it: %d streams, %d whole and as expected, %d refused, %d failed",
 		result.Online.Requests, result.Online.Answered-result.Online.Wrong, result.Online.Refused, result.Online.Failed)
-	say("first token p50 %.0f ms, p99 %.0f ms; between tokens p95 %.1f ms",
+	printf("first token p50 %.0f ms, p99 %.0f ms; between tokens p95 %.1f ms",
 		result.Online.TTFTP50, result.Online.TTFTP99, result.Online.GapP95)
 	if result.Online.Wrong > 0 || result.Online.Failed > 0 {
 		result.Violations = append(result.Violations, "online answers wrong or failed")
@@ -118,13 +118,13 @@
 
 // demoConfig changes the site policy through one node and waits for it to be
 // in force on all.
-func demoConfig(ctx context.Context, running *site.Site, result *demoResult) error {
+func demoConfig(ctx context.Context, labSite *site.Site, result *demoResult) error {
 	spec, err := json.Marshal(v1.SitePolicySpec{QueueTimeout: v1.Duration(3 * time.Second), Note: "demo"})
 	if err != nil {
 		return err
 	}
 	started := time.Now()
-	applied, err := running.Operator(1).Put(ctx, &v1.Resource{
+	applied, err := labSite.Operator(1).Put(ctx, &v1.Resource{
 		APIVersion: v1.APIVersion, Kind: v1.KindSitePolicy, Metadata: v1.Metadata{Name: "site"}, Spec: spec,
 	}, nil)
 	if err != nil {
@@ -139,19 +139,19 @@
 	return nil
 }
 
-func demoBatch(ctx context.Context, running *site.Site, chosen profile.Profile, recorder *history.Recorder, out io.Writer, result *demoResult) error {
-	submitter := &load.Submitter{Model: chosen.Model, Key: site.TenantKey, Recorder: recorder, URLs: running.URLs}
+func demoBatch(ctx context.Context, labSite *site.Site, prof profile.Profile, recorder *history.Recorder, out io.Writer, result *demoResult) error {
+	submitter := &load.Submitter{Model: prof.Model, Key: site.TenantKey, Recorder: recorder, URLs: labSite.URLs}
 	started := time.Now()
-	job, err := submitter.Submit(ctx, load.Items(chosen.Batch, demoSeed, "demo", demoItems, false), time.Hour, "")
+	job, err := submitter.Submit(ctx, load.Items(prof.Batch, demoSeed, "demo", demoItems, false), time.Hour, "")
 	if err != nil {
 		return err
 	}
 	bar := progressbar.NewOptions(demoItems, progressbar.OptionSetWriter(out),
 		progressbar.OptionSetDescription("batch items"), progressbar.OptionShowCount(),
 		progressbar.OptionThrottle(progressInterval), progressbar.OptionUseANSICodes(true))
-	progress, stop := context.WithCancel(ctx)
+	progressCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	go showProgress(progress, running, job.ID, bar)
+	go showProgress(progressCtx, labSite, job.ID, bar)
 	batch, err := submitter.Await(ctx, job)
 	if err != nil {
 		return err
@@ -177,8 +177,8 @@
 	return nil
 }
 
-func showProgress(ctx context.Context, running *site.Site, job string, bar *progressbar.ProgressBar) {
-	tenant := running.Tenant(0)
+func showProgress(ctx context.Context, labSite *site.Site, job string, bar *progressbar.ProgressBar) {
+	tenant := labSite.Tenant(0)
 	for {
 		if batch, err := tenant.Batch(ctx, job); err == nil {
 			_ = bar.Set(batch.RequestCounts.Completed + batch.RequestCounts.Failed)
--- a/internal/lab/labcmd/root_test.go
+++ b/internal/lab/labcmd/root_test.go
@@ -6,7 +6,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/command"
 )
 
-func TestMain_HelpIsNoFailure(t *testing.T) {
+func TestMain_HelpExitsWithOK(t *testing.T) {
 	for _, arguments := range [][]string{
 		{"--help"}, {"demo", "--help"}, {"site", "--help"}, {"run", "--help"}, {"check", "--help"}, {"soak", "--help"},
 	} {
--- a/internal/lab/labcmd/run.go
+++ b/internal/lab/labcmd/run.go
@@ -35,12 +35,12 @@
 			if err != nil {
 				return err
 			}
-			chosen, err := profile.Find(*profileName)
+			prof, err := profile.Find(*profileName)
 			if err != nil {
 				return err
 			}
 			result, err := experiment.Execute(ctx, scenario, experiment.Options{
-				Profile: chosen, Seed: *seed, Duration: *duration, Nodes: *nodes,
+				Profile: prof, Seed: *seed, Duration: *duration, Nodes: *nodes,
 				Progress: func(format string, arguments ...any) { _, _ = fmt.Fprintf(std.err, format+"\n", arguments...) },
 			})
 			if err != nil {
@@ -51,7 +51,7 @@
 					return err
 				}
 			}
-			return finish(std.out, result, *asJSON)
+			return writeResult(std.out, result, *asJSON)
 		},
 	}
 }
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// finish prints the result and fails on a violation.
-func finish(out io.Writer, result *experiment.Result, asJSON bool) error {
+// writeResult prints the result and fails on a violation.
+func writeResult(out io.Writer, result *experiment.Result, asJSON bool) error {
 	if asJSON {
 		if err := json.NewEncoder(out).Encode(result); err != nil {
 			return err
--- a/internal/lab/labcmd/site.go
+++ b/internal/lab/labcmd/site.go
@@ -31,22 +31,22 @@
 		Name: "site", ShortUsage: "wheelhoist-lab site [flags]", FlagSet: flags,
 		ShortHelp: "run a whole site in this process until SIGTERM",
 		Exec: func(ctx context.Context, _ []string) error {
-			chosen, err := profile.Find(*profileName)
+			prof, err := profile.Find(*profileName)
 			if err != nil {
 				return err
 			}
-			running, err := site.Start(ctx, site.Config{
-				Profile: chosen, Nodes: *nodes, Listen: *listen, Seed: *seed, Log: std.err,
+			labSite, err := site.Start(ctx, site.Config{
+				Profile: prof, Nodes: *nodes, Listen: *listen, Seed: *seed, Log: std.err,
 			})
 			if err != nil {
 				return err
 			}
-			defer running.Close()
+			defer labSite.Close()
 			line := readyLine{
-				Ready: true, Nodes: running.URLs(), Model: chosen.Model, TenantKey: site.TenantKey,
-				OperatorKey: site.OperatorKey, Platform: running.Platform.Endpoints(),
+				Ready: true, Nodes: labSite.URLs(), Model: prof.Model, TenantKey: site.TenantKey,
+				OperatorKey: site.OperatorKey, Platform: labSite.Platform.Endpoints(),
 			}
-			for _, engine := range running.Engines() {
+			for _, engine := range labSite.Engines() {
 				line.Engines = append(line.Engines, engine.URL)
 			}
 			if err := json.NewEncoder(std.out).Encode(line); err != nil {
--- a/internal/lab/labcmd/soak.go
+++ b/internal/lab/labcmd/soak.go
@@ -11,44 +11,44 @@
 	"github.com/wheelhoist/wheelhoist/internal/lab/soak"
 )
 
-// soakReady is how long the nodes of a soak may take to serve: a thousand times what
+// soakReadyTimeout is how long the nodes of a soak may take to serve: a thousand times what
 // they take on an idle machine (0.1 s), and an end for runs that nobody looks at.
-const soakReady = 2 * time.Minute
+const soakReadyTimeout = 2 * time.Minute
 
 // Bounds of a soak's numbers. A node is a process of some 25 MB.
 const (
-	leastSoakNodes   = 3
-	mostSoakNodes    = 40
-	mostSoakServers  = 64
-	mostSoakSlots    = 64
-	mostSoakRegions  = 2
-	leastSoakRegions = 1
+	minSoakNodes   = 3
+	maxSoakNodes   = 40
+	maxSoakServers = 64
+	maxSoakSlots   = 64
+	maxSoakRegions = 2
+	minSoakRegions = 1
 )
 
-// bounded is a whole number of a flag, with the bounds that it must lie in.
-type bounded struct {
-	flag               string
-	value, least, most int
+// boundedFlag is a whole number of a flag, with the bounds that it must lie in.
+type boundedFlag struct {
+	name            string
+	value, min, max int
 }
 
-func (b bounded) check() error {
-	if b.value < b.least || b.value > b.most {
-		return fmt.Errorf("%w: --%s is %d, it may be %d to %d", errBounds, b.flag, b.value, b.least, b.most)
+func (b boundedFlag) check() error {
+	if b.value < b.min || b.value > b.max {
+		return fmt.Errorf("%w: --%s is %d, it may be %d to %d", errOutOfBounds, b.name, b.value, b.min, b.max)
 	}
 	return nil
 }
 
-// errBounds reports a number of a flag that is out of its bounds.
-var errBounds = errors.New("out of bounds")
+// errOutOfBounds reports a number of a flag that is out of its bounds.
+var errOutOfBounds = errors.New("out of bounds")
 
 func soakCommand(std streams) *ffcli.Command {
 	flags := newFlags("wheelhoist-lab soak", std)
 	seed := flags.Uint64("seed", 1, "seed of the plan of faults")
-	length := flags.Duration("for", time.Minute, "time with faults")
-	nodes := flags.Int("nodes", 4, fmt.Sprintf("number of gateway processes, %d to %d", leastSoakNodes, mostSoakNodes))
+	duration := flags.Duration("for", time.Minute, "time with faults")
+	nodes := flags.Int("nodes", 4, fmt.Sprintf("number of gateway processes, %d to %d", minSoakNodes, maxSoakNodes))
 	regions := flags.Int("regions", 1, "regions of the three zones, 1 or 2")
-	servers := flags.Int("servers", soak.DefaultServers, fmt.Sprintf("number of stand-in servers, %d to %d", soak.MinServers, mostSoakServers))
-	slots := flags.Int("slots", soak.DefaultSlots, fmt.Sprintf("slots of each server, 1 to %d", mostSoakSlots))
+	servers := flags.Int("servers", soak.DefaultServers, fmt.Sprintf("number of stand-in servers, %d to %d", soak.MinServers, maxSoakServers))
+	slots := flags.Int("slots", soak.DefaultSlots, fmt.Sprintf("slots of each server, 1 to %d", maxSoakSlots))
 	firstPlanOnly := flags.Bool("first-plan-only", false,
 		"leave out the second plan of faults: silent connections, servers that start again, rows of other writers, changes in series")
 	overcommit := flags.Bool("overcommit", false,
@@ -57,24 +57,24 @@
 		Name: "soak", ShortUsage: "wheelhoist-lab soak [flags]", FlagSet: flags,
 		ShortHelp: "real gateway processes under faults from outside; exits 1 on a broken promise",
 		Exec: func(ctx context.Context, _ []string) error {
-			for _, one := range []bounded{
-				{"nodes", *nodes, leastSoakNodes, mostSoakNodes}, {"regions", *regions, leastSoakRegions, mostSoakRegions},
-				{"servers", *servers, soak.MinServers, mostSoakServers}, {"slots", *slots, 1, mostSoakSlots},
+			for _, bounds := range []boundedFlag{
+				{"nodes", *nodes, minSoakNodes, maxSoakNodes}, {"regions", *regions, minSoakRegions, maxSoakRegions},
+				{"servers", *servers, soak.MinServers, maxSoakServers}, {"slots", *slots, 1, maxSoakSlots},
 			} {
-				if err := one.check(); err != nil {
+				if err := bounds.check(); err != nil {
 					return err
 				}
 			}
 			report, err := soak.Run(ctx, soak.Options{
-				Seed: *seed, Duration: *length, Nodes: *nodes, Regions: *regions, ReadyTimeout: soakReady,
+				Seed: *seed, Duration: *duration, Nodes: *nodes, Regions: *regions, ReadyTimeout: soakReadyTimeout,
 				Servers: *servers, Slots: *slots, FirstPlanOnly: *firstPlanOnly, Overcommit: *overcommit,
 				Progress: func(format string, arguments ...any) { _, _ = fmt.Fprintf(std.err, format+"\n", arguments...) },
 			})
 			if err != nil {
 				return err
 			}
-			for _, one := range report.Violations {
-				_, _ = fmt.Fprintln(std.out, "broken:", one)
+			for _, violation := range report.Violations {
+				_, _ = fmt.Fprintln(std.out, "broken:", violation)
 			}
 			_, _ = fmt.Fprintf(std.out, "seed %d: %d faults, %d of %d requests whole, %d beyond limits, %d jobs, %d results, %d runs, %d evacuations, %d zones lost, %d sends to cold replicas, %d replicas ended by %d harmful requests, %d silences, %d replicas started again, %d foreign rows, %d promises checked, %d broken\n",
 				report.Seed, report.Faults, report.Whole, report.Requests, report.Limited, report.Jobs, report.Items, report.Runs,
--- a/internal/lab/labcmd/soak_test.go
+++ b/internal/lab/labcmd/soak_test.go
@@ -10,14 +10,14 @@
 )
 
 // A number out of its bounds is refused before anything starts.
-func TestSoak_BoundsAreKept(t *testing.T) {
+func TestSoak_RejectsValuesOutOfBounds(t *testing.T) {
 	for _, flags := range [][]string{
 		{"--nodes", "2"}, {"--nodes", "41"}, {"--regions", "3"}, {"--servers", "2"}, {"--servers", "65"}, {"--slots", "0"}, {"--slots", "65"},
 	} {
 		var output bytes.Buffer
-		soaking := soakCommand(streams{out: &output, err: &output})
-		err := soaking.ParseAndRun(t.Context(), flags)
-		if !errors.Is(err, errBounds) || !strings.Contains(err.Error(), flags[0]) {
+		cmd := soakCommand(streams{out: &output, err: &output})
+		err := cmd.ParseAndRun(t.Context(), flags)
+		if !errors.Is(err, errOutOfBounds) || !strings.Contains(err.Error(), flags[0]) {
 			t.Errorf("%v: %v", flags, err)
 		}
 		if code := Main(append([]string{"soak"}, flags...)); code != command.ExitFailed {
@@ -27,10 +27,10 @@
 }
 
 // The help tells the bounds that hold.
-func TestSoak_HelpTellsItsBounds(t *testing.T) {
-	usage := soakCommand(streams{out: &bytes.Buffer{}, err: &bytes.Buffer{}}).FlagSet
+func TestSoak_HelpStatesBounds(t *testing.T) {
+	flags := soakCommand(streams{out: &bytes.Buffer{}, err: &bytes.Buffer{}}).FlagSet
 	for name, want := range map[string]string{"nodes": "3 to 40", "servers": "3 to 64", "slots": "1 to 64", "regions": "1 or 2"} {
-		if flag := usage.Lookup(name); flag == nil || !strings.Contains(flag.Usage, want) {
+		if flag := flags.Lookup(name); flag == nil || !strings.Contains(flag.Usage, want) {
 			t.Errorf("--%s: %+v", name, flag)
 		}
 	}
--- a/internal/lab/load/batch.go
+++ b/internal/lab/load/batch.go
@@ -20,23 +20,23 @@
 
 // Item is an item of a batch job and what is expected of it.
 type Item struct {
-	ID        string
-	Prompt    string
-	MaxTokens int
-	Seed      int64
-	Once      bool
+	ID            string
+	Prompt        string
+	MaxTokens     int
+	Seed          int64
+	NotRepeatable bool
 }
 
 // Items makes the items of a job; they are a function of the seed.
-func Items(p profile.Batch, seed uint64, job string, count int, once bool) []Item {
+func Items(p profile.Batch, seed uint64, job string, count int, notRepeatable bool) []Item {
 	random := rand.New(rand.NewPCG(seed, 11))
 	items := make([]Item, count)
 	for i := range items {
 		items[i] = Item{
 			ID:        fmt.Sprintf("%s-%d", job, i),
-			Prompt:    words(random, max(1, p.PromptWords/2)+random.IntN(max(1, p.PromptWords))),
+			Prompt:    randomWords(random, max(1, p.PromptWords/2)+random.IntN(max(1, p.PromptWords))),
 			MaxTokens: max(1, p.MaxTokens/2) + random.IntN(max(1, p.MaxTokens)),
-			Seed:      int64(i), Once: once,
+			Seed:      int64(i), NotRepeatable: notRepeatable,
 		}
 	}
 	return items
@@ -46,12 +46,12 @@
 func JSONL(model string, items []Item) []byte {
 	var buffer bytes.Buffer
 	encoder := json.NewEncoder(&buffer)
-	for _, one := range items {
-		body, err := json.Marshal(itemRequest(model, one))
+	for _, item := range items {
+		body, err := json.Marshal(itemRequest(model, item))
 		if err == nil {
 			err = encoder.Encode(openai.BatchItem{
-				CustomID: one.ID, Method: http.MethodPost, URL: openai.PathChatCompletions,
-				Body: body, NotRepeatable: one.Once,
+				CustomID: item.ID, Method: http.MethodPost, URL: openai.PathChatCompletions,
+				Body: body, NotRepeatable: item.NotRepeatable,
 			})
 		}
 		if err != nil {
@@ -62,10 +62,10 @@
 	return buffer.Bytes()
 }
 
-func itemRequest(model string, one Item) openai.CompletionRequest {
+func itemRequest(model string, item Item) openai.CompletionRequest {
 	return openai.CompletionRequest{
-		Model: model, MaxTokens: one.MaxTokens, Seed: one.Seed,
-		Messages: []openai.Message{{Role: "user", Content: openai.Content(one.Prompt)}},
+		Model: model, MaxTokens: item.MaxTokens, Seed: item.Seed,
+		Messages: []openai.Message{{Role: "user", Content: openai.Content(item.Prompt)}},
 	}
 }
 
@@ -81,8 +81,8 @@
 	Key      string
 	Recorder *history.Recorder
 	// URLs returns the nodes to call; a call that fails goes to the next.
-	URLs func() []string
-	turn int
+	URLs     func() []string
+	nextNode int
 }
 
 // retryPause is the wait between two tries of a batch call.
@@ -95,9 +95,9 @@
 		urls := s.URLs()
 		err := Error.New("no node")
 		if len(urls) > 0 {
-			s.turn++
+			s.nextNode++
 			callCtx, cancel := context.WithTimeout(ctx, 10*time.Second)
-			err = action(callCtx, client.New(urls[s.turn%len(urls)], s.Key))
+			err = action(callCtx, client.New(urls[s.nextNode%len(urls)], s.Key))
 			cancel()
 		}
 		var status *client.StatusError
@@ -180,8 +180,8 @@
 // expected one. It returns the number of lines read.
 func (s *Submitter) Verify(ctx context.Context, job *Job) (int, error) {
 	expected := make(map[string]Item, len(job.Items))
-	for _, one := range job.Items {
-		expected[one.ID] = one
+	for _, item := range job.Items {
+		expected[item.ID] = item
 	}
 	lines := 0
 	for _, file := range []string{"file-out-" + job.ID, "file-err-" + job.ID} {
@@ -213,7 +213,7 @@
 	event := history.Event{
 		Source: "client", Type: history.BatchResult, Class: history.Batch, Job: job.ID, Item: result.CustomID,
 	}
-	one, known := expected[result.CustomID]
+	item, known := expected[result.CustomID]
 	switch {
 	case !known:
 		event.Outcome = "not an item of the job"
@@ -224,11 +224,11 @@
 		if err := json.Unmarshal(result.Response.Body, &completion); err != nil {
 			return Error.Wrap(err)
 		}
-		request := itemRequest(s.Model, one)
-		answer := emulator.NewAnswer(s.Model, completion.SystemFingerprint, request.PromptText(), one.Seed, one.MaxTokens)
+		request := itemRequest(s.Model, item)
+		answer := emulator.NewAnswer(s.Model, completion.SystemFingerprint, request.PromptText(), item.Seed, item.MaxTokens)
 		event.Outcome, event.Match = "completed", completion.Text() == answer.Text()
 	}
-	event.Repeatable = !one.Once
+	event.Repeatable = !item.NotRepeatable
 	s.Recorder.Record(event)
 	return nil
 }
--- a/internal/lab/load/online.go
+++ b/internal/lab/load/online.go
@@ -36,41 +36,41 @@
 	Prompt    string
 	MaxTokens int
 	Seed      int64
-	// Once marks a request that may run at most once.
-	Once bool
-	// Key is its Idempotency-Key, if any.
-	Key string
+	// NotRepeatable marks a request that may run at most once.
+	NotRepeatable bool
+	// IdempotencyKey is its Idempotency-IdempotencyKey, if any.
+	IdempotencyKey string
 }
 
 // Schedule makes the arrivals of a profile for a time. It is a function of the
 // seed, so that runs with and without batch get the same requests.
-func Schedule(p profile.Online, seed uint64, length time.Duration, scale float64) []Arrival {
+func Schedule(p profile.Online, seed uint64, duration time.Duration, scale float64) []Arrival {
 	random := rand.New(rand.NewPCG(seed, 7))
 	var arrivals []Arrival
 	exponential := func(mean time.Duration) time.Duration {
 		return time.Duration(random.ExpFloat64() * float64(mean))
 	}
 	at := exponential(p.MeanIdle)
-	for at < length {
-		end := at + exponential(p.MeanBurst)
-		for at < end && at < length {
-			arrivals = append(arrivals, arrival(p, random, at, len(arrivals), seed))
+	for at < duration {
+		burstEnd := at + exponential(p.MeanBurst)
+		for at < burstEnd && at < duration {
+			arrivals = append(arrivals, newArrival(p, random, at, len(arrivals), seed))
 			at += time.Duration(random.ExpFloat64() / (p.Rate * scale) * float64(time.Second))
 		}
-		at = max(at, end) + exponential(p.MeanIdle)
+		at = max(at, burstEnd) + exponential(p.MeanIdle)
 	}
 	return arrivals
 }
 
-const conversations = 40
+const conversationCount = 40
 
-func arrival(p profile.Online, random *rand.Rand, at time.Duration, number int, seed uint64) Arrival {
-	prompt := words(random, p.PromptWords/2+random.IntN(p.PromptWords))
+func newArrival(p profile.Online, random *rand.Rand, at time.Duration, number int, seed uint64) Arrival {
+	prompt := randomWords(random, p.PromptWords/2+random.IntN(p.PromptWords))
 	if random.Float64() < p.ConversationShare {
 		// The shared beginning is a function of the conversation alone.
-		conversation := random.IntN(conversations)
-		shared := rand.New(rand.NewPCG(seed, 1000+uint64(conversation)))
-		prompt = words(shared, p.SharedWords) + " " + prompt
+		conversation := random.IntN(conversationCount)
+		prefixRandom := rand.New(rand.NewPCG(seed, 1000+uint64(conversation)))
+		prompt = randomWords(prefixRandom, p.SharedWords) + " " + prompt
 	}
 	return Arrival{
 		At: at, ID: fmt.Sprintf("online-%d-%d", seed, number), Prompt: prompt,
@@ -78,7 +78,7 @@
 	}
 }
 
-func words(random *rand.Rand, count int) string {
+func randomWords(random *rand.Rand, count int) string {
 	var builder strings.Builder
 	for i := range count {
 		if i > 0 {
@@ -104,8 +104,8 @@
 	// Retries is how often a refusal that says "not run" is sent again.
 	Retries int
 
-	client *http.Client
-	turn   atomic.Uint64
+	client   *http.Client
+	nextNode atomic.Uint64
 }
 
 // Open prepares the caller's connections. Call it before anything else.
@@ -125,8 +125,8 @@
 func (c *Caller) Replay(ctx context.Context, arrivals []Arrival) {
 	start := time.Now()
 	var group sync.WaitGroup
-	for _, one := range arrivals {
-		timer := time.NewTimer(time.Until(start.Add(one.At)))
+	for _, arrival := range arrivals {
+		timer := time.NewTimer(time.Until(start.Add(arrival.At)))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -137,24 +137,24 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			c.Ask(ctx, one)
+			c.Send(ctx, arrival)
 		}()
 	}
 	group.Wait()
 }
 
-// Ask sends one request, again after a refusal that says it did not run, and
+// Send sends one request, again after a refusal that says it did not run, and
 // records what came of it.
-func (c *Caller) Ask(ctx context.Context, one Arrival) {
+func (c *Caller) Send(ctx context.Context, arrival Arrival) {
 	sent := time.Now()
 	for attempt := 0; ; attempt++ {
 		c.Recorder.Record(history.Event{
-			Source: "client", Type: history.ClientSend, Class: history.Online, Request: one.ID, Repeatable: !one.Once,
+			Source: "client", Type: history.ClientSend, Class: history.Online, Request: arrival.ID, Repeatable: !arrival.NotRepeatable,
 		})
-		result := c.once(ctx, one, sent)
+		result := c.sendOnce(ctx, arrival, sent)
 		c.Recorder.Record(result)
-		again := result.Type == history.ClientRefused && result.Executed == "no" && attempt < c.Retries
-		if !again || ctx.Err() != nil {
+		retry := result.Type == history.ClientRefused && result.Executed == "no" && attempt < c.Retries
+		if !retry || ctx.Err() != nil {
 			c.Stats.Add(result)
 			return
 		}
@@ -163,24 +163,24 @@
 	}
 }
 
-func (c *Caller) once(ctx context.Context, one Arrival, sent time.Time) history.Event {
-	event := history.Event{Source: "client", Class: history.Online, Request: one.ID, Repeatable: !one.Once, Type: history.ClientFailed}
+func (c *Caller) sendOnce(ctx context.Context, arrival Arrival, sent time.Time) history.Event {
+	event := history.Event{Source: "client", Class: history.Online, Request: arrival.ID, Repeatable: !arrival.NotRepeatable, Type: history.ClientFailed}
 	time.Sleep(c.Delay)
-	response, err := c.post(ctx, one, nil)
+	response, err := c.post(ctx, arrival, nil)
 	if err != nil {
 		event.Detail = err.Error()
 		return event
 	}
 	if response.StatusCode != http.StatusOK {
-		refused(response, &event)
+		recordRefusal(response, &event)
 		return event
 	}
 	answer := &answerReader{caller: c, version: c.Version, sent: sent, event: &event}
-	broken := answer.read(response)
-	for tries := 0; broken && tries < reconnectTries && ctx.Err() == nil; tries++ {
-		time.Sleep(reconnectPause)
-		header := http.Header{headerAttempt: {answer.attempt}, "Last-Event-Id": {strconv.Itoa(answer.last)}}
-		response, err := c.post(ctx, one, header)
+	resumable := answer.read(response)
+	for attempt := 0; resumable && attempt < reconnectAttempts && ctx.Err() == nil; attempt++ {
+		time.Sleep(reconnectDelay)
+		header := http.Header{headerAttempt: {answer.attempt}, "Last-Event-Id": {strconv.Itoa(answer.lastEventID)}}
+		response, err := c.post(ctx, arrival, header)
 		if err != nil {
 			continue
 		}
@@ -188,32 +188,32 @@
 			_ = response.Body.Close()
 			continue
 		}
-		broken = answer.read(response)
+		resumable = answer.read(response)
 		event.Outcome = "reconnected"
 	}
 	if event.Type == history.ClientAnswer {
 		event.Elapsed = milliseconds(time.Since(sent))
-		event.Match = answer.text.String() == c.expected(one, answer.version)
+		event.Match = answer.text.String() == c.expectedText(arrival, answer.version)
 	}
 	return event
 }
 
 const (
 	headerAttempt = "X-Wheelhoist-Attempt"
-	// reconnectTries and reconnectPause bound a caller's way back to an answer
+	// reconnectAttempts and reconnectPause bound a caller's way back to an answer
 	// whose node is gone.
-	reconnectTries = 6
-	reconnectPause = 300 * time.Millisecond
+	reconnectAttempts = 6
+	reconnectDelay    = 300 * time.Millisecond
 )
 
 // post sends a request to the next node.
-func (c *Caller) post(ctx context.Context, one Arrival, header http.Header) (*http.Response, error) {
+func (c *Caller) post(ctx context.Context, arrival Arrival, header http.Header) (*http.Response, error) {
 	urls := c.URLs()
 	if len(urls) == 0 {
 		return nil, Error.New("no node is ready")
 	}
-	url := urls[c.turn.Add(1)%uint64(len(urls))]
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+openai.PathChatCompletions, bytes.NewReader(c.body(one)))
+	url := urls[c.nextNode.Add(1)%uint64(len(urls))]
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+openai.PathChatCompletions, bytes.NewReader(c.requestBody(arrival)))
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -221,18 +221,18 @@
 		request.Header[name] = values
 	}
 	request.Header.Set("Authorization", "Bearer "+c.Key)
-	request.Header.Set("X-Request-Id", one.ID)
-	if one.Once {
+	request.Header.Set("X-Request-Id", arrival.ID)
+	if arrival.NotRepeatable {
 		request.Header.Set("X-Wheelhoist-Repeatable", "no")
 	}
-	if one.Key != "" {
-		request.Header.Set("Idempotency-Key", one.Key)
+	if arrival.IdempotencyKey != "" {
+		request.Header.Set("Idempotency-Key", arrival.IdempotencyKey)
 	}
 	response, err := c.client.Do(request)
 	return response, Error.Wrap(err)
 }
 
-func refused(response *http.Response, event *history.Event) {
+func recordRefusal(response *http.Response, event *history.Event) {
 	const maxDetail = 4096
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxDetail))
 	_ = response.Body.Close()
@@ -241,10 +241,10 @@
 	event.Detail = fmt.Sprintf("%d %s", response.StatusCode, body)
 }
 
-func (c *Caller) body(one Arrival) []byte {
+func (c *Caller) requestBody(arrival Arrival) []byte {
 	body, err := json.Marshal(openai.CompletionRequest{
-		Model: c.Model, Stream: true, MaxTokens: one.MaxTokens, Seed: one.Seed,
-		Messages: []openai.Message{{Role: "user", Content: openai.Content(one.Prompt)}},
+		Model: c.Model, Stream: true, MaxTokens: arrival.MaxTokens, Seed: arrival.Seed,
+		Messages: []openai.Message{{Role: "user", Content: openai.Content(arrival.Prompt)}},
 	})
 	if err != nil {
 		// A struct of strings and numbers always encodes.
@@ -261,9 +261,9 @@
 	version string
 	attempt string
 	text    strings.Builder
-	// last is the id of the last event taken in.
-	last    int
-	tokenAt time.Time
+	// lastEventID is the id of the lastEventID event taken in.
+	lastEventID int
+	lastTokenAt time.Time
 }
 
 // read takes a response in; it reports true when the answer broke off and may
@@ -278,11 +278,11 @@
 		line, err := reader.ReadBytes('\n')
 		if err != nil {
 			a.event.Detail = "answer broke off: " + err.Error()
-			return a.attempt != "" && a.last > 0
+			return a.attempt != "" && a.lastEventID > 0
 		}
 		line = bytes.TrimSpace(line)
 		if text, isID := bytes.CutPrefix(line, []byte("id: ")); isID {
-			a.last, _ = strconv.Atoi(string(text))
+			a.lastEventID, _ = strconv.Atoi(string(text))
 			continue
 		}
 		data, isData := bytes.CutPrefix(line, []byte("data: "))
@@ -293,14 +293,14 @@
 			a.event.Type, a.event.Whole, a.event.Value = history.ClientAnswer, true, a.version
 			return false
 		}
-		if !a.chunk(data) {
+		if !a.readChunk(data) {
 			return false
 		}
 	}
 }
 
-// chunk takes one chunk in; it reports false for an error event.
-func (a *answerReader) chunk(data []byte) bool {
+// readChunk takes one readChunk in; it reports false for an error event.
+func (a *answerReader) readChunk(data []byte) bool {
 	var chunk openai.Completion
 	if err := json.Unmarshal(data, &chunk); err != nil || len(chunk.Choices) == 0 {
 		a.event.Detail = "error event: " + string(data)
@@ -310,9 +310,9 @@
 	if a.text.Len() == 0 {
 		a.event.TTFT = milliseconds(now.Sub(a.sent))
 	} else {
-		a.caller.Stats.Gap(now.Sub(a.tokenAt))
+		a.caller.Stats.AddTokenGap(now.Sub(a.lastTokenAt))
 	}
-	a.tokenAt = now
+	a.lastTokenAt = now
 	if chunk.SystemFingerprint != "" {
 		a.version = chunk.SystemFingerprint
 	}
@@ -321,11 +321,11 @@
 	return true
 }
 
-func (c *Caller) expected(one Arrival, version string) string {
+func (c *Caller) expectedText(arrival Arrival, version string) string {
 	prompt := (&openai.CompletionRequest{
-		Messages: []openai.Message{{Role: "user", Content: openai.Content(one.Prompt)}},
+		Messages: []openai.Message{{Role: "user", Content: openai.Content(arrival.Prompt)}},
 	}).PromptText()
-	return emulator.NewAnswer(c.Model, version, prompt, one.Seed, one.MaxTokens).Text()
+	return emulator.NewAnswer(c.Model, version, prompt, arrival.Seed, arrival.MaxTokens).Text()
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/lab/load/stats.go
+++ b/internal/lab/load/stats.go
@@ -16,12 +16,12 @@
 
 // Stats collects what callers measured. It is safe for concurrent use.
 type Stats struct {
-	mu       sync.Mutex
-	ttft     *hdrhistogram.Histogram
-	total    *hdrhistogram.Histogram
-	gaps     *hdrhistogram.Histogram
-	requests int
-	answered int
+	mu        sync.Mutex
+	ttft      *hdrhistogram.Histogram
+	total     *hdrhistogram.Histogram
+	tokenGaps *hdrhistogram.Histogram
+	requests  int
+	answered  int
 	// reconnected counts the answers that were continued through another node.
 	reconnected int
 	refused     int
@@ -43,8 +43,8 @@
 
 // NewStats returns empty statistics.
 func NewStats() *Stats {
-	create := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramMax, histogramDigits) }
-	return &Stats{ttft: create(), total: create(), gaps: create()}
+	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramMax, histogramDigits) }
+	return &Stats{ttft: newHistogram(), total: newHistogram(), tokenGaps: newHistogram()}
 }
 
 // Add takes in the outcome of a request.
@@ -75,11 +75,11 @@
 	}
 }
 
-// Gap takes in the time between two tokens.
-func (s *Stats) Gap(gap time.Duration) {
+// AddTokenGap takes in the time between two tokens.
+func (s *Stats) AddTokenGap(gap time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = s.gaps.RecordValue(gap.Microseconds())
+	_ = s.tokenGaps.RecordValue(gap.Microseconds())
 }
 
 // Online is the summary of online requests.
@@ -99,7 +99,7 @@
 	TTFTP99     float64 `json:"ttft_p99_ms"`
 	GapP95      float64 `json:"token_gap_p95_ms"`
 	GapP99      float64 `json:"token_gap_p99_ms"`
-	TTFTWorst   float64 `json:"ttft_max_ms"`
+	TTFTMax     float64 `json:"ttft_max_ms"`
 }
 
 // Summary returns the figures so far, in milliseconds.
@@ -113,8 +113,8 @@
 		Requests: s.requests, Answered: s.answered, Reconnected: s.reconnected, Refused: s.refused, Failed: s.failed, Wrong: s.wrong,
 		Tokens: s.tokens, P50: quantile(s.total, 50), P99: quantile(s.total, 99),
 		TTFTP50: quantile(s.ttft, 50), TTFTP95: quantile(s.ttft, 95), TTFTP99: quantile(s.ttft, 99),
-		GapP95: quantile(s.gaps, 95), GapP99: quantile(s.gaps, 99),
-		TTFTWorst: float64(s.ttft.Max()) / 1000,
+		GapP95: quantile(s.tokenGaps, 95), GapP99: quantile(s.tokenGaps, 99),
+		TTFTMax: float64(s.ttft.Max()) / 1000,
 	}
 }
 
