--- a/internal/lab/site/balancer.go
+++ b/internal/lab/site/balancer.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// balanceInterval is how often the balancer looks at the nodes' readiness.
+// balanceInterval is the time between two probes of the readiness of the nodes.
 const balanceInterval = 200 * time.Millisecond
 
-// balancer keeps the list of nodes that are ready, as a load balancer before
-// the callers does.
+// balancer emulates a load balancer between the callers and the nodes: it probes the nodes and keeps
+// the list of those that are ready.
 type balancer struct {
 	client *http.Client
 
@@ -23,7 +23,7 @@
 	return &balancer{client: &http.Client{Timeout: 4 * balanceInterval}}
 }
 
-// run looks at readiness until the context ends.
+// run probes the nodes of site until the context ends.
 func (b *balancer) run(ctx context.Context, site *Site) {
 	ticker := time.NewTicker(balanceInterval)
 	defer ticker.Stop()
@@ -38,6 +38,7 @@
 	}
 }
 
+// probe probes all nodes in parallel and updates the list of ready nodes.
 func (b *balancer) probe(ctx context.Context, site *Site) {
 	members := site.Nodes()
 	results := make([]bool, len(members))
@@ -61,7 +62,7 @@
 	b.ready = ready
 }
 
-// probeReady asks a node's readiness endpoint.
+// probeReady reports whether the readiness endpoint of the node at url returns 200.
 func probeReady(ctx context.Context, client *http.Client, url string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url+"/readyz", nil)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// ReadyURLs returns the base URLs of the nodes that were ready a moment ago.
+// ReadyURLs returns the base URLs of the nodes that were ready at the last probe.
 func (s *Site) ReadyURLs() []string {
 	s.balancer.mu.Lock()
 	defer s.balancer.mu.Unlock()
--- a/internal/lab/site/declare.go
+++ b/internal/lab/site/declare.go
@@ -11,17 +11,17 @@
 	"github.com/wheelhoist/wheelhoist/internal/server"
 )
 
-// Operator returns an operators' client of a node.
+// Operator returns a client for the node of a slot that uses the operator key.
 func (s *Site) Operator(slot int) *client.Client {
 	return client.New(s.Nodes()[slot].URL(), OperatorKey)
 }
 
-// Tenant returns the lab tenant's client of a node.
+// Tenant returns a client for the node of a slot that uses the tenant key.
 func (s *Site) Tenant(slot int) *client.Client {
 	return client.New(s.Nodes()[slot].URL(), TenantKey)
 }
 
-// Pool returns the declaration of the profile's pool at a version.
+// Pool returns the resource of the model pool of the profile with the given model version.
 func (s *Site) Pool(version string) *v1.Resource {
 	policy := s.config.Profile.Policy
 	if s.config.Policy != nil {
@@ -37,13 +37,13 @@
 func newResource(kind v1.Kind, name string, spec any) *v1.Resource {
 	encoded, err := json.Marshal(spec)
 	if err != nil {
-		// Specifications are plain structs; they always encode.
+		// Specs are plain structs, whose encoding cannot fail.
 		panic(err)
 	}
 	return &v1.Resource{APIVersion: v1.APIVersion, Kind: kind, Metadata: v1.Metadata{Name: name}, Spec: encoded}
 }
 
-// applyResources applies the site's resources through the first node.
+// applyResources applies the initial resources of the site through the first node.
 func (s *Site) applyResources(ctx context.Context) error {
 	if err := s.await(ctx, s.Nodes()[0], s.ready); err != nil {
 		return err
@@ -61,13 +61,12 @@
 	return nil
 }
 
-// ready reports whether a node admits work.
+// ready reports whether a node accepts requests.
 func (s *Site) ready(ctx context.Context, member *Member) bool {
 	return probeReady(ctx, http.DefaultClient, member.URL())
 }
 
-// converged reports whether a node sees all running nodes and replicas, and the
-// declared resources.
+// converged reports whether a node sees all running nodes, all replicas and the initial resources.
 func (s *Site) converged(ctx context.Context, member *Member) bool {
 	body, err := client.New(member.URL(), OperatorKey).Status(ctx)
 	var status server.NodeStatus
@@ -88,7 +87,7 @@
 	return alive >= len(s.URLs()) && ready >= s.config.Profile.ReplicaCount() && status.Revision >= initialResources
 }
 
-// DeclareRole gives replicas a role.
+// DeclareRole applies a resource that assigns a role to replicas.
 func (s *Site) DeclareRole(ctx context.Context, role string, replicas []string) error {
 	_, err := s.Operator(0).Put(ctx, newResource(v1.KindMachineRole, "role-"+role, v1.MachineRoleSpec{
 		Pool: s.config.Profile.Pool, Role: role, Machines: replicas,
@@ -96,5 +95,6 @@
 	return Error.Wrap(err)
 }
 
-// initialResources is the number of resources that a site begins with.
+// initialResources is the number of resources that applyResources applies, and so the lowest revision
+// at which a node has all of them.
 const initialResources = 2
--- a/internal/lab/site/drain_test.go
+++ b/internal/lab/site/drain_test.go
@@ -11,11 +11,10 @@
 	"github.com/wheelhoist/wheelhoist/internal/lab/profile"
 )
 
-// Seen by reading: a node that stops as planned gave its jobs up at once and its session only
-// once the last answer had ended, up to five minutes later. Until then nobody took over the
-// items that were its by the job row, nor those of lost nodes that it was preferred for.
-//
-// A stream is open at a node that drains; a batch that was begun before comes to its end.
+// A batch completes while one of the nodes drains with an open stream. Guards against a draining node
+// that releases its jobs, but keeps its session until the last stream ends, up to five minutes later:
+// until then no other node took over the items that the job row assigned to it, nor items of lost
+// nodes for which it was preferred.
 func TestSite_NodeThatDrainsHoldsUpNoItems(t *testing.T) {
 	testSite := start(t, 3)
 	ctx := t.Context()
@@ -47,7 +46,7 @@
 		}
 		select {
 		case <-streamEnded:
-			t.Fatalf("batch is %s, %+v, when the stream at the draining node has ended", batch.Status, batch.RequestCounts)
+			t.Fatalf("batch is %s, %+v, although the stream at the draining node has ended", batch.Status, batch.RequestCounts)
 		default:
 		}
 	}
--- a/internal/lab/site/member.go
+++ b/internal/lab/site/member.go
@@ -21,29 +21,30 @@
 	"github.com/wheelhoist/wheelhoist/internal/retry"
 )
 
-// process is a node that runs as a process of its own.
+// process is a node that runs as a separate process.
 type process struct {
 	command *exec.Cmd
-	// logTail is the end of what it said.
+	// logTail keeps the end of its output.
 	logTail tail.Writer
+	// exited is closed when the process has exited and its output has been read.
 	exited  chan struct{}
 	readers sync.WaitGroup
 }
 
-// ExitError reports that a node's process ended while it was waited for.
+// ExitError reports that the process of a node exited while the site was starting.
 type ExitError struct {
 	Node string
-	// State is how it ended, as in "exit status 1".
+	// State describes the exit, such as "exit status 1".
 	State string
-	// Log is the end of what it said.
+	// Log contains the last lines of its output.
 	Log string
 }
 
 func (e *ExitError) Error() string {
-	return fmt.Sprintf("site: node %s ended: %s; it said last:\n%s", e.Node, e.State, e.Log)
+	return fmt.Sprintf("site: node %s exited: %s; last lines of its log:\n%s", e.Node, e.State, e.Log)
 }
 
-// startProcess runs this program's own node command.
+// startProcess starts the node command of the current executable. The process outlives ctx.
 func (m *Member) startProcess(ctx context.Context) error {
 	executable, err := os.Executable()
 	if err != nil {
@@ -79,7 +80,8 @@
 	return nil
 }
 
-// writeSettings stores the settings as a file. JSON tags name the keys in YAML too.
+// writeSettings writes the settings to a YAML file in a new temporary directory and returns its path.
+// It encodes them as JSON first, because the JSON tags define the keys of the YAML.
 func (m *Member) writeSettings() (string, error) {
 	encoded, err := json.Marshal(m.settings)
 	if err != nil {
@@ -97,7 +99,7 @@
 	return path, Error.Wrap(os.WriteFile(path, source, 0o600))
 }
 
-// readLog turns the node's log into history events.
+// readLog records an event for each configuration revision that the log of the node reports as applied.
 func (m *Member) readLog(output io.Reader) {
 	const maxLogLine = 1 << 20
 	scanner := bufio.NewScanner(output)
@@ -117,7 +119,7 @@
 	}
 }
 
-// Kill ends the node at once: SIGKILL for a process.
+// Kill stops the node without draining it. A process is sent SIGKILL.
 func (m *Member) Kill() {
 	inProcess, proc := m.detach()
 	m.recorder.Record(history.Event{Source: "lab", Type: history.NodeKilled, Detail: m.ID})
@@ -130,7 +132,7 @@
 	}
 }
 
-// Signal sends a signal to a process; in-process nodes take none.
+// Signal sends a signal to the process of the node. It fails for an in-process node.
 func (m *Member) Signal(signal syscall.Signal) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -140,7 +142,7 @@
 	return Error.Wrap(m.process.command.Process.Signal(signal))
 }
 
-// Drain stops the node as planned and waits for its end.
+// Drain shuts the node down gracefully and waits until it has stopped or the context ends.
 func (m *Member) Drain(ctx context.Context) error {
 	m.recorder.Record(history.Event{Source: "lab", Type: history.NodeStopping, Detail: m.ID})
 	m.mu.Lock()
@@ -162,8 +164,8 @@
 	return Error.Wrap(err)
 }
 
-// withCancelOnExit returns a context that ends with the first process of a node that ends,
-// with an EndedError as its cause. Nodes that are no processes do not end it.
+// withCancelOnExit returns a context that is cancelled when the process of any node exits, with an
+// ExitError as its cause. In-process nodes are not watched.
 func (s *Site) withCancelOnExit(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	for _, member := range s.Nodes() {
@@ -177,7 +179,7 @@
 	return ctx, func() { cancel(nil) }
 }
 
-// cancelOnExit waits for the end of the process or of the context.
+// cancelOnExit calls cancel with an ExitError when the process exits. It returns when the context ends.
 func (p *process) cancelOnExit(ctx context.Context, id string, cancel context.CancelCauseFunc) {
 	select {
 	case <-p.exited:
@@ -186,7 +188,8 @@
 	}
 }
 
-// await waits until a node meets a condition or the context ends.
+// await polls until the condition holds for a node. It fails with the cause of the context if that
+// ends first.
 func (s *Site) await(ctx context.Context, member *Member, condition func(context.Context, *Member) bool) error {
 	const interval = 50 * time.Millisecond
 	for !condition(ctx, member) {
@@ -197,7 +200,7 @@
 	return nil
 }
 
-// detach marks the node as not running and returns what ran.
+// detach marks the node as not running and returns the node or process that was running, if any.
 func (m *Member) detach() (inProcess *node.Node, proc *process) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/lab/site/platform.go
+++ b/internal/lab/site/platform.go
@@ -1,5 +1,5 @@
-// Package site runs a whole emulated site: the platform's stand-ins, the
-// engines and the nodes, in one process or with the nodes as real processes.
+// Package site runs a complete emulated site: stand-ins for the services of the platform, emulated
+// engines and real nodes. The nodes run in this process or as separate processes.
 package site
 
 import (
@@ -22,10 +22,13 @@
 var Error = errs.Class("site")
 
 const (
-	// MachineLag is the lag of the machine list.
+	// MachineLag is the time until readers of the machine list see that a machine was changed or
+	// removed.
 	MachineLag = 3 * time.Second
-	// LoadLag is the lag of the engines' load reports.
-	LoadLag         = 150 * time.Millisecond
+	// LoadLag is the age of the load that engines report.
+	LoadLag = 150 * time.Millisecond
+	// weightSize is the size in bytes of the weights of a model version, weightBandwidth the
+	// bandwidth of the weight store in bytes per second.
 	weightSize      = 256 << 10
 	weightBandwidth = 1 << 20
 
@@ -37,13 +40,14 @@
 	labSecretKey = "lab-secret"
 )
 
-// endpoint is an HTTP server of the lab.
+// endpoint is an HTTP server on a loopback port.
 type endpoint struct {
 	url      string
 	server   *http.Server
 	listener *emulator.SilentListener
 }
 
+// serve starts an HTTP server for handler on a port that the kernel chooses.
 func serve(handler http.Handler) (*endpoint, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,7 +59,7 @@
 	return &endpoint{url: "http://" + listener.Addr().String(), server: server, listener: silenceable}, nil
 }
 
-// Platform is the set of stand-ins for the platform's services.
+// Platform contains the stand-ins for the services of the platform.
 type Platform struct {
 	Table    *emulator.TableStore
 	Objects  *emulator.ObjectStore
@@ -65,7 +69,7 @@
 	table, objects, weights, machines *endpoint
 }
 
-// Endpoints are the base URLs of the stand-ins.
+// Endpoints contains the base URLs of the stand-ins.
 type Endpoints struct {
 	Table    string `json:"table"`
 	Objects  string `json:"objects"`
@@ -73,7 +77,7 @@
 	Machines string `json:"machines"`
 }
 
-// StartPlatform starts the stand-ins.
+// StartPlatform starts the stand-ins, each with a random stream derived from seed.
 func StartPlatform(seed uint64, recorder *history.Recorder) (*Platform, error) {
 	p := &Platform{
 		Table:    emulator.NewTableStore(seed, recorder),
@@ -95,12 +99,12 @@
 	return p, group.Err()
 }
 
-// Endpoints returns the base URLs.
+// Endpoints returns the base URLs of the stand-ins.
 func (p *Platform) Endpoints() Endpoints {
 	return Endpoints{Table: p.table.url, Objects: p.objects.url, Weights: p.weights.url, Machines: p.machines.url}
 }
 
-// WeightStore returns a client of the weight store.
+// WeightStore returns a client for the object store that holds the model weights.
 func (p *Platform) WeightStore() object.Store {
 	return object.NewS3(object.S3Config{
 		Endpoint: p.weights.url, Region: labRegion, Bucket: weightBucket,
@@ -108,7 +112,7 @@
 	})
 }
 
-// SeedWeights stores the weights of a version or adapter.
+// SeedWeights stores placeholder weights for a version or adapter of a model.
 func (p *Platform) SeedWeights(model, version string) {
 	p.Weights.Seed(weightBucket+"/"+emulator.WeightKey(model, version), make([]byte, weightSize))
 }
@@ -122,7 +126,7 @@
 	return group.Err()
 }
 
-// Engine is a running emulated engine.
+// Engine is an emulated engine with its HTTP server.
 type Engine struct {
 	ID         string
 	Zone       string
@@ -134,11 +138,11 @@
 	cancel   context.CancelFunc
 	done     sync.WaitGroup
 	killOnce sync.Once
-	// retired is set once the engine is killed or leaving.
+	// retired is set when the engine is killed or its machine is marked as leaving.
 	retired atomic.Bool
 }
 
-// StartEngine starts an emulated engine.
+// StartEngine starts an emulated engine and its HTTP server.
 func StartEngine(config emulator.EngineConfig, zone string) (*Engine, error) {
 	engine := &Engine{
 		ID: config.Replica, Zone: zone, Generation: config.Generation.Name,
@@ -159,10 +163,10 @@
 	return engine, nil
 }
 
-// Silence has the engine's open connections go silent without an end. It returns how many.
+// Silence stalls the open connections of the engine without closing them and returns their number.
 func (e *Engine) Silence() int { return e.endpoint.listener.Silence() }
 
-// Kill stops the engine and breaks all its connections.
+// Kill stops the engine and closes all its connections. It may be called more than once.
 func (e *Engine) Kill() {
 	e.killOnce.Do(func() {
 		e.cancel()
@@ -171,5 +175,5 @@
 	})
 }
 
-// errNoProcess reports use of a part that was not started.
-var errNoProcess = errors.New("not started")
+// errNoProcess is returned by Signal for a node that does not run as a process.
+var errNoProcess = errors.New("node does not run as a process")
--- a/internal/lab/site/process_test.go
+++ b/internal/lab/site/process_test.go
@@ -14,7 +14,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/lab/profile"
 )
 
-// TestMain lets a site run nodes as processes of this program.
+// TestMain runs the node command if a site starts the test binary as a node.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "node" {
 		os.Exit(command.Main(os.Args[1:]))
@@ -22,8 +22,8 @@
 	os.Exit(m.Run())
 }
 
-// As in the soak: a node whose process has ended is not waited for, and what it said last
-// is told. A site that does not start leaves no process behind.
+// Start fails as soon as the process of a node exits, the error contains the end of its log, and no
+// process is left behind.
 func TestStart_ProcessThatExits(t *testing.T) {
 	address := occupyNextPort(t)
 	testSite, err := Start(t.Context(), Config{Profile: profile.Urnik, Nodes: 2, Listen: address, Seed: 1, Processes: true})
@@ -39,13 +39,13 @@
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		t.Fatalf("the first node still runs: %v", err)
+		t.Fatalf("the first node is still running: %v", err)
 	}
 	_ = listener.Close()
 }
 
-// occupyNextPort returns a free address and listens on the one a port above it. Both are
-// below the range that package port chooses from, so that no other package is disturbed.
+// occupyNextPort returns a free address and listens on the port after it until the test ends. Both
+// ports are below the range of package port, so that tests of other packages are not disturbed.
 func occupyNextPort(t *testing.T) (first string) {
 	t.Helper()
 	const low, high = 10000, 14000
--- a/internal/lab/site/site.go
+++ b/internal/lab/site/site.go
@@ -21,7 +21,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/settings"
 )
 
-// Credentials of every lab site.
+// Credentials that are valid on every site.
 const (
 	TenantKey   = "lab-tenant-key"
 	TenantName  = "lab"
@@ -32,20 +32,20 @@
 type Config struct {
 	Profile profile.Profile
 	Nodes   int
-	// Listen is host:port of the first node; the next ones take the next ports.
-	// Port 0 chooses free ones.
+	// Listen is the host:port of the first node. The other nodes use the ports that follow. With
+	// port 0 all nodes use free loopback ports.
 	Listen   string
 	Seed     uint64
 	Recorder *history.Recorder
-	// Processes runs the nodes as real processes of this program.
+	// Processes runs each node as a separate process of the current executable.
 	Processes bool
-	// Log takes the logs of in-process nodes; nil drops them.
+	// Log receives the logs of in-process nodes. If nil, they are discarded.
 	Log io.Writer
-	// Policy, when set, replaces the profile's batch policy.
+	// Policy, if set, replaces the batch policy of the profile.
 	Policy *v1.BatchPolicy
 }
 
-// Site is a running site.
+// Site runs the stand-ins, engines and nodes of one deployment.
 type Site struct {
 	config   Config
 	Platform *Platform
@@ -59,14 +59,12 @@
 	cutOff  map[string]bool
 }
 
-// readyTimeout is how long a site may take to serve where the caller's context has no
-// end: 400 times the 0.3 s that one of two nodes took, and an end for runs that nobody
-// looks at.
+// readyTimeout limits the time until a site is ready if the context of the caller has no deadline.
 const readyTimeout = 2 * time.Minute
 
-// Start starts a site and applies its resources. It returns once all nodes
-// serve with the declared state in force; the context bounds the wait for that, not
-// the life of the site. A node's process that ends meanwhile is an EndedError.
+// Start starts a site, applies its initial resources and returns when all nodes serve and have
+// converged. The context limits the start, not the lifetime of the site. If the process of a node
+// exits before the site is ready, the error wraps an ExitError.
 func Start(ctx context.Context, config Config) (*Site, error) {
 	if _, hasDeadline := ctx.Deadline(); !hasDeadline {
 		var cancel context.CancelFunc
@@ -123,7 +121,8 @@
 	return nil
 }
 
-// StartEngine starts a replica and lists its machine at once.
+// StartEngine starts an engine and adds its machine to the machine list. Readers of the list see it
+// at once, without MachineLag.
 func (s *Site) StartEngine(id, zone, generation string) (*Engine, error) {
 	hardware := emulator.Newer
 	if generation == emulator.Older.Name {
@@ -150,21 +149,21 @@
 	return engine, nil
 }
 
-// Engines returns the engines started so far.
+// Engines returns all engines that were started, including those that were killed.
 func (s *Site) Engines() []*Engine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*Engine(nil), s.engines...)
 }
 
-// Nodes returns the members started so far, one a slot.
+// Nodes returns the members of the site by slot, including those that do not run.
 func (s *Site) Nodes() []*Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*Member(nil), s.nodes...)
 }
 
-// URLs returns the base URLs of the nodes that run.
+// URLs returns the base URLs of the running nodes.
 func (s *Site) URLs() []string {
 	var urls []string
 	for _, member := range s.Nodes() {
@@ -175,7 +174,7 @@
 	return urls
 }
 
-// Member is one node of the site, whichever way it runs.
+// Member is a node of the site. It keeps its slot, ID and address across restarts.
 type Member struct {
 	Slot     int
 	ID       string
@@ -188,24 +187,24 @@
 	process   *process
 }
 
-// URL returns the node's base URL.
+// URL returns the base URL of the node.
 func (m *Member) URL() string { return "http://" + m.settings.Node.Listen }
 
-// InProcess returns the in-process node, or nil.
+// InProcess returns the running node, or nil if it is stopped or runs as a process.
 func (m *Member) InProcess() *node.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.inProcess
 }
 
-// Running reports whether the node runs.
+// Running reports whether the node was started and not stopped by Kill or Drain since.
 func (m *Member) Running() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.inProcess != nil || m.process != nil
 }
 
-// StartNode starts the node of a slot, for the first time or again.
+// StartNode starts or restarts the node of a slot. It does not wait until the node is ready.
 func (s *Site) StartNode(ctx context.Context, slot int) (*Member, error) {
 	member, err := s.member(slot)
 	if err != nil {
@@ -237,7 +236,7 @@
 	return member, nil
 }
 
-// member returns the member of a slot, made on first use.
+// member returns the member of a slot and creates it on first use.
 func (s *Site) member(slot int) (*Member, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -263,6 +262,7 @@
 	return member, nil
 }
 
+// nodeAddress returns the address of the node of a slot, given the address of the first node.
 func nodeAddress(listen string, slot int) (string, error) {
 	host, portText, err := net.SplitHostPort(listen)
 	if err != nil {
@@ -293,7 +293,7 @@
 	return config
 }
 
-// SetCutOff cuts a zone's nodes off from the table, or heals the cut.
+// SetCutOff starts or ends a network partition between the in-process nodes of a zone and the table.
 func (s *Site) SetCutOff(zone string, cutOff bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -306,7 +306,7 @@
 	return s.cutOff[zone]
 }
 
-// Close stops everything.
+// Close kills all nodes and engines and stops the stand-ins.
 func (s *Site) Close() {
 	s.stopBalancer()
 	var group sync.WaitGroup
@@ -324,8 +324,7 @@
 	_ = s.Platform.Close()
 }
 
-// awaitReady waits until all running nodes serve and see the declared pool, or the
-// context ends.
+// awaitReady waits until all running nodes are ready and have converged.
 func (s *Site) awaitReady(ctx context.Context) error {
 	for _, member := range s.Nodes() {
 		if !member.Running() {
@@ -341,7 +340,7 @@
 	return nil
 }
 
-// LiveEngines returns the engines that run and are not leaving.
+// LiveEngines returns the engines that were neither killed nor marked as leaving.
 func (s *Site) LiveEngines() []*Engine {
 	var live []*Engine
 	for _, engine := range s.Engines() {
@@ -352,7 +351,8 @@
 	return live
 }
 
-// KillEngine kills an engine; its machine leaves the list after the lag.
+// KillEngine kills an engine and removes its machine from the machine list. Readers of the list see
+// the removal after MachineLag.
 func (s *Site) KillEngine(engine *Engine) {
 	engine.retired.Store(true)
 	engine.Kill()
@@ -360,7 +360,8 @@
 	s.Platform.Machines.Remove(engine.ID)
 }
 
-// ReplaceEngine starts a new engine like a given one.
+// ReplaceEngine starts a new engine in the zone and of the hardware generation of old. It does not
+// stop old.
 func (s *Site) ReplaceEngine(old *Engine) error {
 	s.mu.Lock()
 	id := fmt.Sprintf("replica-%02d", len(s.engines))
@@ -369,7 +370,8 @@
 	return err
 }
 
-// SetEngineState changes an engine's state on the machine list, after the lag.
+// SetEngineState changes the state of an engine in the machine list. Readers of the list see the
+// change after MachineLag.
 func (s *Site) SetEngineState(engine *Engine, state machines.State) {
 	if state == machines.Leaving {
 		engine.retired.Store(true)
--- a/internal/lab/site/site_test.go
+++ b/internal/lab/site/site_test.go
@@ -21,8 +21,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/lab/site"
 )
 
-// beforeDeadline returns a context that ends a little before the test's time is over, so
-// that a failure is told.
+// beforeDeadline returns a context that ends shortly before the deadline of the test, so that a
+// failure is reported instead of a panic of the test binary.
 func beforeDeadline(t *testing.T) context.Context {
 	t.Helper()
 	const margin = 30 * time.Second
@@ -51,8 +51,8 @@
 	)
 }
 
-// The official client streams, uploads a file, and creates, polls, reads and
-// cancels a batch, each call through another node.
+// The official OpenAI client can stream a completion, upload a file, and create, poll, read and cancel
+// a batch, with calls that go to different nodes.
 func TestSite_OpenAIClient(t *testing.T) {
 	testSite := start(t, 3)
 	ctx := t.Context()
@@ -76,7 +76,7 @@
 	cancelWith(ctx, t, testSite)
 }
 
-// submitWith uploads items and creates a batch over them.
+// submitWith uploads items and creates a batch of them.
 func submitWith(ctx context.Context, t *testing.T, client openai.Client, items []load.Item) *openai.Batch {
 	t.Helper()
 	file, err := client.Files.New(ctx, openai.FileNewParams{
@@ -96,6 +96,7 @@
 	return batch
 }
 
+// streamWith checks that a streamed completion and one that is not streamed have the expected text.
 func streamWith(ctx context.Context, t *testing.T, testSite *site.Site) {
 	t.Helper()
 	client := sdk(testSite, 0)
@@ -124,10 +125,11 @@
 		t.Fatal(err)
 	}
 	if completion.Choices[0].Message.Content != expected {
-		t.Fatalf("whole answer %q, want %q", completion.Choices[0].Message.Content, expected)
+		t.Fatalf("completion without streaming is %q, want %q", completion.Choices[0].Message.Content, expected)
 	}
 }
 
+// checkResults checks that each item has exactly one result, with the expected text.
 func checkResults(t *testing.T, body io.Reader, items []load.Item) {
 	t.Helper()
 	results := map[string]string{}
@@ -154,11 +156,12 @@
 		prompt := "user: " + item.Prompt + "\n"
 		expected := emulator.NewAnswer(profile.Urnik.Model, "v1", prompt, item.Seed, item.MaxTokens).Text()
 		if results[item.ID] != expected {
-			t.Fatalf("item %s has another item's answer", item.ID)
+			t.Fatalf("item %s does not have the expected answer", item.ID)
 		}
 	}
 }
 
+// cancelWith checks that a batch submitted through one node can be cancelled through another.
 func cancelWith(ctx context.Context, t *testing.T, testSite *site.Site) {
 	t.Helper()
 	client := sdk(testSite, 0)
@@ -177,8 +180,7 @@
 	}
 }
 
-// Bad input is refused with an error in the form of the API that says that
-// nothing ran.
+// Invalid requests are rejected with an API error and a header which says that nothing was executed.
 func TestSite_BadInput(t *testing.T) {
 	testSite := start(t, 1)
 	url := testSite.Nodes()[0].URL()
@@ -191,10 +193,10 @@
 		{"no messages", wire.PathChatCompletions, site.TenantKey, `{"model":"urnik-llm"}`, http.StatusBadRequest},
 		{"unknown model", wire.PathChatCompletions, site.TenantKey, strings.Replace(valid, "urnik-llm", "none", 1), http.StatusNotFound},
 		{"wrong key", wire.PathChatCompletions, "nobody", valid, http.StatusUnauthorized},
-		{"operator is no tenant", wire.PathChatCompletions, site.OperatorKey, valid, http.StatusUnauthorized},
+		{"operator key", wire.PathChatCompletions, site.OperatorKey, valid, http.StatusUnauthorized},
 		{"too large", wire.PathChatCompletions, site.TenantKey, strings.Repeat(" ", 5<<20) + valid, http.StatusRequestEntityTooLarge},
 		{"unknown file", wire.PathBatches, site.TenantKey, `{"input_file_id":"file-x","endpoint":"/v1/chat/completions"}`, http.StatusNotFound},
-		{"bad window", wire.PathBatches, site.TenantKey, `{"input_file_id":"file-x","completion_window":"soon"}`, http.StatusBadRequest},
+		{"invalid window", wire.PathBatches, site.TenantKey, `{"input_file_id":"file-x","completion_window":"soon"}`, http.StatusBadRequest},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -216,13 +218,13 @@
 				t.Errorf("answer %d %+v, want %d", response.StatusCode, answer, test.status)
 			}
 			if executed := response.Header.Get("X-Wheelhoist-Executed"); executed != "no" {
-				t.Errorf("executed %q, want no", executed)
+				t.Errorf("X-Wheelhoist-Executed is %q, want no", executed)
 			}
 		})
 	}
 }
 
-// A job over a file with broken lines fails, and says which lines.
+// A batch whose input file has malformed lines fails and reports the line numbers.
 func TestSite_MalformedLines(t *testing.T) {
 	testSite := start(t, 1)
 	tenant := testSite.Tenant(0)
@@ -237,6 +239,6 @@
 		t.Fatal(err)
 	}
 	if batch.Status != wire.BatchFailed || batch.Errors == nil || batch.Errors.Data[0].Line != 4 {
-		t.Fatalf("batch %+v, want failed with a finding on line 4", batch)
+		t.Fatalf("batch %+v, want failed with an error on line 4", batch)
 	}
 }
