--- a/internal/lab/labcmd/soak.go
+++ b/internal/lab/labcmd/soak.go
@@ -27,13 +27,13 @@
 
 // boundedFlag is a whole number of a flag, with the bounds that it must lie in.
 type boundedFlag struct {
-	name            string
-	value, min, max int
+	name                string
+	value, lower, upper int
 }
 
 func (b boundedFlag) check() error {
-	if b.value < b.min || b.value > b.max {
-		return fmt.Errorf("%w: --%s is %d, it may be %d to %d", errOutOfBounds, b.name, b.value, b.min, b.max)
+	if b.value < b.lower || b.value > b.upper {
+		return fmt.Errorf("%w: --%s is %d, it may be %d to %d", errOutOfBounds, b.name, b.value, b.lower, b.upper)
 	}
 	return nil
 }
--- a/internal/lab/port/port.go
+++ b/internal/lab/port/port.go
@@ -20,9 +20,9 @@
 // ErrNoneFree is returned by Free when all ports of the range are in use or reserved.
 var ErrNoneFree = errors.New("no free loopback port")
 
-// allocator allocates ports from min to end-1. It is safe for concurrent use.
+// allocator allocates ports from start to end-1. It is safe for concurrent use.
 type allocator struct {
-	min, end int
+	start, end int
 
 	mu sync.Mutex
 	// reservations holds the reservation of each allocated port. They are released when the process
@@ -30,7 +30,7 @@
 	reservations map[int]io.Closer
 }
 
-var defaultAllocator = allocator{min: minPort, end: endPort}
+var defaultAllocator = allocator{start: minPort, end: endPort}
 
 // Free returns a loopback host:port that is free for TCP and UDP. It never returns the same address
 // twice, and Free in other processes does not return it while this process runs, even if nothing
@@ -40,10 +40,10 @@
 func (a *allocator) allocate() (string, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	count := a.end - a.min
+	count := a.end - a.start
 	offset := rand.IntN(count)
 	for i := range count {
-		candidate := a.min + (offset+i)%count
+		candidate := a.start + (offset+i)%count
 		if a.tryAllocate(candidate) {
 			return address(candidate), nil
 		}
--- a/internal/lab/port/port_test.go
+++ b/internal/lab/port/port_test.go
@@ -39,7 +39,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		local := allocator{min: usedPort, end: usedPort + 1}
+		local := allocator{start: usedPort, end: usedPort + 1}
 		if address, err := local.allocate(); !errors.Is(err, ErrNoneFree) {
 			t.Errorf("%s: got %s, error %v", network, address, err)
 		}
--- a/internal/lab/port/reserve_linux_test.go
+++ b/internal/lab/port/reserve_linux_test.go
@@ -21,7 +21,7 @@
 	if _, err := fmt.Sscan(os.Getenv(helperEnv), &low, &high); err != nil {
 		os.Exit(m.Run())
 	}
-	helper := allocator{min: low, end: high}
+	helper := allocator{start: low, end: high}
 	for address, err := helper.allocate(); err == nil; address, err = helper.allocate() {
 		fmt.Println(address)
 	}
@@ -69,7 +69,7 @@
 	if count == 0 {
 		t.Fatal("the other process allocated no port")
 	}
-	local := allocator{min: low, end: high}
+	local := allocator{start: low, end: high}
 	if address, err := local.allocate(); !errors.Is(err, ErrNoneFree) {
 		t.Errorf("got %s, error %v, while another process has reserved all %d ports", address, err, count)
 	}
