--- a/internal/lab/labcmd/demo.go
+++ b/internal/lab/labcmd/demo.go
@@ -23,11 +23,11 @@
 	demoOnlineTime = 8 * time.Second
 	demoItems      = 1500
 	demoTimeout    = 28 * time.Second
-	// progressInterval is the time between two looks at the job.
+	// progressInterval is the time between two polls of the progress of the batch.
 	progressInterval = time.Second
 )
 
-// demoResult is the last line of the demo.
+// demoResult is the JSON line that the demo prints last with --json.
 type demoResult struct {
 	Online       load.Online `json:"online"`
 	BatchItems   int         `json:"batch_items"`
@@ -70,6 +70,7 @@
 	}
 }
 
+// runDemo runs online load beside a batch on a new site and prints a summary.
 func runDemo(ctx context.Context, prof profile.Profile, out io.Writer) (*demoResult, error) {
 	printf := func(format string, arguments ...any) { _, _ = fmt.Fprintf(out, format+"\n", arguments...) }
 	recorder := &history.Recorder{}
@@ -116,8 +117,8 @@
 	return result, nil
 }
 
-// demoConfig changes the site policy through one node and waits for it to be
-// in force on all.
+// demoConfig changes the site policy through one node and measures the time until it is in force on
+// all nodes.
 func demoConfig(ctx context.Context, labSite *site.Site, result *demoResult) error {
 	spec, err := json.Marshal(v1.SitePolicySpec{QueueTimeout: v1.Duration(3 * time.Second), Note: "demo"})
 	if err != nil {
@@ -139,6 +140,7 @@
 	return nil
 }
 
+// demoBatch runs a batch and verifies its results.
 func demoBatch(ctx context.Context, labSite *site.Site, prof profile.Profile, recorder *history.Recorder, out io.Writer, result *demoResult) error {
 	submitter := &load.Submitter{Model: prof.Model, Key: site.TenantKey, Recorder: recorder, URLs: labSite.URLs}
 	started := time.Now()
@@ -177,6 +179,7 @@
 	return nil
 }
 
+// showProgress updates the progress bar until the context ends.
 func showProgress(ctx context.Context, labSite *site.Site, job string, bar *progressbar.ProgressBar) {
 	tenant := labSite.Tenant(0)
 	for {
--- a/internal/lab/labcmd/root.go
+++ b/internal/lab/labcmd/root.go
@@ -1,5 +1,4 @@
-// Package labcmd implements the command line of the lab, one file a
-// subcommand.
+// Package labcmd implements the command line of the lab, with one file per subcommand.
 package labcmd
 
 import (
@@ -17,16 +16,16 @@
 	"github.com/wheelhoist/wheelhoist/internal/command"
 )
 
-// errViolations reports that a run broke an invariant.
+// errViolations is returned by commands that found violations of invariants.
 var errViolations = errors.New("invariants violated")
 
-// streams are the standard streams of a command.
+// streams contains the output streams of a command.
 type streams struct {
 	out, err io.Writer
 }
 
-// Main runs the command line and returns the exit code. The command "node" is
-// the product's own: experiments run nodes as processes of this program.
+// Main runs the command line and returns the exit code. The command "node" is the one of the product,
+// because the lab runs nodes as processes of its own executable.
 func Main(arguments []string) int {
 	if len(arguments) > 0 && arguments[0] == "node" {
 		return command.Main(arguments)
@@ -37,7 +36,7 @@
 	root := newRoot(std)
 	err := root.Parse(arguments)
 	if errors.Is(err, flag.ErrHelp) {
-		// It was asked for with --help, and printed.
+		// Requested with --help; the usage has been printed.
 		return command.ExitOK
 	}
 	if err == nil {
--- a/internal/lab/labcmd/root_test.go
+++ b/internal/lab/labcmd/root_test.go
@@ -6,6 +6,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/command"
 )
 
+// Help that is requested with --help is not a failure, but a missing command is a usage error.
 func TestMain_HelpExitsWithOK(t *testing.T) {
 	for _, arguments := range [][]string{
 		{"--help"}, {"demo", "--help"}, {"site", "--help"}, {"run", "--help"}, {"check", "--help"}, {"soak", "--help"},
--- a/internal/lab/labcmd/run.go
+++ b/internal/lab/labcmd/run.go
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// writeResult prints the result and fails on a violation.
+// writeResult prints the result. It returns errViolations if there are violations.
 func writeResult(out io.Writer, result *experiment.Result, asJSON bool) error {
 	if asJSON {
 		if err := json.NewEncoder(out).Encode(result); err != nil {
--- a/internal/lab/labcmd/site.go
+++ b/internal/lab/labcmd/site.go
@@ -10,7 +10,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/lab/site"
 )
 
-// readyLine is what the site command prints once the site serves.
+// readyLine is the JSON line that the site command prints when the site is ready.
 type readyLine struct {
 	Ready       bool           `json:"ready"`
 	Nodes       []string       `json:"nodes"`
--- a/internal/lab/labcmd/soak.go
+++ b/internal/lab/labcmd/soak.go
@@ -11,11 +11,10 @@
 	"github.com/wheelhoist/wheelhoist/internal/lab/soak"
 )
 
-// soakReadyTimeout is how long the nodes of a soak may take to serve: a thousand times what
-// they take on an idle machine (0.1 s), and an end for runs that nobody looks at.
+// soakReadyTimeout limits the time until all nodes of a soak serve.
 const soakReadyTimeout = 2 * time.Minute
 
-// Bounds of a soak's numbers. A node is a process of some 25 MB.
+// Bounds of the flags of a soak. Each node is a process that uses about 25 MB of memory.
 const (
 	minSoakNodes   = 3
 	maxSoakNodes   = 40
@@ -25,7 +24,7 @@
 	minSoakRegions = 1
 )
 
-// boundedFlag is a whole number of a flag, with the bounds that it must lie in.
+// boundedFlag is the value of an integer flag with its bounds, which are inclusive.
 type boundedFlag struct {
 	name                string
 	value, lower, upper int
@@ -38,7 +37,7 @@
 	return nil
 }
 
-// errOutOfBounds reports a number of a flag that is out of its bounds.
+// errOutOfBounds is returned for a flag whose value is out of bounds.
 var errOutOfBounds = errors.New("out of bounds")
 
 func soakCommand(std streams) *ffcli.Command {
--- a/internal/lab/labcmd/soak_test.go
+++ b/internal/lab/labcmd/soak_test.go
@@ -9,7 +9,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/command"
 )
 
-// A number out of its bounds is refused before anything starts.
+// A flag whose value is out of bounds is rejected before anything starts.
 func TestSoak_RejectsValuesOutOfBounds(t *testing.T) {
 	for _, flags := range [][]string{
 		{"--nodes", "2"}, {"--nodes", "41"}, {"--regions", "3"}, {"--servers", "2"}, {"--servers", "65"}, {"--slots", "0"}, {"--slots", "65"},
@@ -26,7 +26,7 @@
 	}
 }
 
-// The help tells the bounds that hold.
+// The help of a flag states the bounds that are enforced.
 func TestSoak_HelpStatesBounds(t *testing.T) {
 	flags := soakCommand(streams{out: &bytes.Buffer{}, err: &bytes.Buffer{}}).FlagSet
 	for name, want := range map[string]string{"nodes": "3 to 40", "servers": "3 to 64", "slots": "1 to 64", "regions": "1 or 2"} {
--- a/internal/lab/load/batch.go
+++ b/internal/lab/load/batch.go
@@ -18,7 +18,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/lab/profile"
 )
 
-// Item is an item of a batch job and what is expected of it.
+// Item is an item of a batch job, with the parameters from which its expected result is computed.
 type Item struct {
 	ID            string
 	Prompt        string
@@ -27,7 +27,8 @@
 	NotRepeatable bool
 }
 
-// Items makes the items of a job; they are a function of the seed.
+// Items generates count items for a job. Prompts and token limits depend only on the profile and the
+// seed.
 func Items(p profile.Batch, seed uint64, job string, count int, notRepeatable bool) []Item {
 	random := rand.New(rand.NewPCG(seed, 11))
 	items := make([]Item, count)
@@ -42,7 +43,7 @@
 	return items
 }
 
-// JSONL renders items as an input file.
+// JSONL encodes items as the input file of a batch.
 func JSONL(model string, items []Item) []byte {
 	var buffer bytes.Buffer
 	encoder := json.NewEncoder(&buffer)
@@ -55,7 +56,7 @@
 			})
 		}
 		if err != nil {
-			// Structs of strings and numbers always encode.
+			// Encoding structs of strings and numbers cannot fail.
 			panic(err)
 		}
 	}
@@ -69,31 +70,31 @@
 	}
 }
 
-// Job is a batch job as its submitter sees it.
+// Job is a submitted batch job.
 type Job struct {
 	ID    string
 	Items []Item
 }
 
-// Submitter submits jobs and reads their results.
+// Submitter submits batch jobs and verifies their results. It is not safe for concurrent use.
 type Submitter struct {
 	Model    string
 	Key      string
 	Recorder *history.Recorder
-	// URLs returns the nodes to call; a call that fails goes to the next.
+	// URLs returns the base URLs of the nodes to call. Calls use them in turn, retries too.
 	URLs     func() []string
 	nextNode int
 }
 
-// retryPause is the wait between two tries of a batch call.
+// retryPause is the delay before a failed call is retried and between two polls of a job.
 const retryPause = 200 * time.Millisecond
 
-// call tries a call at one node after the other until it succeeds, as a caller
-// does who sends a job again. Refusals that will not change end it.
+// call calls one node after another until action succeeds, returns a status below 500, which a retry
+// would not change, or the context ends.
 func (s *Submitter) call(ctx context.Context, action func(context.Context, *client.Client) error) error {
 	for {
 		urls := s.URLs()
-		err := Error.New("no node")
+		err := Error.New("no node to call")
 		if len(urls) > 0 {
 			s.nextNode++
 			callCtx, cancel := context.WithTimeout(ctx, 10*time.Second)
@@ -112,7 +113,7 @@
 	}
 }
 
-// Submit uploads items and submits a job, sending again until it is accepted.
+// Submit uploads items and creates a batch of them, with retries until it is accepted.
 func (s *Submitter) Submit(ctx context.Context, items []Item, window time.Duration, key string) (*Job, error) {
 	source := JSONL(s.Model, items)
 	var file *openai.File
@@ -139,7 +140,7 @@
 	return &Job{ID: batch.ID, Items: items}, nil
 }
 
-// Cancel cancels a job.
+// Cancel cancels a job and records the cancellation.
 func (s *Submitter) Cancel(ctx context.Context, job *Job) error {
 	return s.call(ctx, func(ctx context.Context, c *client.Client) error {
 		batch, err := c.CancelBatch(ctx, job.ID)
@@ -150,7 +151,7 @@
 	})
 }
 
-// Await polls a job until it is final.
+// Await polls a job until it is in a final state.
 func (s *Submitter) Await(ctx context.Context, job *Job) (*openai.Batch, error) {
 	for {
 		var batch *openai.Batch
@@ -176,8 +177,8 @@
 	}
 }
 
-// Verify reads all results of a job and records each with whether it is the
-// expected one. It returns the number of lines read.
+// Verify reads all results of a job and records for each whether it is as expected. It returns the
+// number of result lines.
 func (s *Submitter) Verify(ctx context.Context, job *Job) (int, error) {
 	expected := make(map[string]Item, len(job.Items))
 	for _, item := range job.Items {
--- a/internal/lab/load/online.go
+++ b/internal/lab/load/online.go
@@ -1,4 +1,4 @@
-// Package load generates the lab's load and checks the answers it gets.
+// Package load generates online and batch load and verifies the answers.
 package load
 
 import (
@@ -30,7 +30,7 @@
 
 // Arrival is one online request of a schedule.
 type Arrival struct {
-	// At is the time after the start of the load.
+	// At is the time of the request, relative to the start of the load.
 	At        time.Duration
 	ID        string
 	Prompt    string
@@ -38,12 +38,13 @@
 	Seed      int64
 	// NotRepeatable marks a request that may run at most once.
 	NotRepeatable bool
-	// IdempotencyKey is its Idempotency-IdempotencyKey, if any.
+	// IdempotencyKey is the value of the Idempotency-Key header, if not empty.
 	IdempotencyKey string
 }
 
-// Schedule makes the arrivals of a profile for a time. It is a function of the
-// seed, so that runs with and without batch get the same requests.
+// Schedule generates the arrivals of a profile for a duration, with the request rate multiplied by
+// scale. The result depends only on its arguments, so that runs with and without batch load send the
+// same requests.
 func Schedule(p profile.Online, seed uint64, duration time.Duration, scale float64) []Arrival {
 	random := rand.New(rand.NewPCG(seed, 7))
 	var arrivals []Arrival
@@ -62,12 +63,13 @@
 	return arrivals
 }
 
+// conversationCount is the number of distinct conversations.
 const conversationCount = 40
 
 func newArrival(p profile.Online, random *rand.Rand, at time.Duration, number int, seed uint64) Arrival {
 	prompt := randomWords(random, p.PromptWords/2+random.IntN(p.PromptWords))
 	if random.Float64() < p.ConversationShare {
-		// The shared beginning is a function of the conversation alone.
+		// The shared prefix depends only on the seed and the conversation.
 		conversation := random.IntN(conversationCount)
 		prefixRandom := rand.New(rand.NewPCG(seed, 1000+uint64(conversation)))
 		prompt = randomWords(prefixRandom, p.SharedWords) + " " + prompt
@@ -93,22 +95,22 @@
 type Caller struct {
 	Model string
 	Key   string
-	// Version is the fallback when an answer names none.
+	// Version is the model version assumed for an answer that does not state one.
 	Version  string
 	Recorder *history.Recorder
 	Stats    *Stats
-	// URLs returns the nodes to call; they are used in turn.
+	// URLs returns the base URLs of the nodes to call. Requests use them in turn.
 	URLs func() []string
-	// Delay is the way from the caller to a node, added to each request.
+	// Delay is the emulated network delay from the caller to a node, added before each request.
 	Delay time.Duration
-	// Retries is how often a refusal that says "not run" is sent again.
+	// Retries limits the retries of a request whose refusal says that it was not executed.
 	Retries int
 
 	client   *http.Client
 	nextNode atomic.Uint64
 }
 
-// Open prepares the caller's connections. Call it before anything else.
+// Open creates the HTTP client and returns c. It must be called before any other method.
 func (c *Caller) Open() *Caller {
 	const idle = 512
 	c.client = &http.Client{Transport: &http.Transport{
@@ -118,10 +120,11 @@
 	return c
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
 
-// Replay sends a schedule at its times and waits for all answers.
+// Replay sends each request of a schedule at its time and waits for all answers. When the context
+// ends, it sends no more requests.
 func (c *Caller) Replay(ctx context.Context, arrivals []Arrival) {
 	start := time.Now()
 	var group sync.WaitGroup
@@ -143,8 +146,8 @@
 	group.Wait()
 }
 
-// Send sends one request, again after a refusal that says it did not run, and
-// records what came of it.
+// Send sends one request and records the outcome. It retries after a refusal that says that the
+// request was not executed.
 func (c *Caller) Send(ctx context.Context, arrival Arrival) {
 	sent := time.Now()
 	for attempt := 0; ; attempt++ {
@@ -163,6 +166,7 @@
 	}
 }
 
+// sendOnce sends a request without retries. It resumes an interrupted answer at other nodes.
 func (c *Caller) sendOnce(ctx context.Context, arrival Arrival, sent time.Time) history.Event {
 	event := history.Event{Source: "client", Class: history.Online, Request: arrival.ID, Repeatable: !arrival.NotRepeatable, Type: history.ClientFailed}
 	time.Sleep(c.Delay)
@@ -200,13 +204,13 @@
 
 const (
 	headerAttempt = "X-Wheelhoist-Attempt"
-	// reconnectAttempts and reconnectPause bound a caller's way back to an answer
-	// whose node is gone.
+	// reconnectAttempts limits the attempts to resume an interrupted answer, reconnectDelay is the
+	// delay before each.
 	reconnectAttempts = 6
 	reconnectDelay    = 300 * time.Millisecond
 )
 
-// post sends a request to the next node.
+// post sends a request to the next node with additional headers.
 func (c *Caller) post(ctx context.Context, arrival Arrival, header http.Header) (*http.Response, error) {
 	urls := c.URLs()
 	if len(urls) == 0 {
@@ -232,6 +236,7 @@
 	return response, Error.Wrap(err)
 }
 
+// recordRefusal sets the fields of event for a response with an error status.
 func recordRefusal(response *http.Response, event *history.Event) {
 	const maxDetail = 4096
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxDetail))
@@ -247,13 +252,13 @@
 		Messages: []openai.Message{{Role: "user", Content: openai.Content(arrival.Prompt)}},
 	})
 	if err != nil {
-		// A struct of strings and numbers always encodes.
+		// Encoding a struct of strings and numbers cannot fail.
 		panic(err)
 	}
 	return body
 }
 
-// answerReader takes one answer in, over one connection or several.
+// answerReader reads a streamed answer over one or more connections.
 type answerReader struct {
 	caller  *Caller
 	sent    time.Time
@@ -261,13 +266,13 @@
 	version string
 	attempt string
 	text    strings.Builder
-	// lastEventID is the id of the lastEventID event taken in.
+	// lastEventID is the ID of the last event that was read.
 	lastEventID int
 	lastTokenAt time.Time
 }
 
-// read takes a response in; it reports true when the answer broke off and may
-// be continued.
+// read reads the events of a response until the answer ends. It reports whether the answer was
+// interrupted and can be resumed.
 func (a *answerReader) read(response *http.Response) bool {
 	defer func() { _ = response.Body.Close() }()
 	if attempt := response.Header.Get(headerAttempt); attempt != "" {
@@ -299,7 +304,7 @@
 	}
 }
 
-// readChunk takes one readChunk in; it reports false for an error event.
+// readChunk processes the data of one event. It reports false for an error event.
 func (a *answerReader) readChunk(data []byte) bool {
 	var chunk openai.Completion
 	if err := json.Unmarshal(data, &chunk); err != nil || len(chunk.Choices) == 0 {
@@ -321,6 +326,7 @@
 	return true
 }
 
+// expectedText returns the answer that the emulator gives for a request with a model version.
 func (c *Caller) expectedText(arrival Arrival, version string) string {
 	prompt := (&openai.CompletionRequest{
 		Messages: []openai.Message{{Role: "user", Content: openai.Content(arrival.Prompt)}},
--- a/internal/lab/load/stats.go
+++ b/internal/lab/load/stats.go
@@ -10,11 +10,12 @@
 )
 
 const (
+	// histogramMax is the largest value that is recorded, in microseconds.
 	histogramMax    = int64(2 * time.Minute / time.Microsecond)
 	histogramDigits = 3
 )
 
-// Stats collects what callers measured. It is safe for concurrent use.
+// Stats collects the outcomes and latencies of online requests. It is safe for concurrent use.
 type Stats struct {
 	mu        sync.Mutex
 	ttft      *hdrhistogram.Histogram
@@ -22,32 +23,32 @@
 	tokenGaps *hdrhistogram.Histogram
 	requests  int
 	answered  int
-	// reconnected counts the answers that were continued through another node.
+	// reconnected is the number of answers that were interrupted and resumed.
 	reconnected int
 	refused     int
 	failed      int
 	wrong       int
 	tokens      int
-	// points keep the time series for plots.
+	// points is the time series for plots.
 	points []Point
 	start  time.Time
 }
 
-// Point is one answered request of the time series.
+// Point is an answered request in the time series.
 type Point struct {
-	// At is seconds since the first answer.
+	// At is the time since the first answer, in seconds.
 	At float64
-	// TTFT is in milliseconds.
+	// TTFT is the time to the first token, in milliseconds.
 	TTFT float64
 }
 
-// NewStats returns empty statistics.
+// NewStats returns statistics without any requests.
 func NewStats() *Stats {
 	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramMax, histogramDigits) }
 	return &Stats{ttft: newHistogram(), total: newHistogram(), tokenGaps: newHistogram()}
 }
 
-// Add takes in the outcome of a request.
+// Add records the outcome of a request.
 func (s *Stats) Add(event history.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,18 +76,18 @@
 	}
 }
 
-// AddTokenGap takes in the time between two tokens.
+// AddTokenGap records the time between two consecutive tokens of an answer.
 func (s *Stats) AddTokenGap(gap time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_ = s.tokenGaps.RecordValue(gap.Microseconds())
 }
 
-// Online is the summary of online requests.
+// Online summarizes the online requests of a run. Latencies are in milliseconds.
 type Online struct {
 	Requests int `json:"requests"`
 	Answered int `json:"answered"`
-	// Reconnected answers were continued through another node.
+	// Reconnected is the number of answers that were interrupted and resumed.
 	Reconnected int     `json:"reconnected"`
 	Refused     int     `json:"refused"`
 	Failed      int     `json:"failed"`
@@ -102,7 +103,7 @@
 	TTFTMax     float64 `json:"ttft_max_ms"`
 }
 
-// Summary returns the figures so far, in milliseconds.
+// Summary returns the summary of the requests recorded so far.
 func (s *Stats) Summary() Online {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,7 +119,7 @@
 	}
 }
 
-// Points returns the time series.
+// Points returns a copy of the time series.
 func (s *Stats) Points() []Point {
 	s.mu.Lock()
 	defer s.mu.Unlock()
