--- a/internal/lab/port/port.go
+++ b/internal/lab/port/port.go
@@ -33,8 +33,8 @@
 var defaultAllocator = allocator{start: minPort, end: endPort}
 
 // Free returns a loopback host:port that is free for TCP and UDP. It never returns the same address
-// twice, and Free in other processes does not return it while this process runs, even if nothing
-// listens on it.
+// twice. On Linux, Free in other processes does not return it either while this process runs, even if
+// nothing listens on it.
 func Free() (string, error) { return defaultAllocator.allocate() }
 
 func (a *allocator) allocate() (string, error) {
