--- a/internal/lab/experiment/fault.go
+++ b/internal/lab/experiment/fault.go
@@ -226,9 +226,9 @@
 	zones := r.options.Profile.Zones
 	zone := zones[r.random.IntN(len(zones))]
 	r.options.Progress("zone %s cut off from the table", zone)
-	r.site.Cut(zone, true)
+	r.site.SetCutOff(zone, true)
 	retry.Sleep(ctx, third)
-	r.site.Cut(zone, false)
+	r.site.SetCutOff(zone, false)
 	r.options.Progress("zone %s back", zone)
 }
 
--- a/internal/lab/experiment/yield.go
+++ b/internal/lab/experiment/yield.go
@@ -141,7 +141,7 @@
 func completedItems(labSite *site.Site) uint64 {
 	var items uint64
 	for _, member := range labSite.Nodes() {
-		if inner := member.Inner(); inner != nil {
+		if inner := member.InProcess(); inner != nil {
 			items += inner.ItemsCompleted()
 		}
 	}
--- a/internal/lab/load/batch.go
+++ b/internal/lab/load/batch.go
@@ -18,86 +18,87 @@
 	"github.com/wheelhoist/wheelhoist/internal/lab/profile"
 )
 
-// Item is an item of a batch job and what is expected of it.
+// Item is an item of a batch job, with the parameters from which its expected result is computed.
 type Item struct {
-	ID        string
-	Prompt    string
-	MaxTokens int
-	Seed      int64
-	Once      bool
+	ID            string
+	Prompt        string
+	MaxTokens     int
+	Seed          int64
+	NotRepeatable bool
 }
 
-// Items makes the items of a job; they are a function of the seed.
-func Items(p profile.Batch, seed uint64, job string, count int, once bool) []Item {
+// Items generates count items for a job. Prompts and token limits depend only on the profile and the
+// seed.
+func Items(p profile.Batch, seed uint64, job string, count int, notRepeatable bool) []Item {
 	random := rand.New(rand.NewPCG(seed, 11))
 	items := make([]Item, count)
 	for i := range items {
 		items[i] = Item{
 			ID:        fmt.Sprintf("%s-%d", job, i),
-			Prompt:    words(random, max(1, p.PromptWords/2)+random.IntN(max(1, p.PromptWords))),
+			Prompt:    randomWords(random, max(1, p.PromptWords/2)+random.IntN(max(1, p.PromptWords))),
 			MaxTokens: max(1, p.MaxTokens/2) + random.IntN(max(1, p.MaxTokens)),
-			Seed:      int64(i), Once: once,
+			Seed:      int64(i), NotRepeatable: notRepeatable,
 		}
 	}
 	return items
 }
 
-// JSONL renders items as an input file.
+// JSONL encodes items as the input file of a batch.
 func JSONL(model string, items []Item) []byte {
 	var buffer bytes.Buffer
 	encoder := json.NewEncoder(&buffer)
-	for _, one := range items {
-		body, err := json.Marshal(itemRequest(model, one))
+	for _, item := range items {
+		body, err := json.Marshal(itemRequest(model, item))
 		if err == nil {
 			err = encoder.Encode(openai.BatchItem{
-				CustomID: one.ID, Method: http.MethodPost, URL: openai.PathChatCompletions,
-				Body: body, NotRepeatable: one.Once,
+				CustomID: item.ID, Method: http.MethodPost, URL: openai.PathChatCompletions,
+				Body: body, NotRepeatable: item.NotRepeatable,
 			})
 		}
 		if err != nil {
-			// Structs of strings and numbers always encode.
+			// Encoding structs of strings and numbers cannot fail.
 			panic(err)
 		}
 	}
 	return buffer.Bytes()
 }
 
-func itemRequest(model string, one Item) openai.CompletionRequest {
+func itemRequest(model string, item Item) openai.CompletionRequest {
 	return openai.CompletionRequest{
-		Model: model, MaxTokens: one.MaxTokens, Seed: one.Seed,
-		Messages: []openai.Message{{Role: "user", Content: openai.Content(one.Prompt)}},
+		Model: model, MaxTokens: item.MaxTokens, Seed: item.Seed,
+		Messages: []openai.Message{{Role: "user", Content: openai.Content(item.Prompt)}},
 	}
 }
 
-// Job is a batch job as its submitter sees it.
+// Job is a submitted batch job.
 type Job struct {
 	ID    string
 	Items []Item
 }
 
-// Submitter submits jobs and reads their results.
+// Submitter submits batch jobs and verifies their results. It is not safe for concurrent use.
 type Submitter struct {
 	Model    string
 	Key      string
 	Recorder *history.Recorder
-	// URLs returns the nodes to call; a call that fails goes to the next.
-	URLs func() []string
-	turn int
+	// URLs returns the base URLs of the nodes to call. Calls use them in turn, retries too.
+	URLs     func() []string
+	nextNode int
 }
 
-// retryPause is the wait between two tries of a batch call.
+// retryPause is the delay before a failed call is retried and between two polls of a job.
 const retryPause = 200 * time.Millisecond
 
-// call tries a call at one node after the other until it succeeds, as a caller
-// does who sends a job again. Refusals that will not change end it.
+// call calls one node after another until action succeeds, returns a status below 500, which a retry
+// would not change, or the context ends.
 func (s *Submitter) call(ctx context.Context, action func(context.Context, *client.Client) error) error {
 	for {
 		urls := s.URLs()
-		err := Error.New("no node")
+		err := Error.New("no node to call")
 		if len(urls) > 0 {
-			s.turn++
+			s.nextNode++
 			callCtx, cancel := context.WithTimeout(ctx, 10*time.Second)
-			err = action(callCtx, client.New(urls[s.turn%len(urls)], s.Key))
+			err = action(callCtx, client.New(urls[s.nextNode%len(urls)], s.Key))
 			cancel()
 		}
 		var status *client.StatusError
@@ -112,7 +113,7 @@
 	}
 }
 
-// Submit uploads items and submits a job, sending again until it is accepted.
+// Submit uploads items and creates a batch of them, with retries until it is accepted.
 func (s *Submitter) Submit(ctx context.Context, items []Item, window time.Duration, key string) (*Job, error) {
 	source := JSONL(s.Model, items)
 	var file *openai.File
@@ -139,7 +140,7 @@
 	return &Job{ID: batch.ID, Items: items}, nil
 }
 
-// Cancel cancels a job.
+// Cancel cancels a job and records the cancellation.
 func (s *Submitter) Cancel(ctx context.Context, job *Job) error {
 	return s.call(ctx, func(ctx context.Context, c *client.Client) error {
 		batch, err := c.CancelBatch(ctx, job.ID)
@@ -150,7 +151,7 @@
 	})
 }
 
-// Await polls a job until it is final.
+// Await polls a job until it is in a final state.
 func (s *Submitter) Await(ctx context.Context, job *Job) (*openai.Batch, error) {
 	for {
 		var batch *openai.Batch
@@ -176,12 +177,12 @@
 	}
 }
 
-// Verify reads all results of a job and records each with whether it is the
-// expected one. It returns the number of lines read.
+// Verify reads all results of a job and records for each whether it is as expected. It returns the
+// number of result lines.
 func (s *Submitter) Verify(ctx context.Context, job *Job) (int, error) {
 	expected := make(map[string]Item, len(job.Items))
-	for _, one := range job.Items {
-		expected[one.ID] = one
+	for _, item := range job.Items {
+		expected[item.ID] = item
 	}
 	lines := 0
 	for _, file := range []string{"file-out-" + job.ID, "file-err-" + job.ID} {
@@ -213,7 +214,7 @@
 	event := history.Event{
 		Source: "client", Type: history.BatchResult, Class: history.Batch, Job: job.ID, Item: result.CustomID,
 	}
-	one, known := expected[result.CustomID]
+	item, known := expected[result.CustomID]
 	switch {
 	case !known:
 		event.Outcome = "not an item of the job"
@@ -224,11 +225,11 @@
 		if err := json.Unmarshal(result.Response.Body, &completion); err != nil {
 			return Error.Wrap(err)
 		}
-		request := itemRequest(s.Model, one)
-		answer := emulator.NewAnswer(s.Model, completion.SystemFingerprint, request.PromptText(), one.Seed, one.MaxTokens)
+		request := itemRequest(s.Model, item)
+		answer := emulator.NewAnswer(s.Model, completion.SystemFingerprint, request.PromptText(), item.Seed, item.MaxTokens)
 		event.Outcome, event.Match = "completed", completion.Text() == answer.Text()
 	}
-	event.Repeatable = !one.Once
+	event.Repeatable = !item.NotRepeatable
 	s.Recorder.Record(event)
 	return nil
 }
--- a/internal/lab/load/online.go
+++ b/internal/lab/load/online.go
@@ -1,4 +1,4 @@
-// Package load generates the lab's load and checks the answers it gets.
+// Package load generates online and batch load and verifies the answers.
 package load
 
 import (
@@ -30,47 +30,49 @@
 
 // Arrival is one online request of a schedule.
 type Arrival struct {
-	// At is the time after the start of the load.
+	// At is the time of the request, relative to the start of the load.
 	At        time.Duration
 	ID        string
 	Prompt    string
 	MaxTokens int
 	Seed      int64
-	// Once marks a request that may run at most once.
-	Once bool
-	// Key is its Idempotency-Key, if any.
-	Key string
+	// NotRepeatable marks a request that may run at most once.
+	NotRepeatable bool
+	// IdempotencyKey is the value of the Idempotency-Key header, if not empty.
+	IdempotencyKey string
 }
 
-// Schedule makes the arrivals of a profile for a time. It is a function of the
-// seed, so that runs with and without batch get the same requests.
-func Schedule(p profile.Online, seed uint64, length time.Duration, scale float64) []Arrival {
+// Schedule generates the arrivals of a profile for a duration, with the request rate multiplied by
+// scale. The result depends only on its arguments, so that runs with and without batch load send the
+// same requests.
+func Schedule(p profile.Online, seed uint64, duration time.Duration, scale float64) []Arrival {
 	random := rand.New(rand.NewPCG(seed, 7))
 	var arrivals []Arrival
 	exponential := func(mean time.Duration) time.Duration {
 		return time.Duration(random.ExpFloat64() * float64(mean))
 	}
-	at := exponential(p.Quiet)
-	for at < length {
-		end := at + exponential(p.Busy)
-		for at < end && at < length {
-			arrivals = append(arrivals, arrival(p, random, at, len(arrivals), seed))
+	at := exponential(p.MeanIdle)
+	for at < duration {
+		burstEnd := at + exponential(p.MeanBurst)
+		for at < burstEnd && at < duration {
+			arrivals = append(arrivals, newArrival(p, random, at, len(arrivals), seed))
 			at += time.Duration(random.ExpFloat64() / (p.Rate * scale) * float64(time.Second))
 		}
-		at = max(at, end) + exponential(p.Quiet)
+		at = max(at, burstEnd) + exponential(p.MeanIdle)
 	}
 	return arrivals
 }
 
-const conversations = 40
+// conversationCount is the number of distinct conversations.
+const conversationCount = 40
 
-func arrival(p profile.Online, random *rand.Rand, at time.Duration, number int, seed uint64) Arrival {
-	prompt := words(random, p.PromptWords/2+random.IntN(p.PromptWords))
+func newArrival(p profile.Online, random *rand.Rand, at time.Duration, number int, seed uint64) Arrival {
+	prompt := randomWords(random, p.PromptWords/2+random.IntN(p.PromptWords))
 	if random.Float64() < p.ConversationShare {
-		// The shared beginning is a function of the conversation alone.
-		conversation := random.IntN(conversations)
-		shared := rand.New(rand.NewPCG(seed, 1000+uint64(conversation)))
-		prompt = words(shared, p.SharedWords) + " " + prompt
+		// The shared prefix depends only on the seed and the conversation.
+		conversation := random.IntN(conversationCount)
+		prefixRandom := rand.New(rand.NewPCG(seed, 1000+uint64(conversation)))
+		prompt = randomWords(prefixRandom, p.SharedWords) + " " + prompt
 	}
 	return Arrival{
 		At: at, ID: fmt.Sprintf("online-%d-%d", seed, number), Prompt: prompt,
@@ -78,7 +80,7 @@
 	}
 }
 
-func words(random *rand.Rand, count int) string {
+func randomWords(random *rand.Rand, count int) string {
 	var builder strings.Builder
 	for i := range count {
 		if i > 0 {
@@ -93,22 +95,22 @@
 type Caller struct {
 	Model string
 	Key   string
-	// Version is the fallback when an answer names none.
+	// Version is the model version assumed for an answer that does not state one.
 	Version  string
 	Recorder *history.Recorder
 	Stats    *Stats
-	// URLs returns the nodes to call; they are used in turn.
+	// URLs returns the base URLs of the nodes to call. Requests use them in turn.
 	URLs func() []string
-	// Delay is the way from the caller to a node, added to each request.
+	// Delay is the emulated network delay from the caller to a node, added before each request.
 	Delay time.Duration
-	// Retries is how often a refusal that says "not run" is sent again.
+	// Retries limits the retries of a request whose refusal says that it was not executed.
 	Retries int
 
-	client *http.Client
-	turn   atomic.Uint64
+	client   *http.Client
+	nextNode atomic.Uint64
 }
 
-// Open prepares the caller's connections. Call it before anything else.
+// Open creates the HTTP client and returns c. It must be called before any other method.
 func (c *Caller) Open() *Caller {
 	const idle = 512
 	c.client = &http.Client{Transport: &http.Transport{
@@ -118,15 +120,16 @@
 	return c
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
 
-// Replay sends a schedule at its times and waits for all answers.
+// Replay sends each request of a schedule at its time and waits for all answers. When the context
+// ends, it sends no more requests.
 func (c *Caller) Replay(ctx context.Context, arrivals []Arrival) {
 	start := time.Now()
 	var group sync.WaitGroup
-	for _, one := range arrivals {
-		timer := time.NewTimer(time.Until(start.Add(one.At)))
+	for _, arrival := range arrivals {
+		timer := time.NewTimer(time.Until(start.Add(arrival.At)))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -137,24 +140,24 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			c.Ask(ctx, one)
+			c.Send(ctx, arrival)
 		}()
 	}
 	group.Wait()
 }
 
-// Ask sends one request, again after a refusal that says it did not run, and
-// records what came of it.
-func (c *Caller) Ask(ctx context.Context, one Arrival) {
+// Send sends one request and records the outcome. It retries after a refusal that says that the
+// request was not executed.
+func (c *Caller) Send(ctx context.Context, arrival Arrival) {
 	sent := time.Now()
 	for attempt := 0; ; attempt++ {
 		c.Recorder.Record(history.Event{
-			Source: "client", Type: history.ClientSend, Class: history.Online, Request: one.ID, Repeatable: !one.Once,
+			Source: "client", Type: history.ClientSend, Class: history.Online, Request: arrival.ID, Repeatable: !arrival.NotRepeatable,
 		})
-		result := c.once(ctx, one, sent)
+		result := c.sendOnce(ctx, arrival, sent)
 		c.Recorder.Record(result)
-		again := result.Type == history.ClientRefused && result.Executed == "no" && attempt < c.Retries
-		if !again || ctx.Err() != nil {
+		retry := result.Type == history.ClientRefused && result.Executed == "no" && attempt < c.Retries
+		if !retry || ctx.Err() != nil {
 			c.Stats.Add(result)
 			return
 		}
@@ -163,24 +166,25 @@
 	}
 }
 
-func (c *Caller) once(ctx context.Context, one Arrival, sent time.Time) history.Event {
-	event := history.Event{Source: "client", Class: history.Online, Request: one.ID, Repeatable: !one.Once, Type: history.ClientFailed}
+// sendOnce sends a request without retries. It resumes an interrupted answer at other nodes.
+func (c *Caller) sendOnce(ctx context.Context, arrival Arrival, sent time.Time) history.Event {
+	event := history.Event{Source: "client", Class: history.Online, Request: arrival.ID, Repeatable: !arrival.NotRepeatable, Type: history.ClientFailed}
 	time.Sleep(c.Delay)
-	response, err := c.post(ctx, one, nil)
+	response, err := c.post(ctx, arrival, nil)
 	if err != nil {
 		event.Detail = err.Error()
 		return event
 	}
 	if response.StatusCode != http.StatusOK {
-		refused(response, &event)
+		recordRefusal(response, &event)
 		return event
 	}
 	answer := &answerReader{caller: c, version: c.Version, sent: sent, event: &event}
-	broken := answer.read(response)
-	for tries := 0; broken && tries < reconnectTries && ctx.Err() == nil; tries++ {
-		time.Sleep(reconnectPause)
-		header := http.Header{headerAttempt: {answer.attempt}, "Last-Event-Id": {strconv.Itoa(answer.last)}}
-		response, err := c.post(ctx, one, header)
+	resumable := answer.read(response)
+	for attempt := 0; resumable && attempt < reconnectAttempts && ctx.Err() == nil; attempt++ {
+		time.Sleep(reconnectDelay)
+		header := http.Header{headerAttempt: {answer.attempt}, "Last-Event-Id": {strconv.Itoa(answer.lastEventID)}}
+		response, err := c.post(ctx, arrival, header)
 		if err != nil {
 			continue
 		}
@@ -188,32 +192,32 @@
 			_ = response.Body.Close()
 			continue
 		}
-		broken = answer.read(response)
+		resumable = answer.read(response)
 		event.Outcome = "reconnected"
 	}
 	if event.Type == history.ClientAnswer {
 		event.Elapsed = milliseconds(time.Since(sent))
-		event.Match = answer.text.String() == c.expected(one, answer.version)
+		event.Match = answer.text.String() == c.expectedText(arrival, answer.version)
 	}
 	return event
 }
 
 const (
 	headerAttempt = "X-Wheelhoist-Attempt"
-	// reconnectTries and reconnectPause bound a caller's way back to an answer
-	// whose node is gone.
-	reconnectTries = 6
-	reconnectPause = 300 * time.Millisecond
+	// reconnectAttempts limits the attempts to resume an interrupted answer, reconnectDelay is the
+	// delay before each.
+	reconnectAttempts = 6
+	reconnectDelay    = 300 * time.Millisecond
 )
 
-// post sends a request to the next node.
-func (c *Caller) post(ctx context.Context, one Arrival, header http.Header) (*http.Response, error) {
+// post sends a request to the next node with additional headers.
+func (c *Caller) post(ctx context.Context, arrival Arrival, header http.Header) (*http.Response, error) {
 	urls := c.URLs()
 	if len(urls) == 0 {
 		return nil, Error.New("no node is ready")
 	}
-	url := urls[c.turn.Add(1)%uint64(len(urls))]
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+openai.PathChatCompletions, bytes.NewReader(c.body(one)))
+	url := urls[c.nextNode.Add(1)%uint64(len(urls))]
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+openai.PathChatCompletions, bytes.NewReader(c.requestBody(arrival)))
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -221,18 +225,19 @@
 		request.Header[name] = values
 	}
 	request.Header.Set("Authorization", "Bearer "+c.Key)
-	request.Header.Set("X-Request-Id", one.ID)
-	if one.Once {
+	request.Header.Set("X-Request-Id", arrival.ID)
+	if arrival.NotRepeatable {
 		request.Header.Set("X-Wheelhoist-Repeatable", "no")
 	}
-	if one.Key != "" {
-		request.Header.Set("Idempotency-Key", one.Key)
+	if arrival.IdempotencyKey != "" {
+		request.Header.Set("Idempotency-Key", arrival.IdempotencyKey)
 	}
 	response, err := c.client.Do(request)
 	return response, Error.Wrap(err)
 }
 
-func refused(response *http.Response, event *history.Event) {
+// recordRefusal sets the fields of event for a response with an error status.
+func recordRefusal(response *http.Response, event *history.Event) {
 	const maxDetail = 4096
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxDetail))
 	_ = response.Body.Close()
@@ -241,19 +246,19 @@
 	event.Detail = fmt.Sprintf("%d %s", response.StatusCode, body)
 }
 
-func (c *Caller) body(one Arrival) []byte {
+func (c *Caller) requestBody(arrival Arrival) []byte {
 	body, err := json.Marshal(openai.CompletionRequest{
-		Model: c.Model, Stream: true, MaxTokens: one.MaxTokens, Seed: one.Seed,
-		Messages: []openai.Message{{Role: "user", Content: openai.Content(one.Prompt)}},
+		Model: c.Model, Stream: true, MaxTokens: arrival.MaxTokens, Seed: arrival.Seed,
+		Messages: []openai.Message{{Role: "user", Content: openai.Content(arrival.Prompt)}},
 	})
 	if err != nil {
-		// A struct of strings and numbers always encodes.
+		// Encoding a struct of strings and numbers cannot fail.
 		panic(err)
 	}
 	return body
 }
 
-// answerReader takes one answer in, over one connection or several.
+// answerReader reads a streamed answer over one or more connections.
 type answerReader struct {
 	caller  *Caller
 	sent    time.Time
@@ -261,13 +266,13 @@
 	version string
 	attempt string
 	text    strings.Builder
-	// last is the id of the last event taken in.
-	last    int
-	tokenAt time.Time
+	// lastEventID is the ID of the last event that was read.
+	lastEventID int
+	lastTokenAt time.Time
 }
 
-// read takes a response in; it reports true when the answer broke off and may
-// be continued.
+// read reads the events of a response until the answer ends. It reports whether the answer was
+// interrupted and can be resumed.
 func (a *answerReader) read(response *http.Response) bool {
 	defer func() { _ = response.Body.Close() }()
 	if attempt := response.Header.Get(headerAttempt); attempt != "" {
@@ -278,11 +283,11 @@
 		line, err := reader.ReadBytes('\n')
 		if err != nil {
 			a.event.Detail = "answer broke off: " + err.Error()
-			return a.attempt != "" && a.last > 0
+			return a.attempt != "" && a.lastEventID > 0
 		}
 		line = bytes.TrimSpace(line)
 		if text, isID := bytes.CutPrefix(line, []byte("id: ")); isID {
-			a.last, _ = strconv.Atoi(string(text))
+			a.lastEventID, _ = strconv.Atoi(string(text))
 			continue
 		}
 		data, isData := bytes.CutPrefix(line, []byte("data: "))
@@ -293,14 +298,14 @@
 			a.event.Type, a.event.Whole, a.event.Value = history.ClientAnswer, true, a.version
 			return false
 		}
-		if !a.chunk(data) {
+		if !a.readChunk(data) {
 			return false
 		}
 	}
 }
 
-// chunk takes one chunk in; it reports false for an error event.
-func (a *answerReader) chunk(data []byte) bool {
+// readChunk processes the data of one event. It reports false for an error event.
+func (a *answerReader) readChunk(data []byte) bool {
 	var chunk openai.Completion
 	if err := json.Unmarshal(data, &chunk); err != nil || len(chunk.Choices) == 0 {
 		a.event.Detail = "error event: " + string(data)
@@ -310,9 +315,9 @@
 	if a.text.Len() == 0 {
 		a.event.TTFT = milliseconds(now.Sub(a.sent))
 	} else {
-		a.caller.Stats.Gap(now.Sub(a.tokenAt))
+		a.caller.Stats.AddTokenGap(now.Sub(a.lastTokenAt))
 	}
-	a.tokenAt = now
+	a.lastTokenAt = now
 	if chunk.SystemFingerprint != "" {
 		a.version = chunk.SystemFingerprint
 	}
@@ -321,11 +326,12 @@
 	return true
 }
 
-func (c *Caller) expected(one Arrival, version string) string {
+// expectedText returns the answer that the emulator gives for a request with a model version.
+func (c *Caller) expectedText(arrival Arrival, version string) string {
 	prompt := (&openai.CompletionRequest{
-		Messages: []openai.Message{{Role: "user", Content: openai.Content(one.Prompt)}},
+		Messages: []openai.Message{{Role: "user", Content: openai.Content(arrival.Prompt)}},
 	}).PromptText()
-	return emulator.NewAnswer(c.Model, version, prompt, one.Seed, one.MaxTokens).Text()
+	return emulator.NewAnswer(c.Model, version, prompt, arrival.Seed, arrival.MaxTokens).Text()
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/lab/port/port.go
+++ b/internal/lab/port/port.go
@@ -10,72 +10,74 @@
 	"sync"
 )
 
-// The range lies below the ports that the kernel gives to outgoing
-// connections, so that a port stays free while its owner restarts.
+// Ports are allocated from minPort to endPort-1. The range lies below the ephemeral ports that the
+// kernel assigns to outgoing connections, so that a port stays free while its owner restarts.
 const (
-	first = 15000
-	last  = 32000
+	minPort = 15000
+	endPort = 32000
 )
 
-// ErrNone reports that no free port was found.
-var ErrNone = errors.New("no free loopback port")
+// ErrNoneFree is returned by Free when all ports of the range are in use or reserved.
+var ErrNoneFree = errors.New("no free loopback port")
 
-// chooser chooses ports from a range, first to last-1.
-type chooser struct {
-	first, last int
+// allocator allocates ports from start to end-1. It is safe for concurrent use.
+type allocator struct {
+	start, end int
 
 	mu sync.Mutex
-	// given holds the guards of what was given out, until the process ends.
-	given map[int]io.Closer
+	// reservations holds the reservation of each allocated port. They are released when the process
+	// exits.
+	reservations map[int]io.Closer
 }
 
-var whole = chooser{first: first, last: last}
+var defaultAllocator = allocator{start: minPort, end: endPort}
 
-// Free returns a loopback host:port that is free for TCP and UDP. It does not
-// return the same one twice, and no other process that asks this package gets it
-// while this one runs, whether somebody listens there or not.
-func Free() (string, error) { return whole.free() }
+// Free returns a loopback host:port that is free for TCP and UDP. It never returns the same address
+// twice. On Linux, Free in other processes does not return it either while this process runs, even if
+// nothing listens on it.
+func Free() (string, error) { return defaultAllocator.allocate() }
 
-func (c *chooser) free() (string, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	count := c.last - c.first
-	begin := rand.IntN(count)
+func (a *allocator) allocate() (string, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	count := a.end - a.start
+	offset := rand.IntN(count)
 	for i := range count {
-		candidate := c.first + (begin+i)%count
-		if c.take(candidate) {
+		candidate := a.start + (offset+i)%count
+		if a.tryAllocate(candidate) {
 			return address(candidate), nil
 		}
 	}
-	return "", ErrNone
+	return "", ErrNoneFree
 }
 
-// take takes a port if it is free. The guard comes before the look: a look listens on
-// the port for a moment, which would keep its owner from it.
-func (c *chooser) take(port int) bool {
-	if c.given[port] != nil {
+// tryAllocate allocates port if it is free and reports whether it did. The port is reserved before
+// isUnused checks it, because the check listens on the port briefly and could make the owner of a
+// reserved port fail to listen.
+func (a *allocator) tryAllocate(port int) bool {
+	if a.reservations[port] != nil {
 		return false
 	}
-	held, err := guard(port)
+	reservation, err := reserve(port)
 	if err != nil {
-		// Another process has it.
+		// Another process has reserved the port.
 		return false
 	}
-	if !unused(address(port)) {
-		_ = held.Close()
+	if !isUnused(address(port)) {
+		_ = reservation.Close()
 		return false
 	}
-	if c.given == nil {
-		c.given = map[int]io.Closer{}
+	if a.reservations == nil {
+		a.reservations = map[int]io.Closer{}
 	}
-	c.given[port] = held
+	a.reservations[port] = reservation
 	return true
 }
 
 func address(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
 
-// unused reports whether nobody listens on an address.
-func unused(address string) bool {
+// isUnused reports whether no TCP or UDP socket is bound to address.
+func isUnused(address string) bool {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
--- a/internal/lab/site/platform.go
+++ b/internal/lab/site/platform.go
@@ -1,5 +1,5 @@
-// Package site runs a whole emulated site: the platform's stand-ins, the
-// engines and the nodes, in one process or with the nodes as real processes.
+// Package site runs a complete emulated site: stand-ins for the services of the platform, emulated
+// engines and real nodes. The nodes run in this process or as separate processes.
 package site
 
 import (
@@ -22,12 +22,15 @@
 var Error = errs.Class("site")
 
 const (
-	// MachineLag is the lag of the machine list.
+	// MachineLag is the time until readers of the machine list see that a machine was changed or
+	// removed.
 	MachineLag = 3 * time.Second
-	// LoadLag is the lag of the engines' load reports.
-	LoadLag      = 150 * time.Millisecond
-	weightBytes  = 256 << 10
-	weightPerSec = 1 << 20
+	// LoadLag is the age of the load that engines report.
+	LoadLag = 150 * time.Millisecond
+	// weightSize is the size in bytes of the weights of a model version, weightBandwidth the
+	// bandwidth of the weight store in bytes per second.
+	weightSize      = 256 << 10
+	weightBandwidth = 1 << 20
 
 	tableName    = "wheelhoist"
 	bucketName   = "wheelhoist"
@@ -37,25 +40,26 @@
 	labSecretKey = "lab-secret"
 )
 
-// endpoint is an HTTP server of the lab.
+// endpoint is an HTTP server on a loopback port.
 type endpoint struct {
 	url      string
 	server   *http.Server
 	listener *emulator.SilentListener
 }
 
+// serve starts an HTTP server for handler on a port that the kernel chooses.
 func serve(handler http.Handler) (*endpoint, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
 	server := &http.Server{Handler: handler}
-	silent := &emulator.SilentListener{Listener: listener}
-	go func() { _ = server.Serve(silent) }()
-	return &endpoint{url: "http://" + listener.Addr().String(), server: server, listener: silent}, nil
+	silenceable := &emulator.SilentListener{Listener: listener}
+	go func() { _ = server.Serve(silenceable) }()
+	return &endpoint{url: "http://" + listener.Addr().String(), server: server, listener: silenceable}, nil
 }
 
-// Platform is the set of stand-ins for the platform's services.
+// Platform contains the stand-ins for the services of the platform.
 type Platform struct {
 	Table    *emulator.TableStore
 	Objects  *emulator.ObjectStore
@@ -65,7 +69,7 @@
 	table, objects, weights, machines *endpoint
 }
 
-// Endpoints are the base URLs of the stand-ins.
+// Endpoints contains the base URLs of the stand-ins.
 type Endpoints struct {
 	Table    string `json:"table"`
 	Objects  string `json:"objects"`
@@ -73,7 +77,7 @@
 	Machines string `json:"machines"`
 }
 
-// StartPlatform starts the stand-ins.
+// StartPlatform starts the stand-ins, each with a random stream derived from seed.
 func StartPlatform(seed uint64, recorder *history.Recorder) (*Platform, error) {
 	p := &Platform{
 		Table:    emulator.NewTableStore(seed, recorder),
@@ -81,12 +85,12 @@
 		Weights:  emulator.NewObjectStore(seed + 2),
 		Machines: emulator.NewMachineList(seed+3, MachineLag),
 	}
-	p.Weights.LimitBandwidth(weightPerSec)
+	p.Weights.LimitBandwidth(weightBandwidth)
 	var group errs.Group
 	start := func(target **endpoint, handler http.Handler) {
-		started, err := serve(handler)
+		ep, err := serve(handler)
 		group.Add(err)
-		*target = started
+		*target = ep
 	}
 	start(&p.table, p.Table.Handler())
 	start(&p.objects, p.Objects.Handler())
@@ -95,12 +99,12 @@
 	return p, group.Err()
 }
 
-// Endpoints returns the base URLs.
+// Endpoints returns the base URLs of the stand-ins.
 func (p *Platform) Endpoints() Endpoints {
 	return Endpoints{Table: p.table.url, Objects: p.objects.url, Weights: p.weights.url, Machines: p.machines.url}
 }
 
-// WeightStore returns a client of the weight store.
+// WeightStore returns a client for the object store that holds the model weights.
 func (p *Platform) WeightStore() object.Store {
 	return object.NewS3(object.S3Config{
 		Endpoint: p.weights.url, Region: labRegion, Bucket: weightBucket,
@@ -108,21 +112,21 @@
 	})
 }
 
-// SeedWeights stores the weights of a version or adapter.
+// SeedWeights stores placeholder weights for a version or adapter of a model.
 func (p *Platform) SeedWeights(model, version string) {
-	p.Weights.Seed(weightBucket+"/"+emulator.WeightKey(model, version), make([]byte, weightBytes))
+	p.Weights.Seed(weightBucket+"/"+emulator.WeightKey(model, version), make([]byte, weightSize))
 }
 
 // Close stops the stand-ins.
 func (p *Platform) Close() error {
 	var group errs.Group
-	for _, one := range []*endpoint{p.table, p.objects, p.weights, p.machines} {
-		group.Add(one.server.Close())
+	for _, ep := range []*endpoint{p.table, p.objects, p.weights, p.machines} {
+		group.Add(ep.server.Close())
 	}
 	return group.Err()
 }
 
-// Engine is a running emulated engine.
+// Engine is an emulated engine with its HTTP server.
 type Engine struct {
 	ID         string
 	Zone       string
@@ -133,43 +137,43 @@
 	endpoint *endpoint
 	cancel   context.CancelFunc
 	done     sync.WaitGroup
-	once     sync.Once
-	// gone is set once the engine is killed or leaving.
-	gone atomic.Bool
+	killOnce sync.Once
+	// retired is set when the engine is killed or its machine is marked as leaving.
+	retired atomic.Bool
 }
 
-// StartEngine starts an emulated engine.
+// StartEngine starts an emulated engine and its HTTP server.
 func StartEngine(config emulator.EngineConfig, zone string) (*Engine, error) {
-	started := &Engine{
+	engine := &Engine{
 		ID: config.Replica, Zone: zone, Generation: config.Generation.Name,
 		Engine: emulator.NewEngine(config),
 	}
 	var err error
-	if started.endpoint, err = serve(started.Handler()); err != nil {
+	if engine.endpoint, err = serve(engine.Handler()); err != nil {
 		return nil, err
 	}
-	started.URL = started.endpoint.url
+	engine.URL = engine.endpoint.url
 	ctx, cancel := context.WithCancel(context.Background())
-	started.cancel = cancel
-	started.done.Add(1)
+	engine.cancel = cancel
+	engine.done.Add(1)
 	go func() {
-		defer started.done.Done()
-		started.Run(ctx)
+		defer engine.done.Done()
+		engine.Run(ctx)
 	}()
-	return started, nil
+	return engine, nil
 }
 
-// Silence has the engine's open connections go silent without an end. It returns how many.
+// Silence stalls the open connections of the engine without closing them and returns their number.
 func (e *Engine) Silence() int { return e.endpoint.listener.Silence() }
 
-// Kill stops the engine and breaks all its connections.
+// Kill stops the engine and closes all its connections. It may be called more than once.
 func (e *Engine) Kill() {
-	e.once.Do(func() {
+	e.killOnce.Do(func() {
 		e.cancel()
 		_ = e.endpoint.server.Close()
 		e.done.Wait()
 	})
 }
 
-// errNotStarted reports use of a part that was not started.
-var errNotStarted = errors.New("not started")
+// errNoProcess is returned by Signal for a node that does not run as a process.
+var errNoProcess = errors.New("node does not run as a process")
