--- a/internal/command/node.go
+++ b/internal/command/node.go
@@ -76,7 +76,7 @@
 	applied := log.With().Str("node", config.Node.ID).Logger()
 	running, err := node.Start(ctx, config, node.Options{
 		Log: log,
-		Applied: func(revision uint64) {
+		OnApplied: func(revision uint64) {
 			applied.Info().Uint64("revision", revision).Int64("unix_ns", time.Now().UnixNano()).
 				Msg("configuration applied")
 		},
@@ -86,7 +86,7 @@
 	}
 	select {
 	case <-ctx.Done():
-	case <-running.DrainAsked():
+	case <-running.DrainRequested():
 	}
 	drainCtx, cancel := context.WithTimeout(context.Background(), settings.ShutdownTimeout)
 	defer cancel()
--- a/internal/lab/site/site.go
+++ b/internal/lab/site/site.go
@@ -222,7 +222,7 @@
 	inner, err := node.Start(ctx, member.settings, node.Options{
 		Log: zerolog.New(output).With().Timestamp().Logger(),
 		Cut: func() bool { return s.cutOff(member.Zone) },
-		Applied: func(revision uint64) {
+		OnApplied: func(revision uint64) {
 			s.config.Recorder.Record(history.Event{
 				Source: "node/" + member.ID, Type: history.ConfigApplied, Revision: revision,
 			})
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// staleConfiguration is the silence of the table after which a node does not
+	// staleConfigurationAge is the silence of the table after which a node does not
 	// show its view of the configuration as the present one.
-	staleConfiguration = 3 * time.Second
+	staleConfigurationAge = 3 * time.Second
 	// servingAttempts bounds the replicas that one online request may run on.
 	servingAttempts = 4
 	// servingObjective and servingGap say when a replica counts as silent.
@@ -52,7 +52,7 @@
 	return config
 }
 
-func addPool(config *route.Config, byHost map[string]*route.Route, pool string, spec *v1.ModelPoolSpec, wait time.Duration) {
+func addPool(config *route.Config, byHost map[string]*route.Route, pool string, spec *v1.ModelPoolSpec, maxWait time.Duration) {
 	for _, adapter := range append([]string{""}, spec.Adapters...) {
 		model := spec.Model
 		if adapter != "" {
@@ -60,7 +60,7 @@
 		}
 		online := &route.Route{
 			Name: model, Host: model, Prefix: "/", Kind: route.Stream, Resumable: true,
-			MaxAttempts: servingAttempts, MaxWait: wait, Objective: servingObjective, Gap: servingGap, Adapter: adapter,
+			MaxAttempts: servingAttempts, MaxWait: maxWait, Objective: servingObjective, Gap: servingGap, Adapter: adapter,
 		}
 		items := &route.Route{
 			Name: batch.RouteOf(model), Host: batch.RouteOf(model), Prefix: "/", Kind: route.Batch,
@@ -70,12 +70,12 @@
 			items.Reserve = servingReserve
 		}
 		for _, declared := range []*route.Route{online, items} {
-			known := byHost[declared.Host]
-			if known == nil {
-				byHost[declared.Host], known = declared, declared
+			existing := byHost[declared.Host]
+			if existing == nil {
+				byHost[declared.Host], existing = declared, declared
 				config.Routes = append(config.Routes, declared)
 			}
-			known.Shares = append(known.Shares, route.Share{Pool: pool, Weight: 1})
+			existing.Shares = append(existing.Shares, route.Share{Pool: pool, Weight: 1})
 		}
 	}
 }
@@ -102,10 +102,10 @@
 // configApplied puts the evacuations and routes of a new revision in force and has others told.
 func (n *Node) configApplied(revision uint64) {
 	// Evacuations come first: nothing is sent before there are routes.
-	n.evacuate(evacuationsOf(n.resources.Snapshot()), revision)
+	n.setEvacuations(evacuationsOf(n.resources.Snapshot()), revision)
 	n.replaceRoutes(routesOf(n.resources.Snapshot()), revision)
-	if n.options.Applied != nil {
-		n.options.Applied(revision)
+	if n.options.OnApplied != nil {
+		n.options.OnApplied(revision)
 	}
 	select {
 	case n.applied <- struct{}{}:
@@ -113,13 +113,13 @@
 	}
 }
 
-// current reports whether this node's view of the configuration is the present one.
-func (n *Node) current() bool {
-	return n.configWatch.Ready() && n.configWatch.Age() < staleConfiguration
+// configurationCurrent reports whether this node's view of the configuration is the present one.
+func (n *Node) configurationCurrent() bool {
+	return n.configWatch.Ready() && n.configWatch.Age() < staleConfigurationAge
 }
 
-// knowsConfiguration reports whether requests can be decided about.
-func (n *Node) knowsConfiguration() bool {
+// hasConfiguration reports whether requests can be decided about.
+func (n *Node) hasConfiguration() bool {
 	return n.joined.Load() && n.configWatch.Ready() && n.replicaWatch.Ready() && n.jobWatch.Ready()
 }
 
@@ -133,13 +133,13 @@
 			continue
 		}
 		if !ok {
-			n.dropReplica(change.Sort, change.Version, whole)
+			n.removeReplica(change.Sort, change.Version, whole)
 			continue
 		}
-		n.listReplica(listed.Info(listed.ID), listed.Version, whole)
+		n.putReplica(listed.Info(listed.ID), listed.Version, whole)
 	}
 	if whole {
-		n.listedReplicas(changes.Revision)
+		n.logReplicaList(changes.Revision)
 	}
 }
 
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -25,27 +25,27 @@
 )
 
 const (
-	// jobSpacing is the least time between two looks at the jobs' changes while somebody
+	// jobPollInterval is the least time between two looks at the jobs' changes while somebody
 	// waits for some; it bounds the calls while many results are listed. It grows with
 	// the number of sessions, so that all nodes together stay below 700 calls a second.
-	jobSpacing           = 120 * time.Millisecond
-	jobSpacingPerSession = 1500 * time.Microsecond
-	// jobSpacingUsual is the time between two looks while nobody waits here and other
+	jobPollInterval           = 120 * time.Millisecond
+	jobPollPerSession = 1500 * time.Microsecond
+	// idleJobPollInterval is the time between two looks while nobody waits here and other
 	// nodes tell of what concerns this one: an item that is to be stopped, and a node
 	// that has joined, is noticed as late where that word is lost. The users' deployments
 	// ask for items to be stopped within 3 s.
-	jobSpacingUsual = time.Second
+	idleJobPollInterval = time.Second
 	// sampleBurst and sampleEvery bound the lines about what goes well.
 	sampleBurst = 20
 	sampleEvery = 20
-	// wakeLook is the time between two looks whether the machine was suspended, for the log.
-	wakeLook = time.Second
+	// suspensionCheckInterval is the time between two looks whether the machine was suspended, for the log.
+	suspensionCheckInterval = time.Second
 	// retryShare bounds repeated attempts.
 	retryShare = 0.3
 )
 
-// ports are the outside as a core needs it: one set for each interface.
-type ports struct {
+// dependencies are the outside as a core needs it: one set for each interface.
+type dependencies struct {
 	id     string
 	zone   string
 	region string
@@ -96,16 +96,16 @@
 	owners    sessionView
 	jobs      *jobs.Service
 	runner    *jobs.Runner
-	harm      *harm
+	quarantine      *quarantineState
 
 	// open counts the requests being forwarded.
 	open    atomic.Int64
 	running sync.WaitGroup
 }
 
-func newCore(log zerolog.Logger, metrics *coreMetrics, outside ports) *core {
+func newCore(log zerolog.Logger, metrics *coreMetrics, deps dependencies) *core {
 	c := &core{
-		log: log, metrics: metrics, places: outside.places, replicas: replica.NewSet(),
+		log: log, metrics: metrics, places: deps.places, replicas: replica.NewSet(),
 		zoneOf: func(string) string { return "" },
 	}
 	c.sampled = log.Sample(&zerolog.BurstSampler{
@@ -113,34 +113,34 @@
 	})
 	c.unreadable.OnUnreadable = c.logUnreadable
 	c.replicas.OnEjected = c.logEjected
-	c.replicas.Zone = outside.zone
-	c.replicas.OnSharedEjection = c.logEjectedByMany
+	c.replicas.Zone = deps.zone
+	c.replicas.OnSharedEjection = c.logSharedEjection
 	c.replicas.OnRestart = c.logRestarted
 	c.forwarder = &forward.Forwarder{
-		Replicas: c.replicas, Backend: outside.backend, Budget: retry.NewBudget(retryShare),
-		Weights: outside.weights, Zone: outside.zone, Region: outside.region,
+		Replicas: c.replicas, Backend: deps.backend, Budget: retry.NewBudget(retryShare),
+		Weights: deps.weights, Zone: deps.zone, Region: deps.region,
 		Observer: &requestLog{log: log, sampled: c.sampled, metrics: metrics, evacuated: c.evacuations.names},
 	}
-	c.session = lease.NewSession(outside.table, outside.id, outside.timing)
-	c.owners = outside.sessions(c.session)
-	c.buildQuarantine(outside.table, outside.quarantine)
+	c.session = lease.NewSession(deps.table, deps.id, deps.timing)
+	c.owners = deps.sessions(c.session)
+	c.buildQuarantine(deps.table, deps.quarantine)
 	view := jobs.NewView()
 	view.Unreadable = &c.unreadable
-	c.jobWatch = c.watch("job table", outside.jobFeed, func(changes table.Changes, whole bool) {
+	c.jobWatch = c.watch("job table", deps.jobFeed, func(changes table.Changes, whole bool) {
 		// No item is sent by what is known of jobs before what is known of harm.
-		c.harm.rows.Apply(changes, whole)
+		c.quarantine.rows.Apply(changes, whole)
 		view.Apply(changes, whole)
 	})
 	c.jobWatch.Pace = c.jobPace
 	c.jobs = &jobs.Service{
-		Table: outside.table, Objects: outside.objects, View: view,
+		Table: deps.table, Objects: deps.objects, View: view,
 		Events: &jobLog{log: log, sampled: c.sampled, metrics: metrics}, Session: c.ownSession,
 		Fleet: c.owners, Routes: c.routes.Load, Slots: c.replicas.RegionSlots, Awaited: c.jobWatch.Announce,
 	}
 	c.runner = jobs.NewRunner(jobs.RunnerOptions{
-		Service: c.jobs, Replicas: c.replicas, Backend: outside.backend, Routes: c.routes.Load, Owners: c.owners,
-		Weights: outside.weights, Zone: outside.zone, Region: outside.region, ViewAge: c.viewAge, CommitInterval: outside.commitInterval,
-		Quarantine: &c.harm.guard, EndQuarantined: outside.endQuarantined,
+		Service: c.jobs, Replicas: c.replicas, Backend: deps.backend, Routes: c.routes.Load, Owners: c.owners,
+		Weights: deps.weights, Zone: deps.zone, Region: deps.region, ViewAge: c.viewAge, CommitInterval: deps.commitInterval,
+		Quarantine: &c.quarantine.guard, EndQuarantined: deps.endQuarantined,
 	})
 	c.replicas.OnPressure = c.runner.Yield
 	return c
@@ -150,33 +150,33 @@
 // be: what it says is this node's may have been taken over, or ended, meanwhile.
 func (c *core) viewAge() time.Duration {
 	age := c.jobWatch.Age()
-	if since, woke := clock.SinceResume(); woke && age > since {
+	if since, resumed := clock.SinceResume(); resumed && age > since {
 		return math.MaxInt64
 	}
 	return age
 }
 
-// runWakeLog logs suspensions of the machine until the context ends.
-func (c *core) runWakeLog(ctx context.Context) {
+// runSuspensionLog logs suspensions of the machine until the context ends.
+func (c *core) runSuspensionLog(ctx context.Context) {
 	if !clock.CountsSuspension() {
 		c.log.Warn().Msg("this system has no clock that counts suspensions: leases are not safe on a machine that sleeps")
 	}
-	known := clock.Suspended()
-	for retry.Sleep(ctx, wakeLook) {
-		if slept := clock.Suspended(); slept > known {
-			c.log.Warn().Dur("for_ms", slept-known).Msg("machine was suspended")
-			known = slept
+	previous := clock.Suspended()
+	for retry.Sleep(ctx, suspensionCheckInterval) {
+		if suspended := clock.Suspended(); suspended > previous {
+			c.log.Warn().Dur("for_ms", suspended-previous).Msg("machine was suspended")
+			previous = suspended
 		}
 	}
 }
 
 // jobPace returns the least time between two looks at the jobs' changes.
 func (c *core) jobPace() table.Pace {
-	spacing := max(jobSpacing, time.Duration(len(c.owners.Live()))*jobSpacingPerSession)
+	interval := max(jobPollInterval, time.Duration(len(c.owners.Live()))*jobPollPerSession)
 	if c.jobs.Tell == nil || c.jobs.Waiting() > 0 {
-		return table.Pace{AfterAnnouncement: spacing, Default: spacing}
+		return table.Pace{AfterAnnouncement: interval, Default: interval}
 	}
-	return table.Pace{AfterAnnouncement: spacing, Default: max(jobSpacingUsual, spacing)}
+	return table.Pace{AfterAnnouncement: interval, Default: max(idleJobPollInterval, interval)}
 }
 
 // ownSession returns this node's session, which exists in the store.
@@ -203,12 +203,12 @@
 // watchReplicas returns a watcher of the list of replicas, which may lack some just
 // after an outage of its own.
 func (c *core) watchReplicas(feed table.Feed, apply func(table.Changes, bool)) *table.Watcher {
-	list := &datedList{Feed: feed, replicas: c.replicas}
-	watcher := c.watch("replica list", list, list.applied(apply))
-	regained := watcher.OnRegained
+	timestamped := &timestampedFeed{Feed: feed, replicas: c.replicas}
+	watcher := c.watch("replica list", timestamped, timestamped.wrapApply(apply))
+	onRegained := watcher.OnRegained
 	watcher.OnRegained = func(outage time.Duration) {
 		c.replicas.OutageEnded(outage, clock.Now())
-		regained(outage)
+		onRegained(outage)
 	}
 	return watcher
 }
@@ -228,9 +228,9 @@
 	c.spawn(func() { c.runner.Run(ctx) })
 	c.spawn(func() { c.runner.RunClaims(ctx) })
 	c.spawn(func() { c.runner.RunKeeping(ctx) })
-	c.spawn(func() { c.harm.publisher.Run(ctx) })
-	c.spawn(func() { c.runWakeLog(ctx) })
-	c.spawn(func() { c.runWaitLog(ctx) })
+	c.spawn(func() { c.quarantine.publisher.Run(ctx) })
+	c.spawn(func() { c.runSuspensionLog(ctx) })
+	c.spawn(func() { c.runOverdueItemLog(ctx) })
 }
 
 // handBackJobs gives this node's jobs to others before it stops.
@@ -246,8 +246,8 @@
 	c.open.Add(1)
 	defer c.open.Add(-1)
 	result, err := c.forwarder.Do(ctx, target, request, sink)
-	c.metrics.forwarded(target, result, err)
-	c.metrics.excluded(err)
+	c.metrics.observeForwarded(target, result, err)
+	c.metrics.countExcluded(err)
 	c.logRequest(target, request, result, err)
 	return result, err
 }
@@ -256,8 +256,8 @@
 	entry := c.sampled.Info()
 	if err != nil {
 		entry = c.log.Warn().Err(err).Stringer("ran", outcome.Of(err))
-		if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) {
-			entry = entry.Str("excluded", none.Reasons()).Strs("homes", target.Regions.Intersect(request.Regions))
+		if noReplicaErr := (*replica.NoReplicaError)(nil); errors.As(err, &noReplicaErr) {
+			entry = entry.Str("excluded", noReplicaErr.Reasons()).Strs("homes", target.Regions.Intersect(request.Regions))
 		}
 	}
 	entry.Str("request", request.ID).Str("route", target.Name).Str("pool", result.Pool).
@@ -280,10 +280,10 @@
 		Int("open", restart.Open).Int("items", restart.Batch).Int("moved", restart.Moved).Msg("replica started again")
 }
 
-// listReplica takes in that a replica is listed, with the version of its row. New ones
+// putReplica takes in that a replica is listed, with the version of its row. New ones
 // of a whole read are summed up by listedReplicas, others are sampled: a line for each
 // would be nodes times replicas when a fleet starts.
-func (c *core) listReplica(info replica.Info, version uint64, whole bool) {
+func (c *core) putReplica(info replica.Info, version uint64, whole bool) {
 	info.Region = c.places.Region(info.Zone)
 	added := c.replicas.Put(info)
 	log := &c.sampled
@@ -296,14 +296,14 @@
 	}
 }
 
-// listedReplicas logs that a whole read of the list has been taken in.
-func (c *core) listedReplicas(revision uint64) {
+// logReplicaList logs that a whole read of the list has been taken in.
+func (c *core) logReplicaList(revision uint64) {
 	listed, ejected := c.replicas.Count(clock.Now())
 	c.log.Info().Int("replicas", listed).Int("ejected", ejected).Uint64("revision", revision).Msg("replica list read")
 }
 
-// dropReplica takes in that a replica is listed no more.
-func (c *core) dropReplica(id string, version uint64, whole bool) {
+// removeReplica takes in that a replica is listed no more.
+func (c *core) removeReplica(id string, version uint64, whole bool) {
 	c.replicas.Remove(id, clock.Now())
 	c.log.Info().Str("replica", id).Uint64("row_version", version).Bool("whole_read", whole).Msg("replica gone from list")
 }
@@ -315,15 +315,15 @@
 		c.replicas.SetColdLimits(coldLimits(config))
 		c.log.Info().Uint64("version", config.Version).Uint64("row_version", version).
 			Int("routes", next.Len()).Msg("configuration in force")
-		c.logPlaceFindings(config)
+		c.logRegionFindings(config)
 	}
 }
 
-// logPlaceFindings logs what is wrong with the homes of a configuration in force.
-func (c *core) logPlaceFindings(config *route.Config) {
-	for _, found := range config.RegionFindings(c.places) {
-		c.log.Warn().Uint64("version", config.Version).Str("path", found.Path).
-			Str("finding", found.Message).Msg("homes of the configuration")
+// logRegionFindings logs what is wrong with the homes of a configuration in force.
+func (c *core) logRegionFindings(config *route.Config) {
+	for _, finding := range config.RegionFindings(c.places) {
+		c.log.Warn().Uint64("version", config.Version).Str("path", finding.Path).
+			Str("finding", finding.Message).Msg("homes of the configuration")
 	}
 }
 
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -16,7 +16,7 @@
 // testCore returns a core over a table in memory; nothing of it runs.
 func testCore() *core {
 	shared := tabletest.New()
-	return newCore(zerolog.Nop(), newCoreMetrics(), ports{
+	return newCore(zerolog.Nop(), newCoreMetrics(), dependencies{
 		id: "n", table: shared, jobFeed: shared.Feed(jobs.Group), timing: fastTiming(),
 		sessions: func(*lease.Session) sessionView { return lease.NewWatcher(shared, time.Now, fastTiming()) },
 	})
--- a/internal/node/evacuation.go
+++ b/internal/node/evacuation.go
@@ -29,8 +29,8 @@
 // caller may change what it gets.
 func (e *evacuations) versions() map[string]uint64 {
 	versions := map[string]uint64{}
-	for zone, known := range e.all() {
-		versions[zone] = known.Version
+	for zone, ev := range e.all() {
+		versions[zone] = ev.Version
 	}
 	return versions
 }
@@ -53,25 +53,25 @@
 	begun, ended = map[string]evacuation{}, maps.Clone(e.zones)
 	next := make(map[string]evacuation, len(versions))
 	for zone, version := range versions {
-		known, ok := e.zones[zone]
+		ev, ok := e.zones[zone]
 		if !ok {
-			known.Since = now
+			ev.Since = now
 		}
-		known.Version = version
-		next[zone] = known
+		ev.Version = version
+		next[zone] = ev
 		delete(ended, zone)
 		if !ok {
-			begun[zone] = known
+			begun[zone] = ev
 		}
 	}
 	e.zones = next
 	return begun, ended
 }
 
-// evacuate puts in force which zones are evacuated, with the versions of the rows that
+// setEvacuations puts in force which zones are evacuated, with the versions of the rows that
 // declare them; revision is that of the declarations as a whole. It goes by nothing else:
 // the configuration may be older or newer.
-func (c *core) evacuate(versions map[string]uint64, revision uint64) {
+func (c *core) setEvacuations(versions map[string]uint64, revision uint64) {
 	now := clock.Now()
 	begun, ended := c.evacuations.replace(versions, now)
 	if len(begun) == 0 && len(ended) == 0 {
@@ -82,29 +82,29 @@
 		zones[zone] = true
 	}
 	c.replicas.SetEvacuated(zones)
-	for zone, known := range begun {
-		c.logEvacuated(zone, known)
+	for zone, ev := range begun {
+		c.logEvacuated(zone, ev)
 	}
-	for zone, known := range ended {
-		c.log.Info().Str("zone", zone).Uint64("row_version", known.Version).Uint64("revision", revision).
-			Dur("age_ms", now.Sub(known.Since)).Msg("evacuation ended")
+	for zone, ev := range ended {
+		c.log.Info().Str("zone", zone).Uint64("row_version", ev.Version).Uint64("revision", revision).
+			Dur("age_ms", now.Sub(ev.Since)).Msg("evacuation ended")
 	}
 }
 
 // logEvacuated logs that a zone is evacuated. One that is not known may be misspelt;
 // replicas that say it is theirs take nothing all the same.
-func (c *core) logEvacuated(zone string, known evacuation) {
+func (c *core) logEvacuated(zone string, ev evacuation) {
 	replicas := 0
-	for _, one := range c.replicas.List(known.Since) {
-		if one.Zone == zone {
+	for _, r := range c.replicas.List(ev.Since) {
+		if r.Zone == zone {
 			replicas++
 		}
 	}
-	_, listed := c.places[zone]
+	_, zoneKnown := c.places[zone]
 	entry := c.log.Info()
-	if !listed && len(c.places) > 0 {
+	if !zoneKnown && len(c.places) > 0 {
 		entry = c.log.Warn()
 	}
-	entry.Str("zone", zone).Str("region", c.places.Region(zone)).Bool("zone_known", listed).
-		Uint64("row_version", known.Version).Int("replicas", replicas).Msg("zone evacuated")
+	entry.Str("zone", zone).Str("region", c.places.Region(zone)).Bool("zone_known", zoneKnown).
+		Uint64("row_version", ev.Version).Int("replicas", replicas).Msg("zone evacuated")
 }
--- a/internal/node/evacuationrows_test.go
+++ b/internal/node/evacuationrows_test.go
@@ -21,7 +21,7 @@
 func evacuationCore(places place.Map) (*Gateway, *bytes.Buffer) {
 	var log bytes.Buffer
 	shared := tabletest.New()
-	return &Gateway{core: newCore(zerolog.New(&log), newCoreMetrics(), ports{
+	return &Gateway{core: newCore(zerolog.New(&log), newCoreMetrics(), dependencies{
 		id: "n", places: places, table: shared, jobFeed: shared.Feed(jobs.Group), timing: fastTiming(),
 		sessions: func(*lease.Session) sessionView { return lease.NewWatcher(shared, time.Now, fastTiming()) },
 	})}, &log
@@ -62,7 +62,7 @@
 		}
 	}
 	// The zone had no replica when it was evacuated.
-	gateway.listReplica(replica.Info{ID: "r", Pool: "p", Zone: "odd", Slots: 1}, 8, false)
+	gateway.putReplica(replica.Info{ID: "r", Pool: "p", Zone: "odd", Slots: 1}, 8, false)
 	demand := &replica.Criteria{}
 	if chosen, err := replica.Pick(gateway.replicas.SnapshotFor("p", demand, time.Now()), demand, replica.Weights{}); err == nil {
 		t.Errorf("chose %s", chosen.ID)
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -30,12 +30,12 @@
 	gatewayIdleTimeout = 2 * time.Minute
 	// gatewayHeaderBytes is what net/http reads at most; routes bound it further.
 	gatewayHeaderBytes = 128 << 10
-	// memoryShare of the allowed memory is where collection becomes eager.
-	memoryShare = 0.7
-	// jobPatience bounds how long a call about a job waits for the store.
-	jobPatience = 2500 * time.Millisecond
-	// comeBack is how long callers wait after a request that did not run.
-	comeBack = 100 * time.Millisecond
+	// memoryLimitRatio of the allowed memory is where collection becomes eager.
+	memoryLimitRatio = 0.7
+	// jobTimeout bounds how long a call about a job waits for the store.
+	jobTimeout = 2500 * time.Millisecond
+	// retryAfter is how long callers wait after a request that did not run.
+	retryAfter = 100 * time.Millisecond
 )
 
 // Error is the class of all errors of this package.
@@ -53,15 +53,15 @@
 	// peers is nil where other nodes cannot reach this one.
 	peers  *peer.Socket
 	roster *lease.Roster
-	near   *neighbours
+	nodes   *nodeIndex
 	quota  *quota.Coordinator
-	// toldAll bounds how often all nodes are told of news.
-	toldAll *rate.Limiter
+	// broadcastLimiter bounds how often all nodes are told of news.
+	broadcastLimiter *rate.Limiter
 
-	// peerHTTP passes on to nodes that start what this one knows.
-	peerHTTP *http.Server
-	// passingOn counts the nodes that are being told.
-	passingOn atomic.Int64
+	// bootstrapServer passes on to nodes that start what this one knows.
+	bootstrapServer *http.Server
+	// bootstrapRequests counts the nodes that are being told.
+	bootstrapRequests atomic.Int64
 
 	configWatch  *table.Watcher
 	replicaWatch *table.Watcher
@@ -75,9 +75,9 @@
 
 // StartGateway builds a gateway and makes it serve as soon as it knows routes.
 func StartGateway(ctx context.Context, config *settings.Settings, log zerolog.Logger) (*Gateway, error) {
-	g := &Gateway{settings: config, toldAll: rate.NewLimiter(rate.Every(tellAllEvery), 1)}
+	g := &Gateway{settings: config, broadcastLimiter: rate.NewLimiter(rate.Every(broadcastInterval), 1)}
 	if config.Gateway.MemoryMegabytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(config.Gateway.MemoryMegabytes) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitRatio * float64(config.Gateway.MemoryMegabytes) * (1 << 20)))
 	}
 	g.build(log.With().Str("node", config.Node.ID).Logger())
 	if err := g.listen(); err != nil {
@@ -97,11 +97,11 @@
 
 func (g *Gateway) build(log zerolog.Logger) {
 	metrics := newCoreMetrics()
-	g.store = platform.NewStore(g.settings.Gateway.Store, metrics.storeCall)
+	g.store = platform.NewStore(g.settings.Gateway.Store, metrics.observeStoreCall)
 	g.backend = platform.NewBackend(metrics.connections.Inc)
 	rows := platform.Rows{Store: g.store}
 	var roster *lease.Roster
-	g.core = newCore(log, metrics, ports{
+	g.core = newCore(log, metrics, dependencies{
 		id: g.settings.Node.ID, zone: g.settings.Node.Zone, region: g.settings.Node.Region, places: g.settings.Node.Zones,
 		table: rows, objects: platform.Objects{Store: g.store}, backend: g.backend,
 		jobFeed: platform.JobFeed(g.store, jobs.Group, jobs.Parts()), timing: fastTiming(), weights: g.weights(), quarantine: g.settings.Quarantine,
@@ -111,8 +111,8 @@
 		},
 	})
 	g.replicas.ColdTolerance = replica.ColdTolerance{Over: g.settings.Gateway.Cold.Over, Slack: g.settings.Gateway.Cold.Slack}
-	g.roster, g.near = roster, &neighbours{roster: roster}
-	roster.OnEnded = g.logEnded
+	g.roster, g.nodes = roster, &nodeIndex{roster: roster}
+	roster.OnEnded = g.logSessionEnded
 	roster.ReportUnreadableTo(&g.unreadable)
 	g.zoneOf = func(node string) string { return roster.Member(node).Zone }
 	g.session.Member = lease.Member{
@@ -122,12 +122,12 @@
 	}
 	g.jobs.Settle = time.Duration(g.settings.Gateway.Settle)
 	g.buildQuota(roster)
-	view := g.jobWatch.Apply
+	applyJobs := g.jobWatch.Apply
 	g.jobWatch.Apply = func(changes table.Changes, whole bool) {
 		// A job is never known without the nodes that it names.
 		roster.Apply(changes, whole)
 		g.replicas.SetJoined(roster.Joined())
-		view(changes, whole)
+		applyJobs(changes, whole)
 	}
 	g.replicas.SetJoined(false)
 	g.forwarder.Reserver = g.backend
@@ -149,8 +149,8 @@
 	return lease.Timing{TimeToLive: 3 * time.Second, RenewInterval: time.Second}
 }
 
-// logEnded logs that the session of a node that is gone was ended, by this node.
-func (g *Gateway) logEnded(session string, err error) {
+// logSessionEnded logs that the session of a node that is gone was ended, by this node.
+func (g *Gateway) logSessionEnded(session string, err error) {
 	switch {
 	case errors.Is(err, table.ErrConflict):
 		// It was renewed, or another node was faster.
@@ -158,7 +158,7 @@
 		g.log.Warn().Str("session", session).Err(err).Msg("expired session not ended yet")
 	default:
 		g.log.Info().Str("session", session).Msg("expired session ended")
-		g.tellAllNews()
+		g.broadcastRowsChanged()
 	}
 }
 
@@ -169,9 +169,9 @@
 
 func (g *Gateway) listen() error {
 	front := &platform.Front{Gateway: g, Jobs: &platform.JobFront{
-		Service: g.jobs, Patience: jobPatience, ComeBack: g.ComeBack,
+		Service: g.jobs, Patience: jobTimeout, ComeBack: g.ComeBack,
 	}}
-	served := []struct {
+	endpoints := []struct {
 		address string
 		handler http.Handler
 	}{
@@ -179,18 +179,18 @@
 		{g.settings.Gateway.Readiness, front.ReadyHandler()},
 		{g.settings.Gateway.Metrics, g.statusHandler()},
 	}
-	for _, one := range served {
-		if one.address == "" {
+	for _, endpoint := range endpoints {
+		if endpoint.address == "" {
 			continue
 		}
-		listener, err := net.Listen("tcp", one.address)
+		listener, err := net.Listen("tcp", endpoint.address)
 		if err != nil {
 			g.closeListeners()
 			return Error.Wrap(err)
 		}
 		g.listeners = append(g.listeners, listener)
 		g.servers = append(g.servers, &http.Server{
-			Handler: one.handler, ReadHeaderTimeout: gatewayHeaderTimeout, IdleTimeout: gatewayIdleTimeout,
+			Handler: endpoint.handler, ReadHeaderTimeout: gatewayHeaderTimeout, IdleTimeout: gatewayIdleTimeout,
 			MaxHeaderBytes: gatewayHeaderBytes,
 		})
 	}
--- a/internal/node/gatewayviews.go
+++ b/internal/node/gatewayapply.go
@@ -27,7 +27,7 @@
 			versions[zone] = change.Version
 		}
 	}
-	g.evacuate(versions, changes.Revision)
+	g.setEvacuations(versions, changes.Revision)
 }
 
 // applyRoutes puts a newer configuration in force. One that cannot be read
@@ -44,7 +44,7 @@
 			continue
 		}
 		g.replaceRoutes(config, change.Version)
-		g.reportPools()
+		g.reportUndeclaredPools()
 	}
 }
 
@@ -53,7 +53,7 @@
 func (g *Gateway) applyReplicas(changes table.Changes, whole bool) {
 	for _, change := range changes.Changes {
 		if change.Removed {
-			g.dropReplica(change.Sort, change.Version, whole)
+			g.removeReplica(change.Sort, change.Version, whole)
 			continue
 		}
 		info, err := platform.DecodeReplica(change.Sort, change.Body)
@@ -61,10 +61,10 @@
 			g.retireReplica(change.Row, err)
 			continue
 		}
-		g.reportPool(change.Row, info)
-		g.listReplica(info, change.Version, whole)
+		g.reportUndeclaredPool(change.Row, info)
+		g.putReplica(info, change.Version, whole)
 	}
 	if whole {
-		g.listedReplicas(changes.Revision)
+		g.logReplicaList(changes.Revision)
 	}
 }
--- a/internal/node/gatewaybootstrap_test.go
+++ b/internal/node/gatewaybootstrap_test.go
@@ -69,7 +69,7 @@
 	if gateway.Ready() {
 		t.Error("a node that knows nothing calls itself ready")
 	}
-	response, err := http.Get("http://" + gateway.peers.Address() + pathHeld)
+	response, err := http.Get("http://" + gateway.peers.Address() + pathBootstrap)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,18 +83,18 @@
 
 // FuzzHeldTold decodes what another process may send to a node that starts.
 func FuzzHeldTold(f *testing.F) {
-	whole, err := cbor.Marshal(heldTold{Config: feedTold{AgeMs: 5, Rows: []rowTold{{Partition: "op", Sort: "config", Version: 3, Body: []byte("{}")}}}})
+	whole, err := cbor.Marshal(bootstrapState{Config: feedState{AgeMs: 5, Rows: []feedRow{{Partition: "op", Sort: "config", Version: 3, Body: []byte("{}")}}}})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(whole)
 	f.Add([]byte{0xa1, 0x01, 0xf6})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		told := &heldTold{}
+		told := &bootstrapState{}
 		if cbor.Unmarshal(body, told) != nil {
 			return
 		}
-		for _, feed := range []feedTold{told.Config, told.Replicas, told.Members} {
+		for _, feed := range []feedState{told.Config, told.Replicas, told.Members} {
 			if len(feed.changes().Changes) != len(feed.Rows) || feed.age() < 0 {
 				t.Errorf("%d rows, age %v", len(feed.Rows), feed.age())
 			}
--- a/internal/node/gatewaydemand.go
+++ b/internal/node/gatewaydemand.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// demandEvery is the time between two words about demand: a pulse fills slots
+	// demandInterval is the time between two words about demand: a pulse fills slots
 	// within the stay of a request, some 0.7 s on the users' deployments.
-	demandEvery = 100 * time.Millisecond
+	demandInterval = 100 * time.Millisecond
 	// demandFanout is the number of nodes of a region told each time, whatever the
 	// fleet's size; a node hears of as many of its own region in the mean.
 	demandFanout = 3
-	// demandZone is how many of these are of the own zone: a byte to another zone is
+	// demandZoneFanout is how many of these are of the own zone: a byte to another zone is
 	// dear on some deployments, and slots are divided by zone first.
-	demandZone = 2
+	demandZoneFanout = 2
 	// maxDemandPools bounds the pools of one message, each of some 40 bytes.
 	maxDemandPools = 16
 )
 
-// demandTold is what online requests need of a pool at a node.
-type demandTold struct {
+// demandReport is what online requests need of a pool at a node.
+type demandReport struct {
 	Pool string `cbor:"1,keyasint"`
 	// Level is in slots, Share the node's number of them: 0 if its requests are guests
 	// in the region of the node that is told.
@@ -42,57 +42,57 @@
 // runDemand tells other nodes what online requests need here, and has items leave slots
 // that those of other nodes need, until the context ends.
 func (g *Gateway) runDemand(ctx context.Context) {
-	for retry.Sleep(ctx, demandEvery) {
-		told := map[string][]demandTold{}
-		for _, need := range g.replicas.UpdateDemand(clock.Now()) {
-			addNeed(told, g.near.region(), need)
-			if need.Excess > 0 {
-				g.runner.YieldPool(need.Pool, need.Excess, replica.Pressure{Fleet: need.FleetUsage})
+	for retry.Sleep(ctx, demandInterval) {
+		reports := map[string][]demandReport{}
+		for _, demand := range g.replicas.UpdateDemand(clock.Now()) {
+			addDemand(reports, g.nodes.ownRegion(), demand)
+			if demand.Excess > 0 {
+				g.runner.YieldPool(demand.Pool, demand.Excess, replica.Pressure{Fleet: demand.FleetUsage})
 			}
-			if need.BorrowedExcess > 0 {
-				g.runner.YieldBorrowed(need.Pool, need.BorrowedExcess, replica.Pressure{Fleet: need.FleetUsage})
+			if demand.BorrowedExcess > 0 {
+				g.runner.YieldBorrowed(demand.Pool, demand.BorrowedExcess, replica.Pressure{Fleet: demand.FleetUsage})
 			}
 		}
-		for region, words := range told {
-			g.tellRegion(region, words)
+		for region, regional := range reports {
+			g.sendDemand(region, regional)
 		}
 	}
 }
 
-// tellRegion tells a few random nodes of a region, most of them in the own zone if that
+// sendDemand tells a few random nodes of a region, most of them in the own zone if that
 // lies there.
-func (g *Gateway) tellRegion(region string, told []demandTold) {
+func (g *Gateway) sendDemand(region string, reports []demandReport) {
 	fanout := demandFanout
-	if region == g.near.region() {
-		fanout -= g.tellSome(g.near.zone(), demandZone, peer.KindDemandReport, told)
+	if region == g.nodes.ownRegion() {
+		fanout -= g.sendToRandom(g.nodes.inZone(), demandZoneFanout, peer.KindDemandReport, reports)
 	}
-	g.tellSome(g.near.of(region), fanout, peer.KindDemandReport, told)
+	g.sendToRandom(g.nodes.inRegion(region), fanout, peer.KindDemandReport, reports)
 }
 
-// addNeed adds a pool to what the node's own region is told, and to what those are told
+// addDemand adds a pool to what the node's own region is told, and to what those are told
 // where its requests are guests.
-func addNeed(told map[string][]demandTold, own string, need replica.PoolDemand) {
-	add := func(region string, one demandTold) {
-		if len(told[region]) < maxDemandPools {
-			told[region] = append(told[region], one)
+func addDemand(reports map[string][]demandReport, ownRegion string, demand replica.PoolDemand) {
+	add := func(region string, report demandReport) {
+		if len(reports[region]) < maxDemandPools {
+			reports[region] = append(reports[region], report)
 		}
 	}
-	add(own, demandTold{Pool: need.Pool, Level: float32(need.Level), Share: need.Share, Idle: need.Idle})
-	for region, open := range need.Away {
-		add(region, demandTold{Pool: need.Pool, Level: float32(open)})
+	add(ownRegion, demandReport{Pool: demand.Pool, Level: float32(demand.Level), Share: demand.Share, Idle: demand.Idle})
+	for region, level := range demand.Away {
+		add(region, demandReport{Pool: demand.Pool, Level: float32(level)})
 	}
 }
 
-// takeDemand handles messages of peer.KindDemand.
-func (g *Gateway) takeDemand(_ string, _ *net.UDPAddr, body []byte) {
-	var told []demandTold
-	if err := cbor.Unmarshal(body, &told); err != nil {
+// handleDemandReports handles messages of peer.KindDemand.
+func (g *Gateway) handleDemandReports(_ string, _ *net.UDPAddr, body []byte) {
+	var reports []demandReport
+	if err := cbor.Unmarshal(body, &reports); err != nil {
 		g.sampled.Warn().Err(err).Msg("demand told by a node cannot be read")
 		return
 	}
 	now := clock.Now()
-	for _, one := range told[:min(len(told), maxDemandPools)] {
-		g.replicas.RecordDemand(one.Pool, float64(one.Level), one.Share, now)
-		g.replicas.RecordIdle(one.Pool, float64(one.Idle), now)
+	for _, report := range reports[:min(len(reports), maxDemandPools)] {
+		g.replicas.RecordDemand(report.Pool, float64(report.Level), report.Share, now)
+		g.replicas.RecordIdle(report.Pool, float64(report.Idle), now)
 	}
 }
--- a/internal/node/gatewayfront.go
+++ b/internal/node/gatewayfront.go
@@ -20,9 +20,9 @@
 // Routes implements platform.Gateway.
 func (g *Gateway) Routes() *route.Table { return g.routes.Load() }
 
-// staleKeys is the age of the configuration from which on an unknown key may be a new
+// staleKeyAge is the age of the configuration from which on an unknown key may be a new
 // one: its source answers each 1.5 s at least (table.Watcher).
-const staleKeys = 3 * time.Second
+const staleKeyAge = 3 * time.Second
 
 // Identify implements platform.Gateway. A node that hears nothing of the configuration
 // goes on by the keys that it knows, unless the settings bound that; of others it cannot
@@ -32,7 +32,7 @@
 	caller, err := routes.Identify(header, public)
 	bound := time.Duration(g.settings.Gateway.MaxConfigAge)
 	switch {
-	case caller != nil && bound > 0 && age > bound, errors.Is(err, tenant.ErrUnknownKey) && age > staleKeys:
+	case caller != nil && bound > 0 && age > bound, errors.Is(err, tenant.ErrUnknownKey) && age > staleKeyAge:
 		return nil, tenant.Error.Wrap(tenant.ErrStale)
 	default:
 		return caller, err
@@ -40,7 +40,7 @@
 }
 
 // ComeBack implements platform.Gateway.
-func (g *Gateway) ComeBack() time.Duration { return comeBack }
+func (g *Gateway) ComeBack() time.Duration { return retryAfter }
 
 // Stopping implements platform.Gateway.
 func (g *Gateway) Stopping() bool { return g.stopping.Load() }
@@ -49,7 +49,7 @@
 // ready while all zones are evacuated: it still accepts jobs, its refusals are truthful,
 // and callers would find no other node that can do more.
 func (g *Gateway) Ready() bool {
-	return !g.stopping.Load() && g.routes.Load() != nil && g.informed()
+	return !g.stopping.Load() && g.routes.Load() != nil && g.populated()
 }
 
 // Forward implements platform.Gateway.
@@ -101,6 +101,6 @@
 
 // Turned implements platform.Gateway.
 func (g *Gateway) Turned(id, reason string, status int) {
-	g.metrics.turned.WithLabelValues(reason).Inc()
+	g.metrics.rejected.WithLabelValues(reason).Inc()
 	g.log.Info().Str("request", id).Str("reason", reason).Int("status", status).Msg("request turned away")
 }
--- a/internal/node/gatewaykeys_test.go
+++ b/internal/node/gatewaykeys_test.go
@@ -161,7 +161,7 @@
 	bounded.settings.Gateway.MaxConfigAge = v1.Duration(2 * time.Second)
 	site.store.SetTrouble(func(string) standin.Trouble { return standin.Busy })
 	site.eventually("configuration old", func() bool {
-		return gateway.configWatch.Age() > staleKeys && bounded.configWatch.Age() > staleKeys
+		return gateway.configWatch.Age() > staleKeyAge && bounded.configWatch.Age() > staleKeyAge
 	})
 	for _, one := range []struct {
 		gateway *Gateway
--- a/internal/node/gatewaypeers.go
+++ b/internal/node/gatewaypeers.go
@@ -22,17 +22,17 @@
 	for kind, handler := range g.quota.Handlers() {
 		socket.Handle(kind, handler)
 	}
-	socket.Handle(peer.KindDemandReport, g.takeDemand)
-	socket.Handle(peer.KindRowsChanged, g.takeNews)
-	socket.Handle(peer.KindReplicaFailures, g.takeEvidence)
-	socket.Handle(peer.KindCrashReport, g.takeHarm)
-	g.harm.publisher.Broadcast, g.harm.guard.QueryPeers = g.tellHarm, g.askHarm
-	g.harm.publisher.OnWritten = g.tellAllNews
-	g.jobs.Tell = g.tellNews
+	socket.Handle(peer.KindDemandReport, g.handleDemandReports)
+	socket.Handle(peer.KindRowsChanged, g.handleRowsChanged)
+	socket.Handle(peer.KindReplicaFailures, g.handleFailureReports)
+	socket.Handle(peer.KindCrashReport, g.handleQuarantineMessage)
+	g.quarantine.publisher.Broadcast, g.quarantine.guard.QueryPeers = g.broadcastUpdate, g.queryPeers
+	g.quarantine.publisher.OnWritten = g.broadcastRowsChanged
+	g.jobs.Tell = g.notifyRowsChanged
 	g.quota.Sender = socket
-	g.answerCold(socket)
+	g.handleColdGrants(socket)
 	g.metrics.registerPeers(socket)
-	return g.listenHeld()
+	return g.listenBootstrap()
 }
 
 func (g *Gateway) runPeers(ctx context.Context) {
@@ -41,8 +41,8 @@
 		return
 	}
 	g.spawn(func() { g.runDemand(ctx) })
-	g.spawn(func() { g.runEvidence(ctx) })
-	g.spawn(func() { g.runProven(ctx) })
+	g.spawn(func() { g.runFailureReports(ctx) })
+	g.spawn(func() { g.runProvenReports(ctx) })
 	g.spawn(func() { g.runBootstrap(ctx) })
 	g.spawn(func() {
 		if err := g.peers.Run(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -55,15 +55,15 @@
 	if g.peers == nil {
 		return
 	}
-	g.closeHeld()
+	g.closeBootstrap()
 	if err := g.peers.Close(); err != nil {
 		g.log.Warn().Err(err).Msg("socket for other nodes not closed")
 	}
 }
 
-// tellNode sends a message to a node that has told where it is reached. Nothing that must
+// sendToNode sends a message to a node that has told where it is reached. Nothing that must
 // hold hangs on its arrival.
-func (g *Gateway) tellNode(node string, kind peer.Kind, body any) {
+func (g *Gateway) sendToNode(node string, kind peer.Kind, body any) {
 	address := g.roster.Address(node)
 	if address == "" {
 		return
@@ -77,19 +77,19 @@
 	}
 }
 
-// tellOthers sends a message to all other nodes.
-func (g *Gateway) tellOthers(kind peer.Kind, body any) {
-	for _, node := range g.near.others() {
-		g.tellNode(node, kind, body)
+// broadcast sends a message to all other nodes.
+func (g *Gateway) broadcast(kind peer.Kind, body any) {
+	for _, node := range g.nodes.others() {
+		g.sendToNode(node, kind, body)
 	}
 }
 
-// tellSome sends a message to so many random ones of some other nodes, fewer if they are
+// sendToRandom sends a message to so many random ones of some other nodes, fewer if they are
 // not as many. It returns the number.
-func (g *Gateway) tellSome(nodes []string, count int, kind peer.Kind, body any) int {
+func (g *Gateway) sendToRandom(nodes []string, count int, kind peer.Kind, body any) int {
 	count = min(count, len(nodes))
 	for range count {
-		g.tellNode(nodes[rand.IntN(len(nodes))], kind, body)
+		g.sendToNode(nodes[rand.IntN(len(nodes))], kind, body)
 	}
 	return count
 }
--- a/internal/node/gatewayquarantine_test.go
+++ b/internal/node/gatewayquarantine_test.go
@@ -27,7 +27,7 @@
 	}
 	site.sendUntilThree(gateways)
 	site.eventually("both refuse", func() bool {
-		return len(gateways[0].harm.All(time.Now())) == 1 && len(gateways[1].harm.All(time.Now())) == 1 &&
+		return len(gateways[0].quarantine.All(time.Now())) == 1 && len(gateways[1].quarantine.All(time.Now())) == 1 &&
 			gateways[0].Suspects().Items[0].Quarantined && gateways[1].Suspects().Items[0].Quarantined
 	})
 	status, _, header := site.call(gateways[1], "POST", "/resume/work", "refused", harmBody)
@@ -115,14 +115,14 @@
 		}
 	}
 	site.eventually("the other node knows that the work ends well", func() bool {
-		_, known := gateways[1].harm.LastSuccess(work)
+		_, known := gateways[1].quarantine.LastSuccess(work)
 		return known
 	})
 	gateways[0].Kill()
 	for i := range quarantine.DefaultCrashLimit {
 		began := time.Now()
 		time.Sleep(10 * time.Millisecond)
-		gateways[1].harm.guard.RecordCrash(quarantine.CrashReport{
+		gateways[1].quarantine.guard.RecordCrash(quarantine.CrashReport{
 			Replica: fmt.Sprintf("gone-%d", i), Runs: []quarantine.Run{{Work: work, SentAt: began}}, At: time.Now(),
 		})
 	}
@@ -143,21 +143,21 @@
 	site := newHarmSite(t, 2)
 	gateway := site.gateway("a")
 	work := quarantine.Work{1}
-	gateway.harm.guard.RecordSuccess(work)
+	gateway.quarantine.guard.RecordSuccess(work)
 	stranger, source := listenStranger(t)
-	answers := make(chan harmTold, 1)
+	answers := make(chan quarantineMessage, 1)
 	stranger.Handle(peer.KindCrashReport, func(_ string, _ *net.UDPAddr, body []byte) {
-		var told harmTold
+		var told quarantineMessage
 		if err := cbor.Unmarshal(body, &told); err != nil {
 			t.Error(err)
 		}
 		answers <- told
 	})
 	go func() { _ = stranger.Run() }()
-	gateway.takeHarm("stranger#1", source, encoded(t, harmTold{Asked: &work}))
+	gateway.handleQuarantineMessage("stranger#1", source, encoded(t, quarantineMessage{Query: &work}))
 	select {
 	case told := <-answers:
-		if len(told.Cleared) != 1 || told.Cleared[0].Work != work {
+		if len(told.Clearings) != 1 || told.Clearings[0].Work != work {
 			t.Errorf("answered %+v", told)
 		}
 	case <-time.After(5 * time.Second):
@@ -171,18 +171,18 @@
 	c := testCore()
 	g := &Gateway{core: c}
 	popular, other := quarantine.Work{1}, quarantine.Work{2}
-	told := harmTold{Ends: []endTold{{
-		Replica: "r", Born: 1000, Works: []quarantine.Work{popular, other}, AgeMs: 100, Lasted: []int64{10, 10}, Well: []int64{500, 0},
+	told := quarantineMessage{Crashes: []crashEntry{{
+		Replica: "r", StartTime: 1000, Works: []quarantine.Work{popular, other}, AgeMs: 100, Durations: []int64{10, 10}, SuccessAges: []int64{500, 0},
 	}}}
-	g.takeHarm("a#1", nil, encoded(t, told))
-	at, known := c.harm.LastSuccess(popular)
+	g.handleQuarantineMessage("a#1", nil, encoded(t, told))
+	at, known := c.quarantine.LastSuccess(popular)
 	if age := time.Since(at); !known || age < 600*time.Millisecond || age > 10*time.Second {
 		t.Errorf("work that ended well 0.6 s ago: known %v, %v ago", known, age)
 	}
-	if _, known := c.harm.LastSuccess(other); known {
+	if _, known := c.quarantine.LastSuccess(other); known {
 		t.Error("work counts as having ended well that nobody saw")
 	}
-	if verdict := c.harm.Check(popular, time.Now()); len(verdict.Replicas) != 1 {
+	if verdict := c.quarantine.Check(popular, time.Now()); len(verdict.Replicas) != 1 {
 		t.Errorf("%d ends count, not the one that came later", len(verdict.Replicas))
 	}
 }
@@ -218,9 +218,9 @@
 }
 
 func FuzzHarmTold(f *testing.F) {
-	body, err := cbor.Marshal(harmTold{
-		Ends:    []endTold{{Replica: "r", Works: []quarantine.Work{{1}}, AgeMs: 5}},
-		Cleared: []clearedTold{{Work: quarantine.Work{1}, AgeMs: -5}},
+	body, err := cbor.Marshal(quarantineMessage{
+		Crashes:    []crashEntry{{Replica: "r", Works: []quarantine.Work{{1}}, AgeMs: 5}},
+		Clearings: []clearingEntry{{Work: quarantine.Work{1}, AgeMs: -5}},
 	})
 	if err != nil {
 		f.Fatal(err)
@@ -230,7 +230,7 @@
 	socket, source := listenStranger(f)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		g := &Gateway{core: testCore(), peers: socket}
-		g.takeHarm("a#1", source, body)
+		g.handleQuarantineMessage("a#1", source, body)
 		for _, suspect := range g.Suspects().Items {
 			if suspect.SecondsSinceEnd < 0 {
 				t.Fatalf("an end of the future: %+v", suspect)
--- a/internal/node/gatewayquota.go
+++ b/internal/node/gatewayquota.go
@@ -58,7 +58,7 @@
 	if err == nil {
 		return nil
 	}
-	g.metrics.turned.WithLabelValues("over the limit").Inc()
+	g.metrics.rejected.WithLabelValues("over the limit").Inc()
 	entry := g.sampled.Info().Str("request", request.ID).Str("tenant", request.Tenant).Dur("took_ms", clock.Since(began))
 	var refusal *quota.RefusalError
 	if errors.As(err, &refusal) {
@@ -72,10 +72,10 @@
 // tenantUses returns the use that tenants make of their limits, by name.
 func (g *Gateway) tenantUses() []server.TenantUse {
 	var uses []server.TenantUse
-	for _, one := range g.quota.Limiter.Usage(clock.Now()) {
+	for _, usage := range g.quota.Limiter.Usage(clock.Now()) {
 		uses = append(uses, server.TenantUse{
-			Name: one.Tenant, Rate: one.Limit.Rate, Burst: one.Limit.Burst, Demand: one.Demand,
-			Admitted: one.Admitted, Part: one.Share, ToldAge: one.GrantAge.Seconds(),
+			Name: usage.Tenant, Rate: usage.Limit.Rate, Burst: usage.Limit.Burst, Demand: usage.Demand,
+			Admitted: usage.Admitted, Part: usage.Share, ToldAge: usage.GrantAge.Seconds(),
 		})
 	}
 	slices.SortFunc(uses, func(a, b server.TenantUse) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/node/gatewayrestart_test.go
+++ b/internal/node/gatewayrestart_test.go
@@ -29,14 +29,14 @@
 		site.eventually("configuration in force", func() bool { return gateway.routes.Load().Version == 2 })
 		info, _ := gateway.replicas.Get(silent.ID)
 		info.StartedUnixMs = 2000
-		gateway.listReplica(info, 1, false)
+		gateway.putReplica(info, 1, false)
 		silent.Behave(func(number int) standin.Behaviour {
 			if number > 1 {
 				return standin.Whole
 			}
 			// The clock of its machine has stepped back.
 			info.StartedUnixMs = 1000
-			time.AfterFunc(50*time.Millisecond, func() { gateway.listReplica(info, 2, false) })
+			time.AfterFunc(50*time.Millisecond, func() { gateway.putReplica(info, 2, false) })
 			return standin.Silent
 		})
 		began := time.Now()
@@ -59,12 +59,12 @@
 	c := testCore()
 	c.sampled = zerolog.New(&log)
 	info := replica.Info{ID: "r", Pool: "llm", Address: "a", Slots: 4, StartedUnixMs: 3000}
-	c.listReplica(info, 1, false)
+	c.putReplica(info, 1, false)
 	c.replicas.Begin("r", replica.RequestInfo{Batch: true}, time.Now())
 	c.replicas.Begin("r", replica.RequestInfo{}, time.Now())
 	for version, born := range []int64{3000, 1000, 1000, 0, 1000, 2000} {
 		info.StartedUnixMs = born
-		c.listReplica(info, uint64(2+version), false)
+		c.putReplica(info, uint64(2+version), false)
 	}
 	if got := counterOf(t, c.metrics, "wheelhoist_gateway_replica_restarts_total"); got != 2 {
 		t.Errorf("%v starts are counted, not 2", got)
--- a/internal/node/gatewaystarts_test.go
+++ b/internal/node/gatewaystarts_test.go
@@ -61,19 +61,19 @@
 	time.Sleep(5 * time.Millisecond)
 	tell := func(body any) {
 		for _, node := range []string{"a#1", "b#1", "c#1"} {
-			g.takeEvidence(node, nil, encoded(t, body))
+			g.handleFailureReports(node, nil, encoded(t, body))
 		}
 	}
 	key := replica.Key("r0")
 	for _, born := range []int64{3000, 4000} {
-		if tell([]failureTold{{Replica: key, Failures: 9, Born: born}}); leftOut(c, "r0") {
+		if tell([]failureReport{{Replica: key, Failures: 9, StartedUnixMs: born}}); leftOut(c, "r0") {
 			t.Fatalf("words about start %d leave out start 1000", born)
 		}
 	}
 	if tell([]olderFailureTold{{Replica: key, Failures: 9, AgeMs: 2000}}); leftOut(c, "r0") {
 		t.Fatal("words of older programs about what was before the start leave it out")
 	}
-	if tell([]failureTold{{Replica: key, Failures: 9, Born: 1000}}); !leftOut(c, "r0") {
+	if tell([]failureReport{{Replica: key, Failures: 9, StartedUnixMs: 1000}}); !leftOut(c, "r0") {
 		t.Error("words about this start are passed over")
 	}
 }
@@ -84,13 +84,13 @@
 	c, _ := startsCore(1000)
 	g := &Gateway{core: c, roster: lease.NewRoster(nil, c.session, "m", time.Now, fastTiming())}
 	for _, node := range []string{"a#1", "b#1", "c#1"} {
-		g.takeEvidence(node, nil, encoded(t, []olderFailureTold{{Replica: replica.Key("r0"), Failures: 9}}))
+		g.handleFailureReports(node, nil, encoded(t, []olderFailureTold{{Replica: replica.Key("r0"), Failures: 9}}))
 	}
 	if !leftOut(c, "r0") {
 		t.Error("evidence of older programs is passed over")
 	}
 	var older []olderFailureTold
-	body := encoded(t, []failureTold{{Replica: 1, Failures: 2, Successes: 3, AgeMs: 4, Born: longBorn}})
+	body := encoded(t, []failureReport{{Replica: 1, Failures: 2, Successes: 3, AgeMs: 4, StartedUnixMs: longBorn}})
 	if err := cbor.Unmarshal(body, &older); err != nil || older[0] != (olderFailureTold{1, 2, 3, 4}) {
 		t.Errorf("older programs read %+v, %v", older, err)
 	}
@@ -99,19 +99,19 @@
 // TestMessages_FitADatagram has each message be as long as it may.
 func TestMessages_FitADatagram(t *testing.T) {
 	const most = 32 // Bounds the reports of replica.Set.FailureReports.
-	evidence := make([]failureTold, most)
+	evidence := make([]failureReport, most)
 	for i := range evidence {
-		evidence[i] = failureTold{Replica: 1<<64 - 1 - uint64(i), Failures: 1.1, Successes: 2.2, AgeMs: 1<<16 - 1, Born: longBorn}
+		evidence[i] = failureReport{Replica: 1<<64 - 1 - uint64(i), Failures: 1.1, Successes: 2.2, AgeMs: 1<<16 - 1, StartedUnixMs: longBorn}
 	}
-	harm := harmTold{}
-	for i := range harmEndsAtOnce {
-		end := endTold{Replica: strings.Repeat("r", 20), AgeMs: 60_000, Born: longBorn}
-		for range harmWorksAtOnce / harmEndsAtOnce {
+	harm := quarantineMessage{}
+	for i := range maxMessageCrashes {
+		end := crashEntry{Replica: strings.Repeat("r", 20), AgeMs: 60_000, StartTime: longBorn}
+		for range maxMessageWorks / maxMessageCrashes {
 			end.Works = append(end.Works, quarantine.Work{byte(i)})
-			end.Lasted = append(end.Lasted, 10_000)
-			end.Well = append(end.Well, 3_600_000)
+			end.Durations = append(end.Durations, 10_000)
+			end.SuccessAges = append(end.SuccessAges, 3_600_000)
 		}
-		harm.Ends = append(harm.Ends, end)
+		harm.Crashes = append(harm.Crashes, end)
 	}
 	sender, err := peer.Listen("127.0.0.1:0", strings.Repeat("n", 20)+"#"+strings.Repeat("1", 19))
 	if err != nil {
@@ -136,10 +136,10 @@
 	g := &Gateway{core: c}
 	bad := quarantine.Work{1}
 	for _, born := range []int64{3000, 1000, 2000} {
-		told := harmTold{Ends: []endTold{{Replica: "r", Born: born, Works: []quarantine.Work{bad}, AgeMs: 3100 - born, Lasted: []int64{10}}}}
-		g.takeHarm("a#1", nil, encoded(t, told))
+		told := quarantineMessage{Crashes: []crashEntry{{Replica: "r", StartTime: born, Works: []quarantine.Work{bad}, AgeMs: 3100 - born, Durations: []int64{10}}}}
+		g.handleQuarantineMessage("a#1", nil, encoded(t, told))
 	}
-	if verdict := c.harm.Check(bad, time.Now()); len(verdict.Replicas) != 3 {
+	if verdict := c.quarantine.Check(bad, time.Now()); len(verdict.Replicas) != 3 {
 		t.Errorf("%d ends count, not 3", len(verdict.Replicas))
 	}
 }
@@ -152,16 +152,16 @@
 	c.replicas.Divide("n", []place.Node{{ID: "n"}})
 	info.ColdLeft = 3 * time.Second
 	c.replicas.Put(info)
-	var answered coldAnswer
-	desk := &coldDesk{replicas: c.replicas, failed: func(err error) { t.Error(err) }}
+	var answered coldGrantReply
+	desk := &coldGranter{replicas: c.replicas, onError: func(err error) { t.Error(err) }}
 	desk.send = func(_ *net.UDPAddr, _ peer.Kind, body any) error {
-		answered = body.(coldAnswer)
+		answered = body.(coldGrantReply)
 		return nil
 	}
 	now := time.Now()
 	ask := func(born int64) bool {
 		now = now.Add(500 * time.Millisecond)
-		desk.take(func() time.Time { return now })("a#1", nil, encoded(t, coldAsk{Number: 7, Replica: "r0", Born: born}))
+		desk.handleRequest(func() time.Time { return now })("a#1", nil, encoded(t, coldGrantRequest{Number: 7, Replica: "r0", StartedUnixMs: born}))
 		return answered.Granted
 	}
 	if !ask(1000) || !ask(0) {
--- a/internal/node/joblog.go
+++ b/internal/node/joblog.go
@@ -74,18 +74,18 @@
 }
 
 // GaveWay implements jobs.Events.
-func (l *jobLog) GaveWay(job *jobs.Job, item, id string, after int, why replica.Pressure) {
+func (l *jobLog) GaveWay(job *jobs.Job, item, id string, after int, pressure replica.Pressure) {
 	label := "arrival"
 	switch {
-	case why.Fleet > 0:
+	case pressure.Fleet > 0:
 		label = "fleet"
-	case why.Queued > 0:
+	case pressure.Queued > 0:
 		label = "queue"
 	}
-	l.metrics.gaveWay.WithLabelValues(label).Inc()
+	l.metrics.yields.WithLabelValues(label).Inc()
 	l.sampled.Info().Str("job", job.ID).Str("item", item).Str("replica", id).Int("after", after).
-		Int("queued", why.Queued).Dur("wait_ms", why.Wait).Dur("patience_ms", why.Patience).Dur("load_age_ms", why.Age).
-		Float64("fleet", why.Fleet).Msg("item gives way")
+		Int("queued", pressure.Queued).Dur("wait_ms", pressure.Wait).Dur("patience_ms", pressure.Patience).Dur("load_age_ms", pressure.Age).
+		Float64("fleet", pressure.Fleet).Msg("item gives way")
 }
 
 // ItemListed implements jobs.Events.
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -24,10 +24,10 @@
 type coreMetrics struct {
 	registry    *prometheus.Registry
 	requests    *prometheus.CounterVec
-	turned      *prometheus.CounterVec
+	rejected      *prometheus.CounterVec
 	attempts    *prometheus.CounterVec
-	first       *prometheus.HistogramVec
-	gap         *prometheus.HistogramVec
+	firstEvent       *prometheus.HistogramVec
+	eventGap         *prometheus.HistogramVec
 	connections prometheus.Counter
 	// served counts requests by how far their replica was.
 	served      *prometheus.CounterVec
@@ -36,18 +36,18 @@
 	droppedLogs prometheus.Counter
 	jobs        *prometheus.CounterVec
 	items       *prometheus.CounterVec
-	gaveWay     *prometheus.CounterVec
+	yields     *prometheus.CounterVec
 	// reservations counts the slots asked for at replicas, by the answer.
 	reservations *prometheus.CounterVec
-	// ejectedByMany counts replicas left out on the evidence of several nodes.
-	ejectedByMany prometheus.Counter
+	// sharedEjections counts replicas left out on the evidence of several nodes.
+	sharedEjections prometheus.Counter
 	// restarts counts replicas that were noticed to have started again under their id.
 	restarts prometheus.Counter
 	// quarantined counts works that were, cleared those of which a run ended well, released
 	// those that operators released.
 	quarantined, cleared, released prometheus.Counter
-	// refused counts the requests that no replica could take, by what excluded most.
-	refused *prometheus.CounterVec
+	// noReplica counts the requests that no replica could take, by what excluded most.
+	noReplica *prometheus.CounterVec
 	// unreadable counts versions of rows that cannot be read, by table and reason.
 	unreadable *prometheus.CounterVec
 	// predictionError is how far the first event was from its prediction.
@@ -63,16 +63,16 @@
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "wheelhoist_gateway_requests_total", Help: "Forwarded requests by route kind and outcome.",
 		}, []string{"kind", "outcome"}),
-		turned: prometheus.NewCounterVec(prometheus.CounterOpts{
+		rejected: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "wheelhoist_gateway_turned_away_total", Help: "Requests turned away before they were forwarded, by reason.",
 		}, []string{"reason"}),
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "wheelhoist_gateway_attempts_total", Help: "Attempts at replicas by route kind.",
 		}, []string{"kind"}),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		firstEvent: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "wheelhoist_gateway_first_event_seconds", Help: "Time from receipt to the first event.", Buckets: seconds,
 		}, []string{"kind"}),
-		gap: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		eventGap: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "wheelhoist_gateway_event_gap_seconds", Help: "Longest pause between two events of an answer.", Buckets: seconds,
 		}, []string{"kind"}),
 		connections: prometheus.NewCounter(prometheus.CounterOpts{
@@ -94,13 +94,13 @@
 	m.items = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wheelhoist_job_items_total", Help: "Batch items by what happened to them at this node.",
 	}, []string{"event"})
-	m.gaveWay = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.yields = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wheelhoist_items_gave_way_total", Help: "Items that made room for online requests, by what asked for it.",
 	}, []string{"cause"})
 	m.reservations = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wheelhoist_gateway_reservations_total", Help: "Slots asked for at replicas by requests that found none of their node free, by the answer.",
 	}, []string{"outcome"})
-	m.ejectedByMany = prometheus.NewCounter(prometheus.CounterOpts{
+	m.sharedEjections = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "wheelhoist_gateway_replicas_ejected_by_many_total", Help: "Replicas left out for a while on the evidence of several nodes.",
 	})
 	m.restarts = prometheus.NewCounter(prometheus.CounterOpts{
@@ -115,7 +115,7 @@
 	m.released = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "wheelhoist_quarantine_released_total", Help: "Works that operators released at this node.",
 	})
-	m.refused = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.noReplica = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wheelhoist_gateway_requests_excluded_total", Help: "Requests that ended because no replica could take them, by what excluded most replicas.",
 	}, []string{"reason"})
 	m.predictionError = prometheus.NewHistogram(prometheus.HistogramOpts{
@@ -128,7 +128,7 @@
 	m.unreadable = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wheelhoist_rows_unreadable_total", Help: "Versions of rows and objects that this node cannot read, by table and reason.",
 	}, []string{"table", "reason"})
-	m.registry.MustRegister(m.unreadable, m.restarts, m.quarantined, m.cleared, m.released, m.served, m.ejectedByMany, m.refused, m.gaveWay, m.reservations, m.predictionError, m.jobs, m.items, m.requests, m.turned, m.attempts, m.first, m.gap, m.connections,
+	m.registry.MustRegister(m.unreadable, m.restarts, m.quarantined, m.cleared, m.released, m.served, m.sharedEjections, m.noReplica, m.yields, m.reservations, m.predictionError, m.jobs, m.items, m.requests, m.rejected, m.attempts, m.firstEvent, m.eventGap, m.connections,
 		m.storeCalls, m.storeTime, m.droppedLogs)
 	return m
 }
@@ -177,7 +177,7 @@
 // registerPools adds what is learned of a pool, once it serves, and what items wait for.
 func (m *coreMetrics) registerPools(c *core) {
 	m.registry.MustRegister(&poolCollector{replicas: c.replicas, now: clock.Now})
-	m.registry.MustRegister(&waitCollector{account: c.runner.Account, now: clock.Now})
+	m.registry.MustRegister(&itemWaitCollector{counts: c.runner.Account, now: clock.Now})
 }
 
 // registerAge adds the age of a watched source.
@@ -189,7 +189,7 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-func (m *coreMetrics) storeCall(call platform.Call, took time.Duration, err error) {
+func (m *coreMetrics) observeStoreCall(call platform.Call, took time.Duration, err error) {
 	label := "done"
 	if err != nil {
 		label = "failed_" + outcome.Of(err).String()
@@ -198,14 +198,14 @@
 	m.storeTime.WithLabelValues(call.Path).Observe(took.Seconds())
 }
 
-// excluded counts a request that ended because no replica could take it.
-func (m *coreMetrics) excluded(err error) {
-	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) {
-		m.refused.WithLabelValues(none.MainReason().String()).Inc()
+// countExcluded counts a request that ended because no replica could take it.
+func (m *coreMetrics) countExcluded(err error) {
+	if noReplicaErr := (*replica.NoReplicaError)(nil); errors.As(err, &noReplicaErr) {
+		m.noReplica.WithLabelValues(noReplicaErr.MainReason().String()).Inc()
 	}
 }
 
-func (m *coreMetrics) forwarded(target *route.Route, result forward.Result, err error) {
+func (m *coreMetrics) observeForwarded(target *route.Route, result forward.Result, err error) {
 	kind := string(target.Kind)
 	label := "done"
 	if err != nil {
@@ -217,9 +217,9 @@
 	}
 	m.attempts.WithLabelValues(kind).Add(float64(result.Attempts))
 	if result.HeadSent {
-		m.first.WithLabelValues(kind).Observe(result.TimeToFirstByte.Seconds())
+		m.firstEvent.WithLabelValues(kind).Observe(result.TimeToFirstByte.Seconds())
 	}
 	if result.Events > 1 {
-		m.gap.WithLabelValues(kind).Observe(result.MaxGap.Seconds())
+		m.eventGap.WithLabelValues(kind).Observe(result.MaxGap.Seconds())
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,8 +34,8 @@
 
 const (
 	headerTimeout = 5 * time.Second
-	// pollPerSession makes the looks at the heads rarer in large fleets.
-	pollPerSession = 1500 * time.Microsecond
+	// headsPollPerSession makes the looks at the heads rarer in large fleets.
+	headsPollPerSession = 1500 * time.Microsecond
 	// commitInterval is how long finished items wait for others: jobs last for
 	// minutes, and the table is paid by the write.
 	commitInterval = 200 * time.Millisecond
@@ -47,8 +47,8 @@
 	// Cut, if set, cuts the node off from the table while it returns true; only
 	// the lab sets it.
 	Cut func() bool
-	// Applied is told of every configuration revision that comes into force.
-	Applied func(revision uint64)
+	// OnApplied is told of every configuration revision that comes into force.
+	OnApplied func(revision uint64)
 }
 
 // Node is one running node with the product's own interface.
@@ -82,7 +82,7 @@
 	replicaWatch *table.Watcher
 
 	drainOnce  sync.Once
-	drainAsked chan struct{}
+	drainRequested chan struct{}
 	// applied wakes the loop that tells others of a revision in force.
 	applied chan struct{}
 	joined  atomic.Bool
@@ -94,7 +94,7 @@
 	log := options.Log.With().Str("node", config.Node.ID).Str("zone", config.Node.Zone).Logger()
 	n := &Node{
 		settings: config, options: options,
-		drainAsked: make(chan struct{}), applied: make(chan struct{}, 1),
+		drainRequested: make(chan struct{}), applied: make(chan struct{}, 1),
 	}
 	if err := n.listen(); err != nil {
 		return nil, err
@@ -144,10 +144,10 @@
 		AccessKey: platform.Objects.AccessKey, SecretKey: platform.Objects.SecretKey, HTTPClient: client,
 	})
 	n.engines = engine.NewClient(&n.control)
-	n.machines.source = &machines.HTTPList{URL: platform.Machines.URL, Client: &http.Client{Transport: n.counted()}}
+	n.machines.source = &machines.HTTPList{URL: platform.Machines.URL, Client: &http.Client{Transport: n.countedTransport()}}
 	n.heads = table.NewHeads(n.table)
 	n.sessions = lease.NewWatcher(n.table, clock.Now, fastTiming())
-	n.core = newCore(log, newCoreMetrics(), ports{
+	n.core = newCore(log, newCoreMetrics(), dependencies{
 		id: n.settings.Node.ID, zone: n.settings.Node.Zone, table: n.table, objects: objects,
 		backend: engine.NewBackend(n.engines), jobFeed: n.feed(jobs.Group, jobPartitions()),
 		timing: fastTiming(), sessions: func(*lease.Session) sessionView { return n.sessions }, weights: servingWeights(), commitInterval: commitInterval, quarantine: n.settings.Quarantine, endQuarantined: true,
@@ -172,7 +172,7 @@
 }
 
 func (n *Node) pollInterval() time.Duration {
-	return max(table.DefaultPollInterval, time.Duration(len(n.owners.Live()))*pollPerSession)
+	return max(table.DefaultPollInterval, time.Duration(len(n.owners.Live()))*headsPollPerSession)
 }
 
 func (n *Node) buildConfiguration() {
@@ -206,17 +206,17 @@
 func (n *Node) buildServer() error {
 	n.metrics.registerViews(n.core)
 	n.metrics.registerPools(n.core)
-	n.metrics.registry.MustRegister(&groupCollector{account: n.feeder.Account, now: clock.Now})
+	n.metrics.registry.MustRegister(&groupWaitCollector{counts: n.feeder.Account, now: clock.Now})
 	n.metrics.registerTraffic(&n.control)
 	claims := idempotency.NewStore(n.table)
 	claims.Unreadable = &n.unreadable
 	handler, err := server.New(server.Options{
 		NodeID: n.settings.Node.ID, Log: n.log, Store: n.resources, Resources: n.publisher,
-		Current: n.current, Serving: n.knowsConfiguration, Routes: n.routes.Load, Forward: n.forward,
+		Current: n.configurationCurrent, Serving: n.hasConfiguration, Routes: n.routes.Load, Forward: n.forward,
 		Predict: n.forwarder.Predict, Replicas: n.replicas, Engines: n.engines, Admission: n.admission,
 		Claims: claims, Batch: n.batches, BatchWaits: n.batchWaits, Status: n.Status, Metrics: n.metrics.registry,
 		OperatorKeySHA256: n.settings.Operator.KeySHA256, MaxStreams: n.settings.Node.MaxStreams,
-		Drain: n.AskDrain, Quarantine: n,
+		Drain: n.RequestDrain, Quarantine: n,
 	})
 	if err != nil {
 		return err
--- /dev/null
+++ b/internal/node/nodeindex.go
@@ -0,0 +1,83 @@
+package node
+
+import (
+	"slices"
+	"sync"
+
+	"github.com/wheelhoist/wheelhoist/internal/lease"
+	"github.com/wheelhoist/wheelhoist/internal/place"
+)
+
+// nodeIndex are the other nodes by where they are, remembered until the nodes change.
+// The zero value with a roster is ready to use. It is safe for concurrent use.
+type nodeIndex struct {
+	roster *lease.Roster
+
+	mu         sync.Mutex
+	generation uint64
+	ownPlace       place.Place
+	// all are the others, sameZone those in this node's zone, byRegion those of each region.
+	all      []string
+	sameZone []string
+	byRegion map[string][]string
+}
+
+// inRegion returns the other nodes inRegion a region, which must not be changed.
+func (n *nodeIndex) inRegion(region string) []string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.refresh()
+	return n.byRegion[region]
+}
+
+// inZone returns the other nodes of this node's inZone, which must not be changed.
+func (n *nodeIndex) inZone() []string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.refresh()
+	return n.sameZone
+}
+
+// others returns the other nodes of all regions, which must not be changed.
+func (n *nodeIndex) others() []string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.refresh()
+	return n.all
+}
+
+// ownRegion returns this node's own.
+func (n *nodeIndex) ownRegion() string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.refresh()
+	return n.ownPlace.Region
+}
+
+// refresh takes in a change of the nodes. The caller holds mu.
+func (n *nodeIndex) refresh() {
+	generation := n.roster.Generation()
+	if n.byRegion != nil && n.generation == generation {
+		return
+	}
+	n.generation = generation
+	n.index(n.roster.Self(), n.roster.Places())
+}
+
+// index takes in the nodes. The caller holds mu.
+func (n *nodeIndex) index(self string, nodes []place.Node) {
+	n.ownPlace, n.all, n.sameZone, n.byRegion = place.Place{}, nil, nil, map[string][]string{}
+	if i := slices.IndexFunc(nodes, func(node place.Node) bool { return node.ID == self }); i >= 0 {
+		n.ownPlace = nodes[i].Place
+	}
+	for _, node := range nodes {
+		if node.ID == self {
+			continue
+		}
+		n.all = append(n.all, node.ID)
+		n.byRegion[node.Region] = append(n.byRegion[node.Region], node.ID)
+		if node.Place == n.ownPlace {
+			n.sameZone = append(n.sameZone, node.ID)
+		}
+	}
+}
--- a/internal/node/neighbours_test.go
+++ b/internal/node/nodeindex_test.go
@@ -11,8 +11,8 @@
 // TestNeighbours_AreSortedByPlace: nodes whose rows tell no place are a region of
 // their own, and no node is its own neighbour.
 func TestNeighbours_AreSortedByPlace(t *testing.T) {
-	var near neighbours
-	near.sort("b", []place.Node{
+	var near nodeIndex
+	near.index("b", []place.Node{
 		{ID: "a", Place: place.Place{Zone: "n-a", Region: "north"}},
 		{ID: "b", Place: place.Place{Zone: "n-a", Region: "north"}},
 		{ID: "c", Place: place.Place{Zone: "n-b", Region: "north"}},
@@ -32,8 +32,8 @@
 // TestGateway_NeedsAreToldWhereTheyAreFelt: the own region is told all, another one only
 // of the requests that are guests there.
 func TestGateway_NeedsAreToldWhereTheyAreFelt(t *testing.T) {
-	told := map[string][]demandTold{}
-	addNeed(told, "north", replica.PoolDemand{Pool: "p", Level: 5, Share: 8, Away: map[string]int{"south": 2}})
+	told := map[string][]demandReport{}
+	addDemand(told, "north", replica.PoolDemand{Pool: "p", Level: 5, Share: 8, Away: map[string]int{"south": 2}})
 	if own := told["north"]; len(own) != 1 || own[0].Level != 5 || own[0].Share != 8 {
 		t.Errorf("the own region is told %v", own)
 	}
--- a/internal/node/poolmetrics.go
+++ b/internal/node/poolmetrics.go
@@ -15,42 +15,42 @@
 	now      func() time.Time
 }
 
-// poolFigure is one figure of a pool.
-type poolFigure struct {
+// poolMetric is one figure of a pool.
+type poolMetric struct {
 	description *prometheus.Desc
 	value       func(replica.PoolStats) float64
 }
 
-func describePool(name, help string, value func(replica.PoolStats) float64) poolFigure {
-	return poolFigure{prometheus.NewDesc("wheelhoist_pool_"+name, help, []string{"pool"}, nil), value}
+func newPoolMetric(name, help string, value func(replica.PoolStats) float64) poolMetric {
+	return poolMetric{prometheus.NewDesc("wheelhoist_pool_"+name, help, []string{"pool"}, nil), value}
 }
 
-var poolFigures = []poolFigure{
-	describePool("slots", "Slots of this node by the division among nodes.", func(l replica.PoolStats) float64 { return float64(l.Share) }),
-	describePool("online_open", "Online requests of this node under way.", func(l replica.PoolStats) float64 { return float64(l.Open) }),
-	describePool("online_level", "Slots that online requests of this node are expected to need.", func(l replica.PoolStats) float64 { return l.Level }),
-	describePool("fleet_usage", "Part of all slots that online requests of all nodes need, as nodes told.", func(l replica.PoolStats) float64 { return l.FleetUsage }),
-	describePool("items_running", "Items of this node under way in its own slots.", func(l replica.PoolStats) float64 { return float64(l.Items) }),
-	describePool("items_borrowed", "Items of this node under way in slots of other nodes.", func(l replica.PoolStats) float64 { return float64(l.Borrowed) }),
-	describePool("slot_hold_seconds", "How long a slot is held at a time, learned.", func(l replica.PoolStats) float64 { return l.SlotHold.Seconds() }),
-	describePool("online_stay_seconds", "How long an online request holds a slot, learned.", func(l replica.PoolStats) float64 { return l.OnlineHold.Seconds() }),
-	describePool("first_event_seconds", "Time to the first event where no slot is waited for, learned.", func(l replica.PoolStats) float64 { return l.FirstEvent.Seconds() }),
-	describePool("patience_share", "Part of the time left to its objective that a request waits before an item gives way.", func(l replica.PoolStats) float64 { return l.PatienceShare }),
-	describePool("reading_tokens_per_second", "How fast prompts are read, learned.", func(l replica.PoolStats) float64 { return l.ReadingRate }),
+var poolMetrics = []poolMetric{
+	newPoolMetric("slots", "Slots of this node by the division among nodes.", func(l replica.PoolStats) float64 { return float64(l.Share) }),
+	newPoolMetric("online_open", "Online requests of this node under way.", func(l replica.PoolStats) float64 { return float64(l.Open) }),
+	newPoolMetric("online_level", "Slots that online requests of this node are expected to need.", func(l replica.PoolStats) float64 { return l.Level }),
+	newPoolMetric("fleet_usage", "Part of all slots that online requests of all nodes need, as nodes told.", func(l replica.PoolStats) float64 { return l.FleetUsage }),
+	newPoolMetric("items_running", "Items of this node under way in its own slots.", func(l replica.PoolStats) float64 { return float64(l.Items) }),
+	newPoolMetric("items_borrowed", "Items of this node under way in slots of other nodes.", func(l replica.PoolStats) float64 { return float64(l.Borrowed) }),
+	newPoolMetric("slot_hold_seconds", "How long a slot is held at a time, learned.", func(l replica.PoolStats) float64 { return l.SlotHold.Seconds() }),
+	newPoolMetric("online_stay_seconds", "How long an online request holds a slot, learned.", func(l replica.PoolStats) float64 { return l.OnlineHold.Seconds() }),
+	newPoolMetric("first_event_seconds", "Time to the first event where no slot is waited for, learned.", func(l replica.PoolStats) float64 { return l.FirstEvent.Seconds() }),
+	newPoolMetric("patience_share", "Part of the time left to its objective that a request waits before an item gives way.", func(l replica.PoolStats) float64 { return l.PatienceShare }),
+	newPoolMetric("reading_tokens_per_second", "How fast prompts are read, learned.", func(l replica.PoolStats) float64 { return l.ReadingRate }),
 }
 
 // Describe implements prometheus.Collector.
 func (c *poolCollector) Describe(descriptions chan<- *prometheus.Desc) {
-	for _, figure := range poolFigures {
-		descriptions <- figure.description
+	for _, metric := range poolMetrics {
+		descriptions <- metric.description
 	}
 }
 
 // Collect implements prometheus.Collector.
 func (c *poolCollector) Collect(metrics chan<- prometheus.Metric) {
-	for pool, learned := range c.replicas.PoolStats(c.now()) {
-		for _, figure := range poolFigures {
-			metrics <- prometheus.MustNewConstMetric(figure.description, prometheus.GaugeValue, figure.value(learned), pool)
+	for pool, stats := range c.replicas.PoolStats(c.now()) {
+		for _, metric := range poolMetrics {
+			metrics <- prometheus.MustNewConstMetric(metric.description, prometheus.GaugeValue, metric.value(stats), pool)
 		}
 	}
 }
--- a/internal/node/poolmetrics_test.go
+++ b/internal/node/poolmetrics_test.go
@@ -21,8 +21,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(families) != len(poolFigures) {
-		t.Fatalf("%d figures, want %d", len(families), len(poolFigures))
+	if len(families) != len(poolMetrics) {
+		t.Fatalf("%d figures, want %d", len(families), len(poolMetrics))
 	}
 	for _, family := range families {
 		if len(family.GetMetric()) != 2 {
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -23,8 +23,8 @@
 // and back takes 2 to 6 ms within a region, 40 ms to another one.
 const probeTimeout = 400 * time.Millisecond
 
-// harm is what a node knows of work that ends replicas.
-type harm struct {
+// quarantineState is what a node knows of work that ends replicas.
+type quarantineState struct {
 	quarantine.List
 	guard     quarantine.Guard
 	rows      quarantine.Rows
@@ -33,38 +33,38 @@
 
 // buildQuarantine joins the parts that find and keep what ends replicas.
 func (c *core) buildQuarantine(service table.Service, declared settings.Quarantine) {
-	h := &harm{List: quarantine.List{CrashLimit: declared.Replicas, Window: time.Duration(declared.For), RowsPending: true}}
-	h.guard = quarantine.Guard{List: &h.List, Replicas: standings{c}, Events: c}
-	h.rows = quarantine.Rows{Partition: jobs.QuarantinePartition(), Guard: &h.guard, OnMalformed: c.logMalformed}
-	h.publisher = quarantine.NewPublisher(service, &h.rows, c.session.ID)
-	h.publisher.OnError = func(err error) {
+	state := &quarantineState{List: quarantine.List{CrashLimit: declared.Replicas, Window: time.Duration(declared.For), RowsPending: true}}
+	state.guard = quarantine.Guard{List: &state.List, Replicas: replicaStates{c}, Events: c}
+	state.rows = quarantine.Rows{Partition: jobs.QuarantinePartition(), Guard: &state.guard, OnMalformed: c.logMalformed}
+	state.publisher = quarantine.NewPublisher(service, &state.rows, c.session.ID)
+	state.publisher.OnError = func(err error) {
 		c.log.Warn().Err(err).Msg("ends of replicas not written yet")
 	}
-	h.guard.OwnsTrials = func(work quarantine.Work) bool { return c.owners.Preferred(work.String()) == c.session.ID() }
-	h.publisher.OwnsSweep = func() bool { return c.owners.Preferred(jobs.QuarantinePartition()) == c.session.ID() }
-	c.harm = h
-	c.forwarder.Quarantine = &h.guard
+	state.guard.OwnsTrials = func(work quarantine.Work) bool { return c.owners.Preferred(work.String()) == c.session.ID() }
+	state.publisher.OwnsSweep = func() bool { return c.owners.Preferred(jobs.QuarantinePartition()) == c.session.ID() }
+	c.quarantine = state
+	c.forwarder.Quarantine = &state.guard
 }
 
 var _ server.Quarantine = (*core)(nil)
 
-// standings tells the quarantine about replicas.
-type standings struct{ *core }
+// replicaStates tells the quarantine about replicas.
+type replicaStates struct{ *core }
 
-var _ quarantine.Replicas = standings{}
+var _ quarantine.Replicas = replicaStates{}
 
 // State implements quarantine.Replicas.
-func (s standings) State(asked quarantine.Replica) quarantine.ReplicaState {
-	known, before, listed := s.replicas.CurrentAndPrevious(asked.ID)
-	start := replica.Info{ID: asked.ID, StartedUnixMs: asked.StartTime, Address: asked.Address}
+func (s replicaStates) State(queried quarantine.Replica) quarantine.ReplicaState {
+	current, previous, listed := s.replicas.CurrentAndPrevious(queried.ID)
+	start := replica.Info{ID: queried.ID, StartedUnixMs: queried.StartTime, Address: queried.Address}
 	switch {
 	case !listed:
 		return quarantine.Gone
-	case !known.SameStart(&start) && before.Leaving && before.SameStart(&start):
+	case !current.SameStart(&start) && previous.Leaving && previous.SameStart(&start):
 		return quarantine.Leaving
-	case !known.SameStart(&start):
+	case !current.SameStart(&start):
 		return quarantine.Restarted
-	case known.Leaving:
+	case current.Leaving:
 		return quarantine.Leaving
 	default:
 		return quarantine.Serving
@@ -72,7 +72,7 @@
 }
 
 // Probe implements quarantine.Replicas.
-func (s standings) Probe(ctx context.Context, address string) quarantine.ProbeResult {
+func (s replicaStates) Probe(ctx context.Context, address string) quarantine.ProbeResult {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var dialer net.Dialer
@@ -95,15 +95,15 @@
 		works[i] = run.Work.String()
 	}
 	c.log.Warn().Str("replica", report.Replica).Int64("born", report.StartTime).Strs("works", works).Msg("replica ended under work of this node")
-	c.harm.publisher.PublishCrash(report)
+	c.quarantine.publisher.PublishCrash(report)
 }
 
 // Cleared implements quarantine.Events.
-func (c *core) Cleared(before quarantine.Verdict, at time.Time) {
+func (c *core) Cleared(verdict quarantine.Verdict, at time.Time) {
 	c.metrics.cleared.Inc()
-	c.log.Info().Stringer("work", before.Work).Strs("replicas", before.Replicas).
-		Bool("quarantined", before.Quarantined).Msg("suspected work ended well")
-	c.harm.publisher.PublishClearing(quarantine.Clearing{Work: before.Work, At: at})
+	c.log.Info().Stringer("work", verdict.Work).Strs("replicas", verdict.Replicas).
+		Bool("quarantined", verdict.Quarantined).Msg("suspected work ended well")
+	c.quarantine.publisher.PublishClearing(quarantine.Clearing{Work: verdict.Work, At: at})
 }
 
 // Quarantined implements quarantine.Events.
@@ -117,7 +117,7 @@
 func (c *core) Suspects() v1.SuspectList {
 	now := clock.Now()
 	list := v1.SuspectList{Node: lease.Node(c.session.ID()), Items: []v1.Suspect{}}
-	for _, verdict := range c.harm.All(now) {
+	for _, verdict := range c.quarantine.All(now) {
 		list.Items = append(list.Items, suspectOf(verdict, now))
 	}
 	return list
@@ -141,12 +141,12 @@
 		return v1.Suspect{}, false
 	}
 	now := clock.Now()
-	before := c.harm.Clear(work, now)
-	if len(before.Replicas) == 0 {
+	verdict := c.quarantine.Clear(work, now)
+	if len(verdict.Replicas) == 0 {
 		return v1.Suspect{}, false
 	}
 	c.metrics.released.Inc()
-	c.log.Warn().Stringer("work", work).Strs("replicas", before.Replicas).Msg("work released by an operator")
-	c.harm.publisher.PublishClearing(quarantine.Clearing{Work: work, At: now})
-	return suspectOf(before, now), true
+	c.log.Warn().Stringer("work", work).Strs("replicas", verdict.Replicas).Msg("work released by an operator")
+	c.quarantine.publisher.PublishClearing(quarantine.Clearing{Work: work, At: now})
+	return suspectOf(verdict, now), true
 }
--- a/internal/node/quarantinestart_test.go
+++ b/internal/node/quarantinestart_test.go
@@ -12,7 +12,7 @@
 // off, and what is listed may be the next one.
 func TestStandings_TellStartsApart(t *testing.T) {
 	set := replica.NewSet()
-	asked := standings{&core{replicas: set}}
+	asked := replicaStates{&core{replicas: set}}
 	info := replica.Info{ID: "r", StartedUnixMs: 3000, Address: "a", Pool: "llm", Slots: 1}
 	start := func(born int64) quarantine.Replica { return quarantine.Replica{ID: "r", StartTime: born, Address: "a"} }
 	expect := func(born int64, want quarantine.ReplicaState) {
--- a/internal/node/quotafleet.go
+++ b/internal/node/quotafleet.go
@@ -50,16 +50,16 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.refresh()
-	known, ok := f.owners[tenant]
+	entry, ok := f.owners[tenant]
 	if !ok {
-		known.node = lease.Preferred(f.all, tenant)
-		known.successor = known.node
-		if slices.Contains(f.away, known.node) {
-			known.successor = lease.Preferred(f.roster.Nodes(), tenant)
+		entry.node = lease.Preferred(f.all, tenant)
+		entry.successor = entry.node
+		if slices.Contains(f.away, entry.node) {
+			entry.successor = lease.Preferred(f.roster.Nodes(), tenant)
 		}
-		f.owners[tenant] = known
+		f.owners[tenant] = entry
 	}
-	return known
+	return entry
 }
 
 // refresh takes in the nodes if they have changed. The caller holds mu.
--- a/internal/node/requestlog.go
+++ b/internal/node/requestlog.go
@@ -36,10 +36,10 @@
 }
 
 // Reserved implements forward.Notice.
-func (l *requestLog) Reserved(request *forward.Request, asked *replica.Candidate, took time.Duration, err error) {
+func (l *requestLog) Reserved(request *forward.Request, candidate *replica.Candidate, took time.Duration, err error) {
 	l.metrics.reservations.WithLabelValues(reservationOutcome(err)).Inc()
-	l.sampled.Info().Str("request", request.ID).Str("replica", asked.ID).Str("region", asked.Region).Int("open", asked.Open).
-		Float64("others", asked.Others).Dur("took_ms", took).Err(err).Msg("slot asked for")
+	l.sampled.Info().Str("request", request.ID).Str("replica", candidate.ID).Str("region", candidate.Region).Int("open", candidate.Open).
+		Float64("others", candidate.Others).Dur("took_ms", took).Err(err).Msg("slot asked for")
 }
 
 func reservationOutcome(err error) string {
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -15,7 +15,7 @@
 	// machinesInterval is the time between two looks at the machine list.
 	machinesInterval = time.Second
 	callTimeout      = 2 * time.Second
-	joinRetry        = 300 * time.Millisecond
+	joinRetryInterval        = 300 * time.Millisecond
 	// sessionsInterval is the time between two looks at the other nodes; it
 	// grows with the fleet, so that the table's load does not.
 	sessionsInterval   = time.Second
@@ -23,9 +23,9 @@
 	// drainNotice is how long a draining node goes on admitting after readiness
 	// has begun to fail: callers and load balancers look at it every second or so.
 	drainNotice  = 1500 * time.Millisecond
-	drainChecked = 50 * time.Millisecond
-	// jobsDrain bounds the wait for items that only this node can finish.
-	jobsDrain = 20 * time.Second
+	drainPollInterval = 50 * time.Millisecond
+	// handBackTimeout bounds the wait for items that only this node can finish.
+	handBackTimeout = 20 * time.Second
 )
 
 // run starts the loops of a node.
@@ -45,7 +45,7 @@
 		n.spawn(func() { n.observer.Run(ctx) })
 		n.spawn(func() { n.placement.Run(ctx) })
 		n.spawn(func() { n.feeder.Run(ctx) })
-		n.spawn(func() { n.runGroupLog(ctx) })
+		n.spawn(func() { n.runOverdueGroupLog(ctx) })
 	})
 }
 
@@ -67,7 +67,7 @@
 			return true
 		}
 		n.log.Warn().Err(err).Msg("not joined yet")
-		if !retry.Sleep(ctx, joinRetry) {
+		if !retry.Sleep(ctx, joinRetryInterval) {
 			return false
 		}
 	}
@@ -170,7 +170,7 @@
 		}
 		for _, machine := range n.machines.current() {
 			if machine.ID == n.settings.Node.ID && machine.State == machines.Leaving {
-				n.AskDrain()
+				n.RequestDrain()
 			}
 		}
 		if !retry.Sleep(ctx, machinesInterval) {
@@ -179,21 +179,21 @@
 	}
 }
 
-// AskDrain begins a planned stop; DrainAsked tells whoever runs the node.
-func (n *Node) AskDrain() { n.drainOnce.Do(func() { close(n.drainAsked) }) }
+// RequestDrain begins a planned stop; DrainAsked tells whoever runs the node.
+func (n *Node) RequestDrain() { n.drainOnce.Do(func() { close(n.drainRequested) }) }
 
-// DrainAsked is closed when a planned stop has been asked for.
-func (n *Node) DrainAsked() <-chan struct{} { return n.drainAsked }
+// DrainRequested is closed when a planned stop has been asked for.
+func (n *Node) DrainRequested() <-chan struct{} { return n.drainRequested }
 
 // Serving reports whether the node admits work.
-func (n *Node) Serving() bool { return !n.server.Draining() && n.knowsConfiguration() }
+func (n *Node) Serving() bool { return !n.server.Draining() && n.hasConfiguration() }
 
 // Drain stops the node as planned: it fails readiness, hands its jobs on, lets
 // every open answer end, and then stops. The context bounds the wait.
 func (n *Node) Drain(ctx context.Context) error {
 	n.log.Info().Int64("open", n.server.Open()).Msg("draining")
 	n.server.FailReadiness()
-	jobsCtx, cancel := context.WithTimeout(ctx, jobsDrain)
+	jobsCtx, cancel := context.WithTimeout(ctx, handBackTimeout)
 	defer cancel()
 	handedBack := make(chan struct{})
 	go func() {
@@ -204,7 +204,7 @@
 	}()
 	retry.Sleep(ctx, drainNotice)
 	n.server.StartDraining()
-	for n.server.Open() > 0 && retry.Sleep(ctx, drainChecked) {
+	for n.server.Open() > 0 && retry.Sleep(ctx, drainPollInterval) {
 	}
 	<-handedBack
 	err := n.httpServer.Shutdown(ctx)
--- a/internal/node/served_test.go
+++ b/internal/node/served_test.go
@@ -16,9 +16,9 @@
 func TestMetrics_ServedTellsWhere(t *testing.T) {
 	metrics, target := newCoreMetrics(), &route.Route{Kind: route.Stream}
 	for _, distance := range []place.Distance{place.SameZone, place.OtherRegion, place.OtherRegion} {
-		metrics.forwarded(target, forward.Result{Distance: distance}, nil)
+		metrics.observeForwarded(target, forward.Result{Distance: distance}, nil)
 	}
-	metrics.forwarded(target, forward.Result{Distance: place.SameRegion}, outcome.Failed(errors.New("full")))
+	metrics.observeForwarded(target, forward.Result{Distance: place.SameRegion}, outcome.Failed(errors.New("full")))
 	families, err := metrics.registry.Gather()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -25,8 +25,8 @@
 		reported[listed.ID] = listed
 	}
 	for i := range status.Replicas {
-		known := reported[status.Replicas[i].ID]
-		status.Replicas[i].State, status.Replicas[i].Role = known.State, known.Role
+		entry := reported[status.Replicas[i].ID]
+		status.Replicas[i].State, status.Replicas[i].Role = entry.State, entry.Role
 	}
 	return status
 }
@@ -41,11 +41,11 @@
 		}
 		status.Members = append(status.Members, server.MemberStatus{ID: session.Node(), Zone: c.zoneOf(session.Node()), Status: state})
 	}
-	for _, known := range c.replicas.List(clock.Now()) {
+	for _, candidate := range c.replicas.List(clock.Now()) {
 		status.Replicas = append(status.Replicas, server.ReplicaView{
-			ID: known.ID, Zone: known.Zone, Pool: known.Pool, Version: known.Version,
-			State: replicaState(&known), Open: known.Open, Batch: known.Batch, Ejected: known.Ejected,
-			ColdLeft: known.Cold.Left.Seconds(), ColdRate: known.Cold.Rate,
+			ID: candidate.ID, Zone: candidate.Zone, Pool: candidate.Pool, Version: candidate.Version,
+			State: replicaState(&candidate), Open: candidate.Open, Batch: candidate.Batch, Ejected: candidate.Ejected,
+			ColdLeft: candidate.Cold.Left.Seconds(), ColdRate: candidate.Cold.Rate,
 		})
 	}
 	status.Zones = c.zoneStatus(&status, clock.Now())
@@ -53,8 +53,8 @@
 	return status
 }
 
-func replicaState(known *replica.Candidate) engine.State {
-	if known.Leaving {
+func replicaState(candidate *replica.Candidate) engine.State {
+	if candidate.Leaving {
 		return engine.StateLeaving
 	}
 	return engine.StateReady
@@ -88,8 +88,8 @@
 	return t.RoundTripper.RoundTrip(r)
 }
 
-// counted returns a transport whose bytes count as control traffic.
-func (n *Node) counted() http.RoundTripper {
+// countedTransport returns a transport whose bytes count as control traffic.
+func (n *Node) countedTransport() http.RoundTripper {
 	return &http.Transport{
 		DialContext:         n.control.Dial(dialer.New(callTimeout).DialContext),
 		MaxIdleConnsPerHost: 32, IdleConnTimeout: time.Minute,
@@ -99,7 +99,7 @@
 // transport returns the transport to the table and the object store.
 func (n *Node) transport() http.RoundTripper {
 	if n.options.Cut == nil {
-		return n.counted()
+		return n.countedTransport()
 	}
-	return cutTransport{RoundTripper: n.counted(), cut: n.options.Cut}
+	return cutTransport{RoundTripper: n.countedTransport(), cut: n.options.Cut}
 }
--- a/internal/node/suspend_test.go
+++ b/internal/node/suspend_test.go
@@ -42,11 +42,11 @@
 func TestCore_QuarantineEndsInASuspensionToo(t *testing.T) {
 	machine := clocktest.New(t)
 	c := testCore()
-	c.harm.rows.Apply(table.Changes{Now: time.Hour}, true)
+	c.quarantine.rows.Apply(table.Changes{Now: time.Hour}, true)
 	work := quarantine.Work{1}
 	for _, id := range []string{"a", "b", "c"} {
 		now := clock.Now()
-		c.harm.guard.RecordCrash(quarantine.CrashReport{Replica: id, Runs: []quarantine.Run{{Work: work, SentAt: now}}, At: now})
+		c.quarantine.guard.RecordCrash(quarantine.CrashReport{Replica: id, Runs: []quarantine.Run{{Work: work, SentAt: now}}, At: now})
 	}
 	if !c.Suspects().Items[0].Quarantined {
 		t.Fatal("not quarantined")
@@ -59,7 +59,7 @@
 	if items := c.Suspects().Items; len(items) != 0 {
 		t.Errorf("suspected after more than an hour: %+v", items)
 	}
-	if jobs.QuarantinePartition() != c.harm.rows.Partition {
+	if jobs.QuarantinePartition() != c.quarantine.rows.Partition {
 		t.Error("the rows are elsewhere")
 	}
 }
--- a/internal/node/unreadable.go
+++ b/internal/node/unreadable.go
@@ -9,20 +9,20 @@
 	"github.com/wheelhoist/wheelhoist/platform"
 )
 
-// errNoPool reports a replica of a pool that the configuration does not declare.
-var errNoPool = errors.New("the configuration declares no such pool")
+// errUndeclaredPool reports a replica of a pool that the configuration does not declare.
+var errUndeclaredPool = errors.New("the configuration declares no such pool")
 
 // logUnreadable logs and counts a row that cannot be read.
-func (c *core) logUnreadable(found *table.UnreadableError) {
-	c.countUnreadable(found)
-	c.log.Error().Str("partition", found.Key.Partition).Str("key", found.Key.Sort).Uint64("row_version", found.Version).
-		Str("reason", string(found.Reason)).Err(found.Err).Msg("row cannot be read")
+func (c *core) logUnreadable(unreadable *table.UnreadableError) {
+	c.countUnreadable(unreadable)
+	c.log.Error().Str("partition", unreadable.Key.Partition).Str("key", unreadable.Key.Sort).Uint64("row_version", unreadable.Version).
+		Str("reason", string(unreadable.Reason)).Err(unreadable.Err).Msg("row cannot be read")
 }
 
 // countUnreadable counts a row that cannot be read, by its table.
-func (c *core) countUnreadable(found *table.UnreadableError) {
-	name, _, _ := strings.Cut(found.Key.Partition, "/")
-	c.metrics.unreadable.WithLabelValues(name, string(found.Reason)).Inc()
+func (c *core) countUnreadable(unreadable *table.UnreadableError) {
+	name, _, _ := strings.Cut(unreadable.Key.Partition, "/")
+	c.metrics.unreadable.WithLabelValues(name, string(unreadable.Reason)).Inc()
 }
 
 // logMalformed logs a row that a reader who sees each version once cannot read.
@@ -36,33 +36,33 @@
 // them. It takes requests again when an entry comes that can be read.
 func (c *core) retireReplica(row table.Row, err error) {
 	c.unreadable.Report(row.AsUnreadable(table.Content, err))
-	known, ok := c.replicas.Get(row.Sort)
+	info, ok := c.replicas.Get(row.Sort)
 	if !ok {
 		return
 	}
-	known.Leaving, known.Slots, known.ColdLeft = true, 0, 0
-	c.replicas.Put(known)
+	info.Leaving, info.Slots, info.ColdLeft = true, 0, 0
+	c.replicas.Put(info)
 }
 
-// reportPool reports a replica whose pool is not declared. It is kept, for the declaration
+// reportUndeclaredPool reports a replica whose pool is not declared. It is kept, for the declaration
 // may be on its way; no request is routed there.
-func (g *Gateway) reportPool(row table.Row, info replica.Info) {
+func (g *Gateway) reportUndeclaredPool(row table.Row, info replica.Info) {
 	routes := g.routes.Load()
 	if routes == nil || routes.HasPool(info.Pool) {
 		return
 	}
-	g.unreadable.Report(row.AsUnreadable(table.Unknown, errNoPool))
+	g.unreadable.Report(row.AsUnreadable(table.Unknown, errUndeclaredPool))
 }
 
-// reportPools reports the listed replicas whose pools a new configuration does not declare.
-func (g *Gateway) reportPools() {
+// reportUndeclaredPools reports the listed replicas whose pools a new configuration does not declare.
+func (g *Gateway) reportUndeclaredPools() {
 	if g.replicaWatch == nil {
 		return
 	}
 	listed, _ := g.replicaWatch.Snapshot()
 	for _, change := range listed.Changes {
 		if info, err := platform.DecodeReplica(change.Sort, change.Body); err == nil {
-			g.reportPool(change.Row, info)
+			g.reportUndeclaredPool(change.Row, info)
 		}
 	}
 }
--- a/internal/node/zonestatus.go
+++ b/internal/node/zonestatus.go
@@ -11,30 +11,30 @@
 // zoneStatus sums up, zone by zone, what a status says of nodes and replicas.
 func (c *core) zoneStatus(status *server.NodeStatus, now time.Time) []server.ZoneStatus {
 	zones := map[string]*server.ZoneStatus{}
-	at := func(zone string) *server.ZoneStatus {
-		known, ok := zones[zone]
+	get := func(zone string) *server.ZoneStatus {
+		entry, ok := zones[zone]
 		if !ok {
-			known = &server.ZoneStatus{Zone: zone, Region: c.places.Region(zone)}
-			zones[zone] = known
+			entry = &server.ZoneStatus{Zone: zone, Region: c.places.Region(zone)}
+			zones[zone] = entry
 		}
-		return known
+		return entry
 	}
 	for zone := range c.places {
-		at(zone)
+		get(zone)
 	}
 	for _, member := range status.Members {
 		if member.Zone != "" && member.Status == server.MemberAlive {
-			at(member.Zone).Nodes++
+			get(member.Zone).Nodes++
 		}
 	}
-	for _, known := range status.Replicas {
-		at(known.Zone).Replicas++
-		at(known.Zone).Open += known.Open
+	for _, r := range status.Replicas {
+		get(r.Zone).Replicas++
+		get(r.Zone).Open += r.Open
 	}
-	for zone, known := range c.evacuations.all() {
-		one := at(zone)
-		one.Evacuated, one.EvacuatedVersion = true, known.Version
-		one.EvacuatedSeconds = now.Sub(known.Since).Seconds()
+	for zone, ev := range c.evacuations.all() {
+		entry := get(zone)
+		entry.Evacuated, entry.EvacuatedVersion = true, ev.Version
+		entry.EvacuatedSeconds = now.Sub(ev.Since).Seconds()
 	}
 	list := make([]server.ZoneStatus, 0, len(zones))
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
