--- a/internal/machines/machines.go
+++ b/internal/machines/machines.go
@@ -1,7 +1,7 @@
-// Package machines is the port to the platform's list of machines.
+// Package machines reads the platform's list of machines.
 //
-// The list lags behind the truth: it is a seed for membership and a hint that
-// a machine is leaving, never a proof of life.
+// The list lags behind the actual state: use it as a seed for membership and as a hint that a
+// machine is leaving, never as proof that a machine is alive.
 package machines
 
 import (
@@ -22,11 +22,11 @@
 const (
 	// Live machines are in service.
 	Live State = "live"
-	// Leaving machines have been told to stop.
+	// Leaving machines are about to stop.
 	Leaving State = "leaving"
 )
 
-// Role says what runs on a machine.
+// Role is what runs on a machine.
 type Role string
 
 const (
@@ -36,7 +36,7 @@
 	RoleEngine Role = "engine"
 )
 
-// Machine is one entry of the list.
+// Machine is an entry of the list.
 type Machine struct {
 	ID         string `json:"id"`
 	Role       Role   `json:"role"`
@@ -46,7 +46,7 @@
 	State      State  `json:"state"`
 	// Address is the base URL of an engine, or host:port of a node's peer endpoint.
 	Address string `json:"address"`
-	// Pool is the model pool an engine's machine was rented for.
+	// Pool is the model pool that the machine of an engine was rented for.
 	Pool string `json:"pool,omitempty"`
 }
 
@@ -57,8 +57,8 @@
 
 // HTTPList reads the list as a JSON array from a URL.
 //
-// It asks with If-None-Match (RFC 9110), so that an unchanged list costs a few
-// bytes. It is safe for concurrent use.
+// It sends If-None-Match (RFC 9110), so an unchanged list costs only a few bytes. It is safe for
+// concurrent use.
 type HTTPList struct {
 	URL    string
 	Client *http.Client
--- a/internal/node/batchwaits.go
+++ b/internal/node/batchwaits.go
@@ -12,10 +12,10 @@
 	"github.com/wheelhoist/wheelhoist/internal/retry"
 )
 
-// groupWaitCollector tells what the groups of batches that this node feeds wait for.
+// groupWaitCollector exports how many batch groups fed by this node wait, and for what.
 type groupWaitCollector struct {
 	counts func(now time.Time) []batch.GroupCount
-	now     func() time.Time
+	now    func() time.Time
 }
 
 var (
@@ -39,7 +39,7 @@
 	}
 }
 
-// runOverdueGroupLog logs groups of batches that wait for longer than they should, until the context
+// runOverdueGroupLog logs batch groups that have waited longer than they should, until the context
 // ends.
 func (n *Node) runOverdueGroupLog(ctx context.Context) {
 	for retry.Sleep(ctx, waitCheckInterval) {
@@ -47,12 +47,12 @@
 		for _, group := range overdue[:min(len(overdue), maxWaitLogLines)] {
 			n.log.Warn().Str("batch", group.Batch).Int("group", group.Group).Str("waits_for", group.For.String()).
 				Dur("for_ms", clock.Since(group.Begun)).Dur("bound_ms", group.For.Bound()).Int("overdue", len(overdue)).
-				AnErr("cause", group.Cause).Msg("group of a batch does not come on")
+				AnErr("cause", group.Cause).Msg("group of a batch makes no progress")
 		}
 	}
 }
 
-// batchWaits tells who runs the items of a batch, and what those of this node wait for.
+// batchWaits returns which nodes run the items of a batch, and what those of this node wait for.
 func (n *Node) batchWaits(id string) []v1.BatchWait {
 	var waits []v1.BatchWait
 	inBatch := func(job string) bool { return batch.BatchOf(job) == id }
--- a/internal/node/cold.go
+++ b/internal/node/cold.go
@@ -10,11 +10,11 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// coldLogInterval is the time between two looks at which replicas turned cold or warm,
-// for the log alone.
+// coldLogInterval is the time between two checks which replicas became cold or warm. They are for
+// the log only.
 const coldLogInterval = 500 * time.Millisecond
 
-// coldLimits returns what cold replicas bear, by pool.
+// coldLimits returns the limits of cold replicas, by pool.
 func coldLimits(config *route.Config) map[string]replica.ColdLimit {
 	limits := map[string]replica.ColdLimit{}
 	for _, declared := range config.Pools {
@@ -25,8 +25,8 @@
 	return limits
 }
 
-// runColdLog logs which replicas are taken as cold or warm, and when all of them are for
-// the age of the list, until the context ends.
+// runColdLog logs which replicas become cold or warm, and when all are presumed cold because the
+// replica list is old, until the context ends.
 func (c *core) runColdLog(ctx context.Context) {
 	presumed := false
 	for retry.Sleep(ctx, coldLogInterval) {
@@ -58,7 +58,7 @@
 	entry.Msg("replica taken as warm")
 }
 
-// registerCold adds what is known of cold replicas.
+// registerCold registers the metrics of cold replicas.
 func (m *coreMetrics) registerCold(replicas *replica.Set) {
 	m.gauge("wheelhoist_gateway_replicas_cold", "Replicas that are taken as cold.", func() float64 {
 		return float64(replicas.CountCold(clock.Now()))
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	// staleConfigurationAge is the silence of the table after which a node does not
-	// show its view of the configuration as the present one.
+	// staleConfigurationAge is the time without a response of the table after which a node no
+	// longer presents its view of the configuration as current.
 	staleConfigurationAge = 3 * time.Second
 	// servingAttempts bounds the replicas that one online request may run on.
 	servingAttempts = 4
-	// servingObjective and servingGap say when a replica counts as silent.
+	// servingObjective and servingGap are the times to the first event and between two events after
+	// which a replica counts as unresponsive.
 	servingObjective = time.Second
 	servingGap       = 250 * time.Millisecond
-	// defaultQueueTimeout is the longest wait for a replica to have room.
+	// defaultQueueTimeout is the longest time that a request waits for free capacity.
 	defaultQueueTimeout = 2 * time.Second
-	// itemAttempts bounds the runs of an item that a replica reports as failed.
+	// itemAttempts bounds the attempts of an item that replicas report as failed.
 	itemAttempts = 3
-	// servingCrossZone is what a request may wait longer to stay in its zone.
+	// servingCrossZone is how much longer a request may wait in order to stay in its zone.
 	servingCrossZone = 2 * time.Millisecond
-	// servingReserve is the share of a pool's slots, those of its fastest
-	// replicas, that items leave free where the pool names no headroom.
+	// servingReserve is the share of a pool's slots, those of its fastest replicas, that batch
+	// items leave free if the pool declares no headroom.
 	servingReserve = 0.35
 )
 
@@ -37,8 +38,8 @@
 	return replica.Weights{CrossZone: servingCrossZone}
 }
 
-// routesOf turns the declared pools into routes: for each model, and for each
-// adapter of it, one for online requests and one for the items of batches.
+// routesOf converts the declared pools to routes. Each model, and each adapter of a model, has one
+// route for online requests and one for batch items.
 func routesOf(snapshot *resource.Snapshot) *route.Config {
 	config := &route.Config{Version: snapshot.Revision}
 	byHost := map[string]*route.Route{}
@@ -89,8 +90,8 @@
 	return defaultQueueTimeout
 }
 
-// evacuationsOf returns the zones that are declared to be evacuated, with the revisions
-// that declare them.
+// evacuationsOf returns the zones that are declared evacuated, with the revisions of their
+// declarations.
 func evacuationsOf(snapshot *resource.Snapshot) map[string]uint64 {
 	versions := map[string]uint64{}
 	for _, entry := range snapshot.List(v1.KindEvacuation) {
@@ -99,9 +100,9 @@
 	return versions
 }
 
-// configApplied puts the evacuations and routes of a new revision in force and has others told.
+// configApplied puts the evacuations and routes of a new revision in force and wakes announceLoop.
 func (n *Node) configApplied(revision uint64) {
-	// Evacuations come first: nothing is sent before there are routes.
+	// Evacuations come first: no request is sent before there are routes.
 	n.setEvacuations(evacuationsOf(n.resources.Snapshot()), revision)
 	n.replaceRoutes(routesOf(n.resources.Snapshot()), revision)
 	if n.options.OnApplied != nil {
@@ -113,17 +114,17 @@
 	}
 }
 
-// configurationCurrent reports whether this node's view of the configuration is the present one.
+// configurationCurrent reports whether this node's view of the configuration is up to date.
 func (n *Node) configurationCurrent() bool {
 	return n.configWatch.Ready() && n.configWatch.Age() < staleConfigurationAge
 }
 
-// hasConfiguration reports whether requests can be decided about.
+// hasConfiguration reports whether this node knows enough to serve requests.
 func (n *Node) hasConfiguration() bool {
 	return n.joined.Load() && n.configWatch.Ready() && n.replicaWatch.Ready() && n.jobWatch.Ready()
 }
 
-// applyReplicas takes in changes of the list of replicas.
+// applyReplicas applies changes of the replica list.
 func (n *Node) applyReplicas(changes table.Changes, whole bool) {
 	for _, change := range changes.Changes {
 		listed, ok := n.inventory.Apply(change)
@@ -143,7 +144,7 @@
 	}
 }
 
-// placementReplicas returns the replicas as the planner sees them.
+// placementReplicas returns the replicas in the form that the placement planner uses.
 func (n *Node) placementReplicas() []placement.Replica {
 	var replicas []placement.Replica
 	for _, listed := range n.inventory.List() {
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -25,78 +25,79 @@
 )
 
 const (
-	// jobPollInterval is the least time between two looks at the jobs' changes while somebody
-	// waits for some; it bounds the calls while many results are listed. It grows with
-	// the number of sessions, so that all nodes together stay below 700 calls a second.
-	jobPollInterval           = 120 * time.Millisecond
+	// jobPollInterval is the minimum time between two polls of the jobs' changes while a caller
+	// waits for some. It bounds the number of calls while many results are committed. It grows by
+	// jobPollPerSession with each live session, so that all nodes together stay below 700 calls a
+	// second.
+	jobPollInterval   = 120 * time.Millisecond
 	jobPollPerSession = 1500 * time.Microsecond
-	// idleJobPollInterval is the time between two looks while nobody waits here and other
-	// nodes tell of what concerns this one: an item that is to be stopped, and a node
-	// that has joined, is noticed as late where that word is lost. The users' deployments
-	// ask for items to be stopped within 3 s.
+	// idleJobPollInterval is the time between two polls while no caller waits here and other nodes
+	// announce the changes that concern this one. If an announcement is lost, a requested stop of
+	// an item or a new node is noticed this late. Deployments require items to stop within 3 s.
 	idleJobPollInterval = time.Second
-	// sampleBurst and sampleEvery bound the lines about what goes well.
+	// sampleBurst and sampleEvery bound the number of log lines about routine events.
 	sampleBurst = 20
 	sampleEvery = 20
-	// suspensionCheckInterval is the time between two looks whether the machine was suspended, for the log.
+	// suspensionCheckInterval is the time between two checks whether the machine was suspended.
+	// They are for the log only.
 	suspensionCheckInterval = time.Second
-	// retryShare bounds repeated attempts.
+	// retryShare is the number of retries allowed for each request, on average.
 	retryShare = 0.3
 )
 
-// dependencies are the outside as a core needs it: one set for each interface.
+// dependencies are the settings and services that a core is built from. Each kind of node provides
+// its own.
 type dependencies struct {
 	id     string
 	zone   string
 	region string
-	// places tells the regions of the zones of replicas.
+	// places maps the zones of replicas to their regions.
 	places  place.Map
 	table   table.Service
 	objects object.Store
 	backend forward.Backend
 	jobFeed table.Feed
 	timing  lease.Timing
-	// sessions returns the view of all sessions, given this node's own.
+	// sessions returns the view of all nodes' sessions, given this node's own session.
 	sessions func(own *lease.Session) sessionView
 	weights  replica.Weights
-	// commitInterval is how long finished items wait to be listed together.
+	// commitInterval is how long finished items wait to be committed together.
 	commitInterval time.Duration
 	quarantine     settings.Quarantine
-	// endQuarantined has items end that are quarantined.
+	// endQuarantined makes quarantined items end. Otherwise they wait until they expire.
 	endQuarantined bool
 }
 
-// sessionView tells which nodes are there.
+// sessionView is a view of all nodes' sessions.
 type sessionView interface {
 	jobs.Owners
 	Sessions() []lease.SessionState
 }
 
-// core is what serves requests and runs jobs, whichever interface they come by.
-// All of its lasting state is in the table and the object store; its memory is
-// a cache of them.
+// core serves requests and runs jobs, independently of the interface that accepts them. All durable
+// state is in the table and the object store; the state in memory is a cache of them.
 type core struct {
 	log zerolog.Logger
-	// sampled is for what goes well: of more than sampleBurst lines a second it
-	// lets one in sampleEvery through.
+	// sampled logs routine events: of more than sampleBurst lines a second it lets one in
+	// sampleEvery pass.
 	sampled zerolog.Logger
 	metrics *coreMetrics
-	// unreadable tells of rows that cannot be read.
+	// unreadable reports rows that cannot be read.
 	unreadable table.Unreadable
 
 	places      place.Map
 	evacuations evacuations
-	// zoneOf tells the zone of another node; empty if it is not known.
-	zoneOf    func(node string) string
-	routes    route.Current
-	replicas  *replica.Set
-	forwarder *forward.Forwarder
-	jobWatch  *table.Watcher
-	session   *lease.Session
-	owners    sessionView
-	jobs      *jobs.Service
-	runner    *jobs.Runner
-	quarantine      *quarantineState
+	// zoneOf returns the zone of another node; empty if unknown.
+	zoneOf     func(node string) string
+	routes     route.Current
+	replicas   *replica.Set
+	forwarder  *forward.Forwarder
+	jobWatch   *table.Watcher
+	session    *lease.Session
+	owners     sessionView
+	jobs       *jobs.Service
+	runner     *jobs.Runner
+	quarantine *quarantineState
 
 	// open counts the requests being forwarded.
 	open    atomic.Int64
@@ -127,7 +128,8 @@
 	view := jobs.NewView()
 	view.Unreadable = &c.unreadable
 	c.jobWatch = c.watch("job table", deps.jobFeed, func(changes table.Changes, whole bool) {
-		// No item is sent by what is known of jobs before what is known of harm.
+		// The quarantine is updated first, so that no item of a new job is sent before the crashes
+		// read with it are known.
 		c.quarantine.rows.Apply(changes, whole)
 		view.Apply(changes, whole)
 	})
@@ -146,8 +148,9 @@
 	return c
 }
 
-// viewAge is the age of the view of the jobs. One from before a suspension is as old as can
-// be: what it says is this node's may have been taken over, or ended, meanwhile.
+// viewAge returns the age of the view of the jobs. A view from before a suspension of the machine
+// has the maximum age: jobs that it assigns to this node may have been taken over or ended in the
+// meantime.
 func (c *core) viewAge() time.Duration {
 	age := c.jobWatch.Age()
 	if since, resumed := clock.SinceResume(); resumed && age > since {
@@ -170,7 +173,7 @@
 	}
 }
 
-// jobPace returns the least time between two looks at the jobs' changes.
+// jobPace returns the minimum time between two polls of the jobs' changes.
 func (c *core) jobPace() table.Pace {
 	interval := max(jobPollInterval, time.Duration(len(c.owners.Live()))*jobPollPerSession)
 	if c.jobs.Tell == nil || c.jobs.Waiting() > 0 {
@@ -179,12 +182,14 @@
 	return table.Pace{AfterAnnouncement: interval, Default: max(idleJobPollInterval, interval)}
 }
 
-// ownSession returns this node's session, which exists in the store.
+// ownSession returns the ID of this node's session and ensures that the session exists in the
+// table.
 func (c *core) ownSession(ctx context.Context) (string, error) {
 	return c.session.ID(), c.session.Ensure(ctx)
 }
 
-// watch returns a watcher of a feed that logs when its source is lost and regained.
+// watch returns a watcher of a feed. It logs when the source is lost, regained or read in full
+// again.
 func (c *core) watch(name string, feed table.Feed, apply func(table.Changes, bool)) *table.Watcher {
 	watcher := table.NewWatcher(feed, apply)
 	watcher.OnLost = func(err error) {
@@ -195,13 +200,13 @@
 	}
 	watcher.OnReread = func(read table.WholeRead) {
 		c.log.Info().Str("dependency", name).Int("pages", read.Pages).Int("failures", read.Failures).
-			Dur("took_ms", read.Elapsed).Msg("read whole again, what was known stood still meanwhile")
+			Dur("took_ms", read.Elapsed).Msg("full reread complete, the view was not updated meanwhile")
 	}
 	return watcher
 }
 
-// watchReplicas returns a watcher of the list of replicas, which may lack some just
-// after an outage of its own.
+// watchReplicas returns a watcher of the replica list. After an outage of the list, the set keeps
+// replicas that are missing from it for a while.
 func (c *core) watchReplicas(feed table.Feed, apply func(table.Changes, bool)) *table.Watcher {
 	timestamped := &timestampedFeed{Feed: feed, replicas: c.replicas}
 	watcher := c.watch("replica list", timestamped, timestamped.wrapApply(apply))
@@ -221,7 +226,7 @@
 	}()
 }
 
-// runJobs runs the loops about jobs.
+// runJobs starts the goroutines that run jobs.
 func (c *core) runJobs(ctx context.Context) {
 	c.spawn(func() { c.jobWatch.Run(ctx) })
 	c.spawn(func() { c.session.Run(ctx) })
@@ -233,7 +238,8 @@
 	c.spawn(func() { c.runOverdueItemLog(ctx) })
 }
 
-// handBackJobs gives this node's jobs to others before it stops.
+// handBackJobs hands this node's jobs back and ends its session, so that other nodes take over
+// before this one stops.
 func (c *core) handBackJobs(ctx context.Context) {
 	c.runner.HandBack(ctx)
 	if err := c.session.End(ctx); err != nil {
@@ -241,7 +247,7 @@
 	}
 }
 
-// forward carries out a request, and logs and counts how it ended.
+// forward forwards a request, and logs and counts the result.
 func (c *core) forward(ctx context.Context, target *route.Route, request *forward.Request, sink forward.Sink) (forward.Result, error) {
 	c.open.Add(1)
 	defer c.open.Add(-1)
@@ -271,8 +277,8 @@
 	c.log.Warn().Str("replica", info.ID).Str("address", info.Address).Stringer("result", result).Msg("replica ejected")
 }
 
-// logRestarted counts and logs that a replica has started again under its id. When many do at
-// once, as at the end of an outage, the lines are sampled.
+// logRestarted counts and logs that a replica has restarted under the same ID. The lines are
+// sampled because many replicas may restart at once, such as at the end of an outage.
 func (c *core) logRestarted(restart replica.Restart) {
 	c.metrics.restarts.Inc()
 	c.sampled.Warn().Str("replica", restart.Replica.ID).Str("address", restart.Replica.Address).Str("zone", restart.Replica.Zone).
@@ -280,9 +286,9 @@
 		Int("open", restart.Open).Int("items", restart.Batch).Int("moved", restart.Moved).Msg("replica started again")
 }
 
-// putReplica takes in that a replica is listed, with the version of its row. New ones
-// of a whole read are summed up by listedReplicas, others are sampled: a line for each
-// would be nodes times replicas when a fleet starts.
+// putReplica adds or updates a listed replica, given the version of its row. New replicas of a full
+// read are only counted in the summary that logReplicaList writes, others are sampled: a line for
+// each would multiply nodes by replicas when a fleet starts.
 func (c *core) putReplica(info replica.Info, version uint64, whole bool) {
 	info.Region = c.places.Region(info.Zone)
 	added := c.replicas.Put(info)
@@ -296,19 +302,19 @@
 	}
 }
 
-// logReplicaList logs that a whole read of the list has been taken in.
+// logReplicaList logs that a full read of the replica list has been applied.
 func (c *core) logReplicaList(revision uint64) {
 	listed, ejected := c.replicas.Count(clock.Now())
 	c.log.Info().Int("replicas", listed).Int("ejected", ejected).Uint64("revision", revision).Msg("replica list read")
 }
 
-// removeReplica takes in that a replica is listed no more.
+// removeReplica removes a replica that is no longer listed.
 func (c *core) removeReplica(id string, version uint64, whole bool) {
 	c.replicas.Remove(id, clock.Now())
 	c.log.Info().Str("replica", id).Uint64("row_version", version).Bool("whole_read", whole).Msg("replica gone from list")
 }
 
-// replaceRoutes puts a configuration of routes in force unless a newer one is.
+// replaceRoutes puts a configuration of routes in force unless a newer one already is.
 func (c *core) replaceRoutes(config *route.Config, version uint64) {
 	next := route.NewTable(config)
 	if c.routes.Replace(next) {
@@ -319,13 +325,13 @@
 	}
 }
 
-// logRegionFindings logs what is wrong with the homes of a configuration in force.
+// logRegionFindings logs problems with the allowed regions of a configuration in force.
 func (c *core) logRegionFindings(config *route.Config) {
 	for _, finding := range config.RegionFindings(c.places) {
 		c.log.Warn().Uint64("version", config.Version).Str("path", finding.Path).
-			Str("finding", finding.Message).Msg("homes of the configuration")
+			Str("finding", finding.Message).Msg("problem with the allowed regions of the configuration")
 	}
 }
 
-// LogDropped counts log lines that were dropped.
+// LogDropped counts log lines dropped because output was slow.
 func (c *core) LogDropped(lines int) { c.metrics.droppedLogs.Add(float64(lines)) }
--- a/internal/node/evacuation.go
+++ b/internal/node/evacuation.go
@@ -9,24 +9,24 @@
 	"github.com/wheelhoist/wheelhoist/internal/clock"
 )
 
-// evacuation is a zone that operators empty, as this node knows it.
+// evacuation is an evacuated zone, as known to this node.
 type evacuation struct {
-	// Version is that of the row that declares it.
+	// Version is the version of the row that declares it.
 	Version uint64
-	// Since is when this node took it in.
+	// Since is when this node learned of it.
 	Since time.Time
 }
 
-// evacuations are the zones that operators empty, as the newest declaration known here
-// says. A node that hears nothing new keeps to them. The zero value knows none. It is
-// safe for concurrent use.
+// evacuations holds the zones that operators have evacuated, according to the newest declaration
+// known here. They stay in force while a node gets no updates. The zero value is empty and ready to
+// use. It is safe for concurrent use.
 type evacuations struct {
 	mu    sync.Mutex
 	zones map[string]evacuation
 }
 
-// versions returns the zones with the versions of the rows that declare them; the
-// caller may change what it gets.
+// versions returns the zones with the versions of the rows that declare them. The caller may modify
+// the map.
 func (e *evacuations) versions() map[string]uint64 {
 	versions := map[string]uint64{}
 	for zone, ev := range e.all() {
@@ -35,18 +35,18 @@
 	return versions
 }
 
-// all returns what is known of each zone that is evacuated.
+// all returns a copy of the evacuations by zone.
 func (e *evacuations) all() map[string]evacuation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return maps.Clone(e.zones)
 }
 
-// names returns the zones in the order of their names.
+// names returns the zones, sorted.
 func (e *evacuations) names() []string { return slices.Sorted(maps.Keys(e.all())) }
 
-// replace takes in all zones that are evacuated now, with the versions of their rows. It
-// returns those that were not before, and those that were and are no more.
+// replace sets the zones that are evacuated, given the versions of their rows. It returns those
+// that were added and those that were removed.
 func (e *evacuations) replace(versions map[string]uint64, now time.Time) (begun, ended map[string]evacuation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -68,9 +68,9 @@
 	return begun, ended
 }
 
-// setEvacuations puts in force which zones are evacuated, with the versions of the rows that
-// declare them; revision is that of the declarations as a whole. It goes by nothing else:
-// the configuration may be older or newer.
+// setEvacuations puts the evacuated zones in force, given the versions of the rows that declare
+// them and the revision of the declarations as a whole. It depends on nothing else: the
+// configuration may be older or newer.
 func (c *core) setEvacuations(versions map[string]uint64, revision uint64) {
 	now := clock.Now()
 	begun, ended := c.evacuations.replace(versions, now)
@@ -91,8 +91,8 @@
 	}
 }
 
-// logEvacuated logs that a zone is evacuated. One that is not known may be misspelt;
-// replicas that say it is theirs take nothing all the same.
+// logEvacuated logs that a zone is evacuated. A zone that the settings do not list may be misspelt;
+// it is evacuated all the same, for replicas may name it.
 func (c *core) logEvacuated(zone string, ev evacuation) {
 	replicas := 0
 	for _, r := range c.replicas.List(ev.Since) {
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -26,23 +26,23 @@
 
 const (
 	gatewayHeaderTimeout = 10 * time.Second
-	// gatewayIdleTimeout is longer than any caller rests a connection.
+	// gatewayIdleTimeout is longer than callers keep a connection idle.
 	gatewayIdleTimeout = 2 * time.Minute
-	// gatewayHeaderBytes is what net/http reads at most; routes bound it further.
+	// gatewayHeaderBytes bounds the headers that net/http reads; routes set lower limits.
 	gatewayHeaderBytes = 128 << 10
-	// memoryLimitRatio of the allowed memory is where collection becomes eager.
+	// memoryLimitRatio is the part of the allowed memory that is set as the soft limit of the Go
+	// runtime, above which garbage collection runs more often.
 	memoryLimitRatio = 0.7
 	// jobTimeout bounds how long a call about a job waits for the store.
 	jobTimeout = 2500 * time.Millisecond
-	// retryAfter is how long callers wait after a request that did not run.
+	// retryAfter is how long callers are asked to wait after a request that did not run.
 	retryAfter = 100 * time.Millisecond
 )
 
 // Error is the class of all errors of this package.
 var Error = errs.Class("node")
 
-// Gateway is a node that serves declared routes of opaque requests on the
-// users' platform.
+// Gateway is a node that serves declared routes of opaque requests on the users' platform.
 type Gateway struct {
 	*core
 	settings *settings.Settings
@@ -50,17 +50,17 @@
 	store   *platform.Store
 	backend *platform.Backend
 
-	// peers is nil where other nodes cannot reach this one.
+	// peers is nil if no address for other nodes is set.
 	peers  *peer.Socket
 	roster *lease.Roster
-	nodes   *nodeIndex
+	nodes  *nodeIndex
 	quota  *quota.Coordinator
-	// broadcastLimiter bounds how often all nodes are told of news.
+	// broadcastLimiter bounds how often all nodes are notified of changed rows.
 	broadcastLimiter *rate.Limiter
 
-	// bootstrapServer passes on to nodes that start what this one knows.
+	// bootstrapServer sends this node's state to nodes that start.
 	bootstrapServer *http.Server
-	// bootstrapRequests counts the nodes that are being told.
+	// bootstrapRequests counts the bootstrap requests in progress.
 	bootstrapRequests atomic.Int64
 
 	configWatch  *table.Watcher
@@ -73,7 +73,7 @@
 	cancel   context.CancelFunc
 }
 
-// StartGateway builds a gateway and makes it serve as soon as it knows routes.
+// StartGateway builds a gateway and starts it. It serves requests once it knows its routes.
 func StartGateway(ctx context.Context, config *settings.Settings, log zerolog.Logger) (*Gateway, error) {
 	g := &Gateway{settings: config, broadcastLimiter: rate.NewLimiter(rate.Every(broadcastInterval), 1)}
 	if config.Gateway.MemoryMegabytes > 0 {
@@ -124,7 +124,7 @@
 	g.buildQuota(roster)
 	applyJobs := g.jobWatch.Apply
 	g.jobWatch.Apply = func(changes table.Changes, whole bool) {
-		// A job is never known without the nodes that it names.
+		// Members are updated first, so that a job is never known without the nodes that it names.
 		roster.Apply(changes, whole)
 		g.replicas.SetJoined(roster.Joined())
 		applyJobs(changes, whole)
@@ -143,13 +143,12 @@
 	metrics.registerAge("wheelhoist_gateway_jobs_age_seconds", "Time since the jobs' source last answered.", g.jobWatch)
 }
 
-// fastTiming makes lost owners be noticed within a few seconds, for items are
-// due soon.
+// fastTiming lets lost owners be detected within a few seconds, because items have short deadlines.
 func fastTiming() lease.Timing {
 	return lease.Timing{TimeToLive: 3 * time.Second, RenewInterval: time.Second}
 }
 
-// logSessionEnded logs that the session of a node that is gone was ended, by this node.
+// logSessionEnded logs that this node ended the expired session of a lost node, or failed to.
 func (g *Gateway) logSessionEnded(session string, err error) {
 	switch {
 	case errors.Is(err, table.ErrConflict):
--- a/internal/node/gatewayapply.go
+++ b/internal/node/gatewayapply.go
@@ -5,16 +5,16 @@
 	"github.com/wheelhoist/wheelhoist/platform"
 )
 
-// applyConfig takes in what the operator declares. Evacuations come first, whatever
-// their versions: no request is sent before there are routes, so none goes by routes
-// without the evacuations that were declared beside them. They go by the whole read as
-// well as by the feed; table.Watcher hands on what a whole read lacks as removed.
+// applyConfig applies the rows that operators declare. Evacuations come first, whatever their
+// versions: no request is sent before there are routes, so none is routed without the evacuations
+// that were declared with them. This holds for full reads and for changes; table.Watcher reports
+// rows that are missing from a full read as removed.
 func (g *Gateway) applyConfig(changes table.Changes, _ bool) {
 	g.applyEvacuations(changes)
 	g.applyRoutes(changes)
 }
 
-// applyEvacuations takes in which zones the operator empties.
+// applyEvacuations applies changes of the evacuated zones.
 func (g *Gateway) applyEvacuations(changes table.Changes) {
 	versions := g.evacuations.versions()
 	for _, change := range changes.Changes {
@@ -30,8 +30,8 @@
 	g.setEvacuations(versions, changes.Revision)
 }
 
-// applyRoutes puts a newer configuration in force. One that cannot be read
-// leaves the last good one in force.
+// applyRoutes puts newer configurations in force. If one cannot be read, the last valid one stays
+// in force.
 func (g *Gateway) applyRoutes(changes table.Changes) {
 	for _, change := range changes.Changes {
 		if change.Removed || !platform.IsConfig(change.Sort) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// applyReplicas takes in changes of the list of replicas. An entry that cannot be read names
-// no replica to use; the others hold.
+// applyReplicas applies changes of the replica list. A row that cannot be read affects only its own
+// replica.
 func (g *Gateway) applyReplicas(changes table.Changes, whole bool) {
 	for _, change := range changes.Changes {
 		if change.Removed {
--- a/internal/node/gatewaybootstrap.go
+++ b/internal/node/gatewaybootstrap.go
@@ -17,45 +17,44 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// A node that starts while the store does not answer asks another node for what that one
-// knows: configuration, evacuations, replicas and members. It goes by that as the other
-// does, until its own first read of the store takes the place of it. It finds a node
-// among those that tell it things in datagrams, for its address was in the member row of
-// the run before; so a machine that nobody knows waits for the store. Jobs are not passed
-// on: nothing of them may change while the store is away.
+// A node that starts while the store does not respond fetches the state of another node:
+// configuration, evacuations, replicas and members. It uses that state until its own first read of
+// the store replaces it. It picks a node among those that send it datagrams, which know its address
+// from the member row of its previous run; a machine that no node knows waits for the store. Jobs
+// are not part of the state: they must not change while the store is unavailable.
 
 const (
-	// bootstrapInterval is the time between two questions, and bootstrapTimeout bounds one:
-	// 300 KB of 600 replicas take 80 ms over the weakest link, 30 Mbit/s.
-	bootstrapInterval   = 200 * time.Millisecond
-	bootstrapTimeout = time.Second
-	// maxBootstrapResponses is how many nodes are answered at the same time: when many start, the
-	// others ask elsewhere.
+	// bootstrapInterval is the time between two requests, and bootstrapTimeout bounds one: the 300
+	// KB of 600 replicas take 80 ms over the slowest link, 30 Mbit/s.
+	bootstrapInterval = 200 * time.Millisecond
+	bootstrapTimeout  = time.Second
+	// maxBootstrapResponses is the number of requests that are served concurrently. When many nodes
+	// start, the others ask elsewhere.
 	maxBootstrapResponses = 2
-	// maxBootstrapBytes bounds an answer in bytes: a large configuration has some 1 MB.
+	// maxBootstrapBytes bounds a response. A large configuration has about 1 MB.
 	maxBootstrapBytes = 16 << 20
-	// pathBootstrap is where nodes pass on what they know.
+	// pathBootstrap is the HTTP path under which nodes serve their state.
 	pathBootstrap = "/v1/held"
 )
 
-// errNoState reports a node that has nothing to pass on.
-var errNoState = errors.New("the node knows nothing yet")
+// errNoState reports a node that cannot serve its state at the moment.
+var errNoState = errors.New("the node has no state to send or is busy")
 
-// bootstrapState is what a node knows.
+// bootstrapState is the state that a node sends to one that starts.
 type bootstrapState struct {
 	Config   feedState `cbor:"1,keyasint"`
 	Replicas feedState `cbor:"2,keyasint"`
 	Members  feedState `cbor:"3,keyasint"`
 }
 
-// feedState is the rows of one source.
+// feedState holds the rows of one feed.
 type feedState struct {
 	Rows []feedRow `cbor:"1,keyasint"`
-	// AgeMs is the time since the source last answered, in ms.
+	// AgeMs is the time since the source last responded, in ms.
 	AgeMs int64 `cbor:"2,keyasint"`
 }
 
-// feedRow is one row.
+// feedRow is one row of a feed.
 type feedRow struct {
 	Partition string `cbor:"1,keyasint"`
 	Sort      string `cbor:"2,keyasint"`
@@ -83,14 +82,13 @@
 
 func (f *feedState) age() time.Duration { return max(0, time.Duration(f.AgeMs)*time.Millisecond) }
 
-// populated reports whether this node knows enough to serve, from the store or from
-// another node.
+// populated reports whether this node knows enough to serve, from the store or from another node.
 func (g *Gateway) populated() bool {
 	return g.configWatch.Populated() && g.replicaWatch.Populated() && g.jobWatch.Populated()
 }
 
-// listenBootstrap opens the port where this node passes on what it knows: that of the
-// datagrams, over TCP.
+// listenBootstrap starts the HTTP server for nodes that start. It uses the address of the datagram
+// socket, over TCP.
 func (g *Gateway) listenBootstrap() error {
 	listener, err := net.Listen("tcp", g.peers.Address())
 	if err != nil {
@@ -102,7 +100,7 @@
 	g.bootstrapServer = &http.Server{Handler: mux, ReadHeaderTimeout: bootstrapTimeout, IdleTimeout: bootstrapTimeout}
 	go func() {
 		if err := g.bootstrapServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			g.log.Error().Err(err).Msg("port for nodes that start failed")
+			g.log.Error().Err(err).Msg("bootstrap listener failed")
 		}
 	}()
 	return nil
@@ -113,11 +111,11 @@
 		return
 	}
 	if err := g.bootstrapServer.Close(); err != nil {
-		g.log.Warn().Err(err).Msg("port for nodes that start not closed")
+		g.log.Warn().Err(err).Msg("bootstrap listener not closed")
 	}
 }
 
-// serveBootstrap passes on what this node knows.
+// serveBootstrap sends this node's state to a node that starts.
 func (g *Gateway) serveBootstrap(w http.ResponseWriter, r *http.Request) {
 	defer g.bootstrapRequests.Add(-1)
 	if g.bootstrapRequests.Add(1) > maxBootstrapResponses || !g.populated() {
@@ -130,16 +128,16 @@
 	}
 	body, err := cbor.Marshal(state)
 	if err != nil {
-		g.log.Error().Err(err).Msg("what this node knows cannot be encoded")
+		g.log.Error().Err(err).Msg("bootstrap state cannot be encoded")
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	g.sampled.Info().Str("to", r.RemoteAddr).Int("bytes", len(body)).Msg("told a node that starts what is known")
-	// A node that has gone cannot be told.
+	g.sampled.Info().Str("to", r.RemoteAddr).Int("bytes", len(body)).Msg("bootstrap state sent to a starting node")
+	// An error means that the requesting node is gone.
 	_, _ = w.Write(body)
 }
 
-// runBootstrap asks other nodes for what they know until this one knows it.
+// runBootstrap requests the state of other nodes until this one is populated.
 func (g *Gateway) runBootstrap(ctx context.Context) {
 	client := &http.Client{Timeout: bootstrapTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	after := time.Duration(g.settings.Gateway.BootstrapAfter)
@@ -151,19 +149,19 @@
 		from := sources[rand.IntN(len(sources))]
 		state, err := fetchBootstrap(ctx, client, from)
 		if err != nil {
-			g.sampled.Info().Stringer("from", from).Err(err).Msg("node asked for what it knows")
+			g.sampled.Info().Stringer("from", from).Err(err).Msg("no bootstrap state from another node")
 			continue
 		}
 		g.seed(state, from)
 	}
 }
 
-// sinceStoreResponse is the time since the store last answered a look of this node.
+// sinceStoreResponse returns the time since the store last responded to this node.
 func (g *Gateway) sinceStoreResponse() time.Duration {
 	return min(g.configWatch.SinceLastResponse(), g.replicaWatch.SinceLastResponse(), g.jobWatch.SinceLastResponse())
 }
 
-// fetchBootstrap asks a node for what it knows.
+// fetchBootstrap requests the state of a node.
 func fetchBootstrap(ctx context.Context, client *http.Client, from netip.AddrPort) (*bootstrapState, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+from.String()+pathBootstrap, nil)
 	if err != nil {
@@ -185,13 +183,14 @@
 	return state, Error.Wrap(cbor.Unmarshal(body, state))
 }
 
-// seed goes by what another node knows. Members come first, for the slots of replicas are
-// divided among them, and evacuations and routes last, for requests come with these.
+// seed applies the state of another node. Members come first, because the slots of replicas are
+// divided among them; evacuations and routes come last, because requests are sent once there are
+// routes.
 func (g *Gateway) seed(state *bootstrapState, from netip.AddrPort) {
 	members := g.jobWatch.Seed(state.Members.changes(), state.Members.age(), g.roster.Apply)
 	replicas := g.replicaWatch.Seed(state.Replicas.changes(), state.Replicas.age(), g.applyReplicas)
 	if now := clock.Now(); replicas {
-		// It has been under way, and nothing follows it before the store answers.
+		// The state was in transit, and no update follows before the store responds.
 		g.replicas.SetListTime(now.Add(-state.Replicas.age()-bootstrapTimeout), now)
 	}
 	g.replicas.SetJoined(g.roster.Joined())
@@ -199,5 +198,5 @@
 	config := g.configWatch.Seed(state.Config.changes(), state.Config.age(), g.applyConfig)
 	g.log.Info().Stringer("from", from).Bool("members", members).Bool("replicas", replicas).Bool("config", config).
 		Dur("config_age_ms", state.Config.age()).Dur("replicas_age_ms", state.Replicas.age()).
-		Msg("store does not answer, started by what another node knows")
+		Msg("store does not answer, started with the state of another node")
 }
--- a/internal/node/gatewaycold.go
+++ b/internal/node/gatewaycold.go
@@ -15,36 +15,37 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// coldGrantRequest asks for a place at a cold replica.
+// coldGrantRequest requests permission for one request to a cold replica.
 type coldGrantRequest struct {
 	Number  uint64 `cbor:"1,keyasint"`
 	Replica string `cbor:"2,keyasint"`
-	// Presumed is set if nothing told the asker that the replica is cold but the age of its
-	// list.
+	// Presumed is set if the age of its list is the sender's only reason to consider the replica
+	// cold.
 	Presumed bool `cbor:"3,keyasint,omitempty"`
-	// StartedUnixMs tells which start of the replica the sender knows of; absent if it does not know,
-	// and in what earlier versions of the program ask.
+	// StartedUnixMs identifies the start of the replica that the sender knows. It is absent if
+	// unknown, and in requests of earlier versions.
 	StartedUnixMs int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// coldGrantReply grants the place, or does not.
+// coldGrantReply grants or denies a request.
 type coldGrantReply struct {
 	Number  uint64 `cbor:"1,keyasint"`
 	Granted bool   `cbor:"2,keyasint"`
 }
 
-// coldGranter asks other nodes for places at cold replicas, and answers those that ask.
+// coldGranter requests grants for cold replicas from other nodes and replies to their requests.
 type coldGranter struct {
 	replicas *replica.Set
 	roster   *lease.Roster
 	send     func(to *net.UDPAddr, kind peer.Kind, body any) error
-	onError   func(err error)
+	onError  func(err error)
 
 	mu      sync.Mutex
 	pending map[uint64]chan bool
 }
 
-// handleColdGrants has this node ask others for places at cold replicas, and answer them.
+// handleColdGrants makes this node request grants for cold replicas from other nodes, and reply to
+// theirs.
 func (g *Gateway) handleColdGrants(socket *peer.Socket) {
 	granter := &coldGranter{replicas: g.replicas, roster: g.roster, send: socket.Send}
 	granter.onError = func(err error) { g.sampled.Warn().Err(err).Msg("message about a cold replica failed") }
@@ -53,12 +54,12 @@
 	g.forwarder.ColdGranter = granter
 }
 
-// RequestGrant implements forward.ColdFeeders. What is lost is not granted: the asker's time is
-// over before the place would be used.
+// RequestGrant implements forward.ColdGranter. If a message is lost, the wait ends with the context
+// and nothing is granted.
 func (c *coldGranter) RequestGrant(ctx context.Context, sender replica.ColdSender) bool {
 	to, err := net.ResolveUDPAddr("udp4", c.roster.Address(sender.Node))
 	if err != nil {
-		// The node has not told its address.
+		// The address of the node is not known.
 		return false
 	}
 	number, reply := c.register()
@@ -93,7 +94,7 @@
 	delete(c.pending, number)
 }
 
-// handleRequest handles messages of peer.KindColdAsk.
+// handleRequest returns the handler of peer.KindColdGrantRequest.
 func (c *coldGranter) handleRequest(now func() time.Time) peer.Handler {
 	return func(_ string, source *net.UDPAddr, body []byte) {
 		var request coldGrantRequest
@@ -105,7 +106,7 @@
 		if request.Presumed {
 			grant = c.replicas.GrantPresumed
 		}
-		// A place at another start of the replica would not count against its rate.
+		// A grant for another start of the replica would not count against its rate limit.
 		granted := c.replicas.IsCurrentStart(request.Replica, request.StartedUnixMs) && grant(request.Replica, now())
 		reply := coldGrantReply{Number: request.Number, Granted: granted}
 		if err := c.send(source, peer.KindColdGrantReply, reply); err != nil {
@@ -114,7 +115,7 @@
 	}
 }
 
-// handleReply handles messages of peer.KindColdAnswer.
+// handleReply handles peer.KindColdGrantReply.
 func (c *coldGranter) handleReply(_ string, _ *net.UDPAddr, body []byte) {
 	var reply coldGrantReply
 	if err := cbor.Unmarshal(body, &reply); err != nil {
--- a/internal/node/gatewaydemand.go
+++ b/internal/node/gatewaydemand.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	// demandInterval is the time between two words about demand: a pulse fills slots
-	// within the stay of a request, some 0.7 s on the users' deployments.
+	// demandInterval is the time between two demand reports. A burst fills slots within the
+	// duration of a request, about 0.7 s on the users' deployments.
 	demandInterval = 100 * time.Millisecond
-	// demandFanout is the number of nodes of a region told each time, whatever the
-	// fleet's size; a node hears of as many of its own region in the mean.
+	// demandFanout is the number of nodes of a region that get each report, whatever the size of
+	// the fleet. On average, a node receives as many from its own region.
 	demandFanout = 3
-	// demandZoneFanout is how many of these are of the own zone: a byte to another zone is
-	// dear on some deployments, and slots are divided by zone first.
+	// demandZoneFanout is how many of these are in the sender's zone: traffic to other zones is
+	// expensive on some deployments, and slots are divided by zone first.
 	demandZoneFanout = 2
 	// maxDemandPools bounds the pools of one message, each of some 40 bytes.
 	maxDemandPools = 16
 )
 
-// demandReport is what online requests need of a pool at a node.
+// demandReport is what online requests of a node need of a pool.
 type demandReport struct {
 	Pool string `cbor:"1,keyasint"`
-	// Level is in slots, Share the node's number of them: 0 if its requests are guests
-	// in the region of the node that is told.
+	// Level is in slots. Share is the number of the node's slots; 0 if its requests run in the
+	// receiver's region as guests from another region.
 	Level float32 `cbor:"2,keyasint"`
 	Share int     `cbor:"3,keyasint"`
-	// Idle is the number of slots that the node has for items and does not use, less those
-	// that its items have borrowed; 0 also from programs that do not tell it.
+	// Idle is the number of slots that the node has for items and does not use, less those that its
+	// items have borrowed. It is 0 in reports of versions that do not send it.
 	Idle int `cbor:"4,keyasint,omitempty"`
 }
 
-// runDemand tells other nodes what online requests need here, and has items leave slots
-// that those of other nodes need, until the context ends.
+// runDemand reports to other nodes what online requests need here, and makes items yield slots that
+// online requests of any node need, until the context ends.
 func (g *Gateway) runDemand(ctx context.Context) {
 	for retry.Sleep(ctx, demandInterval) {
 		reports := map[string][]demandReport{}
@@ -59,8 +59,8 @@
 	}
 }
 
-// sendDemand tells a few random nodes of a region, most of them in the own zone if that
-// lies there.
+// sendDemand sends reports to a few random nodes of a region. In the node's own region, most of
+// them are in its own zone.
 func (g *Gateway) sendDemand(region string, reports []demandReport) {
 	fanout := demandFanout
 	if region == g.nodes.ownRegion() {
@@ -69,8 +69,8 @@
 	g.sendToRandom(g.nodes.inRegion(region), fanout, peer.KindDemandReport, reports)
 }
 
-// addDemand adds a pool to what the node's own region is told, and to what those are told
-// where its requests are guests.
+// addDemand adds the demand for a pool to the reports for the node's own region, and to those for
+// regions where its requests run as guests.
 func addDemand(reports map[string][]demandReport, ownRegion string, demand replica.PoolDemand) {
 	add := func(region string, report demandReport) {
 		if len(reports[region]) < maxDemandPools {
@@ -83,11 +83,11 @@
 	}
 }
 
-// handleDemandReports handles messages of peer.KindDemand.
+// handleDemandReports handles peer.KindDemandReport.
 func (g *Gateway) handleDemandReports(_ string, _ *net.UDPAddr, body []byte) {
 	var reports []demandReport
 	if err := cbor.Unmarshal(body, &reports); err != nil {
-		g.sampled.Warn().Err(err).Msg("demand told by a node cannot be read")
+		g.sampled.Warn().Err(err).Msg("demand report of a node cannot be decoded")
 		return
 	}
 	now := clock.Now()
--- a/internal/node/gatewayfailurereports.go
+++ b/internal/node/gatewayfailurereports.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// failureReportInterval is the time between two words about replicas that fail, and
-	// evidenceFanout the number of random nodes that get one: as evidence is told for
-	// 3 s, each node tells 120 others, and hears of two reporters of four within a second
-	// in a fleet of 90. A node whose replicas are well tells nothing.
-	failureReportInterval  = 200 * time.Millisecond
-	failureReportFanout = 8
+	// failureReportInterval is the time between two messages about failing replicas, and
+	// failureReportFanout the number of random nodes that get each. A failure is reported for 3 s,
+	// so each node reaches 120 others, and in a fleet of 90 a node has reports of two of four
+	// reporters within a second. Nodes without failing replicas send nothing.
+	failureReportInterval = 200 * time.Millisecond
+	failureReportFanout   = 8
 )
 
-// failureReport is what a node has seen of a replica that failed for it or for others.
+// failureReport is what a node observed of a replica that failed for it or for others.
 type failureReport struct {
 	Replica   uint64  `cbor:"1,keyasint"`
 	Failures  float32 `cbor:"2,keyasint"`
 	Successes float32 `cbor:"3,keyasint"`
-	// AgeMs is the time since the last failure in ms.
+	// AgeMs is the time since the last failure, in ms.
 	AgeMs uint16 `cbor:"4,keyasint"`
-	// StartedUnixMs tells which start of the replica it is about; absent if the node does not know,
-	// and in what earlier versions of the program tell.
+	// StartedUnixMs identifies the start of the replica. It is absent if the node does not know it,
+	// and in reports of earlier versions.
 	StartedUnixMs int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// runFailureReports tells other nodes of replicas that fail here, until the context ends.
+// runFailureReports reports replicas that fail here to other nodes, until the context ends.
 func (g *Gateway) runFailureReports(ctx context.Context) {
 	for retry.Sleep(ctx, failureReportInterval) {
 		reports := g.replicas.FailureReports(clock.Now())
@@ -53,11 +53,11 @@
 	}
 }
 
-// handleFailureReports handles messages of peer.KindEvidence.
+// handleFailureReports handles peer.KindReplicaFailures.
 func (g *Gateway) handleFailureReports(from string, _ *net.UDPAddr, body []byte) {
 	var message []failureReport
 	if err := cbor.Unmarshal(body, &message); err != nil {
-		g.sampled.Warn().Str("node", lease.Node(from)).Err(err).Msg("evidence told by a node cannot be read")
+		g.sampled.Warn().Str("node", lease.Node(from)).Err(err).Msg("failure report of a node cannot be decoded")
 		return
 	}
 	reports := make([]replica.FailureReport, len(message))
@@ -71,10 +71,10 @@
 	g.replicas.AddFailureReports(replica.Reporter{Node: node, Zone: g.roster.Member(node).Zone}, reports, clock.Now())
 }
 
-// logSharedEjection logs that a replica is left out on the evidence of several nodes.
+// logSharedEjection counts and logs that a replica is ejected on the evidence of several nodes.
 func (c *core) logSharedEjection(ejection replica.SharedEjection) {
 	c.metrics.sharedEjections.Inc()
 	c.log.Warn().Str("replica", ejection.Replica.ID).Str("address", ejection.Replica.Address).Str("zone", ejection.Replica.Zone).
 		Int("nodes", ejection.Nodes).Float64("failures", ejection.Failures).Float64("successes", ejection.Successes).
-		Dur("for_ms", ejection.For).Bool("prober", ejection.Prober).Msg("replica excluded on evidence of several nodes")
+		Dur("for_ms", ejection.For).Bool("prober", ejection.Prober).Msg("replica ejected on evidence of several nodes")
 }
--- a/internal/node/gatewayfront.go
+++ b/internal/node/gatewayfront.go
@@ -20,13 +20,13 @@
 // Routes implements platform.Gateway.
 func (g *Gateway) Routes() *route.Table { return g.routes.Load() }
 
-// staleKeyAge is the age of the configuration from which on an unknown key may be a new
-// one: its source answers each 1.5 s at least (table.Watcher).
+// staleKeyAge is the age of the configuration above which an unknown key may be a new one. The
+// configuration's source responds at least every 1.5 s (table.Watcher).
 const staleKeyAge = 3 * time.Second
 
-// Identify implements platform.Gateway. A node that hears nothing of the configuration
-// goes on by the keys that it knows, unless the settings bound that; of others it cannot
-// say that they are wrong.
+// Identify implements platform.Gateway. A node that gets no updates of the configuration still
+// accepts the keys that it knows, unless the settings bound the age. It cannot tell whether other
+// keys are wrong.
 func (g *Gateway) Identify(header http.Header, public bool) (*tenant.Tenant, error) {
 	routes, age := g.routes.Load(), g.configWatch.Age()
 	caller, err := routes.Identify(header, public)
@@ -45,9 +45,9 @@
 // Stopping implements platform.Gateway.
 func (g *Gateway) Stopping() bool { return g.stopping.Load() }
 
-// Ready implements platform.Gateway: routes, evacuations and replicas are known. It stays
-// ready while all zones are evacuated: it still accepts jobs, its refusals are truthful,
-// and callers would find no other node that can do more.
+// Ready implements platform.Gateway. A gateway is ready once it knows routes, evacuations and
+// replicas. It stays ready while all zones are evacuated: it still accepts jobs, its refusals are
+// correct, and no other node could do more.
 func (g *Gateway) Ready() bool {
 	return !g.stopping.Load() && g.routes.Load() != nil && g.populated()
 }
@@ -64,7 +64,7 @@
 	return result, err
 }
 
-// Status describes this gateway and what it sees.
+// Status returns the status of this gateway and its view of the fleet.
 func (g *Gateway) Status() server.NodeStatus {
 	status := g.core.status()
 	status.Node, status.Zone = g.settings.Node.ID, g.settings.Node.Zone
@@ -78,7 +78,7 @@
 	return status
 }
 
-// statusHandler serves the metrics, and the status beside them.
+// statusHandler serves the metrics, the status and the operators' quarantine interface.
 func (g *Gateway) statusHandler() http.Handler {
 	metrics := g.metrics.handler()
 	quarantine := server.QuarantineHandler(g, func(r *http.Request) bool {
@@ -94,7 +94,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		// A caller that has left cannot be told.
+		// An error means that the caller is gone.
 		_ = json.NewEncoder(w).Encode(g.Status())
 	})
 }
--- a/internal/node/gatewaypeers.go
+++ b/internal/node/gatewaypeers.go
@@ -9,7 +9,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/peer"
 )
 
-// listenPeers opens the socket for other nodes, if one is set.
+// listenPeers opens the socket for messages between nodes, if an address is set.
 func (g *Gateway) listenPeers() error {
 	if g.settings.Gateway.Peers == "" {
 		return nil
@@ -61,8 +61,8 @@
 	}
 }
 
-// sendToNode sends a message to a node that has told where it is reached. Nothing that must
-// hold hangs on its arrival.
+// sendToNode sends a message to a node whose address is known. Delivery is not guaranteed; nothing
+// may depend on it for correctness.
 func (g *Gateway) sendToNode(node string, kind peer.Kind, body any) {
 	address := g.roster.Address(node)
 	if address == "" {
@@ -84,8 +84,8 @@
 	}
 }
 
-// sendToRandom sends a message to so many random ones of some other nodes, fewer if they are
-// not as many. It returns the number.
+// sendToRandom sends a message to count nodes chosen at random, some possibly more than once, or to
+// len(nodes) if that is less. It returns the number of messages.
 func (g *Gateway) sendToRandom(nodes []string, count int, kind peer.Kind, body any) int {
 	count = min(count, len(nodes))
 	for range count {
--- a/internal/node/gatewayquarantine.go
+++ b/internal/node/gatewayquarantine.go
@@ -14,50 +14,50 @@
 	"github.com/wheelhoist/wheelhoist/internal/retry"
 )
 
-// maxMessageWorks bounds the works of one message, and maxMessageCrashes the ends: of 28 and
-// some 45 bytes each, of the 1,472 of a datagram.
+// maxMessageWorks and maxMessageCrashes bound the works and crashes of one message. A work takes 28
+// bytes and a crash about 45, and a datagram holds 1,472.
 const (
-	maxMessageWorks = 32
-	maxMessageCrashes  = 8
+	maxMessageWorks   = 32
+	maxMessageCrashes = 8
 )
 
-// repeatQueryFanout is the number of random nodes that are asked about a work once more.
+// repeatQueryFanout is the number of random nodes that a repeated query for a work is sent to.
 const repeatQueryFanout = 8
 
 const (
-	// provenInterval is the time between two words about works that end well, provenFanout the
-	// number of random nodes that get one, and provenAtOnce the works of one: 1.5 KB a second
-	// at most, and nothing where no work comes twice.
-	provenInterval  = time.Second
-	provenFanout = 3
-	maxProven = 20
+	// provenInterval is the time between two messages about works that succeed repeatedly,
+	// provenFanout the number of random nodes that get each, and maxProven the number of works in
+	// one: at most 1.5 KB a second, and nothing if no work repeats.
+	provenInterval = time.Second
+	provenFanout   = 3
+	maxProven      = 20
 )
 
-// quarantineMessage is what a node tells of work that ends replicas, or does not.
+// quarantineMessage reports works that crashed replicas and works that succeeded.
 type quarantineMessage struct {
-	Crashes    []crashEntry     `cbor:"1,keyasint,omitempty"`
+	Crashes   []crashEntry    `cbor:"1,keyasint,omitempty"`
 	Clearings []clearingEntry `cbor:"2,keyasint,omitempty"`
-	// Query is a work that the sender refuses from now on: who has seen it end well is to
-	// tell when.
+	// Query is a work that the sender refuses from now on. A node that has seen it succeed replies
+	// with the time.
 	Query *quarantine.Work `cbor:"3,keyasint,omitempty"`
 }
 
-// crashEntry is the end of a replica.
+// crashEntry is a crash of a replica.
 type crashEntry struct {
 	Replica string            `cbor:"1,keyasint"`
 	Works   []quarantine.Work `cbor:"2,keyasint"`
 	AgeMs   int64             `cbor:"3,keyasint"`
 	// Durations is how long each of Works had run, in ms.
 	Durations []int64 `cbor:"4,keyasint,omitempty"`
-	// StartTime tells which start of the replica ended; absent if that is not known, and in what
-	// earlier versions of the program tell.
+	// StartTime identifies the start of the replica that crashed. It is absent if unknown, and in
+	// messages of earlier versions.
 	StartTime int64 `cbor:"5,keyasint,omitempty"`
-	// SuccessAges is how long before the end each of Works was last seen to end well, in ms; 0 if the
-	// sender has not seen it. A node that has just started knows of it by this.
+	// SuccessAges is how long before the crash each of Works last succeeded, in ms; 0 if the sender
+	// has not seen it succeed. It informs nodes that have just started.
 	SuccessAges []int64 `cbor:"6,keyasint,omitempty"`
 }
 
-// clearingEntry is a work of which a run ended well, or that was released.
+// clearingEntry is a work that succeeded or was released.
 type clearingEntry struct {
 	Work  quarantine.Work `cbor:"1,keyasint"`
 	AgeMs int64           `cbor:"2,keyasint"`
@@ -67,8 +67,8 @@
 	return clearingEntry{Work: clearing.Work, AgeMs: now.Sub(clearing.At).Milliseconds()}
 }
 
-// broadcastUpdate tells all other nodes what ended here, and what ended well. A word that is lost
-// comes by the table.
+// broadcastUpdate sends crashes and clearings of this node to all other nodes. If a message is
+// lost, they reach other nodes through the table.
 func (g *Gateway) broadcastUpdate(update quarantine.Update) {
 	now := clock.Now()
 	var message quarantineMessage
@@ -106,7 +106,7 @@
 	flush()
 }
 
-// runProvenReports tells a few other nodes of works that end well here again and again, until the
+// runProvenReports reports works that succeed here repeatedly to a few other nodes, until the
 // context ends.
 func (g *Gateway) runProvenReports(ctx context.Context) {
 	for retry.Sleep(ctx, provenInterval) {
@@ -125,8 +125,9 @@
 	g.sendToRandom(g.nodes.others(), provenFanout, peer.KindCrashReport, message)
 }
 
-// queryPeers asks all other nodes for what speaks for a work, or a few if they were asked before.
-// They may have seen it end well when this node did not listen, or did not run.
+// queryPeers asks all other nodes when a work last succeeded, or a few of them if the query is
+// repeated. They may have seen successes that this node missed, for example because it was not
+// running.
 func (g *Gateway) queryPeers(work quarantine.Work, repeat bool) bool {
 	others, query := g.nodes.others(), quarantineMessage{Query: &work}
 	if repeat {
@@ -137,9 +138,8 @@
 	return len(others) > 0
 }
 
-// answerQuery tells who asked when a work was last seen to end well here, if it was. The answer
-// goes where the question came from: a node that has just started is not among those that this
-// one knows.
+// answerQuery replies with the time at which a work last succeeded here, if any. The reply goes to
+// the source address of the query, because this node may not know a node that has just started.
 func (g *Gateway) answerQuery(to *net.UDPAddr, work quarantine.Work) {
 	at, ok := g.quarantine.guard.AnswerQuery(work)
 	if !ok {
@@ -147,15 +147,15 @@
 	}
 	entry := newClearingEntry(quarantine.Clearing{Work: work, At: at}, clock.Now())
 	if err := g.peers.Send(to, peer.KindCrashReport, quarantineMessage{Clearings: []clearingEntry{entry}}); err != nil {
-		g.sampled.Warn().Err(err).Msg("what speaks for work not told to who asked")
+		g.sampled.Warn().Err(err).Msg("reply to a query about work not sent")
 	}
 }
 
-// handleQuarantineMessage handles messages of peer.KindHarm.
+// handleQuarantineMessage handles peer.KindCrashReport.
 func (g *Gateway) handleQuarantineMessage(from string, source *net.UDPAddr, body []byte) {
 	var message quarantineMessage
 	if err := cbor.Unmarshal(body, &message); err != nil {
-		g.sampled.Warn().Str("node", lease.Node(from)).Err(err).Msg("ends of replicas told by a node cannot be read")
+		g.sampled.Warn().Str("node", lease.Node(from)).Err(err).Msg("crash report of a node cannot be decoded")
 		return
 	}
 	now := clock.Now()
@@ -176,7 +176,8 @@
 	}
 }
 
-// ago is the time so many ms ago; what others tell of the future is now.
+// ago returns the time the given number of ms before now. Negative ages, which other nodes may
+// send, count as 0.
 func ago(now time.Time, ms int64) time.Time {
 	return now.Add(-time.Duration(max(0, ms)) * time.Millisecond)
 }
--- a/internal/node/gatewayquarantine_test.go
+++ b/internal/node/gatewayquarantine_test.go
@@ -219,7 +219,7 @@
 
 func FuzzHarmTold(f *testing.F) {
 	body, err := cbor.Marshal(quarantineMessage{
-		Crashes:    []crashEntry{{Replica: "r", Works: []quarantine.Work{{1}}, AgeMs: 5}},
+		Crashes:   []crashEntry{{Replica: "r", Works: []quarantine.Work{{1}}, AgeMs: 5}},
 		Clearings: []clearingEntry{{Work: quarantine.Work{1}, AgeMs: -5}},
 	})
 	if err != nil {
--- a/internal/node/gatewayquota.go
+++ b/internal/node/gatewayquota.go
@@ -17,7 +17,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/server"
 )
 
-// noPeers takes the place of a socket where nodes do not reach each other.
+// noPeers implements quota.Sender for nodes without a socket.
 type noPeers struct{}
 
 var errNoPeers = errors.New("no address for other nodes is set")
@@ -34,7 +34,7 @@
 	g.quota.OnError = func(err error) { g.sampled.Warn().Err(err).Msg("message between nodes failed") }
 }
 
-// tenantLimit returns a tenant's limit by the configuration in force.
+// tenantLimit returns a tenant's limit in the configuration in force.
 func (g *Gateway) tenantLimit(name string) (quota.Limit, bool) {
 	routes := g.routes.Load()
 	if routes == nil {
@@ -47,7 +47,7 @@
 	return quota.Limit{Rate: declared.Rate, Burst: declared.Burst}, true
 }
 
-// admit refuses a request that is beyond its tenant's limit.
+// admit refuses a request that exceeds its tenant's limit.
 func (g *Gateway) admit(ctx context.Context, request *forward.Request) error {
 	limit, known := g.tenantLimit(request.Tenant)
 	if !known {
@@ -69,7 +69,7 @@
 	return Error.Wrap(outcome.Failed(err))
 }
 
-// tenantUses returns the use that tenants make of their limits, by name.
+// tenantUses returns the usage of tenants' limits, sorted by name.
 func (g *Gateway) tenantUses() []server.TenantUse {
 	var uses []server.TenantUse
 	for _, usage := range g.quota.Limiter.Usage(clock.Now()) {
--- a/internal/node/gatewayrowschanged.go
+++ b/internal/node/gatewayrowschanged.go
@@ -10,22 +10,22 @@
 	"github.com/wheelhoist/wheelhoist/internal/peer"
 )
 
-// A node that has nobody waiting for news of jobs looks at them seldom, for every node
-// that looks often costs the store calls in proportion to the fleet. The one that makes
-// news tells those whom it concerns, who then look at once. The rows are the truth: a
-// word that is lost makes the news as late as the next look.
+// A node without callers that wait for changes of jobs polls them rarely, because polls often made
+// by every node cost store calls in proportion to the fleet. A node that changes rows notifies the
+// nodes concerned, which then poll at once. The rows are authoritative: if a notification is lost,
+// the change is seen at the next poll.
 
-// broadcastInterval is the least time between two words to all nodes about sessions that were
-// ended: when many nodes die at once, one of their watchers ends several in a row.
+// broadcastInterval is the minimum time between two notifications of all nodes. When many nodes are
+// lost at once, one node may end several sessions in a row.
 const broadcastInterval = 250 * time.Millisecond
 
-// rowsChanged says that rows which nodes follow have changed.
+// rowsChanged notifies a node that rows it watches have changed.
 type rowsChanged struct {
-	// Job is the job that the news is about; empty if it is about nodes.
+	// Job is the job that changed; empty if the change is about nodes.
 	Job string `cbor:"1,keyasint,omitempty"`
 }
 
-// notifyRowsChanged tells nodes that there is news of a job.
+// notifyRowsChanged notifies nodes that rows of a job have changed.
 func (g *Gateway) notifyRowsChanged(nodes []string, job string) {
 	for _, node := range nodes {
 		if node == g.settings.Node.ID {
@@ -36,18 +36,18 @@
 	}
 }
 
-// broadcastRowsChanged tells all nodes that one of them is gone.
+// broadcastRowsChanged notifies all nodes that the set of nodes or the quarantine has changed.
 func (g *Gateway) broadcastRowsChanged() {
 	if g.jobs.Tell != nil && g.broadcastLimiter.Allow() {
 		g.jobs.Tell(g.roster.Nodes(), "")
 	}
 }
 
-// handleRowsChanged handles messages of peer.KindNews.
+// handleRowsChanged handles peer.KindRowsChanged.
 func (g *Gateway) handleRowsChanged(from string, _ *net.UDPAddr, body []byte) {
 	var message rowsChanged
 	if err := cbor.Unmarshal(body, &message); err != nil {
-		g.sampled.Warn().Str("node", lease.Node(from)).Err(err).Msg("news told by a node cannot be read")
+		g.sampled.Warn().Str("node", lease.Node(from)).Err(err).Msg("notification of changed rows cannot be decoded")
 		return
 	}
 	g.jobWatch.Announce()
--- a/internal/node/gatewaystop.go
+++ b/internal/node/gatewaystop.go
@@ -8,18 +8,17 @@
 )
 
 const (
-	// stopNotice is how long a stopping gateway goes on accepting connections,
-	// for those who send callers here look at it every second or so.
+	// stopNotice is how long a stopping gateway still accepts connections: load balancers check
+	// readiness about once a second.
 	stopNotice = 2600 * time.Millisecond
-	// stopReserve is the part of the grace period kept for the very end.
+	// stopReserve is the part of the grace period reserved for the last steps.
 	stopReserve = 600 * time.Millisecond
-	// defaultGrace is used when the settings name none.
+	// defaultGrace is the grace period if the settings define none.
 	defaultGrace = 8 * time.Second
 )
 
-// Stop ends the gateway without cutting a request: it fails readiness at once,
-// serves on while callers may still come, finishes what is open and returns
-// within the grace period.
+// Stop stops the gateway without interrupting requests: it fails readiness at once, serves while
+// callers may still arrive, completes open requests and returns within the grace period.
 func (g *Gateway) Stop() {
 	began := clock.Now()
 	grace := time.Duration(g.settings.Gateway.Grace)
@@ -37,7 +36,7 @@
 	}()
 	time.Sleep(min(stopNotice, grace/2))
 	for _, server := range g.servers {
-		// What is still open at the deadline is cut by the end of the process.
+		// Requests still open at the deadline are cut off when the process exits.
 		_ = server.Shutdown(ctx)
 	}
 	<-handedBack
@@ -49,7 +48,7 @@
 	g.log.Info().Dur("took_ms", clock.Since(began)).Msg("gateway stopped")
 }
 
-// Kill ends the gateway at once, as a crash would; for tests.
+// Kill stops the gateway immediately, like a crash. It is for tests.
 func (g *Gateway) Kill() {
 	for _, server := range g.servers {
 		_ = server.Close()
--- a/internal/node/itemwaits.go
+++ b/internal/node/itemwaits.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// waitCheckInterval is the time between two looks for items that do not come on.
+	// waitCheckInterval is the time between two checks for items that make no progress.
 	waitCheckInterval = 5 * time.Second
-	// maxWaitLogLines bounds the log lines of one look. Items that wait together mostly wait for
-	// the same.
+	// maxWaitLogLines bounds the log lines of one check. Items that wait together mostly have the
+	// same cause.
 	maxWaitLogLines = 5
 )
 
-// itemWaitCollector tells what the items of this node wait for.
+// itemWaitCollector exports how many items of this node wait, and for what.
 type itemWaitCollector struct {
 	counts func(now time.Time) []jobs.WaitCount
-	now     func() time.Time
+	now    func() time.Time
 }
 
 var (
@@ -47,7 +47,7 @@
 	}
 }
 
-// itemWaits is the account of this node's items as the status shows it.
+// itemWaits returns the waiting items of this node in the form that the status shows.
 func (c *core) itemWaits() []server.ItemWait {
 	var waits []server.ItemWait
 	for _, count := range c.runner.Account(clock.Now()) {
@@ -58,7 +58,7 @@
 	return waits
 }
 
-// runOverdueItemLog logs items that wait for longer than they should, until the context ends.
+// runOverdueItemLog logs items that have waited longer than they should, until the context ends.
 func (c *core) runOverdueItemLog(ctx context.Context) {
 	for retry.Sleep(ctx, waitCheckInterval) {
 		overdue := c.runner.Overdue(clock.Now())
@@ -66,7 +66,7 @@
 			c.log.Warn().Str("job", item.Job).Str("item", item.Item).Str("waits_for", item.For.String()).
 				Str("replica", item.Replica).Dur("for_ms", clock.Since(item.Begun)).Dur("still_ms", clock.Since(item.Since)).
 				Dur("bound_ms", item.For.Bound()).Int("overdue", len(overdue)).AnErr("cause", item.Cause).
-				Msg("item does not come on")
+				Msg("item makes no progress")
 		}
 	}
 }
--- a/internal/node/joblog.go
+++ b/internal/node/joblog.go
@@ -10,7 +10,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// jobLog logs and counts what happens to jobs.
+// jobLog logs and counts the events of jobs.
 type jobLog struct {
 	log     zerolog.Logger
 	sampled zerolog.Logger
@@ -36,7 +36,7 @@
 // Ended implements jobs.Events.
 func (l *jobLog) Ended(id string, err error) {
 	l.metrics.jobs.WithLabelValues("ended").Inc()
-	l.log.Info().Str("job", id).Err(err).Msg("job end asked for")
+	l.log.Info().Str("job", id).Err(err).Msg("job end requested")
 }
 
 // Claimed implements jobs.Events.
@@ -48,11 +48,11 @@
 func (l *jobLog) Asked(job *jobs.Job, age time.Duration, err error) {
 	if err != nil {
 		l.metrics.jobs.WithLabelValues("unsure").Inc()
-		l.sampled.Warn().Str("job", job.ID).Dur("view_age_ms", age).Err(err).Msg("nobody is sure of a result, the table did not answer")
+		l.sampled.Warn().Str("job", job.ID).Dur("view_age_ms", age).Err(err).Msg("result not confirmed, the table did not answer")
 		return
 	}
 	l.metrics.jobs.WithLabelValues("asked").Inc()
-	l.sampled.Info().Str("job", job.ID).Dur("view_age_ms", age).Msg("job asked for, the view was old")
+	l.sampled.Info().Str("job", job.ID).Dur("view_age_ms", age).Msg("job read from the table, the view was old")
 }
 
 // ItemSent implements jobs.Events.
@@ -85,7 +85,7 @@
 	l.metrics.yields.WithLabelValues(label).Inc()
 	l.sampled.Info().Str("job", job.ID).Str("item", item).Str("replica", id).Int("after", after).
 		Int("queued", pressure.Queued).Dur("wait_ms", pressure.Wait).Dur("patience_ms", pressure.Patience).Dur("load_age_ms", pressure.Age).
-		Float64("fleet", pressure.Fleet).Msg("item gives way")
+		Float64("fleet", pressure.Fleet).Msg("item yields its slot")
 }
 
 // ItemListed implements jobs.Events.
@@ -111,7 +111,7 @@
 func (l *jobLog) Homeless(job *jobs.Job, homes place.Regions) {
 	l.metrics.jobs.WithLabelValues("homeless").Inc()
 	l.log.Warn().Str("job", job.ID).Str("route", job.Route).Str("tenant", job.Tenant).Strs("homes", homes).
-		Msg("items wait, no node of an allowed region lives")
+		Msg("items wait, no node of an allowed region is alive")
 }
 
 // Resolved implements jobs.Events.
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -19,40 +19,41 @@
 	"github.com/wheelhoist/wheelhoist/platform"
 )
 
-// coreMetrics are the metrics of a core, named by the Prometheus conventions.
-// Labels are kinds and outcomes only, so their number is bounded.
+// coreMetrics are the metrics of a core, named by the Prometheus conventions. Label values are
+// kinds and outcomes only, so the number of series is bounded.
 type coreMetrics struct {
 	registry    *prometheus.Registry
 	requests    *prometheus.CounterVec
-	rejected      *prometheus.CounterVec
+	rejected    *prometheus.CounterVec
 	attempts    *prometheus.CounterVec
-	firstEvent       *prometheus.HistogramVec
-	eventGap         *prometheus.HistogramVec
+	firstEvent  *prometheus.HistogramVec
+	eventGap    *prometheus.HistogramVec
 	connections prometheus.Counter
-	// served counts requests by how far their replica was.
+	// served counts requests by the distance of their replica.
 	served      *prometheus.CounterVec
 	storeCalls  *prometheus.CounterVec
 	storeTime   *prometheus.HistogramVec
 	droppedLogs prometheus.Counter
 	jobs        *prometheus.CounterVec
 	items       *prometheus.CounterVec
-	yields     *prometheus.CounterVec
-	// reservations counts the slots asked for at replicas, by the answer.
+	yields      *prometheus.CounterVec
+	// reservations counts the slots requested from replicas, by the response.
 	reservations *prometheus.CounterVec
-	// sharedEjections counts replicas left out on the evidence of several nodes.
+	// sharedEjections counts replicas ejected on the evidence of several nodes.
 	sharedEjections prometheus.Counter
-	// restarts counts replicas that were noticed to have started again under their id.
+	// restarts counts detected restarts of replicas under the same ID.
 	restarts prometheus.Counter
-	// quarantined counts works that were, cleared those of which a run ended well, released
-	// those that operators released.
+	// quarantined counts works put in quarantine, cleared suspected works that succeeded, and
+	// released works released by operators.
 	quarantined, cleared, released prometheus.Counter
-	// noReplica counts the requests that no replica could take, by what excluded most.
+	// noReplica counts the requests that no replica could serve, by the main reason for which
+	// replicas were excluded.
 	noReplica *prometheus.CounterVec
 	// unreadable counts versions of rows that cannot be read, by table and reason.
 	unreadable *prometheus.CounterVec
-	// predictionError is how far the first event was from its prediction.
+	// predictionError is the actual less the predicted time to the first event.
 	predictionError prometheus.Histogram
-	// completed counts the completed items, for measurements.
+	// completed counts the completed items, for ItemsCompleted.
 	completed atomic.Uint64
 }
 
@@ -133,17 +134,17 @@
 	return m
 }
 
-// gauge adds a metric that is read when it is asked for.
+// gauge registers a gauge whose value is read at collection.
 func (m *coreMetrics) gauge(name, help string, value func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 }
 
-// counter adds a count that is read when it is asked for.
+// counter registers a counter whose value is read at collection.
 func (m *coreMetrics) counter(name, help string, value func() float64) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, value))
 }
 
-// registerViews adds what a core knows.
+// registerViews registers the gauges that show the state of a core.
 func (m *coreMetrics) registerViews(c *core) {
 	m.gauge("wheelhoist_gateway_requests_open", "Requests being forwarded.", func() float64 { return float64(c.open.Load()) })
 	m.gauge("wheelhoist_gateway_config_version", "Version of the configuration in force.", func() float64 {
@@ -164,7 +165,7 @@
 	})
 }
 
-// registerPeers adds what travels between nodes.
+// registerPeers registers the counts of datagrams between nodes.
 func (m *coreMetrics) registerPeers(socket *peer.Socket) {
 	count := func(pick func(sent, received, malformed int64) int64) func() float64 {
 		return func() float64 { return float64(pick(socket.Counts())) }
@@ -174,13 +175,13 @@
 	m.gauge("wheelhoist_peer_datagrams_malformed", "Datagrams received that nobody could read.", count(func(_, _, malformed int64) int64 { return malformed }))
 }
 
-// registerPools adds what is learned of a pool, once it serves, and what items wait for.
+// registerPools registers the collectors of pools and of waiting items.
 func (m *coreMetrics) registerPools(c *core) {
 	m.registry.MustRegister(&poolCollector{replicas: c.replicas, now: clock.Now})
 	m.registry.MustRegister(&itemWaitCollector{counts: c.runner.Account, now: clock.Now})
 }
 
-// registerAge adds the age of a watched source.
+// registerAge registers the age of a watched source.
 func (m *coreMetrics) registerAge(name, help string, watcher *table.Watcher) {
 	m.gauge(name, help, func() float64 { return watcher.Age().Seconds() })
 }
@@ -198,7 +199,7 @@
 	m.storeTime.WithLabelValues(call.Path).Observe(took.Seconds())
 }
 
-// countExcluded counts a request that ended because no replica could take it.
+// countExcluded counts a request that failed because no replica could serve it.
 func (m *coreMetrics) countExcluded(err error) {
 	if noReplicaErr := (*replica.NoReplicaError)(nil); errors.As(err, &noReplicaErr) {
 		m.noReplica.WithLabelValues(noReplicaErr.MainReason().String()).Inc()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,3 +1,5 @@
+// Package node assembles the other packages into a running node: [Node] with the product's own
+// interface, and [Gateway], which serves declared routes on the users' platform.
 package node
 
 import (
@@ -34,24 +36,24 @@
 
 const (
 	headerTimeout = 5 * time.Second
-	// headsPollPerSession makes the looks at the heads rarer in large fleets.
+	// headsPollPerSession lengthens the interval between polls of the heads in large fleets.
 	headsPollPerSession = 1500 * time.Microsecond
-	// commitInterval is how long finished items wait for others: jobs last for
-	// minutes, and the table is paid by the write.
+	// commitInterval is how long finished items wait to be committed together: jobs last for
+	// minutes, and table writes are billed each.
 	commitInterval = 200 * time.Millisecond
 )
 
-// Options are what a node needs beside its settings.
+// Options are the parts of a node that settings do not define.
 type Options struct {
 	Log zerolog.Logger
-	// Cut, if set, cuts the node off from the table while it returns true; only
+	// Cut, if set, makes calls to the table and the object store fail while it returns true. Only
 	// the lab sets it.
 	Cut func() bool
-	// OnApplied is told of every configuration revision that comes into force.
+	// OnApplied, if set, is called with each configuration revision that comes into force.
 	OnApplied func(revision uint64)
 }
 
-// Node is one running node with the product's own interface.
+// Node is a running node with the product's own interface.
 type Node struct {
 	*core
 	settings *settings.Settings
@@ -61,7 +63,7 @@
 	httpServer *http.Server
 	server     *server.Server
 	engines    *engine.Client
-	// control counts the traffic with the platform and the engines' reports.
+	// control counts the traffic to the platform and to the engines for reports.
 	control traffic.Counter
 
 	table     *table.Logged
@@ -76,20 +78,21 @@
 	feeder    *batch.Feeder
 	machines  machineList
 
-	// sessions are those of all nodes; the revision in force is told in them.
+	// sessions are the sessions of all nodes. Each carries the configuration revision in force at
+	// its node.
 	sessions     *lease.Watcher
 	configWatch  *table.Watcher
 	replicaWatch *table.Watcher
 
-	drainOnce  sync.Once
+	drainOnce      sync.Once
 	drainRequested chan struct{}
-	// applied wakes the loop that tells others of a revision in force.
+	// applied wakes announceLoop after a configuration revision came into force.
 	applied chan struct{}
 	joined  atomic.Bool
 	cancel  context.CancelFunc
 }
 
-// Start builds a node and makes it serve as soon as it knows its configuration.
+// Start builds a node and starts it. It serves requests once it knows its configuration.
 func Start(ctx context.Context, config *settings.Settings, options Options) (*Node, error) {
 	log := options.Log.With().Str("node", config.Node.ID).Str("zone", config.Node.Zone).Logger()
 	n := &Node{
@@ -128,7 +131,7 @@
 	return nil
 }
 
-// build makes the parts and joins them.
+// build creates the components of the node and connects them.
 func (n *Node) build(log zerolog.Logger) {
 	platform := n.settings.Platform
 	client := &http.Client{Transport: n.transport()}
@@ -226,12 +229,12 @@
 	return nil
 }
 
-// share is this node's part of a tenant's limits: all live nodes have the same.
+// share returns this node's share of a tenant's limits. All live nodes have equal shares.
 func (n *Node) share(string) float64 { return 1 / float64(n.liveNodes()) }
 
 func (n *Node) liveNodes() int { return max(1, len(n.owners.Live())) }
 
-// preferred reports whether this node should do a piece of work that any could do.
+// preferred reports whether this node should perform a task that any node could perform.
 func (n *Node) preferred(work string) bool { return n.owners.Preferred(work) == n.session.ID() }
 
 func (n *Node) tenantWeight(name string) float64 {
--- a/internal/node/nodeindex.go
+++ b/internal/node/nodeindex.go
@@ -8,21 +8,21 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// nodeIndex are the other nodes by where they are, remembered until the nodes change.
+// nodeIndex groups the other nodes by zone and region and caches the result until the nodes change.
 // The zero value with a roster is ready to use. It is safe for concurrent use.
 type nodeIndex struct {
 	roster *lease.Roster
 
 	mu         sync.Mutex
 	generation uint64
-	ownPlace       place.Place
-	// all are the others, sameZone those in this node's zone, byRegion those of each region.
+	ownPlace   place.Place
+	// all are the other nodes, sameZone those in this node's zone, byRegion those of each region.
 	all      []string
 	sameZone []string
 	byRegion map[string][]string
 }
 
-// inRegion returns the other nodes inRegion a region, which must not be changed.
+// inRegion returns the other nodes of a region. The caller must not modify the slice.
 func (n *nodeIndex) inRegion(region string) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -30,7 +30,7 @@
 	return n.byRegion[region]
 }
 
-// inZone returns the other nodes of this node's inZone, which must not be changed.
+// inZone returns the other nodes in this node's zone. The caller must not modify the slice.
 func (n *nodeIndex) inZone() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -38,7 +38,7 @@
 	return n.sameZone
 }
 
-// others returns the other nodes of all regions, which must not be changed.
+// others returns the other nodes of all regions. The caller must not modify the slice.
 func (n *nodeIndex) others() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -46,7 +46,7 @@
 	return n.all
 }
 
-// ownRegion returns this node's own.
+// ownRegion returns this node's region.
 func (n *nodeIndex) ownRegion() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -54,7 +54,7 @@
 	return n.ownPlace.Region
 }
 
-// refresh takes in a change of the nodes. The caller holds mu.
+// refresh rebuilds the index if the nodes have changed. The caller holds mu.
 func (n *nodeIndex) refresh() {
 	generation := n.roster.Generation()
 	if n.byRegion != nil && n.generation == generation {
@@ -64,7 +64,7 @@
 	n.index(n.roster.Self(), n.roster.Places())
 }
 
-// index takes in the nodes. The caller holds mu.
+// index rebuilds the index from nodes. The caller holds mu.
 func (n *nodeIndex) index(self string, nodes []place.Node) {
 	n.ownPlace, n.all, n.sameZone, n.byRegion = place.Place{}, nil, nil, map[string][]string{}
 	if i := slices.IndexFunc(nodes, func(node place.Node) bool { return node.ID == self }); i >= 0 {
--- a/internal/node/poolmetrics.go
+++ b/internal/node/poolmetrics.go
@@ -8,14 +8,14 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// poolCollector tells what decisions about each pool go by. The number of pools
-// bounds its series.
+// poolCollector exports the figures of each pool that scheduling decisions depend on. The number of
+// its series is bounded by the number of pools.
 type poolCollector struct {
 	replicas *replica.Set
 	now      func() time.Time
 }
 
-// poolMetric is one figure of a pool.
+// poolMetric is a metric with one value for each pool.
 type poolMetric struct {
 	description *prometheus.Desc
 	value       func(replica.PoolStats) float64
@@ -26,17 +26,17 @@
 }
 
 var poolMetrics = []poolMetric{
-	newPoolMetric("slots", "Slots of this node by the division among nodes.", func(l replica.PoolStats) float64 { return float64(l.Share) }),
-	newPoolMetric("online_open", "Online requests of this node under way.", func(l replica.PoolStats) float64 { return float64(l.Open) }),
-	newPoolMetric("online_level", "Slots that online requests of this node are expected to need.", func(l replica.PoolStats) float64 { return l.Level }),
-	newPoolMetric("fleet_usage", "Part of all slots that online requests of all nodes need, as nodes told.", func(l replica.PoolStats) float64 { return l.FleetUsage }),
-	newPoolMetric("items_running", "Items of this node under way in its own slots.", func(l replica.PoolStats) float64 { return float64(l.Items) }),
-	newPoolMetric("items_borrowed", "Items of this node under way in slots of other nodes.", func(l replica.PoolStats) float64 { return float64(l.Borrowed) }),
-	newPoolMetric("slot_hold_seconds", "How long a slot is held at a time, learned.", func(l replica.PoolStats) float64 { return l.SlotHold.Seconds() }),
-	newPoolMetric("online_stay_seconds", "How long an online request holds a slot, learned.", func(l replica.PoolStats) float64 { return l.OnlineHold.Seconds() }),
-	newPoolMetric("first_event_seconds", "Time to the first event where no slot is waited for, learned.", func(l replica.PoolStats) float64 { return l.FirstEvent.Seconds() }),
-	newPoolMetric("patience_share", "Part of the time left to its objective that a request waits before an item gives way.", func(l replica.PoolStats) float64 { return l.PatienceShare }),
-	newPoolMetric("reading_tokens_per_second", "How fast prompts are read, learned.", func(l replica.PoolStats) float64 { return l.ReadingRate }),
+	newPoolMetric("slots", "Slots of this node by the division among nodes.", func(s replica.PoolStats) float64 { return float64(s.Share) }),
+	newPoolMetric("online_open", "Online requests of this node under way.", func(s replica.PoolStats) float64 { return float64(s.Open) }),
+	newPoolMetric("online_level", "Slots that online requests of this node are expected to need.", func(s replica.PoolStats) float64 { return s.Level }),
+	newPoolMetric("fleet_usage", "Part of all slots that online requests of all nodes need, as nodes told.", func(s replica.PoolStats) float64 { return s.FleetUsage }),
+	newPoolMetric("items_running", "Items of this node under way in its own slots.", func(s replica.PoolStats) float64 { return float64(s.Items) }),
+	newPoolMetric("items_borrowed", "Items of this node under way in slots of other nodes.", func(s replica.PoolStats) float64 { return float64(s.Borrowed) }),
+	newPoolMetric("slot_hold_seconds", "How long a slot is held at a time, learned.", func(s replica.PoolStats) float64 { return s.SlotHold.Seconds() }),
+	newPoolMetric("online_stay_seconds", "How long an online request holds a slot, learned.", func(s replica.PoolStats) float64 { return s.OnlineHold.Seconds() }),
+	newPoolMetric("first_event_seconds", "Time to the first event where no slot is waited for, learned.", func(s replica.PoolStats) float64 { return s.FirstEvent.Seconds() }),
+	newPoolMetric("patience_share", "Part of the time left to its objective that a request waits before an item gives way.", func(s replica.PoolStats) float64 { return s.PatienceShare }),
+	newPoolMetric("reading_tokens_per_second", "How fast prompts are read, learned.", func(s replica.PoolStats) float64 { return s.ReadingRate }),
 }
 
 // Describe implements prometheus.Collector.
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -19,11 +19,11 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// probeTimeout bounds a try of a connection to a replica whose answer broke off. A way there
-// and back takes 2 to 6 ms within a region, 40 ms to another one.
+// probeTimeout bounds a probe connection to a replica whose response broke off. A round trip takes
+// 2 to 6 ms within a region and 40 ms to another one.
 const probeTimeout = 400 * time.Millisecond
 
-// quarantineState is what a node knows of work that ends replicas.
+// quarantineState is what a node knows of work that crashes replicas.
 type quarantineState struct {
 	quarantine.List
 	guard     quarantine.Guard
@@ -31,14 +31,15 @@
 	publisher *quarantine.Publisher
 }
 
-// buildQuarantine joins the parts that find and keep what ends replicas.
+// buildQuarantine creates the components that detect and store work that crashes replicas, and
+// connects them.
 func (c *core) buildQuarantine(service table.Service, declared settings.Quarantine) {
 	state := &quarantineState{List: quarantine.List{CrashLimit: declared.Replicas, Window: time.Duration(declared.For), RowsPending: true}}
 	state.guard = quarantine.Guard{List: &state.List, Replicas: replicaStates{c}, Events: c}
 	state.rows = quarantine.Rows{Partition: jobs.QuarantinePartition(), Guard: &state.guard, OnMalformed: c.logMalformed}
 	state.publisher = quarantine.NewPublisher(service, &state.rows, c.session.ID)
 	state.publisher.OnError = func(err error) {
-		c.log.Warn().Err(err).Msg("ends of replicas not written yet")
+		c.log.Warn().Err(err).Msg("crash reports not written yet")
 	}
 	state.guard.OwnsTrials = func(work quarantine.Work) bool { return c.owners.Preferred(work.String()) == c.session.ID() }
 	state.publisher.OwnsSweep = func() bool { return c.owners.Preferred(jobs.QuarantinePartition()) == c.session.ID() }
@@ -48,7 +49,7 @@
 
 var _ server.Quarantine = (*core)(nil)
 
-// replicaStates tells the quarantine about replicas.
+// replicaStates implements quarantine.Replicas on the replica set of a core.
 type replicaStates struct{ *core }
 
 var _ quarantine.Replicas = replicaStates{}
@@ -94,7 +95,7 @@
 	for i, run := range report.Runs {
 		works[i] = run.Work.String()
 	}
-	c.log.Warn().Str("replica", report.Replica).Int64("born", report.StartTime).Strs("works", works).Msg("replica ended under work of this node")
+	c.log.Warn().Str("replica", report.Replica).Int64("born", report.StartTime).Strs("works", works).Msg("replica crashed while it ran work of this node")
 	c.quarantine.publisher.PublishCrash(report)
 }
 
@@ -102,7 +103,7 @@
 func (c *core) Cleared(verdict quarantine.Verdict, at time.Time) {
 	c.metrics.cleared.Inc()
 	c.log.Info().Stringer("work", verdict.Work).Strs("replicas", verdict.Replicas).
-		Bool("quarantined", verdict.Quarantined).Msg("suspected work ended well")
+		Bool("quarantined", verdict.Quarantined).Msg("suspected work succeeded")
 	c.quarantine.publisher.PublishClearing(quarantine.Clearing{Work: verdict.Work, At: at})
 }
 
--- a/internal/node/quotafleet.go
+++ b/internal/node/quotafleet.go
@@ -9,8 +9,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/quota"
 )
 
-// quotaFleet is a roster as the quota sees it. It remembers the owners of tenants until
-// the nodes change: to find one takes time in proportion to the nodes.
+// quotaFleet implements quota.Fleet on a roster. It caches the owners of tenants until the nodes
+// change, because finding one takes time proportional to the number of nodes.
 type quotaFleet struct {
 	session *lease.Session
 	self    string
@@ -18,16 +18,16 @@
 
 	mu         sync.Mutex
 	generation uint64
-	// away are the nodes that have lost their sessions a short time ago, all those and
-	// the ones that are there.
+	// away are the nodes that lost their sessions a short time ago. all are these and the nodes
+	// with a session.
 	away, all []string
 	owners    map[string]owner
 }
 
-// owner is the node that counts for a tenant.
+// owner is the node that accounts for a tenant.
 type owner struct {
 	node string
-	// successor stands in if the node is away; it is the node itself otherwise.
+	// successor replaces the node while it is away; otherwise it is the node itself.
 	successor string
 }
 
@@ -62,7 +62,7 @@
 	return entry
 }
 
-// refresh takes in the nodes if they have changed. The caller holds mu.
+// refresh updates the nodes and clears the cache if the nodes have changed. The caller holds mu.
 func (f *quotaFleet) refresh() {
 	generation := f.roster.Generation()
 	if f.owners != nil && f.generation == generation {
--- a/internal/node/replicalist.go
+++ b/internal/node/replicalist.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// coldListWait bounds one wait for changes of the list of replicas while cold ones bear
-	// less. Where nothing changes, the list is as old as two waits before the second is
-	// answered; a second is what replica.Set allows it. On a deployment whose rows change
-	// more often it costs no call.
+	// coldListWait bounds one wait for changes of the replica list while cold replicas have limits.
+	// If nothing changes, the known list is two waits old before the second response arrives;
+	// replica.Set tolerates one second. On deployments whose rows change more often, the bound
+	// causes no additional calls.
 	coldListWait = 300 * time.Millisecond
 	// coldListTimeoutMargin is how much longer than its wait a call may take.
 	coldListTimeoutMargin = 900 * time.Millisecond
 )
 
-// timestampedFeed follows the list of replicas and tells as of when it is known. An answer
-// counts as of when it was asked for: one that is read late, for the node was stopped or
-// the way was slow, tells nothing of the time since it was made. It is for one Watcher.
+// timestampedFeed is the feed of the replica list. It records the time as of which the list is
+// known. A response counts as of the time of its request: one that is read late, because the
+// process was stopped or the network was slow, does not cover the time since it was made. It is for
+// a single Watcher.
 type timestampedFeed struct {
 	table.Feed
 	replicas *replica.Set
-	// requestedAt is when the last answer was requestedAt for. The watcher asks and applies in one
-	// goroutine.
+	// requestedAt is the time of the request for the last response. The watcher requests and
+	// applies in one goroutine.
 	requestedAt time.Time
 }
 
-// Page implements table.Feed. A whole read is known as of its first page.
+// Page implements table.Feed. A full read is current as of the request for its first page.
 func (f *timestampedFeed) Page(ctx context.Context, cursor table.Cursor) (table.Changes, table.Cursor, error) {
 	requestedAt := clock.Now()
 	page, next, err := f.Feed.Page(ctx, cursor)
@@ -55,8 +56,8 @@
 	return changes, err
 }
 
-// wrapApply returns a function that takes in changes of the list and tells as of when it is
-// known, in this order: what an answer tells is in force before the answer counts.
+// wrapApply returns a function that applies changes of the list and then records the time as of
+// which it is known, in this order, so that a response is in force before it counts.
 func (f *timestampedFeed) wrapApply(apply func(table.Changes, bool)) func(table.Changes, bool) {
 	return func(changes table.Changes, whole bool) {
 		apply(changes, whole)
--- a/internal/node/requestlog.go
+++ b/internal/node/requestlog.go
@@ -11,15 +11,15 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// requestLog logs the attempts of requests.
+// requestLog implements forward.Observer: it logs the attempts of requests.
 type requestLog struct {
 	log, sampled zerolog.Logger
 	metrics      *coreMetrics
-	// evacuated returns the zones that operators empty.
+	// evacuated returns the evacuated zones.
 	evacuated func() []string
 }
 
-// Sent implements forward.Notice.
+// Sent implements forward.Observer.
 func (l *requestLog) Sent(request *forward.Request, attempt int, chosen *replica.Candidate, predicted time.Duration) {
 	entry := l.sampled.Info()
 	if !entry.Enabled() {
@@ -35,11 +35,11 @@
 		Msg("attempt sent")
 }
 
-// Reserved implements forward.Notice.
+// Reserved implements forward.Observer.
 func (l *requestLog) Reserved(request *forward.Request, candidate *replica.Candidate, took time.Duration, err error) {
 	l.metrics.reservations.WithLabelValues(reservationOutcome(err)).Inc()
 	l.sampled.Info().Str("request", request.ID).Str("replica", candidate.ID).Str("region", candidate.Region).Int("open", candidate.Open).
-		Float64("others", candidate.Others).Dur("took_ms", took).Err(err).Msg("slot asked for")
+		Float64("others", candidate.Others).Dur("took_ms", took).Err(err).Msg("slot requested")
 }
 
 func reservationOutcome(err error) string {
@@ -53,17 +53,17 @@
 	}
 }
 
-// FirstEvent implements forward.Notice.
+// FirstEvent implements forward.Observer.
 func (l *requestLog) FirstEvent(_ *forward.Request, predicted, actual time.Duration) {
 	l.metrics.predictionError.Observe((actual - predicted).Seconds())
 }
 
-// Failed implements forward.Notice.
+// Failed implements forward.Observer.
 func (l *requestLog) Failed(request *forward.Request, attempt int, chosen replica.Info, err error) {
 	entry := l.log.Info().Str("request", request.ID).Int("attempt", attempt).Str("replica", chosen.ID).
 		Str("address", chosen.Address).Err(err).Stringer("ran", outcome.Of(err))
 	if outcome.Of(err) != outcome.NotDone {
-		// What was at work on a replica that broke off may have been the cause.
+		// Work that was running on a replica when its response broke off may be the cause.
 		entry = entry.Stringer("work", request.Work())
 	}
 	entry.Msg("attempt failed")
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -12,23 +12,24 @@
 )
 
 const (
-	// machinesInterval is the time between two looks at the machine list.
-	machinesInterval = time.Second
-	callTimeout      = 2 * time.Second
-	joinRetryInterval        = 300 * time.Millisecond
-	// sessionsInterval is the time between two looks at the other nodes; it
-	// grows with the fleet, so that the table's load does not.
+	// machinesInterval is the time between two reads of the machine list.
+	machinesInterval  = time.Second
+	callTimeout       = 2 * time.Second
+	joinRetryInterval = 300 * time.Millisecond
+	// sessionsInterval is the time between two refreshes of the other nodes' sessions. It grows by
+	// sessionsPerSession with each live session, so that the load on the table does not grow with
+	// the fleet.
 	sessionsInterval   = time.Second
 	sessionsPerSession = 25 * time.Millisecond
-	// drainNotice is how long a draining node goes on admitting after readiness
-	// has begun to fail: callers and load balancers look at it every second or so.
-	drainNotice  = 1500 * time.Millisecond
+	// drainNotice is how long a draining node still admits requests after readiness has begun to
+	// fail: callers and load balancers check readiness about once a second.
+	drainNotice       = 1500 * time.Millisecond
 	drainPollInterval = 50 * time.Millisecond
 	// handBackTimeout bounds the wait for items that only this node can finish.
 	handBackTimeout = 20 * time.Second
 )
 
-// run starts the loops of a node.
+// run starts the goroutines of the node.
 func (n *Node) run(ctx context.Context) {
 	n.spawn(n.serveHTTP)
 	n.spawn(func() { n.heads.Run(ctx) })
@@ -49,8 +50,8 @@
 	})
 }
 
-// join makes the node's session exist before it reads the configuration: a
-// write that does not see the session yet is one that the reading will see.
+// join creates the node's session before the node reads the configuration: any write that did not
+// yet see the session is then visible to that read.
 func (n *Node) join(ctx context.Context) bool {
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -73,7 +74,8 @@
 	}
 }
 
-// announceLoop makes the session say at once which revision is in force.
+// announceLoop renews the session as soon as a configuration revision comes into force, which
+// reports the revision to other nodes.
 func (n *Node) announceLoop(ctx context.Context) {
 	for {
 		select {
@@ -82,13 +84,13 @@
 		case <-n.applied:
 		}
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-		// The next renewal makes up for a failure.
+		// After a failure, the next regular renewal reports the revision.
 		_ = n.session.Renew(callCtx)
 		cancel()
 	}
 }
 
-// sessionsLoop keeps the view of the other nodes.
+// sessionsLoop refreshes the view of the other nodes.
 func (n *Node) sessionsLoop(ctx context.Context) {
 	for retry.Sleep(ctx, max(sessionsInterval, time.Duration(n.liveNodes())*sessionsPerSession)) {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -105,7 +107,7 @@
 	}
 }
 
-// machineList is the platform's list of machines as last read.
+// machineList caches the platform's list of machines.
 type machineList struct {
 	source machines.List
 
@@ -113,15 +115,15 @@
 	list []machines.Machine
 }
 
-// current returns the list, nil before it has been read once.
+// current returns the list as last read; nil before the first read.
 func (l *machineList) current() []machines.Machine {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.list
 }
 
-// listed reports whether a node's machine is on the list. Before the list has
-// been read every machine may be.
+// listed reports whether a node's machine is on the list. Before the first read, every machine
+// counts as listed.
 func (l *machineList) listed(node string) bool {
 	list := l.current()
 	for _, machine := range list {
@@ -158,8 +160,7 @@
 	return nil
 }
 
-// machineLoop reads the machine list and drains the node when its own machine
-// is leaving.
+// machineLoop reads the machine list and requests a drain when the node's own machine is leaving.
 func (n *Node) machineLoop(ctx context.Context) {
 	lost := false
 	for {
@@ -179,17 +180,18 @@
 	}
 }
 
-// RequestDrain begins a planned stop; DrainAsked tells whoever runs the node.
+// RequestDrain requests a planned stop. The process that runs the node observes it through
+// DrainRequested.
 func (n *Node) RequestDrain() { n.drainOnce.Do(func() { close(n.drainRequested) }) }
 
-// DrainRequested is closed when a planned stop has been asked for.
+// DrainRequested returns a channel that is closed when a planned stop is requested.
 func (n *Node) DrainRequested() <-chan struct{} { return n.drainRequested }
 
-// Serving reports whether the node admits work.
+// Serving reports whether the node admits requests.
 func (n *Node) Serving() bool { return !n.server.Draining() && n.hasConfiguration() }
 
-// Drain stops the node as planned: it fails readiness, hands its jobs on, lets
-// every open answer end, and then stops. The context bounds the wait.
+// Drain stops the node as planned: it fails readiness, hands its jobs back, waits for open
+// requests, and stops. The context bounds the wait.
 func (n *Node) Drain(ctx context.Context) error {
 	n.log.Info().Int64("open", n.server.Open()).Msg("draining")
 	n.server.FailReadiness()
@@ -197,8 +199,8 @@
 	defer cancel()
 	handedBack := make(chan struct{})
 	go func() {
-		// Items are taken over, and others' claims made, only once the session has ended;
-		// open answers may take minutes longer.
+		// Other nodes take over items and make claims only once the session has ended; open
+		// requests may take minutes longer.
 		n.handBackJobs(jobsCtx)
 		close(handedBack)
 	}()
@@ -213,7 +215,7 @@
 	return Error.Wrap(err)
 }
 
-// Close stops the node at once, as far as others can see like a crash.
+// Close stops the node immediately. To other nodes it looks like a crash.
 func (n *Node) Close() error {
 	err := n.httpServer.Close()
 	n.stop()
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -14,7 +14,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/traffic"
 )
 
-// Status describes this node and what it sees of the others.
+// Status returns the status of this node and its view of the fleet.
 func (n *Node) Status() server.NodeStatus {
 	status := n.core.status()
 	status.Node, status.Zone, status.Revision = n.settings.Node.ID, n.settings.Node.Zone, n.resources.Revision()
@@ -31,7 +31,7 @@
 	return status
 }
 
-// status describes the other nodes and the replicas as this one sees them.
+// status returns the other nodes and the replicas as this node sees them.
 func (c *core) status() server.NodeStatus {
 	status := server.NodeStatus{Members: []server.MemberStatus{}, Replicas: []server.ReplicaView{}}
 	for _, session := range c.owners.Sessions() {
@@ -63,7 +63,7 @@
 // ItemsCompleted returns the number of batch items that this node has completed.
 func (n *Node) ItemsCompleted() uint64 { return n.metrics.completed.Load() }
 
-// registerTraffic adds the bytes that control costs.
+// registerTraffic registers the bytes of control traffic.
 func (m *coreMetrics) registerTraffic(control *traffic.Counter) {
 	m.gauge("wheelhoist_control_sent_bytes", "Bytes sent to the platform and to the engines for control.",
 		func() float64 { return float64(control.Sent()) })
@@ -71,7 +71,7 @@
 		func() float64 { return float64(control.Received()) })
 }
 
-// errCut is what calls fail with that the lab has cut off.
+// errCut is the error of calls made while the lab cuts the node off.
 var errCut = errors.New("cut off by the lab")
 
 // cutTransport fails calls while the node is cut off.
--- a/internal/node/unreadable.go
+++ b/internal/node/unreadable.go
@@ -19,21 +19,22 @@
 		Str("reason", string(unreadable.Reason)).Err(unreadable.Err).Msg("row cannot be read")
 }
 
-// countUnreadable counts a row that cannot be read, by its table.
+// countUnreadable counts a row that cannot be read, by table and reason.
 func (c *core) countUnreadable(unreadable *table.UnreadableError) {
 	name, _, _ := strings.Cut(unreadable.Key.Partition, "/")
 	c.metrics.unreadable.WithLabelValues(name, string(unreadable.Reason)).Inc()
 }
 
-// logMalformed logs a row that a reader who sees each version once cannot read.
+// logMalformed logs a row with an invalid encoding. It is for readers that see each version of a
+// row only once.
 func (c *core) logMalformed(key table.Key, err error) {
 	c.logUnreadable(&table.UnreadableError{Key: key, Reason: table.Encoding, Err: err})
 }
 
-// retireReplica takes in that the entry of a replica cannot be read. The replica that was
-// known under the id may be alive, its entry overwritten by another writer: what it runs
-// goes on, and nothing more is sent to it. Its slots are not divided, for no node may use
-// them. It takes requests again when an entry comes that can be read.
+// retireReplica handles a replica whose row cannot be read. The replica that was known under the ID
+// may be alive, its row overwritten by another writer: its requests continue, but nothing more is
+// sent to it, and its slots are not divided because no node may use them. It gets requests again
+// once a readable row arrives.
 func (c *core) retireReplica(row table.Row, err error) {
 	c.unreadable.Report(row.AsUnreadable(table.Content, err))
 	info, ok := c.replicas.Get(row.Sort)
@@ -44,8 +45,8 @@
 	c.replicas.Put(info)
 }
 
-// reportUndeclaredPool reports a replica whose pool is not declared. It is kept, for the declaration
-// may be on its way; no request is routed there.
+// reportUndeclaredPool reports a replica whose pool is not declared. The replica is kept, because
+// the declaration may follow; no request is routed to it.
 func (g *Gateway) reportUndeclaredPool(row table.Row, info replica.Info) {
 	routes := g.routes.Load()
 	if routes == nil || routes.HasPool(info.Pool) {
@@ -54,7 +55,8 @@
 	g.unreadable.Report(row.AsUnreadable(table.Unknown, errUndeclaredPool))
 }
 
-// reportUndeclaredPools reports the listed replicas whose pools a new configuration does not declare.
+// reportUndeclaredPools reports the listed replicas whose pools a new configuration does not
+// declare.
 func (g *Gateway) reportUndeclaredPools() {
 	if g.replicaWatch == nil {
 		return
--- a/internal/node/zonestatus.go
+++ b/internal/node/zonestatus.go
@@ -8,7 +8,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/server"
 )
 
-// zoneStatus sums up, zone by zone, what a status says of nodes and replicas.
+// zoneStatus summarizes the nodes and replicas of a status by zone.
 func (c *core) zoneStatus(status *server.NodeStatus, now time.Time) []server.ZoneStatus {
 	zones := map[string]*server.ZoneStatus{}
 	get := func(zone string) *server.ZoneStatus {
