--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -24,14 +24,14 @@
 		}
 	}
 	store := resource.NewStore(nil)
-	read, _, err := shared.Feed(resource.Group).Page(t.Context(), table.Cursor{})
+	page, _, err := shared.Feed(resource.Group).Page(t.Context(), table.Cursor{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	store.Apply(read, true)
+	store.Apply(page, true)
 	config := routesOf(store.Snapshot())
-	if found := config.Validate(); len(found) > 0 {
-		t.Fatal(found)
+	if findings := config.Validate(); len(findings) > 0 {
+		t.Fatal(findings)
 	}
 	routes := route.NewTable(config)
 	online := routes.Match("m", "/v1/chat/completions")
@@ -59,11 +59,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		read, _, err := shared.Feed(resource.Group).Page(t.Context(), table.Cursor{})
+		page, _, err := shared.Feed(resource.Group).Page(t.Context(), table.Cursor{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		store.Apply(read, true)
+		store.Apply(page, true)
 		return committed.Revision
 	}
 	first := commit(resource.Change{Kind: v1.KindEvacuation, Name: "a", Spec: []byte(`{"note":"new switch"}`)})
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -41,8 +41,8 @@
 	// suspensionCheckInterval is the time between two checks whether the machine was suspended.
 	// They are for the log only.
 	suspensionCheckInterval = time.Second
-	// retryShare is the number of retries allowed for each request, on average.
-	retryShare = 0.3
+	// retryRatio is the number of retries allowed for each request, on average.
+	retryRatio = 0.3
 )
 
 // dependencies are the settings and services that a core is built from. Each kind of node provides
@@ -118,7 +118,7 @@
 	c.replicas.OnSharedEjection = c.logSharedEjection
 	c.replicas.OnRestart = c.logRestarted
 	c.forwarder = &forward.Forwarder{
-		Replicas: c.replicas, Backend: deps.backend, Budget: retry.NewBudget(retryShare),
+		Replicas: c.replicas, Backend: deps.backend, Budget: retry.NewBudget(retryRatio),
 		Weights: deps.weights, Zone: deps.zone, Region: deps.region,
 		Observer: &requestLog{log: log, sampled: c.sampled, metrics: metrics, evacuated: c.evacuations.names},
 	}
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -22,22 +22,22 @@
 	})
 }
 
-// TestCore_OnlyAnOutageOfTheListKeepsReplicasThatLeave guards that a replica which
+// TestCore_ReplicasAreKeptOnlyAfterOutageOfTheirList guards that a replica which
 // leaves the list just after another feed has come back is not kept: that feed's
 // connection may have hung on seconds after the store was well again.
-func TestCore_OnlyAnOutageOfTheListKeepsReplicasThatLeave(t *testing.T) {
+func TestCore_ReplicasAreKeptOnlyAfterOutageOfTheirList(t *testing.T) {
 	c := testCore()
 	list := c.watchReplicas(tabletest.New().Feed("servers"), func(table.Changes, bool) {})
-	leave := func(regained *table.Watcher) int {
+	keptAfter := func(watcher *table.Watcher) int {
 		c.replicas.Put(replica.Info{ID: "r", Pool: "p", Slots: 1})
-		regained.OnRegained(6 * time.Second)
+		watcher.OnRegained(6 * time.Second)
 		c.replicas.Remove("r", time.Now())
 		return len(c.replicas.Snapshot("p", 0, time.Now()))
 	}
-	if kept := leave(c.jobWatch); kept != 0 {
+	if kept := keptAfter(c.jobWatch); kept != 0 {
 		t.Fatal("a replica that left the list after the jobs' feed came back is kept")
 	}
-	if kept := leave(list); kept != 1 {
+	if kept := keptAfter(list); kept != 1 {
 		t.Fatal("a replica that is missing after an outage of the list is not kept")
 	}
 }
--- a/internal/node/evacuationrows_test.go
+++ b/internal/node/evacuationrows_test.go
@@ -17,8 +17,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// evacuationCore returns a gateway that is not started, and its log.
-func evacuationCore(places place.Map) (*Gateway, *bytes.Buffer) {
+// newLoggedGateway returns a gateway that is not started, and its log.
+func newLoggedGateway(places place.Map) (*Gateway, *bytes.Buffer) {
 	var log bytes.Buffer
 	shared := tabletest.New()
 	return &Gateway{core: newCore(zerolog.New(&log), newCoreMetrics(), dependencies{
@@ -44,17 +44,17 @@
 		{"no zone", []table.Change{opRow("evacuate/", 1, false), opRow("evacuated/a", 1, false)}, nil},
 		{"a zone with a slash", []table.Change{opRow("evacuate/a/b", 1, false)}, []string{"a/b"}},
 	}
-	for _, one := range cases {
-		gateway, _ := evacuationCore(nil)
-		gateway.applyConfig(table.Changes{Changes: one.changes}, false)
-		if !evacuatedAre(gateway.core, one.want...) {
-			t.Errorf("%s: %v, want %v", one.name, gateway.replicas.Evacuated(), one.want)
+	for _, tt := range cases {
+		gateway, _ := newLoggedGateway(nil)
+		gateway.applyConfig(table.Changes{Changes: tt.changes}, false)
+		if !hasEvacuated(gateway.core, tt.want...) {
+			t.Errorf("%s: %v, want %v", tt.name, gateway.replicas.Evacuated(), tt.want)
 		}
 	}
 }
 
-func TestApplyConfig_AZoneThatIsNotKnownIsObeyedAndLogged(t *testing.T) {
-	gateway, log := evacuationCore(place.Map{"a": "north"})
+func TestApplyConfig_UnknownZoneIsEvacuatedAndLogged(t *testing.T) {
+	gateway, log := newLoggedGateway(place.Map{"a": "north"})
 	gateway.applyConfig(table.Changes{Changes: []table.Change{opRow("evacuate/odd", 7, false)}}, true)
 	for _, want := range []string{`"level":"warn"`, `"zone_known":false`, `"row_version":7`, `"replicas":0`, "zone evacuated"} {
 		if !strings.Contains(log.String(), want) {
@@ -63,8 +63,8 @@
 	}
 	// The zone had no replica when it was evacuated.
 	gateway.putReplica(replica.Info{ID: "r", Pool: "p", Zone: "odd", Slots: 1}, 8, false)
-	demand := &replica.Criteria{}
-	if chosen, err := replica.Pick(gateway.replicas.SnapshotFor("p", demand, time.Now()), demand, replica.Weights{}); err == nil {
+	criteria := &replica.Criteria{}
+	if chosen, err := replica.Pick(gateway.replicas.SnapshotFor("p", criteria, time.Now()), criteria, replica.Weights{}); err == nil {
 		t.Errorf("chose %s", chosen.ID)
 	}
 	log.Reset()
@@ -76,29 +76,29 @@
 	}
 }
 
-func TestRequestLog_AttemptsTellTheZonesThatAreEvacuated(t *testing.T) {
-	gateway, log := evacuationCore(nil)
-	sent := func() string {
+func TestRequestLog_AttemptsNameEvacuatedZones(t *testing.T) {
+	gateway, log := newLoggedGateway(nil)
+	logAttempt := func() string {
 		log.Reset()
 		gateway.forwarder.Observer.Sent(&forward.Request{ID: "q"}, 1, &replica.Candidate{Info: replica.Info{ID: "r", Zone: "c"}}, 0)
 		return log.String()
 	}
-	if line := sent(); strings.Contains(line, "evacuated") || !strings.Contains(line, `"zone":"c"`) {
+	if line := logAttempt(); strings.Contains(line, "evacuated") || !strings.Contains(line, `"zone":"c"`) {
 		t.Errorf("without an evacuation: %s", line)
 	}
 	gateway.applyConfig(table.Changes{Changes: []table.Change{opRow("evacuate/b", 1, false), opRow("evacuate/a", 2, false)}}, false)
-	if line := sent(); !strings.Contains(line, `"evacuated":["a","b"]`) {
+	if line := logAttempt(); !strings.Contains(line, `"evacuated":["a","b"]`) {
 		t.Errorf("with two: %s", line)
 	}
 }
 
-func TestApplyConfig_ARowWrittenAgainIsOneEvacuation(t *testing.T) {
-	gateway, log := evacuationCore(nil)
+func TestApplyConfig_RewrittenRowIsOneEvacuation(t *testing.T) {
+	gateway, log := newLoggedGateway(nil)
 	gateway.applyConfig(table.Changes{Changes: []table.Change{opRow("evacuate/a", 1, false)}}, false)
 	since := gateway.evacuations.all()["a"].Since
 	gateway.applyConfig(table.Changes{Changes: []table.Change{opRow("evacuate/a", 4, false)}}, false)
-	if known := gateway.evacuations.all()["a"]; known.Version != 4 || known.Since != since {
-		t.Errorf("known as %+v", known)
+	if evac := gateway.evacuations.all()["a"]; evac.Version != 4 || evac.Since != since {
+		t.Errorf("known as %+v", evac)
 	}
 	if lines := strings.Count(log.String(), "zone evacuated"); lines != 1 {
 		t.Errorf("%d log lines", lines)
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestGateway_StreamIsWholeWhateverOneServerDoes(t *testing.T) {
+func TestGateway_StreamIsCompleteWhateverOneServerDoes(t *testing.T) {
 	cases := map[string]standin.Behaviour{
 		"whole": standin.Whole, "cut in an event": standin.CutInEvent, "answer lost": standin.LoseAnswer,
 		"shed": standin.Shed, "address taken over": standin.Moved, "answer of another request": standin.Foreign,
@@ -71,16 +71,16 @@
 	}
 }
 
-func TestGateway_RefusalSaysWhenToComeBack(t *testing.T) {
+func TestGateway_RefusalHasRetryAfter(t *testing.T) {
 	site := newGatewaySite(t, 1)
 	gateway := site.start("a")
 	site.behave(standin.Shed, 1<<30)
-	began := time.Now()
+	start := time.Now()
 	status, _, header := site.call(gateway, http.MethodPost, "/resume/x", "q", nil)
 	if status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
 		t.Fatalf("status %d, header %v", status, header)
 	}
-	if took := time.Since(began); took > 6*time.Second {
+	if took := time.Since(start); took > 6*time.Second {
 		t.Fatalf("the refusal took %v", took)
 	}
 }
@@ -102,9 +102,9 @@
 		{"no token count", "/batch/j", "j4", `{"requests":[{"id":"x","path":"/batch/x"}]}`, http.StatusBadRequest},
 		{"over the quota", "/batch/j", "j5", `{"requests":[{"id":"x","path":"/batch/x","tokenCount":100001}]}`, http.StatusTooManyRequests},
 	}
-	for _, one := range cases {
-		if status, text, _ := site.call(gateway, http.MethodPost, one.path, one.id, []byte(one.body)); status != one.status {
-			t.Errorf("%s: %d %q, want %d", one.name, status, text, one.status)
+	for _, tt := range cases {
+		if status, text, _ := site.call(gateway, http.MethodPost, tt.path, tt.id, []byte(tt.body)); status != tt.status {
+			t.Errorf("%s: %d %q, want %d", tt.name, status, text, tt.status)
 		}
 	}
 	if status, _, _ := site.call(gateway, http.MethodGet, "/v1/lots/unknown", "q3", nil); status != http.StatusNotFound {
@@ -139,7 +139,7 @@
 	return body
 }
 
-type listing struct {
+type jobListing struct {
 	Total     int `json:"total"`
 	NextToken int `json:"nextToken"`
 	Results   []struct {
@@ -150,21 +150,21 @@
 }
 
 // awaitJob reads a job at a gateway until all items are listed.
-func (s *gatewaySite) awaitJob(gateway *Gateway, id string) listing {
+func (s *gatewaySite) awaitJob(gateway *Gateway, id string) jobListing {
 	s.t.Helper()
-	var read listing
+	var listing jobListing
 	s.eventually("job "+id+" done", func() bool {
 		status, text, _ := s.call(gateway, http.MethodGet, "/v1/lots/"+id+"?sinceRev=0", "read", nil)
 		if status != http.StatusOK {
 			return false
 		}
-		read = listing{}
-		if err := json.Unmarshal([]byte(text), &read); err != nil {
+		listing = jobListing{}
+		if err := json.Unmarshal([]byte(text), &listing); err != nil {
 			s.t.Fatal(err)
 		}
-		return len(read.Results) == read.Total
+		return len(listing.Results) == listing.Total
 	})
-	return read
+	return listing
 }
 
 func TestGateway_JobIsDoneAndReadAtAnyNode(t *testing.T) {
@@ -175,8 +175,8 @@
 			t.Fatalf("submission: %d %q", status, text)
 		}
 	}
-	read := site.awaitJob(second, "j")
-	for _, result := range read.Results {
+	listing := site.awaitJob(second, "j")
+	for _, result := range listing.Results {
 		if result.State != "completed" || result.Message != wholeText() {
 			t.Fatalf("result is %+v", result)
 		}
@@ -191,7 +191,7 @@
 	}
 }
 
-func TestGateway_AcknowledgedJobSurvivesAllNodes(t *testing.T) {
+func TestGateway_AcceptedJobSurvivesLossOfAllNodes(t *testing.T) {
 	site := newGatewaySite(t, 2)
 	for _, server := range site.servers {
 		server.EventTime = 150 * time.Millisecond
@@ -201,15 +201,15 @@
 		t.Fatalf("submission: %d", status)
 	}
 	first.Kill()
-	read := site.awaitJob(site.start("a"), "j")
-	for _, result := range read.Results {
+	listing := site.awaitJob(site.start("a"), "j")
+	for _, result := range listing.Results {
 		if result.Message != wholeText() {
 			t.Fatalf("result is %+v", result)
 		}
 	}
 }
 
-func TestGateway_StopHandsJobsOverAndCutsNoStream(t *testing.T) {
+func TestGateway_StopHandsBackJobsAndCutsNoStream(t *testing.T) {
 	site := newGatewaySite(t, 2)
 	for _, server := range site.servers {
 		server.EventTime = 100 * time.Millisecond
@@ -251,7 +251,7 @@
 	site.awaitJob(gateway, "j")
 }
 
-func TestGateway_LostAnswersOfTheStoreAreFoundOut(t *testing.T) {
+func TestGateway_LostStoreResponsesAreResolved(t *testing.T) {
 	site := newGatewaySite(t, 2)
 	gateway := site.start("a")
 	calls := 0
@@ -268,9 +268,9 @@
 	if status, text, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", job("j", 4)); status != http.StatusAccepted {
 		t.Fatalf("submission: %d %q", status, text)
 	}
-	read := site.awaitJob(gateway, "j")
+	listing := site.awaitJob(gateway, "j")
 	seen := map[string]bool{}
-	for _, result := range read.Results {
+	for _, result := range listing.Results {
 		if seen[result.ID] {
 			t.Fatalf("item %s is listed twice", result.ID)
 		}
@@ -278,7 +278,7 @@
 	}
 }
 
-func TestGateway_HistoryForgottenWhileAServerLeaves(t *testing.T) {
+func TestGateway_HistoryTruncatedWhileServerLeaves(t *testing.T) {
 	site := newGatewaySite(t, 2)
 	gateway := site.start("a")
 	site.store.Remove("servers", "i-0")
--- a/internal/node/gatewaybootstrap_test.go
+++ b/internal/node/gatewaybootstrap_test.go
@@ -13,10 +13,10 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// TestGateway_StartsByWhatAnotherNodeKnowsWhileTheStoreIsAway kills a gateway and starts it
+// TestGateway_StartsWithStateOfAnotherNodeDuringStoreOutage kills a gateway and starts it
 // anew while the store answers nobody: it serves as its neighbour does, and goes by the
 // store again once that is back.
-func TestGateway_StartsByWhatAnotherNodeKnowsWhileTheStoreIsAway(t *testing.T) {
+func TestGateway_StartsWithStateOfAnotherNodeDuringStoreOutage(t *testing.T) {
 	site := newGatewaySite(t, 2)
 	site.store.Put("op", "evacuate/far", map[string]any{})
 	first, second := site.start("a"), site.start("b")
@@ -25,22 +25,22 @@
 	})
 	second.Kill()
 	site.store.SetTrouble(func(string) standin.Trouble { return standin.Busy })
-	again, err := StartGateway(context.Background(), second.settings, zerolog.Nop())
+	restarted, err := StartGateway(context.Background(), second.settings, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(again.Kill)
-	site.eventually("the gateway is ready though the store is away", again.Ready)
-	if again.configWatch.Ready() || again.replicaWatch.Ready() || again.jobWatch.Ready() {
+	t.Cleanup(restarted.Kill)
+	site.eventually("the gateway is ready though the store is away", restarted.Ready)
+	if restarted.configWatch.Ready() || restarted.replicaWatch.Ready() || restarted.jobWatch.Ready() {
 		t.Fatal("the store has answered")
 	}
-	if status, text, _ := site.call(again, http.MethodPost, "/resume/x", "q", nil); status != http.StatusOK {
+	if status, text, _ := site.call(restarted, http.MethodPost, "/resume/x", "q", nil); status != http.StatusOK {
 		t.Fatalf("status %d, %s", status, text)
 	}
-	if !again.replicas.Evacuated()["far"] {
+	if !restarted.replicas.Evacuated()["far"] {
 		t.Error("it does not know of the zone that is emptied")
 	}
-	if nodes := again.roster.Nodes(); len(nodes) != 2 {
+	if nodes := restarted.roster.Nodes(); len(nodes) != 2 {
 		t.Errorf("it divides slots among %v", nodes)
 	}
 	site.store.Remove("op", "evacuate/far")
@@ -48,15 +48,15 @@
 	site.configure(2, "resume", "more")
 	site.store.SetTrouble(nil)
 	site.eventually("it goes by the store again", func() bool {
-		status, _, _ := site.call(again, http.MethodPost, "/more/x", "q2", nil)
-		return status == http.StatusOK && again.jobWatch.Ready() && !again.replicas.Evacuated()["far"] &&
-			len(again.replicas.List(time.Now())) == 1
+		status, _, _ := site.call(restarted, http.MethodPost, "/more/x", "q2", nil)
+		return status == http.StatusOK && restarted.jobWatch.Ready() && !restarted.replicas.Evacuated()["far"] &&
+			len(restarted.replicas.List(time.Now())) == 1
 	})
 }
 
-// TestGateway_ANodeThatNobodyTellsAnythingWaitsForTheStore has a gateway start alone while
+// TestGateway_WithoutPeersWaitsForStore has a gateway start alone while
 // the store is away.
-func TestGateway_ANodeThatNobodyTellsAnythingWaitsForTheStore(t *testing.T) {
+func TestGateway_WithoutPeersWaitsForStore(t *testing.T) {
 	site := newGatewaySite(t, 1)
 	site.store.SetTrouble(func(string) standin.Trouble { return standin.Busy })
 	gateway := site.launch("a", nil)
@@ -83,18 +83,18 @@
 
 // FuzzHeldTold decodes what another process may send to a node that starts.
 func FuzzHeldTold(f *testing.F) {
-	whole, err := cbor.Marshal(bootstrapState{Config: feedState{AgeMs: 5, Rows: []feedRow{{Partition: "op", Sort: "config", Version: 3, Body: []byte("{}")}}}})
+	valid, err := cbor.Marshal(bootstrapState{Config: feedState{AgeMs: 5, Rows: []feedRow{{Partition: "op", Sort: "config", Version: 3, Body: []byte("{}")}}}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole)
+	f.Add(valid)
 	f.Add([]byte{0xa1, 0x01, 0xf6})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		told := &bootstrapState{}
-		if cbor.Unmarshal(body, told) != nil {
+		state := &bootstrapState{}
+		if cbor.Unmarshal(body, state) != nil {
 			return
 		}
-		for _, feed := range []feedState{told.Config, told.Replicas, told.Members} {
+		for _, feed := range []feedState{state.Config, state.Replicas, state.Members} {
 			if len(feed.changes().Changes) != len(feed.Rows) || feed.age() < 0 {
 				t.Errorf("%d rows, age %v", len(feed.Rows), feed.age())
 			}
--- a/internal/node/gatewaycold_test.go
+++ b/internal/node/gatewaycold_test.go
@@ -18,12 +18,12 @@
 	const rate, requests = 8.0, 3
 	site := newGatewaySite(t, 0)
 	cold := &standin.Server{ID: "i-cold", Events: siteEvents, EventTime: 2 * time.Millisecond}
-	listening := httptest.NewServer(cold)
-	t.Cleanup(listening.Close)
+	httpServer := httptest.NewServer(cold)
+	t.Cleanup(httpServer.Close)
 	site.servers = append(site.servers, cold)
 	config := standin.Declare(2, siteHost, 1000, "resume").(map[string]any)
 	config["services"] = []map[string]any{{"name": "llm", "coldPerS": rate, "coldStartS": 30}}
-	listing := standin.Listing(listening.Listener.Addr().String(), "z", 8, false).(map[string]any)
+	listing := standin.Listing(httpServer.Listener.Addr().String(), "z", 8, false).(map[string]any)
 	listing["coldLeftMs"] = 30000
 	site.store.Put("op", "config", config)
 	site.store.Put("servers", cold.ID, listing)
@@ -55,15 +55,15 @@
 }
 
 // assertRate checks that no second holds more runs than allowed.
-func assertRate(t *testing.T, runs []standin.Run, most float64) {
+func assertRate(t *testing.T, runs []standin.Run, limit float64) {
 	t.Helper()
 	first := 0
 	for last := range runs {
 		for runs[last].At.Sub(runs[first].At) >= time.Second {
 			first++
 		}
-		if got := last - first + 1; float64(got) > most {
-			t.Fatalf("%d requests in a second, at most %v allowed", got, most)
+		if got := last - first + 1; float64(got) > limit {
+			t.Fatalf("%d requests in a second, at most %v allowed", got, limit)
 		}
 	}
 }
--- a/internal/node/gatewaycrash_test.go
+++ b/internal/node/gatewaycrash_test.go
@@ -10,50 +10,50 @@
 )
 
 const (
-	// harmContact is how long after the third crash all nodes must know of it.
-	harmContact = 1500 * time.Millisecond
-	// harmRetries is how many replicas the work may still reach after that.
-	harmRetries = 3
-	// harmCalls is how often the work is sent again after that.
-	harmCalls = 40
-	// harmEvery is the time between two of these.
-	harmEvery = 20 * time.Millisecond
+	// crashPropagationTime is how long after the third crash all nodes must know of it.
+	crashPropagationTime = 1500 * time.Millisecond
+	// maxFurtherCrashes is how many replicas the work may still reach after that.
+	maxFurtherCrashes = 3
+	// repeatedCalls is how often the work is sent again after that.
+	repeatedCalls = 40
+	// repeatedCallInterval is the time between two of these.
+	repeatedCallInterval = 20 * time.Millisecond
 )
 
-var harmBody = []byte("ends what runs it")
+var crashingBody = []byte("ends what runs it")
 
-// harmSite is a site whose servers end when they run harmBody.
-type harmSite struct {
+// crashSite is a site whose servers end when they run harmBody.
+type crashSite struct {
 	*gatewaySite
 	processes []*standin.Process
 	calls     int
 }
 
-func newHarmSite(t *testing.T, processes int) *harmSite {
+func newCrashSite(t *testing.T, processes int) *crashSite {
 	t.Helper()
-	site := &harmSite{gatewaySite: newGatewaySite(t, 0)}
+	site := &crashSite{gatewaySite: newGatewaySite(t, 0)}
 	for i := range processes {
-		one := &standin.Process{
+		process := &standin.Process{
 			Name: fmt.Sprintf("i-%d", i), Store: site.store, Zone: "z", Slots: 8, Events: siteEvents,
 			EventTime: 2 * time.Millisecond, Fuse: 10 * time.Millisecond,
-			Harmful: func(_ string, body []byte) bool { return bytes.Equal(body, harmBody) },
+			Harmful: func(_ string, body []byte) bool { return bytes.Equal(body, crashingBody) },
 			Lapse:   150 * time.Millisecond, Down: 200 * time.Millisecond,
 		}
-		if err := one.Start(); err != nil {
+		if err := process.Start(); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() {
-			if err := one.Close(); err != nil {
+			if err := process.Close(); err != nil {
 				t.Error(err)
 			}
 		})
-		site.processes = append(site.processes, one)
+		site.processes = append(site.processes, process)
 	}
 	return site
 }
 
-// gateway starts a gateway and waits until it knows all servers.
-func (s *harmSite) gateway(id string) *Gateway {
+// startGateway starts a startGateway and waits until it knows all servers.
+func (s *crashSite) startGateway(id string) *Gateway {
 	s.t.Helper()
 	gateway := s.launch(id, nil)
 	s.eventually("gateway ready", func() bool {
@@ -63,7 +63,7 @@
 }
 
 // send sends work as a request with an id of its own.
-func (s *harmSite) send(gateway *Gateway, body []byte) (status int) {
+func (s *crashSite) send(gateway *Gateway, body []byte) (status int) {
 	s.t.Helper()
 	s.calls++
 	status, _, _ = s.call(gateway, "POST", "/resume/work", fmt.Sprintf("q%d", s.calls), body)
@@ -71,10 +71,10 @@
 }
 
 // crashes returns the ends that harmful work brought about by what arrived after a time.
-func (s *harmSite) crashes(after time.Time) int {
+func (s *crashSite) crashes(after time.Time) int {
 	count := 0
-	for _, one := range s.processes {
-		for _, crash := range one.Crashes() {
+	for _, process := range s.processes {
+		for _, crash := range process.Crashes() {
 			if crash.Sent.After(after) {
 				count++
 			}
@@ -83,44 +83,44 @@
 	return count
 }
 
-// sendUntilThree sends the work to the gateways in turn until it has ended three servers.
-func (s *harmSite) sendUntilThree(gateways []*Gateway) {
+// sendUntilThreeCrashes sends the work to the gateways in turn until it has ended three servers.
+func (s *crashSite) sendUntilThreeCrashes(gateways []*Gateway) {
 	s.t.Helper()
-	begun := time.Time{}
-	for turn := 0; s.crashes(begun) < 3; turn++ {
+	epoch := time.Time{}
+	for turn := 0; s.crashes(epoch) < 3; turn++ {
 		if turn > 100 {
-			s.t.Fatalf("%d servers ended after %d calls", s.crashes(begun), turn)
+			s.t.Fatalf("%d servers ended after %d calls", s.crashes(epoch), turn)
 		}
-		s.send(gateways[turn%len(gateways)], harmBody)
+		s.send(gateways[turn%len(gateways)], crashingBody)
 	}
 }
 
-// sendOn sends the work on and fails if more servers end than may.
-func (s *harmSite) sendOn(gateways []*Gateway) {
+// checkContained sends the work on and fails if more servers end than may.
+func (s *crashSite) checkContained(gateways []*Gateway) {
 	s.t.Helper()
-	time.Sleep(harmContact)
+	time.Sleep(crashPropagationTime)
 	since := time.Now()
-	for turn := range harmCalls {
-		s.send(gateways[turn%len(gateways)], harmBody)
-		time.Sleep(harmEvery)
+	for turn := range repeatedCalls {
+		s.send(gateways[turn%len(gateways)], crashingBody)
+		time.Sleep(repeatedCallInterval)
 	}
-	if ended := s.crashes(since); ended > harmRetries {
-		s.t.Errorf("work that had ended three servers ended %d more, at most %d may", ended, harmRetries)
+	if crashed := s.crashes(since); crashed > maxFurtherCrashes {
+		s.t.Errorf("work that had ended three servers ended %d more, at most %d may", crashed, maxFurtherCrashes)
 	}
 }
 
-// TestGateway_WorkThatEndsReplicasIsNotSentOn sends one piece of work again and again,
+// TestGateway_CrashingWorkIsContained sends one piece of work again and again,
 // under new ids and at all gateways, which ends each server that runs it.
-func TestGateway_WorkThatEndsReplicasIsNotSentOn(t *testing.T) {
-	three := func(site *harmSite) []*Gateway {
-		return []*Gateway{site.gateway("a"), site.gateway("b"), site.gateway("c")}
+func TestGateway_CrashingWorkIsContained(t *testing.T) {
+	startThree := func(site *crashSite) []*Gateway {
+		return []*Gateway{site.startGateway("a"), site.startGateway("b"), site.startGateway("c")}
 	}
 	t.Run("all nodes and the store there", func(t *testing.T) {
 		t.Parallel()
-		site := newHarmSite(t, 8)
-		gateways := three(site)
-		site.sendUntilThree(gateways)
-		site.sendOn(gateways)
+		site := newCrashSite(t, 8)
+		gateways := startThree(site)
+		site.sendUntilThreeCrashes(gateways)
+		site.checkContained(gateways)
 		for _, gateway := range gateways {
 			if status := site.send(gateway, []byte("harmless")); status != 200 {
 				t.Errorf("harmless work gets %d", status)
@@ -129,16 +129,16 @@
 	})
 	t.Run("no datagrams between nodes", func(t *testing.T) {
 		t.Parallel()
-		site := newHarmSite(t, 8)
-		site.alone = true
-		gateways := three(site)
-		site.sendUntilThree(gateways)
-		site.sendOn(gateways)
+		site := newCrashSite(t, 8)
+		site.withoutPeers = true
+		gateways := startThree(site)
+		site.sendUntilThreeCrashes(gateways)
+		site.checkContained(gateways)
 	})
 	t.Run("the store answers nothing", func(t *testing.T) {
 		t.Parallel()
-		site := newHarmSite(t, 12)
-		gateways := three(site)
+		site := newCrashSite(t, 12)
+		gateways := startThree(site)
 		site.eventually("nodes know each other", func() bool {
 			for _, gateway := range gateways {
 				if gateway.roster.Count() != len(gateways) {
@@ -148,18 +148,18 @@
 			return true
 		})
 		site.store.SetTrouble(func(string) standin.Trouble { return standin.Busy })
-		site.sendUntilThree(gateways)
-		site.sendOn(gateways)
+		site.sendUntilThreeCrashes(gateways)
+		site.checkContained(gateways)
 	})
 	t.Run("the whole fleet restarts", func(t *testing.T) {
 		t.Parallel()
-		site := newHarmSite(t, 8)
-		gateways := three(site)
-		site.sendUntilThree(gateways)
-		time.Sleep(harmContact)
+		site := newCrashSite(t, 8)
+		gateways := startThree(site)
+		site.sendUntilThreeCrashes(gateways)
+		time.Sleep(crashPropagationTime)
 		for _, gateway := range gateways {
 			gateway.Kill()
 		}
-		site.sendOn(three(site))
+		site.checkContained(startThree(site))
 	})
 }
--- a/internal/node/gatewayfailurereports_test.go
+++ b/internal/node/gatewayfailurereports_test.go
@@ -8,13 +8,13 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// TestGateway_LeavesAReplicaOutThatFailsForOthers has a replica fail all that two
+// TestGateway_EjectsReplicaThatFailsForOtherNodes has a replica fail all that two
 // gateways send there, while it says that it is well: a third, which never met it, leaves
 // it out too, and uses it again once it serves.
-func TestGateway_LeavesAReplicaOutThatFailsForOthers(t *testing.T) {
+func TestGateway_EjectsReplicaThatFailsForOtherNodes(t *testing.T) {
 	site := newGatewaySite(t, 4)
-	bad := site.servers[0]
-	bad.Behave(func(int) standin.Behaviour { return standin.Fail })
+	failing := site.servers[0]
+	failing.Behave(func(int) standin.Behaviour { return standin.Fail })
 	gateways := []*Gateway{site.start("a"), site.start("b"), site.start("c")}
 	site.eventually("nodes know each other", func() bool {
 		for _, gateway := range gateways {
@@ -25,9 +25,9 @@
 		return true
 	})
 	ejected := func(gateway *Gateway) bool {
-		for _, one := range gateway.replicas.List(time.Now()) {
-			if one.ID == bad.ID {
-				return one.Ejected
+		for _, r := range gateway.replicas.List(time.Now()) {
+			if r.ID == failing.ID {
+				return r.Ejected
 			}
 		}
 		return false
@@ -40,6 +40,6 @@
 		}
 		return ejected(gateways[2])
 	})
-	bad.Behave(nil)
+	failing.Behave(nil)
 	site.eventually("it is used again", func() bool { return !ejected(gateways[2]) })
 }
--- a/internal/node/gatewaykeys_test.go
+++ b/internal/node/gatewaykeys_test.go
@@ -10,8 +10,8 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// keyed are the headers of a caller with a key.
-func keyed(key string) http.Header { return http.Header{"Authorization": {"Bearer " + key}} }
+// withKey are the headers of a caller with a key.
+func withKey(key string) http.Header { return http.Header{"Authorization": {"Bearer " + key}} }
 
 func twoTenants() []standin.Tenant {
 	return []standin.Tenant{{Name: "a", Keys: []string{"a1", "a2"}}, {Name: "b", Keys: []string{"b1"}}, {Name: "c"}}
@@ -31,7 +31,7 @@
 func TestGateway_KeyBecomesTheTenant(t *testing.T) {
 	site := newKeyedSite(t, twoTenants())
 	gateway := site.start("n")
-	forged := keyed("a1")
+	forged := withKey("a1")
 	forged["Tenant"] = []string{"b"}
 	cases := []struct {
 		name, path string
@@ -39,56 +39,56 @@
 		status     int
 		tenant     string
 	}{
-		{"first key", "/resume/x", keyed("a1"), http.StatusOK, "a"},
-		{"second key", "/resume/x", keyed("a2"), http.StatusOK, "a"},
-		{"another tenant", "/resume/x", keyed("b1"), http.StatusOK, "b"},
+		{"first key", "/resume/x", withKey("a1"), http.StatusOK, "a"},
+		{"second key", "/resume/x", withKey("a2"), http.StatusOK, "a"},
+		{"another tenant", "/resume/x", withKey("b1"), http.StatusOK, "b"},
 		{"a tenant named by the caller", "/resume/x", forged, http.StatusOK, "a"},
 		{"no key", "/resume/x", nil, http.StatusUnauthorized, ""},
 		{"a tenant but no key", "/resume/x", http.Header{"Tenant": {"a"}}, http.StatusUnauthorized, ""},
-		{"unknown key", "/resume/x", keyed("z"), http.StatusUnauthorized, ""},
+		{"unknown key", "/resume/x", withKey("z"), http.StatusUnauthorized, ""},
 		{"two keys", "/resume/x", http.Header{"Authorization": {"Bearer a1", "Bearer b1"}}, http.StatusUnauthorized, ""},
 		{"another scheme", "/resume/x", http.Header{"Authorization": {"Basic a1"}}, http.StatusUnauthorized, ""},
 		{"public without a key", "/open/x", http.Header{"Tenant": {"a"}}, http.StatusOK, ""},
-		{"public with a key", "/open/x", keyed("b1"), http.StatusOK, "b"},
-		{"public with an unknown key", "/open/x", keyed("z"), http.StatusOK, ""},
+		{"public with a key", "/open/x", withKey("b1"), http.StatusOK, "b"},
+		{"public with an unknown key", "/open/x", withKey("z"), http.StatusOK, ""},
 		{"no route", "/nowhere/x", nil, http.StatusNotFound, ""},
 	}
-	for number, one := range cases {
+	for number, tt := range cases {
 		id := fmt.Sprintf("q%d", number)
 		before := len(site.servers[0].Runs())
-		status, _, _ := site.callWith(gateway, http.MethodPost, one.path, id, nil, one.header)
-		if status != one.status {
-			t.Errorf("%s: status %d, want %d", one.name, status, one.status)
+		status, _, _ := site.callWith(gateway, http.MethodPost, tt.path, id, nil, tt.header)
+		if status != tt.status {
+			t.Errorf("%s: status %d, want %d", tt.name, status, tt.status)
 		}
 		for _, run := range site.servers[0].Runs()[before:] {
-			if got := run.Header.Get("Tenant"); status != http.StatusOK || got != one.tenant || run.Header.Get("Authorization") != "" {
-				t.Errorf("%s: ran with headers %v, want tenant %q and no key", one.name, run.Header, one.tenant)
+			if got := run.Header.Get("Tenant"); status != http.StatusOK || got != tt.tenant || run.Header.Get("Authorization") != "" {
+				t.Errorf("%s: ran with headers %v, want tenant %q and no key", tt.name, run.Header, tt.tenant)
 			}
 		}
 	}
 }
 
-func TestGateway_JobIsItsTenants(t *testing.T) {
+func TestGateway_JobBelongsToItsTenant(t *testing.T) {
 	site := newKeyedSite(t, twoTenants())
 	gateway := site.start("n")
 	body := job("j", 2)
 	if status, _, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", body); status != http.StatusUnauthorized {
 		t.Errorf("submission without a key: %d", status)
 	}
-	if status, text, _ := site.callWith(gateway, http.MethodPost, "/batch/j", "j", body, keyed("a1")); status != http.StatusAccepted {
+	if status, text, _ := site.callWith(gateway, http.MethodPost, "/batch/j", "j", body, withKey("a1")); status != http.StatusAccepted {
 		t.Fatalf("submission: %d %s", status, text)
 	}
-	if status, _, _ := site.callWith(gateway, http.MethodPost, "/batch/j", "j", body, keyed("b1")); status != http.StatusConflict {
+	if status, _, _ := site.callWith(gateway, http.MethodPost, "/batch/j", "j", body, withKey("b1")); status != http.StatusConflict {
 		t.Errorf("submission of another tenant's job: %d", status)
 	}
 	// A key that goes ends no job, and the tenant's other keys lead to it.
 	site.configureKeyed(3, []standin.Tenant{{Name: "a", Keys: []string{"a2"}}, {Name: "b", Keys: []string{"b1"}}})
 	site.eventually("key gone", func() bool {
-		status, _, _ := site.callWith(gateway, http.MethodGet, "/v1/lots/j?sinceRev=0", "r", nil, keyed("a1"))
+		status, _, _ := site.callWith(gateway, http.MethodGet, "/v1/lots/j?sinceRev=0", "r", nil, withKey("a1"))
 		return status == http.StatusUnauthorized
 	})
 	site.eventually("job done", func() bool {
-		status, _, _ := site.callWith(gateway, http.MethodGet, "/v1/lots/j?sinceRev=1", "r", nil, keyed("a2"))
+		status, _, _ := site.callWith(gateway, http.MethodGet, "/v1/lots/j?sinceRev=1", "r", nil, withKey("a2"))
 		return status == http.StatusOK && len(site.servers[0].Runs()) == 2
 	})
 	for _, run := range site.servers[0].Runs() {
@@ -98,26 +98,26 @@
 	}
 	for key, want := range map[string]int{"a2": http.StatusOK, "b1": http.StatusNotFound, "z": http.StatusUnauthorized} {
 		for method, path := range map[string]string{http.MethodGet: "/v1/lots/j?sinceRev=0", http.MethodDelete: "/v1/lots/j"} {
-			if status, _, _ := site.callWith(gateway, method, path, "r", nil, keyed(key)); status != want {
+			if status, _, _ := site.callWith(gateway, method, path, "r", nil, withKey(key)); status != want {
 				t.Errorf("%s with key %s: %d, want %d", method, key, status, want)
 			}
 		}
-		if status, _, _ := site.callWith(gateway, http.MethodGet, "/v1/items/j?id=j-0", "r", nil, keyed(key)); status != want {
+		if status, _, _ := site.callWith(gateway, http.MethodGet, "/v1/items/j?id=j-0", "r", nil, withKey(key)); status != want {
 			t.Errorf("body with key %s: %d, want %d", key, status, want)
 		}
 	}
 }
 
-// TestGateway_WaitingTokensAreATenantsOwn gives each tenant the whole quota.
-func TestGateway_WaitingTokensAreATenantsOwn(t *testing.T) {
+// TestGateway_TokenQuotaIsPerTenant gives each tenant the whole quota.
+func TestGateway_TokenQuotaIsPerTenant(t *testing.T) {
 	site := newKeyedSite(t, twoTenants())
 	site.behave(standin.Silent, 1<<30)
 	gateway := site.start("n")
 	submit := func(id, key string, items int) int {
-		status, _, _ := site.callWith(gateway, http.MethodPost, "/batch/"+id, id, job(id, items), keyed(key))
+		status, _, _ := site.callWith(gateway, http.MethodPost, "/batch/"+id, id, job(id, items), withKey(key))
 		return status
 	}
-	for _, one := range []struct {
+	for _, tt := range []struct {
 		id, key       string
 		items, status int
 	}{
@@ -125,13 +125,13 @@
 		{"b-fits", "b1", 8, http.StatusAccepted}, {"a-rest", "a1", 2, http.StatusAccepted},
 		{"b-over", "b1", 3, http.StatusTooManyRequests},
 	} {
-		if status := submit(one.id, one.key, one.items); status != one.status {
-			t.Errorf("job %s: %d, want %d", one.id, status, one.status)
+		if status := submit(tt.id, tt.key, tt.items); status != tt.status {
+			t.Errorf("job %s: %d, want %d", tt.id, status, tt.status)
 		}
 	}
 }
 
-func TestGateway_TenantsThatCannotBeLeaveTheLastConfigurationInForce(t *testing.T) {
+func TestGateway_InvalidTenantsLeaveTheLastConfigurationInForce(t *testing.T) {
 	site := newKeyedSite(t, twoTenants())
 	gateway := site.start("n")
 	for version, tenants := range [][]standin.Tenant{
@@ -144,10 +144,10 @@
 	}
 	site.configureKeyed(20, []standin.Tenant{{Name: "a", Keys: []string{"a1", "good"}}})
 	site.eventually("good version in force", func() bool { return gateway.routes.Load().Version == 20 })
-	if status, _, _ := site.callWith(gateway, http.MethodPost, "/resume/x", "q", nil, keyed("good")); status != http.StatusOK {
+	if status, _, _ := site.callWith(gateway, http.MethodPost, "/resume/x", "q", nil, withKey("good")); status != http.StatusOK {
 		t.Fatalf("status %d", status)
 	}
-	if status, _, _ := site.callWith(gateway, http.MethodPost, "/resume/x", "q2", nil, keyed("x")); status != http.StatusUnauthorized {
+	if status, _, _ := site.callWith(gateway, http.MethodPost, "/resume/x", "q2", nil, withKey("x")); status != http.StatusUnauthorized {
 		t.Fatalf("a key of a refused configuration: status %d", status)
 	}
 }
@@ -163,7 +163,7 @@
 	site.eventually("configuration old", func() bool {
 		return gateway.configWatch.Age() > staleKeyAge && bounded.configWatch.Age() > staleKeyAge
 	})
-	for _, one := range []struct {
+	for _, tt := range []struct {
 		gateway *Gateway
 		key     string
 		status  int
@@ -171,9 +171,9 @@
 		{gateway, "a1", http.StatusOK}, {gateway, "new", http.StatusServiceUnavailable},
 		{bounded, "a1", http.StatusServiceUnavailable}, {bounded, "new", http.StatusServiceUnavailable},
 	} {
-		status, _, header := site.callWith(one.gateway, http.MethodPost, "/resume/x", "q-"+one.key, nil, keyed(one.key))
-		if status != one.status || (status != http.StatusOK && header.Get("Retry-After") == "") {
-			t.Errorf("key %s at %s: status %d with headers %v, want %d", one.key, one.gateway.settings.Node.ID, status, header, one.status)
+		status, _, header := site.callWith(tt.gateway, http.MethodPost, "/resume/x", "q-"+tt.key, nil, withKey(tt.key))
+		if status != tt.status || (status != http.StatusOK && header.Get("Retry-After") == "") {
+			t.Errorf("key %s at %s: status %d with headers %v, want %d", tt.key, tt.gateway.settings.Node.ID, status, header, tt.status)
 		}
 	}
 	if status, _, _ := site.call(gateway, http.MethodPost, "/resume/x", "none", nil); status != http.StatusUnauthorized {
--- a/internal/node/gatewayquarantine_test.go
+++ b/internal/node/gatewayquarantine_test.go
@@ -17,20 +17,20 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// TestGateway_QuarantineIsSeenAndReleased takes the way of an operator: from a refusal to the
+// TestGateway_QuarantineIsShownAndReleased takes the way of an operator: from a refusal to the
 // work, and to its release at all nodes.
-func TestGateway_QuarantineIsSeenAndReleased(t *testing.T) {
-	site := newHarmSite(t, 8)
-	gateways := []*Gateway{site.gateway("a"), site.gateway("b")}
+func TestGateway_QuarantineIsShownAndReleased(t *testing.T) {
+	site := newCrashSite(t, 8)
+	gateways := []*Gateway{site.startGateway("a"), site.startGateway("b")}
 	for _, gateway := range gateways {
 		gateway.settings.Operator.KeySHA256 = v1.HashKey("operator")
 	}
-	site.sendUntilThree(gateways)
+	site.sendUntilThreeCrashes(gateways)
 	site.eventually("both refuse", func() bool {
 		return len(gateways[0].quarantine.All(time.Now())) == 1 && len(gateways[1].quarantine.All(time.Now())) == 1 &&
 			gateways[0].Suspects().Items[0].Quarantined && gateways[1].Suspects().Items[0].Quarantined
 	})
-	status, _, header := site.call(gateways[1], "POST", "/resume/work", "refused", harmBody)
+	status, _, header := site.call(gateways[1], "POST", "/resume/work", "refused", crashingBody)
 	if status != http.StatusServiceUnavailable || header.Get("X-Wheelhoist-Reason") != "quarantined" {
 		t.Fatalf("refused with %d, %v", status, header)
 	}
@@ -57,18 +57,18 @@
 	site.eventually("both let it run again", func() bool {
 		return len(gateways[0].Suspects().Items) == 0 && len(gateways[1].Suspects().Items) == 0
 	})
-	ended := site.crashes(time.Time{})
-	site.send(gateways[1], harmBody)
-	if site.crashes(time.Time{}) == ended {
+	crashes := site.crashes(time.Time{})
+	site.send(gateways[1], crashingBody)
+	if site.crashes(time.Time{}) == crashes {
 		t.Fatal("released work does not run")
 	}
 }
 
-// TestGateway_ReplicasThatEndByThemselvesCondemnNobody ends replicas one after the other
+// TestGateway_ReplicasThatCrashByThemselvesQuarantineNothing ends replicas one after the other
 // under requests that are harmless.
-func TestGateway_ReplicasThatEndByThemselvesCondemnNobody(t *testing.T) {
-	site := newHarmSite(t, 6)
-	gateways := []*Gateway{site.gateway("a"), site.gateway("b")}
+func TestGateway_ReplicasThatCrashByThemselvesQuarantineNothing(t *testing.T) {
+	site := newCrashSite(t, 6)
+	gateways := []*Gateway{site.startGateway("a"), site.startGateway("b")}
 	stop := time.After(3 * time.Second)
 	kill := time.NewTicker(80 * time.Millisecond)
 	defer kill.Stop()
@@ -92,7 +92,7 @@
 	}
 }
 
-// TestGateway_KnowsWhatEndedWellAtANodeThatIsLost: that a work ends well is known where it ran. When
+// TestGateway_KnowsSuccessesOfLostNode: that a work ends well is known where it ran. When
 // these nodes are lost, nobody is left who could speak for it, and three ends that it meets by
 // chance have it refused at all nodes, as if it had never ended well.
 //
@@ -101,9 +101,9 @@
 // were lost with their zone at 52 s. "work quarantined" stands for it at node-2 at 54.157 s, after
 // a third end, with the limit of work that was never seen to end well; nobody answered the
 // question that goes with it, all nodes refused the work until the end of the run 18 s later.
-func TestGateway_KnowsWhatEndedWellAtANodeThatIsLost(t *testing.T) {
-	site := newHarmSite(t, 4)
-	gateways := []*Gateway{site.gateway("a"), site.gateway("b")}
+func TestGateway_KnowsSuccessesOfLostNode(t *testing.T) {
+	site := newCrashSite(t, 4)
+	gateways := []*Gateway{site.startGateway("a"), site.startGateway("b")}
 	site.eventually("nodes know each other", func() bool {
 		return gateways[0].roster.Count() == len(gateways) && gateways[1].roster.Count() == len(gateways)
 	})
@@ -120,10 +120,10 @@
 	})
 	gateways[0].Kill()
 	for i := range quarantine.DefaultCrashLimit {
-		began := time.Now()
+		sentAt := time.Now()
 		time.Sleep(10 * time.Millisecond)
 		gateways[1].quarantine.guard.RecordCrash(quarantine.CrashReport{
-			Replica: fmt.Sprintf("gone-%d", i), Runs: []quarantine.Run{{Work: work, SentAt: began}}, At: time.Now(),
+			Replica: fmt.Sprintf("gone-%d", i), Runs: []quarantine.Run{{Work: work, SentAt: sentAt}}, At: time.Now(),
 		})
 	}
 	if status := site.send(gateways[1], popular); status != http.StatusOK {
@@ -131,7 +131,7 @@
 	}
 }
 
-// TestGateway_AnswersANodeThatItDoesNotKnow: a node that has just started asks what speaks for work
+// TestGateway_RepliesToUnknownNode: a node that has just started asks what speaks for work
 // before the others have read its row, while the store is slow. The answer was sent to the address
 // in that row, so to nobody, and the node refused popular work.
 //
@@ -139,42 +139,42 @@
 // wrote "work quarantined" for the work of two routes at 21.040 s and "store does not answer,
 // started by what another node knows" at 21.190 s; it refused eight requests of them within the next
 // second, though node-2 and node-4 had run since the begin and had seen both end well.
-func TestGateway_AnswersANodeThatItDoesNotKnow(t *testing.T) {
-	site := newHarmSite(t, 2)
-	gateway := site.gateway("a")
+func TestGateway_RepliesToUnknownNode(t *testing.T) {
+	site := newCrashSite(t, 2)
+	gateway := site.startGateway("a")
 	work := quarantine.Work{1}
 	gateway.quarantine.guard.RecordSuccess(work)
-	stranger, source := listenStranger(t)
-	answers := make(chan quarantineMessage, 1)
-	stranger.Handle(peer.KindCrashReport, func(_ string, _ *net.UDPAddr, body []byte) {
-		var told quarantineMessage
-		if err := cbor.Unmarshal(body, &told); err != nil {
+	unknown, source := listenUnknownNode(t)
+	replies := make(chan quarantineMessage, 1)
+	unknown.Handle(peer.KindCrashReport, func(_ string, _ *net.UDPAddr, body []byte) {
+		var message quarantineMessage
+		if err := cbor.Unmarshal(body, &message); err != nil {
 			t.Error(err)
 		}
-		answers <- told
+		replies <- message
 	})
-	go func() { _ = stranger.Run() }()
+	go func() { _ = unknown.Run() }()
 	gateway.handleQuarantineMessage("stranger#1", source, encoded(t, quarantineMessage{Query: &work}))
 	select {
-	case told := <-answers:
-		if len(told.Clearings) != 1 || told.Clearings[0].Work != work {
-			t.Errorf("answered %+v", told)
+	case message := <-replies:
+		if len(message.Clearings) != 1 || message.Clearings[0].Work != work {
+			t.Errorf("answered %+v", message)
 		}
 	case <-time.After(5 * time.Second):
 		t.Error("a node that is not known gets no answer")
 	}
 }
 
-// TestHarm_EndsTellWhatEndedWellBefore: a node that has just started knows by the word of an end that
+// TestQuarantineMessage_CrashesCarryEarlierSuccesses: a node that has just started knows by the word of an end that
 // work which met it ended well elsewhere, without asking.
-func TestHarm_EndsTellWhatEndedWellBefore(t *testing.T) {
+func TestQuarantineMessage_CrashesCarryEarlierSuccesses(t *testing.T) {
 	c := testCore()
 	g := &Gateway{core: c}
 	popular, other := quarantine.Work{1}, quarantine.Work{2}
-	told := quarantineMessage{Crashes: []crashEntry{{
+	message := quarantineMessage{Crashes: []crashEntry{{
 		Replica: "r", StartTime: 1000, Works: []quarantine.Work{popular, other}, AgeMs: 100, Durations: []int64{10, 10}, SuccessAges: []int64{500, 0},
 	}}}
-	g.handleQuarantineMessage("a#1", nil, encoded(t, told))
+	g.handleQuarantineMessage("a#1", nil, encoded(t, message))
 	at, known := c.quarantine.LastSuccess(popular)
 	if age := time.Since(at); !known || age < 600*time.Millisecond || age > 10*time.Second {
 		t.Errorf("work that ended well 0.6 s ago: known %v, %v ago", known, age)
@@ -187,8 +187,8 @@
 	}
 }
 
-// listenStranger opens the socket of a node that no other one knows.
-func listenStranger(t testing.TB) (*peer.Socket, *net.UDPAddr) {
+// listenUnknownNode opens the socket of a node that no other one knows.
+func listenUnknownNode(t testing.TB) (*peer.Socket, *net.UDPAddr) {
 	t.Helper()
 	socket, err := peer.Listen("127.0.0.1:0", "stranger#1")
 	if err != nil {
@@ -227,7 +227,7 @@
 	}
 	f.Add(body)
 	f.Add([]byte{0xbf})
-	socket, source := listenStranger(f)
+	socket, source := listenUnknownNode(f)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		g := &Gateway{core: testCore(), peers: socket}
 		g.handleQuarantineMessage("a#1", source, body)
--- a/internal/node/gatewayquota_test.go
+++ b/internal/node/gatewayquota_test.go
@@ -13,10 +13,10 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// TestGateway_ALimitHoldsOverAllNodes sends far more than a tenant may to three nodes
+// TestGateway_LimitHoldsAcrossAllNodes sends far more than a tenant may to three nodes
 // in turn: what runs is what one bucket would let through, and a refusal comes at once
 // and says when to come back.
-func TestGateway_ALimitHoldsOverAllNodes(t *testing.T) {
+func TestGateway_LimitHoldsAcrossAllNodes(t *testing.T) {
 	const rate, burst = 4.0, 8.0
 	site := newKeyedSite(t, []standin.Tenant{{Name: "a", Keys: []string{"a1"}, Rate: rate, Burst: burst}, {Name: "b", Keys: []string{"b1"}}})
 	var gateways []*Gateway
@@ -31,11 +31,11 @@
 		}
 		return true
 	})
-	began := time.Now()
+	start := time.Now()
 	ran, refused := 0, 0
 	for number := range 120 {
-		asked := time.Now()
-		status, _, header := site.callWith(gateways[number%len(gateways)], http.MethodPost, "/resume/x", fmt.Sprintf("q%d", number), nil, keyed("a1"))
+		sentAt := time.Now()
+		status, _, header := site.callWith(gateways[number%len(gateways)], http.MethodPost, "/resume/x", fmt.Sprintf("q%d", number), nil, withKey("a1"))
 		switch status {
 		case http.StatusOK:
 			ran++
@@ -44,18 +44,18 @@
 			if wait, err := strconv.ParseFloat(header.Get("Retry-After"), 64); err != nil || wait <= 0 || wait > 5 {
 				t.Fatalf("refused with Retry-After %q", header.Get("Retry-After"))
 			}
-			if took := time.Since(asked); took > time.Second {
+			if took := time.Since(sentAt); took > time.Second {
 				t.Errorf("a refusal took %v", took)
 			}
 		default:
 			t.Fatalf("status %d", status)
 		}
 	}
-	allowed := (burst+rate*time.Since(began).Seconds())*(1+siteQuotaOver) + siteQuotaSlack
+	allowed := (burst+rate*time.Since(start).Seconds())*(1+siteQuotaOver) + siteQuotaSlack
 	if float64(ran) > allowed || ran < int(burst)/2 || refused == 0 {
 		t.Fatalf("%d ran and %d were refused, at most %.1f may run", ran, refused, allowed)
 	}
-	if status, _, _ := site.callWith(gateways[0], http.MethodPost, "/resume/x", "other", nil, keyed("b1")); status != http.StatusOK {
+	if status, _, _ := site.callWith(gateways[0], http.MethodPost, "/resume/x", "other", nil, withKey("b1")); status != http.StatusOK {
 		t.Fatalf("a tenant without a limit: status %d", status)
 	}
 }
@@ -65,7 +65,7 @@
 	const key = "a-key-that-nobody-may-read"
 	site := newKeyedSite(t, []standin.Tenant{{Name: "a", Keys: []string{key}, Rate: 5, Burst: 5}})
 	gateway := site.start("n")
-	if status, _, _ := site.callWith(gateway, http.MethodPost, "/resume/x", "q", nil, keyed(key)); status != http.StatusOK {
+	if status, _, _ := site.callWith(gateway, http.MethodPost, "/resume/x", "q", nil, withKey(key)); status != http.StatusOK {
 		t.Fatalf("status %d", status)
 	}
 	for _, path := range []string{server.PathStatus, "/metrics"} {
--- a/internal/node/gatewayregions_test.go
+++ b/internal/node/gatewayregions_test.go
@@ -12,31 +12,31 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-var homeZones = place.Map{"n1": "north", "s1": "south"}
+var regionZones = place.Map{"n1": "north", "s1": "south"}
 
-// newHomesSite is a site with a server and a gateway in each of two regions.
-func newHomesSite(t *testing.T) (site *gatewaySite, north, south *Gateway) {
+// newRegionsSite is a site with a server and a gateway in each of two regions.
+func newRegionsSite(t *testing.T) (site *gatewaySite, north, south *Gateway) {
 	t.Helper()
 	site = newGatewaySite(t, 0)
 	for _, zone := range []string{"n1", "s1"} {
-		one := &standin.Server{ID: "i-" + zone, Events: siteEvents, EventTime: 2 * time.Millisecond}
-		listening := httptest.NewServer(one)
-		t.Cleanup(listening.Close)
-		site.servers = append(site.servers, one)
-		site.store.Put("servers", one.ID, standin.Listing(listening.Listener.Addr().String(), zone, 8, false))
+		server := &standin.Server{ID: "i-" + zone, Events: siteEvents, EventTime: 2 * time.Millisecond}
+		httpServer := httptest.NewServer(server)
+		t.Cleanup(httpServer.Close)
+		site.servers = append(site.servers, server)
+		site.store.Put("servers", server.ID, standin.Listing(httpServer.Listener.Addr().String(), zone, 8, false))
 	}
-	north = site.startAt(settings.Node{ID: "n", Zone: "n1", Region: "north", Zones: homeZones})
-	south = site.startAt(settings.Node{ID: "s", Zone: "s1", Region: "south", Zones: homeZones})
+	north = site.startNode(settings.Node{ID: "n", Zone: "n1", Region: "north", Zones: regionZones})
+	south = site.startNode(settings.Node{ID: "s", Zone: "s1", Region: "south", Zones: regionZones})
 	return site, north, south
 }
 
-// configureHomes puts a configuration in force in which all routes have homes, and waits
+// configureAllowedRegions puts a configuration in force in which all routes have homes, and waits
 // for the gateways.
-func (s *gatewaySite) configureHomes(version int, homes ...string) {
+func (s *gatewaySite) configureAllowedRegions(version int, regions ...string) {
 	s.t.Helper()
 	declared := standin.Declare(version, siteHost, 100000, "resume").(map[string]any)
 	for _, target := range declared["routes"].([]map[string]any) {
-		target["allowedRegions"] = append([]string{}, homes...)
+		target["allowedRegions"] = append([]string{}, regions...)
 	}
 	s.store.Put("op", "config", declared)
 	for _, gateway := range s.gateways {
@@ -44,9 +44,9 @@
 	}
 }
 
-func TestGateway_RequestsStayAtHome(t *testing.T) {
-	site, north, south := newHomesSite(t)
-	site.configureHomes(2, "north")
+func TestGateway_RequestsStayInAllowedRegions(t *testing.T) {
+	site, north, south := newRegionsSite(t)
+	site.configureAllowedRegions(2, "north")
 	for number := range 12 {
 		gateway := []*Gateway{north, south}[number%2]
 		if status, text, _ := site.call(gateway, http.MethodPost, "/resume/x", fmt.Sprint("q", number), nil); status != http.StatusOK {
@@ -62,20 +62,20 @@
 	}
 }
 
-// TestGateway_NoServerAtHomeIsRefusedAtOnce takes the only server at home off the list.
-func TestGateway_NoServerAtHomeIsRefusedAtOnce(t *testing.T) {
-	site, north, south := newHomesSite(t)
-	site.configureHomes(2, "north")
+// TestGateway_NoServerInAllowedRegionIsRefusedAtOnce takes the only server at home off the list.
+func TestGateway_NoServerInAllowedRegionIsRefusedAtOnce(t *testing.T) {
+	site, north, south := newRegionsSite(t)
+	site.configureAllowedRegions(2, "north")
 	site.store.Remove("servers", "i-n1")
 	for _, gateway := range []*Gateway{north, south} {
 		site.eventually("server gone", func() bool { return len(gateway.replicas.Snapshot("llm", 0, time.Now())) == 1 })
-		began := time.Now()
+		start := time.Now()
 		status, _, header := site.call(gateway, http.MethodPost, "/resume/x", "q", nil)
-		if status != http.StatusServiceUnavailable || header.Get("Retry-After") != "1.20" || time.Since(began) > time.Second {
-			t.Errorf("%d after %v, come back %q", status, time.Since(began), header.Get("Retry-After"))
+		if status != http.StatusServiceUnavailable || header.Get("Retry-After") != "1.20" || time.Since(start) > time.Second {
+			t.Errorf("%d after %v, come back %q", status, time.Since(start), header.Get("Retry-After"))
 		}
 	}
-	site.configureHomes(3)
+	site.configureAllowedRegions(3)
 	if status, text, header := site.call(north, http.MethodPost, "/batch/j", "j", job("j", 1)); status != http.StatusServiceUnavailable || header.Get("Retry-After") != "1.20" {
 		t.Errorf("a job that may be kept nowhere: %d %q", status, text)
 	}
--- a/internal/node/gatewayreplicalist_test.go
+++ b/internal/node/gatewayreplicalist_test.go
@@ -27,7 +27,7 @@
 // one replica.
 type cutSite struct {
 	*gatewaySite
-	off atomic.Bool
+	disconnected atomic.Bool
 	// replica is listed at an address.
 	replica *standin.Server
 	address string
@@ -36,10 +36,10 @@
 func newCutSite(t *testing.T) *cutSite {
 	t.Helper()
 	site := &cutSite{gatewaySite: newGatewaySite(t, 0), replica: &standin.Server{ID: "i", Events: siteEvents, EventTime: time.Millisecond}}
-	listening := httptest.NewServer(site.replica)
-	t.Cleanup(listening.Close)
-	site.servers, site.address = append(site.servers, site.replica), listening.Listener.Addr().String()
-	site.list(site.replica.ID, site.address, "ready")
+	httpServer := httptest.NewServer(site.replica)
+	t.Cleanup(httpServer.Close)
+	site.servers, site.address = append(site.servers, site.replica), httpServer.Listener.Addr().String()
+	site.listServer(site.replica.ID, site.address, "ready")
 	config := standin.Declare(2, siteHost, 1000, "resume")
 	site.store.Put("op", "config", standin.DeclareCold(config, coldListStart, cutRate))
 	return site
@@ -48,67 +48,67 @@
 // startBoth starts the node that will be cut off and one that will not.
 func (s *cutSite) startBoth() (cut, other *Gateway) {
 	s.t.Helper()
-	way := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.off.Load() {
+	storeProxy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if s.disconnected.Load() {
 			panic(http.ErrAbortHandler)
 		}
 		s.store.ServeHTTP(w, r)
 	}))
-	s.t.Cleanup(way.Close)
-	s.storeAt = way.Listener.Addr().String()
+	s.t.Cleanup(storeProxy.Close)
+	s.storeAddress = storeProxy.Listener.Addr().String()
 	direct := httptest.NewServer(s.store)
 	s.t.Cleanup(direct.Close)
-	cut = s.launchAt(settings.Node{ID: "cut", Zone: "z"})
-	s.storeAt = direct.Listener.Addr().String()
-	other = s.launchAt(settings.Node{ID: "other", Zone: "z"})
+	cut = s.launchNode(settings.Node{ID: "cut", Zone: "z"})
+	s.storeAddress = direct.Listener.Addr().String()
+	other = s.launchNode(settings.Node{ID: "other", Zone: "z"})
 	for _, gateway := range s.gateways {
 		s.eventually("the node shares the replica's slots with the other", func() bool {
-			known := gateway.replicas.List(time.Now())
-			return gateway.Ready() && len(known) == 1 && known[0].Share < cutSlots && !gateway.replicas.PresumesCold(time.Now())
+			replicas := gateway.replicas.List(time.Now())
+			return gateway.Ready() && len(replicas) == 1 && replicas[0].Share < cutSlots && !gateway.replicas.PresumesCold(time.Now())
 		})
 	}
 	return cut, other
 }
 
-func (s *cutSite) cutOff(gateway *Gateway) {
+func (s *cutSite) disconnect(gateway *Gateway) {
 	s.t.Helper()
-	s.off.Store(true)
+	s.disconnected.Store(true)
 	s.eventually("the list is old", func() bool { return gateway.replicas.PresumesCold(time.Now()) })
 }
 
-// TestGateway_CutOffFromTheStoreServesByTheWordOfAnotherNode guards that a node which knows
+// TestGateway_WithoutStoreServesWithGrantsOfAnotherNode guards that a node which knows
 // only an old list is not held to the rate of cold replicas while another node knows that
 // they are warm.
-func TestGateway_CutOffFromTheStoreServesByTheWordOfAnotherNode(t *testing.T) {
+func TestGateway_WithoutStoreServesWithGrantsOfAnotherNode(t *testing.T) {
 	const requests = 20
 	site := newCutSite(t)
 	cut, _ := site.startBoth()
-	site.cutOff(cut)
-	began := time.Now()
+	site.disconnect(cut)
+	start := time.Now()
 	for i := range requests {
 		if status, _, _ := site.call(cut, http.MethodPost, "/resume/x", fmt.Sprint("q", i), nil); status != http.StatusOK {
 			t.Errorf("request %d: status %d", i, status)
 		}
 	}
 	// At its part of the rate of a cold replica they would take over 6 s.
-	if took := time.Since(began); took > 3*time.Second {
+	if took := time.Since(start); took > 3*time.Second {
 		t.Errorf("%d requests took %v", requests, took)
 	}
-	site.off.Store(false)
+	site.disconnected.Store(false)
 	site.eventually("the list is current again", func() bool { return !cut.replicas.PresumesCold(time.Now()) })
 }
 
-// TestGateway_ColdReplicaGetsItsRateFromANodeCutOffFromTheStore has the replica turn cold
+// TestGateway_ColdReplicaRateHoldsWithNodeWithoutStore has the replica turn cold
 // while one of two nodes hears nothing of it: both together keep to what it bears.
-func TestGateway_ColdReplicaGetsItsRateFromANodeCutOffFromTheStore(t *testing.T) {
+func TestGateway_ColdReplicaRateHoldsWithNodeWithoutStore(t *testing.T) {
 	const callers = 4
 	site := newCutSite(t)
 	cut, other := site.startBoth()
-	site.cutOff(cut)
+	site.disconnect(cut)
 	site.replica.Chill(coldListStart)
 	site.store.Put("servers", site.replica.ID, standin.ColdListing(site.address, "z", cutSlots, coldListStart))
 	site.eventually("a node that is not cut off knows", func() bool { return other.replicas.CountCold(time.Now()) == 1 })
-	known := time.Now()
+	knownAt := time.Now()
 	var calls sync.WaitGroup
 	for _, gateway := range []*Gateway{cut, other} {
 		for caller := range callers {
@@ -122,7 +122,7 @@
 	calls.Wait()
 	var sent []standin.Run
 	for _, send := range site.replica.ColdSends() {
-		if send.At.After(known) {
+		if send.At.After(knownAt) {
 			sent = append(sent, standin.Run{At: send.At})
 		}
 	}
@@ -132,23 +132,23 @@
 	assertRate(t, sent, cutRate)
 }
 
-// TestGateway_StartedByTheWordOfAnotherNodePresumesReplicasCold guards a node that starts
+// TestGateway_StartedWithStateOfAnotherNodePresumesReplicasCold guards a node that starts
 // while it has no way to the store: what another node told it is known, what came after is not.
-func TestGateway_StartedByTheWordOfAnotherNodePresumesReplicasCold(t *testing.T) {
+func TestGateway_StartedWithStateOfAnotherNodePresumesReplicasCold(t *testing.T) {
 	site := newCutSite(t)
 	cut, other := site.startBoth()
 	site.eventually("nodes know each other", func() bool {
 		return cut.roster.Address("other") != "" && other.roster.Address("cut") != ""
 	})
 	cut.Kill()
-	site.off.Store(true)
-	again, err := StartGateway(context.Background(), cut.settings, zerolog.Nop())
+	site.disconnected.Store(true)
+	restarted, err := StartGateway(context.Background(), cut.settings, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(again.Kill)
-	site.eventually("the gateway is ready though it has no way to the store", again.Ready)
-	if !again.replicas.PresumesCold(time.Now()) {
+	t.Cleanup(restarted.Kill)
+	site.eventually("the gateway is ready though it has no way to the store", restarted.Ready)
+	if !restarted.replicas.PresumesCold(time.Now()) {
 		t.Error("it takes what it was told for what is so now")
 	}
 }
--- a/internal/node/gatewayrestart_test.go
+++ b/internal/node/gatewayrestart_test.go
@@ -13,24 +13,24 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// restartNoticed is how soon callers must have an answer after the start of a replica is
+// restartDetectionTime is how soon callers must have an answer after the start of a replica is
 // known, on a busy machine: a request that may not repeat is given 600 ms to show that it
 // runs at the new one. The routes' time-out is 5 s.
-const restartNoticed = 2 * time.Second
+const restartDetectionTime = 2 * time.Second
 
-// TestGateway_LeavesWhatIsSilentAtTheStartBefore has a server take requests and say nothing
+// TestGateway_AbandonsRequestsAtPreviousStart has a server take requests and say nothing
 // more, as one does whose machine lost power, and start again under its id.
-func TestGateway_LeavesWhatIsSilentAtTheStartBefore(t *testing.T) {
+func TestGateway_AbandonsRequestsAtPreviousStart(t *testing.T) {
 	for prefix, want := range map[string]int{"resume": http.StatusOK, "once": http.StatusBadGateway} {
 		site := newGatewaySite(t, 1)
 		site.configure(2, "resume", "once")
-		silent := site.servers[0]
+		server := site.servers[0]
 		gateway := site.start("a")
 		site.eventually("configuration in force", func() bool { return gateway.routes.Load().Version == 2 })
-		info, _ := gateway.replicas.Get(silent.ID)
+		info, _ := gateway.replicas.Get(server.ID)
 		info.StartedUnixMs = 2000
 		gateway.putReplica(info, 1, false)
-		silent.Behave(func(number int) standin.Behaviour {
+		server.Behave(func(number int) standin.Behaviour {
 			if number > 1 {
 				return standin.Whole
 			}
@@ -39,22 +39,22 @@
 			time.AfterFunc(50*time.Millisecond, func() { gateway.putReplica(info, 2, false) })
 			return standin.Silent
 		})
-		began := time.Now()
+		start := time.Now()
 		status, body, _ := site.call(gateway, http.MethodPost, "/"+prefix+"/x", "q-"+prefix, nil)
-		if status != want || time.Since(began) > restartNoticed {
-			t.Errorf("%s: status %d after %v, %q", prefix, status, time.Since(began), body)
+		if status != want || time.Since(start) > restartDetectionTime {
+			t.Errorf("%s: status %d after %v, %q", prefix, status, time.Since(start), body)
 		}
 		if want == http.StatusOK && strings.Count(body, "data:") != siteEvents {
 			t.Errorf("%s: got %q", prefix, body)
 		}
-		if runs := len(silent.Runs()); want != http.StatusOK && runs != 1 {
+		if runs := len(server.Runs()); want != http.StatusOK && runs != 1 {
 			t.Errorf("%s: ran %d times", prefix, runs)
 		}
 	}
 }
 
-// TestCore_CountsAndLogsStarts: once for each, and not for entries that change otherwise.
-func TestCore_CountsAndLogsStarts(t *testing.T) {
+// TestCore_CountsAndLogsRestarts: once for each, and not for entries that change otherwise.
+func TestCore_CountsAndLogsRestarts(t *testing.T) {
 	var log bytes.Buffer
 	c := testCore()
 	c.sampled = zerolog.New(&log)
@@ -62,11 +62,11 @@
 	c.putReplica(info, 1, false)
 	c.replicas.Begin("r", replica.RequestInfo{Batch: true}, time.Now())
 	c.replicas.Begin("r", replica.RequestInfo{}, time.Now())
-	for version, born := range []int64{3000, 1000, 1000, 0, 1000, 2000} {
-		info.StartedUnixMs = born
+	for version, startTime := range []int64{3000, 1000, 1000, 0, 1000, 2000} {
+		info.StartedUnixMs = startTime
 		c.putReplica(info, uint64(2+version), false)
 	}
-	if got := counterOf(t, c.metrics, "wheelhoist_gateway_replica_restarts_total"); got != 2 {
+	if got := counterValue(t, c.metrics, "wheelhoist_gateway_replica_restarts_total"); got != 2 {
 		t.Errorf("%v starts are counted, not 2", got)
 	}
 	lines := strings.Count(log.String(), "replica started again")
@@ -75,8 +75,8 @@
 	}
 }
 
-// counterOf returns the value of a counter without labels.
-func counterOf(t *testing.T, metrics *coreMetrics, name string) float64 {
+// counterValue returns the value of a counter without labels.
+func counterValue(t *testing.T, metrics *coreMetrics, name string) float64 {
 	t.Helper()
 	families, err := metrics.registry.Gather()
 	if err != nil {
--- a/internal/node/gatewaysite_test.go
+++ b/internal/node/gatewaysite_test.go
@@ -30,13 +30,13 @@
 
 // gatewaySite is a stand-in of the platform with gateways before it.
 type gatewaySite struct {
-	t        *testing.T
-	store    *standin.Store
-	storeAt  string
-	servers  []*standin.Server
-	gateways []*Gateway
-	// alone gateways are not told where others are reached.
-	alone bool
+	t            *testing.T
+	store        *standin.Store
+	storeAddress string
+	servers      []*standin.Server
+	gateways     []*Gateway
+	// withoutPeers gateways are not told where others are reached.
+	withoutPeers bool
 }
 
 func newGatewaySite(t *testing.T, servers int) *gatewaySite {
@@ -44,19 +44,19 @@
 	site := &gatewaySite{t: t, store: standin.NewStore()}
 	storeServer := httptest.NewServer(site.store)
 	t.Cleanup(storeServer.Close)
-	site.storeAt = storeServer.Listener.Addr().String()
+	site.storeAddress = storeServer.Listener.Addr().String()
 	for i := range servers {
-		one := &standin.Server{ID: fmt.Sprintf("i-%d", i), Events: siteEvents, EventTime: 2 * time.Millisecond}
-		listening := httptest.NewServer(one)
-		t.Cleanup(listening.Close)
-		site.servers = append(site.servers, one)
-		site.list(one.ID, listening.Listener.Addr().String(), "ready")
+		server := &standin.Server{ID: fmt.Sprintf("i-%d", i), Events: siteEvents, EventTime: 2 * time.Millisecond}
+		httpServer := httptest.NewServer(server)
+		t.Cleanup(httpServer.Close)
+		site.servers = append(site.servers, server)
+		site.listServer(server.ID, httpServer.Listener.Addr().String(), "ready")
 	}
 	site.configure(1, "resume")
 	return site
 }
 
-func (s *gatewaySite) list(id, address, state string) {
+func (s *gatewaySite) listServer(id, address, state string) {
 	s.store.Put("servers", id, standin.Listing(address, "z", 8, state != "ready"))
 }
 
@@ -78,13 +78,13 @@
 // start starts a gateway and waits until it is ready and knows all servers.
 func (s *gatewaySite) start(id string) *Gateway {
 	s.t.Helper()
-	return s.startAt(settings.Node{ID: id, Zone: "z"})
+	return s.startNode(settings.Node{ID: id, Zone: "z"})
 }
 
-// startAt starts a gateway at a place and waits until it is ready and knows all servers.
-func (s *gatewaySite) startAt(at settings.Node) *Gateway {
+// startNode starts a gateway at a place and waits until it is ready and knows all servers.
+func (s *gatewaySite) startNode(node settings.Node) *Gateway {
 	s.t.Helper()
-	gateway := s.launchAt(at)
+	gateway := s.launchNode(node)
 	s.eventually("gateway ready", func() bool {
 		return gateway.Ready() && len(gateway.replicas.Snapshot("llm", 0, time.Now())) == len(s.servers)
 	})
@@ -94,20 +94,20 @@
 // launch starts a gateway and waits for nothing.
 func (s *gatewaySite) launch(id string, zones place.Map) *Gateway {
 	s.t.Helper()
-	return s.launchAt(settings.Node{ID: id, Zone: "z", Zones: zones})
+	return s.launchNode(settings.Node{ID: id, Zone: "z", Zones: zones})
 }
 
-// launchAt starts a gateway at a place and waits for nothing.
-func (s *gatewaySite) launchAt(at settings.Node) *Gateway {
+// launchNode starts a gateway at a place and waits for nothing.
+func (s *gatewaySite) launchNode(node settings.Node) *Gateway {
 	s.t.Helper()
-	at.Listen = freeAddress(s.t)
+	node.Listen = freeAddress(s.t)
 	config := &settings.Settings{
-		Node: at,
+		Node: node,
 		Gateway: settings.Gateway{
-			Store: s.storeAt, Readiness: freeAddress(s.t), Metrics: freeAddress(s.t), Peers: freeAddress(s.t), Quota: settings.Quota{Over: siteQuotaOver, Slack: siteQuotaSlack}, Grace: v1.Duration(4 * time.Second),
+			Store: s.storeAddress, Readiness: freeAddress(s.t), Metrics: freeAddress(s.t), Peers: freeAddress(s.t), Quota: settings.Quota{Over: siteQuotaOver, Slack: siteQuotaSlack}, Grace: v1.Duration(4 * time.Second),
 		},
 	}
-	if s.alone {
+	if s.withoutPeers {
 		config.Gateway.Peers = ""
 	}
 	config.ApplyDefaults()
@@ -120,12 +120,12 @@
 	return gateway
 }
 
-func (s *gatewaySite) eventually(what string, holds func() bool) {
+func (s *gatewaySite) eventually(description string, condition func() bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(15 * time.Second)
-	for !holds() {
+	for !condition() {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("not in time: %s", what)
+			s.t.Fatalf("not in time: %s", description)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/internal/node/gatewaystarts_test.go
+++ b/internal/node/gatewaystarts_test.go
@@ -15,11 +15,11 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// longBorn takes as many bytes as a time of this millennium may.
-const longBorn int64 = 1 << 45
+// maxStartTime takes as many bytes as a time of this millennium may.
+const maxStartTime int64 = 1 << 45
 
-// olderFailureTold is failureTold of programs that know of no starts.
-type olderFailureTold struct {
+// oldFailureReport is failureTold of programs that know of no starts.
+type oldFailureReport struct {
 	Replica   uint64  `cbor:"1,keyasint"`
 	Failures  float32 `cbor:"2,keyasint"`
 	Successes float32 `cbor:"3,keyasint"`
@@ -36,82 +36,82 @@
 	return bytes
 }
 
-// startsCore returns a core with replicas r0 to r3, of which r0 was born then.
-func startsCore(born int64) (c *core, info replica.Info) {
+// newStartsCore returns a core with replicas r0 to r3, of which r0 was born then.
+func newStartsCore(startTime int64) (c *core, info replica.Info) {
 	c = testCore()
 	for _, id := range []string{"r0", "r1", "r2", "r3"} {
 		c.replicas.Put(replica.Info{ID: id, Pool: "llm", Address: id, Slots: 4})
 	}
-	info = replica.Info{ID: "r0", Pool: "llm", Address: "r0", Slots: 4, StartedUnixMs: born}
+	info = replica.Info{ID: "r0", Pool: "llm", Address: "r0", Slots: 4, StartedUnixMs: startTime}
 	c.replicas.Put(info)
 	return c, info
 }
 
-func leftOut(c *core, id string) bool {
+func isEjected(c *core, id string) bool {
 	listed, _ := c.replicas.CandidateByID(id, time.Now())
 	return listed.Ejected
 }
 
-// TestEvidence_WordsAboutOtherStarts: they are late, or early, and name the replica by its id.
-func TestEvidence_WordsAboutOtherStarts(t *testing.T) {
-	c, info := startsCore(3000)
+// TestFailureReports_OfOtherStarts: they are late, or early, and name the replica by its id.
+func TestFailureReports_OfOtherStarts(t *testing.T) {
+	c, info := newStartsCore(3000)
 	g := &Gateway{core: c, roster: lease.NewRoster(nil, c.session, "m", time.Now, fastTiming())}
 	info.StartedUnixMs = 1000
 	c.replicas.Put(info)
 	time.Sleep(5 * time.Millisecond)
-	tell := func(body any) {
+	deliver := func(body any) {
 		for _, node := range []string{"a#1", "b#1", "c#1"} {
 			g.handleFailureReports(node, nil, encoded(t, body))
 		}
 	}
 	key := replica.Key("r0")
-	for _, born := range []int64{3000, 4000} {
-		if tell([]failureReport{{Replica: key, Failures: 9, StartedUnixMs: born}}); leftOut(c, "r0") {
-			t.Fatalf("words about start %d leave out start 1000", born)
+	for _, startTime := range []int64{3000, 4000} {
+		if deliver([]failureReport{{Replica: key, Failures: 9, StartedUnixMs: startTime}}); isEjected(c, "r0") {
+			t.Fatalf("words about start %d leave out start 1000", startTime)
 		}
 	}
-	if tell([]olderFailureTold{{Replica: key, Failures: 9, AgeMs: 2000}}); leftOut(c, "r0") {
+	if deliver([]oldFailureReport{{Replica: key, Failures: 9, AgeMs: 2000}}); isEjected(c, "r0") {
 		t.Fatal("words of older programs about what was before the start leave it out")
 	}
-	if tell([]failureReport{{Replica: key, Failures: 9, StartedUnixMs: 1000}}); !leftOut(c, "r0") {
+	if deliver([]failureReport{{Replica: key, Failures: 9, StartedUnixMs: 1000}}); !isEjected(c, "r0") {
 		t.Error("words about this start are passed over")
 	}
 }
 
-// TestEvidence_OfOlderProgramsIsTaken: nodes of two versions talk to each other during an
+// TestFailureReports_OfOlderVersionsAreAccepted: nodes of two versions talk to each other during an
 // upgrade.
-func TestEvidence_OfOlderProgramsIsTaken(t *testing.T) {
-	c, _ := startsCore(1000)
+func TestFailureReports_OfOlderVersionsAreAccepted(t *testing.T) {
+	c, _ := newStartsCore(1000)
 	g := &Gateway{core: c, roster: lease.NewRoster(nil, c.session, "m", time.Now, fastTiming())}
 	for _, node := range []string{"a#1", "b#1", "c#1"} {
-		g.handleFailureReports(node, nil, encoded(t, []olderFailureTold{{Replica: replica.Key("r0"), Failures: 9}}))
+		g.handleFailureReports(node, nil, encoded(t, []oldFailureReport{{Replica: replica.Key("r0"), Failures: 9}}))
 	}
-	if !leftOut(c, "r0") {
+	if !isEjected(c, "r0") {
 		t.Error("evidence of older programs is passed over")
 	}
-	var older []olderFailureTold
-	body := encoded(t, []failureReport{{Replica: 1, Failures: 2, Successes: 3, AgeMs: 4, StartedUnixMs: longBorn}})
-	if err := cbor.Unmarshal(body, &older); err != nil || older[0] != (olderFailureTold{1, 2, 3, 4}) {
-		t.Errorf("older programs read %+v, %v", older, err)
+	var decoded []oldFailureReport
+	body := encoded(t, []failureReport{{Replica: 1, Failures: 2, Successes: 3, AgeMs: 4, StartedUnixMs: maxStartTime}})
+	if err := cbor.Unmarshal(body, &decoded); err != nil || decoded[0] != (oldFailureReport{1, 2, 3, 4}) {
+		t.Errorf("older programs read %+v, %v", decoded, err)
 	}
 }
 
 // TestMessages_FitADatagram has each message be as long as it may.
 func TestMessages_FitADatagram(t *testing.T) {
-	const most = 32 // Bounds the reports of replica.Set.FailureReports.
-	evidence := make([]failureReport, most)
-	for i := range evidence {
-		evidence[i] = failureReport{Replica: 1<<64 - 1 - uint64(i), Failures: 1.1, Successes: 2.2, AgeMs: 1<<16 - 1, StartedUnixMs: longBorn}
+	const maxReports = 32 // Bounds the reports of replica.Set.FailureReports.
+	reports := make([]failureReport, maxReports)
+	for i := range reports {
+		reports[i] = failureReport{Replica: 1<<64 - 1 - uint64(i), Failures: 1.1, Successes: 2.2, AgeMs: 1<<16 - 1, StartedUnixMs: maxStartTime}
 	}
-	harm := quarantineMessage{}
+	message := quarantineMessage{}
 	for i := range maxMessageCrashes {
-		end := crashEntry{Replica: strings.Repeat("r", 20), AgeMs: 60_000, StartTime: longBorn}
+		crash := crashEntry{Replica: strings.Repeat("r", 20), AgeMs: 60_000, StartTime: maxStartTime}
 		for range maxMessageWorks / maxMessageCrashes {
-			end.Works = append(end.Works, quarantine.Work{byte(i)})
-			end.Durations = append(end.Durations, 10_000)
-			end.SuccessAges = append(end.SuccessAges, 3_600_000)
+			crash.Works = append(crash.Works, quarantine.Work{byte(i)})
+			crash.Durations = append(crash.Durations, 10_000)
+			crash.SuccessAges = append(crash.SuccessAges, 3_600_000)
 		}
-		harm.Crashes = append(harm.Crashes, end)
+		message.Crashes = append(message.Crashes, crash)
 	}
 	sender, err := peer.Listen("127.0.0.1:0", strings.Repeat("n", 20)+"#"+strings.Repeat("1", 19))
 	if err != nil {
@@ -122,7 +122,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for kind, body := range map[peer.Kind]any{peer.KindReplicaFailures: evidence, peer.KindCrashReport: harm} {
+	for kind, body := range map[peer.Kind]any{peer.KindReplicaFailures: reports, peer.KindCrashReport: message} {
 		if err := sender.Send(to, kind, body); err != nil {
 			t.Errorf("kind %d: %v", kind, err)
 		}
@@ -130,44 +130,44 @@
 	}
 }
 
-// TestHarm_EndsOfStartsAreToldApart: two ends of one id within a moment, told by a node.
-func TestHarm_EndsOfStartsAreToldApart(t *testing.T) {
+// TestQuarantineMessage_CrashesOfDifferentStartsCountSeparately: two ends of one id within a moment, told by a node.
+func TestQuarantineMessage_CrashesOfDifferentStartsCountSeparately(t *testing.T) {
 	c := testCore()
 	g := &Gateway{core: c}
 	bad := quarantine.Work{1}
-	for _, born := range []int64{3000, 1000, 2000} {
-		told := quarantineMessage{Crashes: []crashEntry{{Replica: "r", StartTime: born, Works: []quarantine.Work{bad}, AgeMs: 3100 - born, Durations: []int64{10}}}}
-		g.handleQuarantineMessage("a#1", nil, encoded(t, told))
+	for _, startTime := range []int64{3000, 1000, 2000} {
+		message := quarantineMessage{Crashes: []crashEntry{{Replica: "r", StartTime: startTime, Works: []quarantine.Work{bad}, AgeMs: 3100 - startTime, Durations: []int64{10}}}}
+		g.handleQuarantineMessage("a#1", nil, encoded(t, message))
 	}
 	if verdict := c.quarantine.Check(bad, time.Now()); len(verdict.Replicas) != 3 {
 		t.Errorf("%d ends count, not 3", len(verdict.Replicas))
 	}
 }
 
-// TestColdDesk_GrantsNoPlaceAtAnotherStart: one node knows of a start that the other does not.
-func TestColdDesk_GrantsNoPlaceAtAnotherStart(t *testing.T) {
-	c, info := startsCore(1000)
+// TestColdGranter_DeniesOtherStart: one node knows of a start that the other does not.
+func TestColdGranter_DeniesOtherStart(t *testing.T) {
+	c, info := newStartsCore(1000)
 	c.replicas.SetColdLimits(map[string]replica.ColdLimit{"llm": {Rate: 15, Start: 3 * time.Second}})
 	c.replicas.ColdTolerance = replica.ColdTolerance{Over: 1.5, Slack: 5}
 	c.replicas.Divide("n", []place.Node{{ID: "n"}})
 	info.ColdLeft = 3 * time.Second
 	c.replicas.Put(info)
-	var answered coldGrantReply
-	desk := &coldGranter{replicas: c.replicas, onError: func(err error) { t.Error(err) }}
-	desk.send = func(_ *net.UDPAddr, _ peer.Kind, body any) error {
-		answered = body.(coldGrantReply)
+	var reply coldGrantReply
+	granter := &coldGranter{replicas: c.replicas, onError: func(err error) { t.Error(err) }}
+	granter.send = func(_ *net.UDPAddr, _ peer.Kind, body any) error {
+		reply = body.(coldGrantReply)
 		return nil
 	}
 	now := time.Now()
-	ask := func(born int64) bool {
+	isGranted := func(startTime int64) bool {
 		now = now.Add(500 * time.Millisecond)
-		desk.handleRequest(func() time.Time { return now })("a#1", nil, encoded(t, coldGrantRequest{Number: 7, Replica: "r0", StartedUnixMs: born}))
-		return answered.Granted
+		granter.handleRequest(func() time.Time { return now })("a#1", nil, encoded(t, coldGrantRequest{Number: 7, Replica: "r0", StartedUnixMs: startTime}))
+		return reply.Granted
 	}
-	if !ask(1000) || !ask(0) {
+	if !isGranted(1000) || !isGranted(0) {
 		t.Error("no place is granted at the start that both know")
 	}
-	if ask(2000) {
+	if isGranted(2000) {
 		t.Error("a place is granted at another start")
 	}
 }
--- a/internal/node/poolmetrics_test.go
+++ b/internal/node/poolmetrics_test.go
@@ -9,12 +9,12 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-func TestPoolCollector_TellsEachPool(t *testing.T) {
-	set := replica.NewSet()
-	set.Put(replica.Info{ID: "a", Pool: "one", Slots: 8})
-	set.Put(replica.Info{ID: "b", Pool: "two", Slots: 4})
+func TestPoolCollector_ExportsEachPool(t *testing.T) {
+	replicas := replica.NewSet()
+	replicas.Put(replica.Info{ID: "a", Pool: "one", Slots: 8})
+	replicas.Put(replica.Info{ID: "b", Pool: "two", Slots: 4})
 	registry := prometheus.NewPedanticRegistry()
-	if err := registry.Register(&poolCollector{replicas: set, now: time.Now}); err != nil {
+	if err := registry.Register(&poolCollector{replicas: replicas, now: time.Now}); err != nil {
 		t.Fatal(err)
 	}
 	families, err := registry.Gather()
--- a/internal/node/quarantinestart_test.go
+++ b/internal/node/quarantinestart_test.go
@@ -8,17 +8,19 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// TestStandings_TellStartsApart: the quarantine asks about the start at which an answer broke
+// TestReplicaStates_DistinguishStarts: the quarantine asks about the start at which an answer broke
 // off, and what is listed may be the next one.
-func TestStandings_TellStartsApart(t *testing.T) {
+func TestReplicaStates_DistinguishStarts(t *testing.T) {
 	set := replica.NewSet()
-	asked := replicaStates{&core{replicas: set}}
+	states := replicaStates{&core{replicas: set}}
 	info := replica.Info{ID: "r", StartedUnixMs: 3000, Address: "a", Pool: "llm", Slots: 1}
-	start := func(born int64) quarantine.Replica { return quarantine.Replica{ID: "r", StartTime: born, Address: "a"} }
-	expect := func(born int64, want quarantine.ReplicaState) {
+	replicaStarted := func(startTime int64) quarantine.Replica {
+		return quarantine.Replica{ID: "r", StartTime: startTime, Address: "a"}
+	}
+	expect := func(startTime int64, want quarantine.ReplicaState) {
 		t.Helper()
-		if got := asked.State(start(born)); got != want {
-			t.Errorf("start %d stands as %d, not %d", born, got, want)
+		if got := states.State(replicaStarted(startTime)); got != want {
+			t.Errorf("start %d stands as %d, not %d", startTime, got, want)
 		}
 	}
 	expect(3000, quarantine.Gone)
@@ -39,9 +41,9 @@
 	expect(1000, quarantine.Leaving)
 	expect(3000, quarantine.Restarted)
 	expect(2000, quarantine.Serving)
-	moved := start(2000)
+	moved := replicaStarted(2000)
 	moved.Address = "b"
-	if got := asked.State(moved); got != quarantine.Restarted {
+	if got := states.State(moved); got != quarantine.Restarted {
 		t.Errorf("a replica at another address stands as %d", got)
 	}
 	set.Remove("r", time.Now())
--- a/internal/node/requestlog_test.go
+++ b/internal/node/requestlog_test.go
@@ -12,9 +12,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// TestRequestLog_AttemptsThatBrokeOffNameTheirWork guards that the logs of several nodes
+// TestRequestLog_BrokenAttemptsNameTheirWork guards that the logs of several nodes
 // tell whether requests under other ids were the same work, without telling its body.
-func TestRequestLog_AttemptsThatBrokeOffNameTheirWork(t *testing.T) {
+func TestRequestLog_BrokenAttemptsNameTheirWork(t *testing.T) {
 	var lines bytes.Buffer
 	log := &requestLog{log: zerolog.New(&lines)}
 	first := &forward.Request{ID: "q1", Method: "POST", Target: "/t", Body: []byte("the body")}
--- a/internal/node/served_test.go
+++ b/internal/node/served_test.go
@@ -11,9 +11,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// TestMetrics_ServedTellsWhere counts requests by the distance of their replica, and no
+// TestMetrics_ServedCountsByDistance counts requests by the distance of their replica, and no
 // failed ones.
-func TestMetrics_ServedTellsWhere(t *testing.T) {
+func TestMetrics_ServedCountsByDistance(t *testing.T) {
 	metrics, target := newCoreMetrics(), &route.Route{Kind: route.Stream}
 	for _, distance := range []place.Distance{place.SameZone, place.OtherRegion, place.OtherRegion} {
 		metrics.observeForwarded(target, forward.Result{Distance: distance}, nil)
--- a/internal/node/status_test.go
+++ b/internal/node/status_test.go
@@ -8,7 +8,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/server"
 )
 
-func TestGateway_StatusShowsWhatItSees(t *testing.T) {
+func TestGateway_StatusShowsReplicasAndConfiguration(t *testing.T) {
 	site := newGatewaySite(t, 2)
 	gateway := site.start("front-1")
 	response, err := http.Get("http://" + gateway.settings.Gateway.Metrics + server.PathStatus)
--- a/internal/node/suspend_test.go
+++ b/internal/node/suspend_test.go
@@ -12,34 +12,34 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestCore_AViewFromBeforeASuspensionIsTooOldToSendBy guards that items are not sent by a
+// TestCore_ViewFromBeforeSuspensionIsStale guards that items are not sent by a
 // node that slept, however short, before it has looked whether they still are its own.
-func TestCore_AViewFromBeforeASuspensionIsTooOldToSendBy(t *testing.T) {
+func TestCore_ViewFromBeforeSuspensionIsStale(t *testing.T) {
 	machine := clocktest.New(t)
 	c := testCore()
 	c.jobWatch.Pace = func() table.Pace { return table.Pace{AfterAnnouncement: time.Millisecond, Default: time.Minute} }
 	tabletest.Follow(t, c.jobWatch)
 	fresh := func() bool { return c.viewAge() < time.Second }
-	wait := func(what string, holds func() bool) {
+	waitFor := func(failure string, condition func() bool) {
 		t.Helper()
-		for deadline := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+		for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatal(what)
+				t.Fatal(failure)
 			}
 		}
 	}
-	wait("the view is never fresh", fresh)
+	waitFor("the view is never fresh", fresh)
 	machine.Suspend(1500 * time.Millisecond)
 	if age := c.viewAge(); age < time.Hour {
 		t.Fatalf("aged %v", age)
 	}
 	c.jobWatch.Announce()
-	wait("the view stays old after a look", fresh)
+	waitFor("the view stays old after a look", fresh)
 }
 
-// TestCore_QuarantineEndsInASuspensionToo guards that the time of a quarantine is not
+// TestCore_QuarantineTimeIncludesSuspension guards that the time of a quarantine is not
 // longer at a node that slept, and that the age of an end that is told leaves no sleep out.
-func TestCore_QuarantineEndsInASuspensionToo(t *testing.T) {
+func TestCore_QuarantineTimeIncludesSuspension(t *testing.T) {
 	machine := clocktest.New(t)
 	c := testCore()
 	c.quarantine.rows.Apply(table.Changes{Now: time.Hour}, true)
--- a/internal/node/unreadable_test.go
+++ b/internal/node/unreadable_test.go
@@ -49,7 +49,7 @@
 	return 0
 }
 
-func takes(c *core, pool, id string) bool {
+func acceptsRequests(c *core, pool, id string) bool {
 	for _, candidate := range c.replicas.Snapshot(pool, 0, time.Now()) {
 		if candidate.ID == id && candidate.Share > 0 {
 			return true
@@ -58,14 +58,14 @@
 	return false
 }
 
-func lines(log *bytes.Buffer) int { return strings.Count(log.String(), "row cannot be read") }
+func unreadableLines(log *bytes.Buffer) int { return strings.Count(log.String(), "row cannot be read") }
 
-// TestApplyReplicas_AnEntryThatCannotBeReadNamesNoReplica overwrites the entry of a replica
+// TestApplyReplicas_UnreadableRowRetiresItsReplica overwrites the entry of a replica
 // that a request is under way at: the request goes on, nothing more is sent, its slots are
 // not divided, the others hold, and it is back with an entry that can be read.
-func TestApplyReplicas_AnEntryThatCannotBeReadNamesNoReplica(t *testing.T) {
+func TestApplyReplicas_UnreadableRowRetiresItsReplica(t *testing.T) {
 	for name, body := range map[string]string{"bytes": "\xff\x00", "no address": `{"service":"llm","zone":"z","slots":8,"state":"ready"}`, "state": strings.Replace(serverBody("llm"), "ready", "resting", 1)} {
-		gateway, log := evacuationCore(nil)
+		gateway, log := newLoggedGateway(nil)
 		gateway.replicas.Divide("n", []place.Node{{ID: "n"}, {ID: "m"}})
 		gateway.applyReplicas(table.Changes{Changes: []table.Change{serverRow("a", 1, serverBody("llm")), serverRow("b", 2, serverBody("llm"))}}, true)
 		use := gateway.replicas.Begin("a", replica.RequestInfo{}, time.Now())
@@ -73,41 +73,41 @@
 		for range 3 {
 			gateway.applyReplicas(table.Changes{Changes: []table.Change{serverRow("a", 3, body)}}, false)
 		}
-		if takes(gateway.core, "llm", "a") || !takes(gateway.core, "llm", "b") {
+		if acceptsRequests(gateway.core, "llm", "a") || !acceptsRequests(gateway.core, "llm", "b") {
 			t.Errorf("%s: a takes requests, or b does not", name)
 		}
 		if slots := gateway.replicas.RegionSlots("llm")[""]; slots != 8 {
 			t.Errorf("%s: %d slots are divided, want those of b", name, slots)
 		}
-		if known, ok := gateway.replicas.Get("a"); !ok || known.Address != "10.0.0.1:80" {
+		if info, ok := gateway.replicas.Get("a"); !ok || info.Address != "10.0.0.1:80" {
 			t.Errorf("%s: a is forgotten while a request is under way", name)
 		}
-		if lines(log) != 1 || unreadableCount(t, gateway.core, "servers", "content")+unreadableCount(t, gateway.core, "servers", "encoding") != 1 {
+		if unreadableLines(log) != 1 || unreadableCount(t, gateway.core, "servers", "content")+unreadableCount(t, gateway.core, "servers", "encoding") != 1 {
 			t.Errorf("%s: told as %s", name, log)
 		}
 		use.End(replica.Succeeded, time.Now())
 		gateway.applyReplicas(table.Changes{Changes: []table.Change{serverRow("a", 4, serverBody("llm"))}}, false)
-		if !takes(gateway.core, "llm", "a") {
+		if !acceptsRequests(gateway.core, "llm", "a") {
 			t.Errorf("%s: a is not back", name)
 		}
 	}
 }
 
-// TestApplyReplicas_AnUnreadableEntryOfNobodyIsPassedOver lists nothing for it.
-func TestApplyReplicas_AnUnreadableEntryOfNobodyIsPassedOver(t *testing.T) {
-	gateway, log := evacuationCore(nil)
+// TestApplyReplicas_UnreadableRowOfUnknownReplicaIsSkipped lists nothing for it.
+func TestApplyReplicas_UnreadableRowOfUnknownReplicaIsSkipped(t *testing.T) {
+	gateway, log := newLoggedGateway(nil)
 	damaged := serverRow("odd", 1, "")
 	damaged.Unreadable = fmt.Errorf("no base64")
 	gateway.applyReplicas(table.Changes{Changes: []table.Change{damaged, serverRow("b", 2, serverBody("llm"))}}, true)
-	if listed, _ := gateway.replicas.Count(time.Now()); listed != 1 || lines(log) != 1 || unreadableCount(t, gateway.core, "servers", "envelope") != 1 {
+	if listed, _ := gateway.replicas.Count(time.Now()); listed != 1 || unreadableLines(log) != 1 || unreadableCount(t, gateway.core, "servers", "envelope") != 1 {
 		t.Errorf("%d replicas, %s", listed, log)
 	}
 }
 
-// TestApplyReplicas_AServiceThatIsNotDeclaredIsTold lists a replica of a service that the
+// TestApplyReplicas_UndeclaredServiceIsReported lists a replica of a service that the
 // configuration does not name, before and after the configuration came.
-func TestApplyReplicas_AServiceThatIsNotDeclaredIsTold(t *testing.T) {
-	gateway, log := evacuationCore(nil)
+func TestApplyReplicas_UndeclaredServiceIsReported(t *testing.T) {
+	gateway, log := newLoggedGateway(nil)
 	config := `{"version":%d,"routes":[{"name":"r","host":"h","pathPrefix":"/r/","routeType":"stream","service":"llm"}],"services":[{"name":"spare"}]}`
 	declare := func(version uint64) {
 		body := []byte(fmt.Sprintf(config, version))
@@ -117,12 +117,12 @@
 	gateway.replicaWatch.KeepRows = true
 	early := table.Changes{Changes: []table.Change{serverRow("early", 1, serverBody("other"))}}
 	gateway.replicaWatch.Seed(early, 0, gateway.applyReplicas)
-	if lines(log) != 0 {
+	if unreadableLines(log) != 0 {
 		t.Errorf("told before the configuration came: %s", log)
 	}
 	declare(2)
 	declare(3)
-	if lines(log) != 1 || !strings.Contains(log.String(), `"key":"early"`) {
+	if unreadableLines(log) != 1 || !strings.Contains(log.String(), `"key":"early"`) {
 		t.Errorf("told of the early one as %s", log)
 	}
 	for range 2 {
@@ -130,32 +130,32 @@
 			serverRow("a", 3, serverBody("llm")), serverRow("s", 4, serverBody("spare")), serverRow("odd", 5, serverBody("other")),
 		}}, false)
 	}
-	if lines(log) != 2 || unreadableCount(t, gateway.core, "servers", "unknown") != 2 || !strings.Contains(log.String(), `"key":"odd"`) {
+	if unreadableLines(log) != 2 || unreadableCount(t, gateway.core, "servers", "unknown") != 2 || !strings.Contains(log.String(), `"key":"odd"`) {
 		t.Errorf("told as %s", log)
 	}
-	if !takes(gateway.core, "llm", "a") {
+	if !acceptsRequests(gateway.core, "llm", "a") {
 		t.Error("a declared service's replica takes no requests")
 	}
 }
 
-// TestApplyReplicas_AnInventoryRowThatCannotBeRead is the same for the product's own list.
-func TestApplyReplicas_AnInventoryRowThatCannotBeRead(t *testing.T) {
-	gateway, log := evacuationCore(nil)
+// TestApplyReplicas_UnreadableInventoryRow is the same for the product's own list.
+func TestApplyReplicas_UnreadableInventoryRow(t *testing.T) {
+	gateway, log := newLoggedGateway(nil)
 	node := &Node{core: gateway.core}
 	row := func(version uint64, body []byte) table.Change {
 		return table.Change{Row: table.Row{Key: table.Key{Partition: inventory.Group, Sort: "a"}, Version: version, Body: body}}
 	}
-	whole, err := cbor.Marshal(inventory.Entry{Address: "10.0.0.1:80", Pool: "p", Slots: 4, State: "ready"})
+	valid, err := cbor.Marshal(inventory.Entry{Address: "10.0.0.1:80", Pool: "p", Slots: 4, State: "ready"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	node.applyReplicas(table.Changes{Changes: []table.Change{row(1, whole)}}, true)
+	node.applyReplicas(table.Changes{Changes: []table.Change{row(1, valid)}}, true)
 	node.applyReplicas(table.Changes{Changes: []table.Change{row(2, []byte{0xff})}}, false)
-	if known, ok := node.replicas.Get("a"); !ok || !known.Leaving || lines(log) != 1 {
-		t.Errorf("a is %+v, told as %s", known, log)
+	if info, ok := node.replicas.Get("a"); !ok || !info.Leaving || unreadableLines(log) != 1 {
+		t.Errorf("a is %+v, told as %s", info, log)
 	}
-	node.applyReplicas(table.Changes{Changes: []table.Change{row(3, whole)}}, false)
-	if known, ok := node.replicas.Get("a"); !ok || known.Slots != 4 {
-		t.Errorf("a is %+v", known)
+	node.applyReplicas(table.Changes{Changes: []table.Change{row(3, valid)}}, false)
+	if info, ok := node.replicas.Get("a"); !ok || info.Slots != 4 {
+		t.Errorf("a is %+v", info)
 	}
 }
--- a/internal/node/unreadablesite_test.go
+++ b/internal/node/unreadablesite_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// damageSite leaves rows of another writer in each table that gateways read, under the key
+// writeUnreadableRows leaves rows of another writer in each table that gateways read, under the key
 // of the round that it is.
-func damageSite(site *gatewaySite, round string) {
+func writeUnreadableRows(site *gatewaySite, round string) {
 	for _, key := range []string{
 		"job/" + round, "progress/" + round, "counter/" + round, "member/" + round, "member/ghost-" + round + "#1",
 		"end/" + round, "cleared/" + round, round,
@@ -26,14 +26,14 @@
 	site.store.PutValue("op", "", "odd-"+round, nil)
 }
 
-// TestGateway_RowsOfAnotherWriterSpoilNothingElse leaves rows that cannot be read in all
+// TestGateway_UnreadableRowsAffectNothingElse leaves rows that cannot be read in all
 // tables, before a gateway starts and after: it starts, serves, runs jobs and learns of what
 // is written later.
-func TestGateway_RowsOfAnotherWriterSpoilNothingElse(t *testing.T) {
+func TestGateway_UnreadableRowsAffectNothingElse(t *testing.T) {
 	site := newGatewaySite(t, 2)
-	damageSite(site, "before")
+	writeUnreadableRows(site, "before")
 	gateway := site.start("a")
-	damageSite(site, "after")
+	writeUnreadableRows(site, "after")
 	site.configure(2, "resume", "added")
 	site.eventually("the later configuration is in force", func() bool { return gateway.routes.Load().Version == 2 })
 	if status, text, _ := site.call(gateway, http.MethodPost, "/added/x", "q", nil); status != http.StatusOK {
@@ -42,8 +42,8 @@
 	if status, text, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", job("j", 5)); status != http.StatusAccepted {
 		t.Fatalf("submission: %d %q", status, text)
 	}
-	if read := site.awaitJob(gateway, "j"); read.Total != 5 {
-		t.Errorf("listed as %+v", read)
+	if listing := site.awaitJob(gateway, "j"); listing.Total != 5 {
+		t.Errorf("listed as %+v", listing)
 	}
 	if nodes := gateway.roster.Nodes(); len(nodes) != 1 {
 		t.Errorf("the nodes are %v", nodes)
@@ -60,8 +60,8 @@
 	site.eventually("the nodes know each other", func() bool {
 		return len(gateway.roster.Nodes()) == 2 && len(second.roster.Nodes()) == 2
 	})
-	if now := gateway.unreadableTotal(t); now != counted {
-		t.Errorf("%v rows were counted, %v after further looks", counted, now)
+	if after := gateway.unreadableTotal(t); after != counted {
+		t.Errorf("%v rows were counted, %v after further looks", counted, after)
 	}
 }
 
