--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -46,7 +46,7 @@
 		t.Fatalf("batch route is %+v", items)
 	}
 	if routes.Match("m:b", "/v1/completions") != nil {
-		t.Fatal("an adapter that nobody declared is served")
+		t.Fatal("an undeclared adapter is served")
 	}
 }
 
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -13,7 +13,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// testCore returns a core over a table in memory; nothing of it runs.
+// testCore returns a core with a table in memory. None of its goroutines run.
 func testCore() *core {
 	shared := tabletest.New()
 	return newCore(zerolog.Nop(), newCoreMetrics(), dependencies{
@@ -22,9 +22,9 @@
 	})
 }
 
-// TestCore_ReplicasAreKeptOnlyAfterOutageOfTheirList guards that a replica which
-// leaves the list just after another feed has come back is not kept: that feed's
-// connection may have hung on seconds after the store was well again.
+// TestCore_ReplicasAreKeptOnlyAfterOutageOfTheirList guards against keeping a replica that leaves
+// the list just after the connection of another feed is regained: that connection may have been
+// stuck seconds longer than the store's outage.
 func TestCore_ReplicasAreKeptOnlyAfterOutageOfTheirList(t *testing.T) {
 	c := testCore()
 	list := c.watchReplicas(tabletest.New().Feed("servers"), func(table.Changes, bool) {})
@@ -35,7 +35,7 @@
 		return len(c.replicas.Snapshot("p", 0, time.Now()))
 	}
 	if kept := keptAfter(c.jobWatch); kept != 0 {
-		t.Fatal("a replica that left the list after the jobs' feed came back is kept")
+		t.Fatal("a replica that left the list after the jobs' feed was regained is kept")
 	}
 	if kept := keptAfter(list); kept != 1 {
 		t.Fatal("a replica that is missing after an outage of the list is not kept")
--- a/internal/node/evacuation_test.go
+++ b/internal/node/evacuation_test.go
@@ -15,7 +15,7 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// zonedSite is a site with one server in each zone.
+// zonedSite is a site with servers in several zones. byZone has the first server of each.
 type zonedSite struct {
 	*gatewaySite
 	byZone map[string]*standin.Server
@@ -37,7 +37,7 @@
 	return site
 }
 
-// startCuttable starts a gateway whose way to the store can be cut.
+// startCuttable starts a gateway whose connection to the store can be cut.
 func (s *zonedSite) startCuttable(id string) (*Gateway, *atomic.Bool) {
 	s.t.Helper()
 	cut := &atomic.Bool{}
@@ -60,7 +60,7 @@
 	return s.start(id), cut
 }
 
-// cutWriter drops answers to calls that were under way when the way was cut.
+// cutWriter drops responses to calls that were in flight when the connection was cut.
 type cutWriter struct {
 	http.ResponseWriter
 	cut *atomic.Bool
@@ -76,7 +76,7 @@
 func (s *zonedSite) evacuate(zone string)    { s.store.Put("op", "evacuate/"+zone, map[string]any{}) }
 func (s *zonedSite) endEvacuation(id string) { s.store.Remove("op", "evacuate/"+id) }
 
-// waitEvacuated waits until a gateway has just these zones evacuated.
+// waitEvacuated waits until exactly these zones are evacuated at a gateway.
 func (s *zonedSite) waitEvacuated(gateway *Gateway, zones ...string) {
 	s.t.Helper()
 	s.eventually(fmt.Sprintf("evacuated zones %v", zones), func() bool { return hasEvacuated(gateway.core, zones...) })
@@ -94,7 +94,7 @@
 
 var siteCalls atomic.Int64
 
-// runsByZone makes calls at the same time and returns how many ran in each zone meanwhile.
+// runsByZone makes concurrent calls and returns how many ran in each zone.
 func (s *zonedSite) runsByZone(gateway *Gateway, calls int) map[string]int {
 	s.t.Helper()
 	before := map[string]int{}
@@ -125,7 +125,7 @@
 	return ran
 }
 
-// waitAllUsed waits until calls reach all zones.
+// waitAllUsed waits until calls run in all zones.
 func (s *zonedSite) waitAllUsed(gateway *Gateway) {
 	s.t.Helper()
 	s.eventually("all zones in use", func() bool {
@@ -138,7 +138,7 @@
 	})
 }
 
-// checkAvoids checks that calls reach all zones but one.
+// checkAvoids checks that no call runs in a zone.
 func (s *zonedSite) checkAvoids(gateway *Gateway, zone string) {
 	s.t.Helper()
 	if ran := s.runsByZone(gateway, 12); ran[zone] != 0 {
@@ -169,7 +169,7 @@
 	site.runsByZone(gateway, 6)
 	for range 4 {
 		if got := <-results; got != fmt.Sprint(http.StatusOK, wholeStream()) {
-			t.Fatalf("a request from before got %s", got)
+			t.Fatalf("a request sent before the evacuation got %s", got)
 		}
 	}
 	if after := len(site.byZone["a"].Runs()); after != before {
@@ -189,7 +189,7 @@
 	for i := range 8 {
 		status, text, _ := site.call(gateway, http.MethodPost, "/resume/x", fmt.Sprintf("r%d", i), []byte("prompt"))
 		if status != http.StatusOK || text != wholeStream() {
-			t.Fatalf("a stream that broke off got %d %q", status, text)
+			t.Fatalf("an interrupted stream got %d %q", status, text)
 		}
 	}
 	if runs := site.byZone["a"].Runs(); len(runs) != 0 {
@@ -226,7 +226,7 @@
 	if status, text, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", job("j", 3)); status != http.StatusAccepted {
 		t.Fatalf("job: %d %q", status, text)
 	}
-	// The runner looks for work each 100 ms.
+	// The runner looks for runnable items every 100 ms.
 	time.Sleep(400 * time.Millisecond)
 	if runs := len(site.byZone["a"].Runs()) + len(site.byZone["b"].Runs()); runs != 0 {
 		t.Fatalf("%d runs while all zones are evacuated", runs)
@@ -257,7 +257,7 @@
 	site.evacuate("a")
 	var calls atomic.Int64
 	site.store.SetTrouble(func(string) standin.Trouble {
-		// The tables are read late, and not in the same order each time.
+		// The tables are read late, and in a different order each time.
 		if calls.Add(1) <= 8 {
 			return standin.Busy
 		}
@@ -285,7 +285,7 @@
 	site.waitEvacuated(connected, "a")
 	site.checkAvoids(connected, "a")
 	if !hasEvacuated(disconnected.core) {
-		t.Fatal("a node that is cut off knows of the evacuation")
+		t.Fatal("a disconnected node knows of the evacuation")
 	}
 	cut.Store(false)
 	site.waitEvacuated(disconnected, "a")
@@ -319,10 +319,10 @@
 	site.evacuate("a")
 	site.waitEvacuated(gateway, "a")
 	cut.Store(true)
-	site.eventually("the store is lost", func() bool { return gateway.configWatch.Age() > time.Second })
+	site.eventually("the store is disconnected", func() bool { return gateway.configWatch.Age() > time.Second })
 	site.checkAvoids(gateway, "a")
 	cut.Store(false)
-	site.eventually("the store is back", func() bool { return gateway.configWatch.Age() < time.Second })
+	site.eventually("the store is connected again", func() bool { return gateway.configWatch.Age() < time.Second })
 	site.checkAvoids(gateway, "a")
 }
 
--- a/internal/node/evacuationrows_test.go
+++ b/internal/node/evacuationrows_test.go
@@ -38,9 +38,9 @@
 		want    []string
 	}{
 		{"put", []table.Change{opRow("evacuate/a", 1, false)}, []string{"a"}},
-		{"put and removed in one answer", []table.Change{opRow("evacuate/a", 1, false), opRow("evacuate/a", 2, true)}, nil},
+		{"put and removed in one response", []table.Change{opRow("evacuate/a", 1, false), opRow("evacuate/a", 2, true)}, nil},
 		{"removed and put again", []table.Change{opRow("evacuate/a", 1, false), opRow("evacuate/a", 2, true), opRow("evacuate/a", 3, false)}, []string{"a"}},
-		{"removed that never was", []table.Change{opRow("evacuate/a", 2, true)}, nil},
+		{"removed without being put", []table.Change{opRow("evacuate/a", 2, true)}, nil},
 		{"no zone", []table.Change{opRow("evacuate/", 1, false), opRow("evacuated/a", 1, false)}, nil},
 		{"a zone with a slash", []table.Change{opRow("evacuate/a/b", 1, false)}, []string{"a/b"}},
 	}
@@ -98,7 +98,7 @@
 	since := gateway.evacuations.all()["a"].Since
 	gateway.applyConfig(table.Changes{Changes: []table.Change{opRow("evacuate/a", 4, false)}}, false)
 	if evac := gateway.evacuations.all()["a"]; evac.Version != 4 || evac.Since != since {
-		t.Errorf("known as %+v", evac)
+		t.Errorf("evacuation is %+v", evac)
 	}
 	if lines := strings.Count(log.String(), "zone evacuated"); lines != 1 {
 		t.Errorf("%d log lines", lines)
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -40,8 +40,8 @@
 
 func TestGateway_StreamIsCompleteWhateverOneServerDoes(t *testing.T) {
 	cases := map[string]standin.Behaviour{
-		"whole": standin.Whole, "cut in an event": standin.CutInEvent, "answer lost": standin.LoseAnswer,
-		"shed": standin.Shed, "address taken over": standin.Moved, "answer of another request": standin.Foreign,
+		"whole": standin.Whole, "cut in an event": standin.CutInEvent, "response lost": standin.LoseAnswer,
+		"shed": standin.Shed, "address taken over": standin.Moved, "response of another request": standin.Foreign,
 		"unsigned bytes": standin.Unsigned, "failed run": standin.Fail, "silent": standin.Silent,
 	}
 	for name, behaviour := range cases {
@@ -226,7 +226,7 @@
 	time.Sleep(150 * time.Millisecond)
 	first.Stop()
 	if text := <-streamed; text != wholeStream() {
-		t.Fatalf("the stop cut a stream: %q", text)
+		t.Fatalf("Stop cut a stream: %q", text)
 	}
 	site.awaitJob(second, "j")
 }
@@ -244,7 +244,7 @@
 		t.Fatalf("a job was answered %d %v with the store down", status, header)
 	}
 	site.store.SetTrouble(nil)
-	site.eventually("job taken after the outage", func() bool {
+	site.eventually("job accepted after the outage", func() bool {
 		status, _, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", job("j", 1))
 		return status == http.StatusAccepted
 	})
--- a/internal/node/gatewaybootstrap_test.go
+++ b/internal/node/gatewaybootstrap_test.go
@@ -13,9 +13,9 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// TestGateway_StartsWithStateOfAnotherNodeDuringStoreOutage kills a gateway and starts it
-// anew while the store answers nobody: it serves as its neighbour does, and goes by the
-// store again once that is back.
+// TestGateway_StartsWithStateOfAnotherNodeDuringStoreOutage kills a gateway and restarts it while
+// the store is unavailable. It must serve with the state of another node, and use the store again
+// afterwards.
 func TestGateway_StartsWithStateOfAnotherNodeDuringStoreOutage(t *testing.T) {
 	site := newGatewaySite(t, 2)
 	site.store.Put("op", "evacuate/far", map[string]any{})
@@ -30,32 +30,31 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(restarted.Kill)
-	site.eventually("the gateway is ready though the store is away", restarted.Ready)
+	site.eventually("the gateway is ready without the store", restarted.Ready)
 	if restarted.configWatch.Ready() || restarted.replicaWatch.Ready() || restarted.jobWatch.Ready() {
-		t.Fatal("the store has answered")
+		t.Fatal("the store has responded")
 	}
 	if status, text, _ := site.call(restarted, http.MethodPost, "/resume/x", "q", nil); status != http.StatusOK {
 		t.Fatalf("status %d, %s", status, text)
 	}
 	if !restarted.replicas.Evacuated()["far"] {
-		t.Error("it does not know of the zone that is emptied")
+		t.Error("the evacuated zone is unknown")
 	}
 	if nodes := restarted.roster.Nodes(); len(nodes) != 2 {
-		t.Errorf("it divides slots among %v", nodes)
+		t.Errorf("slots are divided among %v", nodes)
 	}
 	site.store.Remove("op", "evacuate/far")
 	site.store.Remove("servers", site.servers[0].ID)
 	site.configure(2, "resume", "more")
 	site.store.SetTrouble(nil)
-	site.eventually("it goes by the store again", func() bool {
+	site.eventually("the gateway uses the store again", func() bool {
 		status, _, _ := site.call(restarted, http.MethodPost, "/more/x", "q2", nil)
 		return status == http.StatusOK && restarted.jobWatch.Ready() && !restarted.replicas.Evacuated()["far"] &&
 			len(restarted.replicas.List(time.Now())) == 1
 	})
 }
 
-// TestGateway_WithoutPeersWaitsForStore has a gateway start alone while
-// the store is away.
+// TestGateway_WithoutPeersWaitsForStore starts a single gateway while the store is unavailable.
 func TestGateway_WithoutPeersWaitsForStore(t *testing.T) {
 	site := newGatewaySite(t, 1)
 	site.store.SetTrouble(func(string) standin.Trouble { return standin.Busy })
@@ -67,7 +66,7 @@
 		}
 	}
 	if gateway.Ready() {
-		t.Error("a node that knows nothing calls itself ready")
+		t.Error("a node without state is ready")
 	}
 	response, err := http.Get("http://" + gateway.peers.Address() + pathBootstrap)
 	if err != nil {
@@ -75,13 +74,13 @@
 	}
 	_ = response.Body.Close()
 	if response.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("a node that knows nothing passes on %d", response.StatusCode)
+		t.Errorf("a node without state responds with %d", response.StatusCode)
 	}
 	site.store.SetTrouble(nil)
 	site.eventually("ready once the store answers", gateway.Ready)
 }
 
-// FuzzHeldTold decodes what another process may send to a node that starts.
+// FuzzHeldTold decodes bootstrap states that a node may receive from another process.
 func FuzzHeldTold(f *testing.F) {
 	valid, err := cbor.Marshal(bootstrapState{Config: feedState{AgeMs: 5, Rows: []feedRow{{Partition: "op", Sort: "config", Version: 3, Body: []byte("{}")}}}})
 	if err != nil {
--- a/internal/node/gatewaycold_test.go
+++ b/internal/node/gatewaycold_test.go
@@ -11,9 +11,9 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// TestGateway_ColdReplicaServesAllNodesWithinItsRate has the only replica be cold: each
-// node serves, also those that do not feed it, and together they send no more than it
-// bears.
+// TestGateway_ColdReplicaServesAllNodesWithinItsRate checks that with a single, cold replica every
+// node serves requests, also those that are not senders of it, and that all nodes together keep its
+// rate limit.
 func TestGateway_ColdReplicaServesAllNodesWithinItsRate(t *testing.T) {
 	const rate, requests = 8.0, 3
 	site := newGatewaySite(t, 0)
@@ -54,7 +54,7 @@
 	assertRate(t, cold.Runs(), rate)
 }
 
-// assertRate checks that no second holds more runs than allowed.
+// assertRate checks that no more than limit runs start within any second.
 func assertRate(t *testing.T, runs []standin.Run, limit float64) {
 	t.Helper()
 	first := 0
--- a/internal/node/gatewaycrash_test.go
+++ b/internal/node/gatewaycrash_test.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// crashPropagationTime is how long after the third crash all nodes must know of it.
+	// crashPropagationTime is the time after the third crash within which all nodes must know of
+	// it.
 	crashPropagationTime = 1500 * time.Millisecond
-	// maxFurtherCrashes is how many replicas the work may still reach after that.
+	// maxFurtherCrashes is the number of replicas that the work may still crash after that.
 	maxFurtherCrashes = 3
 	// repeatedCalls is how often the work is sent again after that.
 	repeatedCalls = 40
-	// repeatedCallInterval is the time between two of these.
+	// repeatedCallInterval is the time between two of these calls.
 	repeatedCallInterval = 20 * time.Millisecond
 )
 
 var crashingBody = []byte("ends what runs it")
 
-// crashSite is a site whose servers end when they run harmBody.
+// crashSite is a site whose servers crash when they run crashingBody.
 type crashSite struct {
 	*gatewaySite
 	processes []*standin.Process
@@ -52,7 +53,7 @@
 	return site
 }
 
-// startGateway starts a startGateway and waits until it knows all servers.
+// startGateway starts a gateway and waits until it knows all servers.
 func (s *crashSite) startGateway(id string) *Gateway {
 	s.t.Helper()
 	gateway := s.launch(id, nil)
@@ -62,7 +63,7 @@
 	return gateway
 }
 
-// send sends work as a request with an id of its own.
+// send sends work as a request with a new ID.
 func (s *crashSite) send(gateway *Gateway, body []byte) (status int) {
 	s.t.Helper()
 	s.calls++
@@ -70,7 +71,7 @@
 	return status
 }
 
-// crashes returns the ends that harmful work brought about by what arrived after a time.
+// crashes returns the number of crashes caused by requests that were sent after a time.
 func (s *crashSite) crashes(after time.Time) int {
 	count := 0
 	for _, process := range s.processes {
@@ -83,19 +84,19 @@
 	return count
 }
 
-// sendUntilThreeCrashes sends the work to the gateways in turn until it has ended three servers.
+// sendUntilThreeCrashes sends the work to the gateways in turn until it has crashed three servers.
 func (s *crashSite) sendUntilThreeCrashes(gateways []*Gateway) {
 	s.t.Helper()
 	epoch := time.Time{}
 	for turn := 0; s.crashes(epoch) < 3; turn++ {
 		if turn > 100 {
-			s.t.Fatalf("%d servers ended after %d calls", s.crashes(epoch), turn)
+			s.t.Fatalf("%d servers crashed after %d calls", s.crashes(epoch), turn)
 		}
 		s.send(gateways[turn%len(gateways)], crashingBody)
 	}
 }
 
-// checkContained sends the work on and fails if more servers end than may.
+// checkContained keeps sending the work and fails if it crashes more servers than allowed.
 func (s *crashSite) checkContained(gateways []*Gateway) {
 	s.t.Helper()
 	time.Sleep(crashPropagationTime)
@@ -105,17 +106,17 @@
 		time.Sleep(repeatedCallInterval)
 	}
 	if crashed := s.crashes(since); crashed > maxFurtherCrashes {
-		s.t.Errorf("work that had ended three servers ended %d more, at most %d may", crashed, maxFurtherCrashes)
+		s.t.Errorf("work that had crashed three servers crashed %d more, want at most %d", crashed, maxFurtherCrashes)
 	}
 }
 
-// TestGateway_CrashingWorkIsContained sends one piece of work again and again,
-// under new ids and at all gateways, which ends each server that runs it.
+// TestGateway_CrashingWorkIsContained sends the same work repeatedly, with new IDs and to all
+// gateways. It crashes each server that runs it.
 func TestGateway_CrashingWorkIsContained(t *testing.T) {
 	startThree := func(site *crashSite) []*Gateway {
 		return []*Gateway{site.startGateway("a"), site.startGateway("b"), site.startGateway("c")}
 	}
-	t.Run("all nodes and the store there", func(t *testing.T) {
+	t.Run("all nodes and the store available", func(t *testing.T) {
 		t.Parallel()
 		site := newCrashSite(t, 8)
 		gateways := startThree(site)
@@ -135,7 +136,7 @@
 		site.sendUntilThreeCrashes(gateways)
 		site.checkContained(gateways)
 	})
-	t.Run("the store answers nothing", func(t *testing.T) {
+	t.Run("store outage", func(t *testing.T) {
 		t.Parallel()
 		site := newCrashSite(t, 12)
 		gateways := startThree(site)
--- a/internal/node/gatewayfailurereports.go
+++ b/internal/node/gatewayfailurereports.go
@@ -76,5 +76,5 @@
 	c.metrics.sharedEjections.Inc()
 	c.log.Warn().Str("replica", ejection.Replica.ID).Str("address", ejection.Replica.Address).Str("zone", ejection.Replica.Zone).
 		Int("nodes", ejection.Nodes).Float64("failures", ejection.Failures).Float64("successes", ejection.Successes).
-		Dur("for_ms", ejection.For).Bool("prober", ejection.Prober).Msg("replica ejected on evidence of several nodes")
+		Dur("for_ms", ejection.For).Bool("prober", ejection.Prober).Msg("replica excluded on evidence of several nodes")
 }
--- a/internal/node/gatewayfailurereports_test.go
+++ b/internal/node/gatewayfailurereports_test.go
@@ -8,9 +8,9 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// TestGateway_EjectsReplicaThatFailsForOtherNodes has a replica fail all that two
-// gateways send there, while it says that it is well: a third, which never met it, leaves
-// it out too, and uses it again once it serves.
+// TestGateway_EjectsReplicaThatFailsForOtherNodes has a replica fail all requests of two gateways
+// while it is listed as ready. A third gateway, which sent it none, must eject it too, and use it
+// again once it serves.
 func TestGateway_EjectsReplicaThatFailsForOtherNodes(t *testing.T) {
 	site := newGatewaySite(t, 4)
 	failing := site.servers[0]
@@ -33,7 +33,7 @@
 		return false
 	}
 	number := 0
-	site.eventually("the third gateway leaves it out", func() bool {
+	site.eventually("the third gateway ejects it", func() bool {
 		for _, gateway := range gateways[:2] {
 			number++
 			site.call(gateway, "POST", fmt.Sprintf("/resume/%d", number), fmt.Sprintf("r%d", number), nil)
--- a/internal/node/gatewaykeys_test.go
+++ b/internal/node/gatewaykeys_test.go
@@ -10,14 +10,14 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// withKey are the headers of a caller with a key.
+// withKey returns the headers of a caller with a key.
 func withKey(key string) http.Header { return http.Header{"Authorization": {"Bearer " + key}} }
 
 func twoTenants() []standin.Tenant {
 	return []standin.Tenant{{Name: "a", Keys: []string{"a1", "a2"}}, {Name: "b", Keys: []string{"b1"}}, {Name: "c"}}
 }
 
-// newKeyedSite is a site whose callers need keys.
+// newKeyedSite returns a site whose callers need keys.
 func newKeyedSite(t *testing.T, tenants []standin.Tenant) *gatewaySite {
 	site := newGatewaySite(t, 1)
 	site.configureKeyed(2, tenants)
@@ -81,7 +81,7 @@
 	if status, _, _ := site.callWith(gateway, http.MethodPost, "/batch/j", "j", body, withKey("b1")); status != http.StatusConflict {
 		t.Errorf("submission of another tenant's job: %d", status)
 	}
-	// A key that goes ends no job, and the tenant's other keys lead to it.
+	// Removing a key ends no job, and the tenant's other keys give access to it.
 	site.configureKeyed(3, []standin.Tenant{{Name: "a", Keys: []string{"a2"}}, {Name: "b", Keys: []string{"b1"}}})
 	site.eventually("key gone", func() bool {
 		status, _, _ := site.callWith(gateway, http.MethodGet, "/v1/lots/j?sinceRev=0", "r", nil, withKey("a1"))
@@ -108,7 +108,7 @@
 	}
 }
 
-// TestGateway_TokenQuotaIsPerTenant gives each tenant the whole quota.
+// TestGateway_TokenQuotaIsPerTenant checks that each tenant may use the whole quota.
 func TestGateway_TokenQuotaIsPerTenant(t *testing.T) {
 	site := newKeyedSite(t, twoTenants())
 	site.behave(standin.Silent, 1<<30)
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestGateway_KeysWhileTheStoreIsDown: known keys go on, unknown ones may be new, so the
-// answer is that the request did not run, not that the key is wrong.
+// TestGateway_KeysWhileTheStoreIsDown checks that known keys stay valid during an outage of the
+// store. Unknown keys may be new, so such requests are refused as not run, not as unauthorized.
 func TestGateway_KeysWhileTheStoreIsDown(t *testing.T) {
 	site := newKeyedSite(t, twoTenants())
 	gateway := site.start("n")
--- a/internal/node/gatewayquarantine_test.go
+++ b/internal/node/gatewayquarantine_test.go
@@ -17,8 +17,8 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// TestGateway_QuarantineIsShownAndReleased takes the way of an operator: from a refusal to the
-// work, and to its release at all nodes.
+// TestGateway_QuarantineIsShownAndReleased follows the steps of an operator, from a refusal to the
+// work and to its release at all nodes.
 func TestGateway_QuarantineIsShownAndReleased(t *testing.T) {
 	site := newCrashSite(t, 8)
 	gateways := []*Gateway{site.startGateway("a"), site.startGateway("b")}
@@ -34,10 +34,10 @@
 	if status != http.StatusServiceUnavailable || header.Get("X-Wheelhoist-Reason") != "quarantined" {
 		t.Fatalf("refused with %d, %v", status, header)
 	}
-	// The first trial is due 5 s after the newest end, the second 20 s after it, and all nodes
-	// know its outcome a second later; the calls until here take less than the first pause.
+	// The first trial is due 5 s after the latest crash, the second 20 s after it, and all nodes
+	// know its outcome a second later. The calls up to here take less than the first pause.
 	if wait, err := strconv.ParseFloat(header.Get("Retry-After"), 64); err != nil || wait <= 1 || wait > 21 {
-		t.Fatalf("a refused caller is to come back after %q s", header.Get("Retry-After"))
+		t.Fatalf("a refused caller is to retry after %q s", header.Get("Retry-After"))
 	}
 	operator := client.New("http://"+gateways[0].settings.Gateway.Metrics, "operator")
 	list, err := operator.Suspects(t.Context())
@@ -54,7 +54,7 @@
 	if _, err := operator.Release(t.Context(), work); err != nil {
 		t.Fatal(err)
 	}
-	site.eventually("both let it run again", func() bool {
+	site.eventually("both run it again", func() bool {
 		return len(gateways[0].Suspects().Items) == 0 && len(gateways[1].Suspects().Items) == 0
 	})
 	crashes := site.crashes(time.Time{})
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestGateway_ReplicasThatCrashByThemselvesQuarantineNothing ends replicas one after the other
-// under requests that are harmless.
+// TestGateway_ReplicasThatCrashByThemselvesQuarantineNothing kills replicas one after the other
+// while they run harmless requests.
 func TestGateway_ReplicasThatCrashByThemselvesQuarantineNothing(t *testing.T) {
 	site := newCrashSite(t, 6)
 	gateways := []*Gateway{site.startGateway("a"), site.startGateway("b")}
@@ -92,15 +92,9 @@
 	}
 }
 
-// TestGateway_KnowsSuccessesOfLostNode: that a work ends well is known where it ran. When
-// these nodes are lost, nobody is left who could speak for it, and three ends that it meets by
-// chance have it refused at all nodes, as if it had never ended well.
-//
-// Seen in a soak (seed 7215): the work of a route that was added at 43 s ended well at node-6
-// and node-3 from 49.3 to 49.7 s, met two ends by harmful work at 50.1 and 50.3 s, and both nodes
-// were lost with their zone at 52 s. "work quarantined" stands for it at node-2 at 54.157 s, after
-// a third end, with the limit of work that was never seen to end well; nobody answered the
-// question that goes with it, all nodes refused the work until the end of the run 18 s later.
+// TestGateway_KnowsSuccessesOfLostNode guards against the loss of all nodes that saw a work succeed
+// (soak seed 7215): without their successes, three crashes that the work meets by chance would
+// quarantine it at all nodes.
 func TestGateway_KnowsSuccessesOfLostNode(t *testing.T) {
 	site := newCrashSite(t, 4)
 	gateways := []*Gateway{site.startGateway("a"), site.startGateway("b")}
@@ -114,7 +108,7 @@
 			t.Fatalf("harmless work gets %d", status)
 		}
 	}
-	site.eventually("the other node knows that the work ends well", func() bool {
+	site.eventually("the other node knows that the work succeeds", func() bool {
 		_, known := gateways[1].quarantine.LastSuccess(work)
 		return known
 	})
@@ -127,18 +121,14 @@
 		})
 	}
 	if status := site.send(gateways[1], popular); status != http.StatusOK {
-		t.Errorf("harmless work gets %d after three ends", status)
+		t.Errorf("harmless work gets %d after three crashes", status)
 	}
 }
 
-// TestGateway_RepliesToUnknownNode: a node that has just started asks what speaks for work
-// before the others have read its row, while the store is slow. The answer was sent to the address
-// in that row, so to nobody, and the node refused popular work.
-//
-// Seen in a soak (--seed 7218 --nodes 6 --regions 2): node-0, started at 20.289 s of the minute,
-// wrote "work quarantined" for the work of two routes at 21.040 s and "store does not answer,
-// started by what another node knows" at 21.190 s; it refused eight requests of them within the next
-// second, though node-2 and node-4 had run since the begin and had seen both end well.
+// TestGateway_RepliesToUnknownNode guards against a lost reply to a node that has just started
+// (soak --seed 7218 --nodes 6 --regions 2). It queries the successes of a work before other nodes
+// have read its member row, so the reply must go to the source address of the query; otherwise the
+// node refuses popular work.
 func TestGateway_RepliesToUnknownNode(t *testing.T) {
 	site := newCrashSite(t, 2)
 	gateway := site.startGateway("a")
@@ -158,15 +148,16 @@
 	select {
 	case message := <-replies:
 		if len(message.Clearings) != 1 || message.Clearings[0].Work != work {
-			t.Errorf("answered %+v", message)
+			t.Errorf("replied %+v", message)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("a node that is not known gets no answer")
+		t.Error("an unknown node gets no reply")
 	}
 }
 
-// TestQuarantineMessage_CrashesCarryEarlierSuccesses: a node that has just started knows by the word of an end that
-// work which met it ended well elsewhere, without asking.
+// TestQuarantineMessage_CrashesCarryEarlierSuccesses checks that a node that has just started
+// learns from a crash report that work running at the crash had succeeded elsewhere, without a
+// query.
 func TestQuarantineMessage_CrashesCarryEarlierSuccesses(t *testing.T) {
 	c := testCore()
 	g := &Gateway{core: c}
@@ -177,17 +168,17 @@
 	g.handleQuarantineMessage("a#1", nil, encoded(t, message))
 	at, known := c.quarantine.LastSuccess(popular)
 	if age := time.Since(at); !known || age < 600*time.Millisecond || age > 10*time.Second {
-		t.Errorf("work that ended well 0.6 s ago: known %v, %v ago", known, age)
+		t.Errorf("work that succeeded 0.6 s ago: known %v, %v ago", known, age)
 	}
 	if _, known := c.quarantine.LastSuccess(other); known {
-		t.Error("work counts as having ended well that nobody saw")
+		t.Error("work without a known success counts as successful")
 	}
 	if verdict := c.quarantine.Check(popular, time.Now()); len(verdict.Replicas) != 1 {
-		t.Errorf("%d ends count, not the one that came later", len(verdict.Replicas))
+		t.Errorf("%d crashes count, want only the one after the success", len(verdict.Replicas))
 	}
 }
 
-// listenUnknownNode opens the socket of a node that no other one knows.
+// listenUnknownNode opens the socket of a node that is not a member.
 func listenUnknownNode(t testing.TB) (*peer.Socket, *net.UDPAddr) {
 	t.Helper()
 	socket, err := peer.Listen("127.0.0.1:0", "stranger#1")
@@ -202,7 +193,7 @@
 	return socket, address
 }
 
-// TestGateway_ResetConnectionsEndNothing has answers break off at servers that live on.
+// TestGateway_ResetConnectionsEndNothing has responses break off at servers that do not crash.
 func TestGateway_ResetConnectionsEndNothing(t *testing.T) {
 	site := newGatewaySite(t, 4)
 	for _, server := range site.servers {
@@ -233,7 +224,7 @@
 		g.handleQuarantineMessage("a#1", source, body)
 		for _, suspect := range g.Suspects().Items {
 			if suspect.SecondsSinceEnd < 0 {
-				t.Fatalf("an end of the future: %+v", suspect)
+				t.Fatalf("a crash in the future: %+v", suspect)
 			}
 		}
 	})
--- a/internal/node/gatewayquota_test.go
+++ b/internal/node/gatewayquota_test.go
@@ -13,9 +13,9 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// TestGateway_LimitHoldsAcrossAllNodes sends far more than a tenant may to three nodes
-// in turn: what runs is what one bucket would let through, and a refusal comes at once
-// and says when to come back.
+// TestGateway_LimitHoldsAcrossAllNodes sends far more requests than a tenant's limit allows to
+// three nodes in turn. No more may run than a single bucket would admit, and refusals are immediate
+// and have a Retry-After header.
 func TestGateway_LimitHoldsAcrossAllNodes(t *testing.T) {
 	const rate, burst = 4.0, 8.0
 	site := newKeyedSite(t, []standin.Tenant{{Name: "a", Keys: []string{"a1"}, Rate: rate, Burst: burst}, {Name: "b", Keys: []string{"b1"}}})
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestGateway_StatusShowsTenantsAndNoKeys asks a gateway as an operator would.
+// TestGateway_StatusShowsTenantsAndNoKeys checks the status and the metrics that operators read.
 func TestGateway_StatusShowsTenantsAndNoKeys(t *testing.T) {
 	const key = "a-key-that-nobody-may-read"
 	site := newKeyedSite(t, []standin.Tenant{{Name: "a", Keys: []string{key}, Rate: 5, Burst: 5}})
--- a/internal/node/gatewayregions_test.go
+++ b/internal/node/gatewayregions_test.go
@@ -14,7 +14,7 @@
 
 var regionZones = place.Map{"n1": "north", "s1": "south"}
 
-// newRegionsSite is a site with a server and a gateway in each of two regions.
+// newRegionsSite returns a site with a server and a gateway in each of two regions.
 func newRegionsSite(t *testing.T) (site *gatewaySite, north, south *Gateway) {
 	t.Helper()
 	site = newGatewaySite(t, 0)
@@ -30,8 +30,8 @@
 	return site, north, south
 }
 
-// configureAllowedRegions puts a configuration in force in which all routes have homes, and waits
-// for the gateways.
+// configureAllowedRegions puts a configuration in force in which all routes have the allowed
+// regions, and waits for the gateways.
 func (s *gatewaySite) configureAllowedRegions(version int, regions ...string) {
 	s.t.Helper()
 	declared := standin.Declare(version, siteHost, 100000, "resume").(map[string]any)
@@ -40,7 +40,7 @@
 	}
 	s.store.Put("op", "config", declared)
 	for _, gateway := range s.gateways {
-		s.eventually("homes in force", func() bool { return gateway.routes.Load().Version == uint64(version) })
+		s.eventually("allowed regions in force", func() bool { return gateway.routes.Load().Version == uint64(version) })
 	}
 }
 
@@ -62,7 +62,8 @@
 	}
 }
 
-// TestGateway_NoServerInAllowedRegionIsRefusedAtOnce takes the only server at home off the list.
+// TestGateway_NoServerInAllowedRegionIsRefusedAtOnce removes the only server of the allowed region
+// from the list.
 func TestGateway_NoServerInAllowedRegionIsRefusedAtOnce(t *testing.T) {
 	site, north, south := newRegionsSite(t)
 	site.configureAllowedRegions(2, "north")
@@ -72,12 +73,12 @@
 		start := time.Now()
 		status, _, header := site.call(gateway, http.MethodPost, "/resume/x", "q", nil)
 		if status != http.StatusServiceUnavailable || header.Get("Retry-After") != "1.20" || time.Since(start) > time.Second {
-			t.Errorf("%d after %v, come back %q", status, time.Since(start), header.Get("Retry-After"))
+			t.Errorf("status %d after %v, Retry-After %q", status, time.Since(start), header.Get("Retry-After"))
 		}
 	}
 	site.configureAllowedRegions(3)
 	if status, text, header := site.call(north, http.MethodPost, "/batch/j", "j", job("j", 1)); status != http.StatusServiceUnavailable || header.Get("Retry-After") != "1.20" {
-		t.Errorf("a job that may be kept nowhere: %d %q", status, text)
+		t.Errorf("a job without an allowed region: %d %q", status, text)
 	}
 	if runs := site.servers[1].Runs(); len(runs) != 0 {
 		t.Fatalf("%d requests ran in another region", len(runs))
--- a/internal/node/gatewayreplicalist_test.go
+++ b/internal/node/gatewayreplicalist_test.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// cutRate is what the replica of a cutSite bears in any second while it is cold; each of
-	// two views of the nodes may send it 3 a second.
+	// cutRate bounds the requests in any second to the replica of a cutSite while it is cold. While
+	// the views of the two nodes differ, each may send it 3 a second.
 	cutRate  = 8.0
 	cutSlots = 8
 )
 
-// cutSite is a site whose node "cut" loses its way to the store while off is set. It has
-// one replica.
+// cutSite is a site with one replica whose node "cut" cannot reach the store while disconnected is
+// set.
 type cutSite struct {
 	*gatewaySite
 	disconnected atomic.Bool
-	// replica is listed at an address.
+	// address is the address under which replica is listed.
 	replica *standin.Server
 	address string
 }
@@ -45,7 +45,7 @@
 	return site
 }
 
-// startBoth starts the node that will be cut off and one that will not.
+// startBoth starts the node that can be disconnected and one that cannot.
 func (s *cutSite) startBoth() (cut, other *Gateway) {
 	s.t.Helper()
 	storeProxy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -76,9 +76,8 @@
 	s.eventually("the list is old", func() bool { return gateway.replicas.PresumesCold(time.Now()) })
 }
 
-// TestGateway_WithoutStoreServesWithGrantsOfAnotherNode guards that a node which knows
-// only an old list is not held to the rate of cold replicas while another node knows that
-// they are warm.
+// TestGateway_WithoutStoreServesWithGrantsOfAnotherNode guards against limiting a node whose list
+// is old to the rate of cold replicas while another node knows that they are warm.
 func TestGateway_WithoutStoreServesWithGrantsOfAnotherNode(t *testing.T) {
 	const requests = 20
 	site := newCutSite(t)
@@ -90,7 +89,7 @@
 			t.Errorf("request %d: status %d", i, status)
 		}
 	}
-	// At its part of the rate of a cold replica they would take over 6 s.
+	// At its share of the rate of a cold replica they would take over 6 s.
 	if took := time.Since(start); took > 3*time.Second {
 		t.Errorf("%d requests took %v", requests, took)
 	}
@@ -98,8 +97,8 @@
 	site.eventually("the list is current again", func() bool { return !cut.replicas.PresumesCold(time.Now()) })
 }
 
-// TestGateway_ColdReplicaRateHoldsWithNodeWithoutStore has the replica turn cold
-// while one of two nodes hears nothing of it: both together keep to what it bears.
+// TestGateway_ColdReplicaRateHoldsWithNodeWithoutStore checks that two nodes together keep the rate
+// limit of a replica that turns cold while one of them cannot read the list.
 func TestGateway_ColdReplicaRateHoldsWithNodeWithoutStore(t *testing.T) {
 	const callers = 4
 	site := newCutSite(t)
@@ -107,7 +106,7 @@
 	site.disconnect(cut)
 	site.replica.Chill(coldListStart)
 	site.store.Put("servers", site.replica.ID, standin.ColdListing(site.address, "z", cutSlots, coldListStart))
-	site.eventually("a node that is not cut off knows", func() bool { return other.replicas.CountCold(time.Now()) == 1 })
+	site.eventually("the connected node knows", func() bool { return other.replicas.CountCold(time.Now()) == 1 })
 	knownAt := time.Now()
 	var calls sync.WaitGroup
 	for _, gateway := range []*Gateway{cut, other} {
@@ -132,8 +131,8 @@
 	assertRate(t, sent, cutRate)
 }
 
-// TestGateway_StartedWithStateOfAnotherNodePresumesReplicasCold guards a node that starts
-// while it has no way to the store: what another node told it is known, what came after is not.
+// TestGateway_StartedWithStateOfAnotherNodePresumesReplicasCold guards against a node that starts
+// without the store and takes the state it got from another node for current.
 func TestGateway_StartedWithStateOfAnotherNodePresumesReplicasCold(t *testing.T) {
 	site := newCutSite(t)
 	cut, other := site.startBoth()
@@ -147,8 +146,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(restarted.Kill)
-	site.eventually("the gateway is ready though it has no way to the store", restarted.Ready)
+	site.eventually("the gateway is ready without the store", restarted.Ready)
 	if !restarted.replicas.PresumesCold(time.Now()) {
-		t.Error("it takes what it was told for what is so now")
+		t.Error("the state of the other node is taken as current")
 	}
 }
--- a/internal/node/gatewayrestart_test.go
+++ b/internal/node/gatewayrestart_test.go
@@ -13,13 +13,13 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// restartDetectionTime is how soon callers must have an answer after the start of a replica is
-// known, on a busy machine: a request that may not repeat is given 600 ms to show that it
-// runs at the new one. The routes' time-out is 5 s.
+// restartDetectionTime is the time within which callers must get a response after the restart of a
+// replica is known, on a busy machine: a request that must not be repeated has 600 ms to show that
+// it runs at the new start. The timeout of the routes is 5 s.
 const restartDetectionTime = 2 * time.Second
 
-// TestGateway_AbandonsRequestsAtPreviousStart has a server take requests and say nothing
-// more, as one does whose machine lost power, and start again under its id.
+// TestGateway_AbandonsRequestsAtPreviousStart has a server accept requests and then stop
+// responding, as if its machine had lost power, and restart under the same ID.
 func TestGateway_AbandonsRequestsAtPreviousStart(t *testing.T) {
 	for prefix, want := range map[string]int{"resume": http.StatusOK, "once": http.StatusBadGateway} {
 		site := newGatewaySite(t, 1)
@@ -34,7 +34,7 @@
 			if number > 1 {
 				return standin.Whole
 			}
-			// The clock of its machine has stepped back.
+			// The clock of its machine was set back.
 			info.StartedUnixMs = 1000
 			time.AfterFunc(50*time.Millisecond, func() { gateway.putReplica(info, 2, false) })
 			return standin.Silent
@@ -53,7 +53,8 @@
 	}
 }
 
-// TestCore_CountsAndLogsRestarts: once for each, and not for entries that change otherwise.
+// TestCore_CountsAndLogsRestarts checks that each restart counts once, and that other changes of
+// the row do not.
 func TestCore_CountsAndLogsRestarts(t *testing.T) {
 	var log bytes.Buffer
 	c := testCore()
@@ -67,7 +68,7 @@
 		c.putReplica(info, uint64(2+version), false)
 	}
 	if got := counterValue(t, c.metrics, "wheelhoist_gateway_replica_restarts_total"); got != 2 {
-		t.Errorf("%v starts are counted, not 2", got)
+		t.Errorf("%v restarts are counted, want 2", got)
 	}
 	lines := strings.Count(log.String(), "replica started again")
 	if lines != 2 || !strings.Contains(log.String(), `"born":1000,"born_before":3000,"open":2,"items":1,"moved":0`) {
--- a/internal/node/gatewaysite_test.go
+++ b/internal/node/gatewaysite_test.go
@@ -28,14 +28,14 @@
 	siteQuotaSlack = 10
 )
 
-// gatewaySite is a stand-in of the platform with gateways before it.
+// gatewaySite is a simulated platform with gateways.
 type gatewaySite struct {
 	t            *testing.T
 	store        *standin.Store
 	storeAddress string
 	servers      []*standin.Server
 	gateways     []*Gateway
-	// withoutPeers gateways are not told where others are reached.
+	// withoutPeers starts gateways without an address for other nodes.
 	withoutPeers bool
 }
 
@@ -60,8 +60,7 @@
 	s.store.Put("servers", id, standin.Listing(address, "z", 8, state != "ready"))
 }
 
-// configure puts a configuration with a stream route under each prefix, and a
-// batch route, in force.
+// configure puts a configuration in force with a stream route under each prefix and a batch route.
 func (s *gatewaySite) configure(version int, prefixes ...string) {
 	s.store.Put("op", "config", standin.Declare(version, siteHost, 100000, prefixes...))
 }
@@ -81,7 +80,8 @@
 	return s.startNode(settings.Node{ID: id, Zone: "z"})
 }
 
-// startNode starts a gateway at a place and waits until it is ready and knows all servers.
+// startNode starts a gateway with the given node settings and waits until it is ready and knows all
+// servers.
 func (s *gatewaySite) startNode(node settings.Node) *Gateway {
 	s.t.Helper()
 	gateway := s.launchNode(node)
@@ -91,13 +91,13 @@
 	return gateway
 }
 
-// launch starts a gateway and waits for nothing.
+// launch starts a gateway without waiting for it.
 func (s *gatewaySite) launch(id string, zones place.Map) *Gateway {
 	s.t.Helper()
 	return s.launchNode(settings.Node{ID: id, Zone: "z", Zones: zones})
 }
 
-// launchNode starts a gateway at a place and waits for nothing.
+// launchNode starts a gateway with the given node settings without waiting for it.
 func (s *gatewaySite) launchNode(node settings.Node) *Gateway {
 	s.t.Helper()
 	node.Listen = freeAddress(s.t)
@@ -125,7 +125,7 @@
 	deadline := time.Now().Add(15 * time.Second)
 	for !condition() {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("not in time: %s", description)
+			s.t.Fatalf("timed out waiting for: %s", description)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -136,7 +136,7 @@
 	return s.callWith(gateway, method, path, id, body, nil)
 }
 
-// callWith makes a call with further headers.
+// callWith makes a call with additional headers.
 func (s *gatewaySite) callWith(gateway *Gateway, method, path, id string, body []byte, header http.Header) (int, string, http.Header) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), 10*time.Second)
--- a/internal/node/gatewaystarts_test.go
+++ b/internal/node/gatewaystarts_test.go
@@ -15,10 +15,10 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// maxStartTime takes as many bytes as a time of this millennium may.
+// maxStartTime takes as many bytes as any start time of this millennium.
 const maxStartTime int64 = 1 << 45
 
-// oldFailureReport is failureTold of programs that know of no starts.
+// oldFailureReport is the failureReport of versions that do not distinguish starts.
 type oldFailureReport struct {
 	Replica   uint64  `cbor:"1,keyasint"`
 	Failures  float32 `cbor:"2,keyasint"`
@@ -26,7 +26,7 @@
 	AgeMs     uint16  `cbor:"4,keyasint"`
 }
 
-// encoded returns what is sent of a message's body.
+// encoded returns the encoded body of a message.
 func encoded(t *testing.T, body any) []byte {
 	t.Helper()
 	bytes, err := cbor.Marshal(body)
@@ -36,7 +36,7 @@
 	return bytes
 }
 
-// newStartsCore returns a core with replicas r0 to r3, of which r0 was born then.
+// newStartsCore returns a core with replicas r0 to r3. r0 has the given start time.
 func newStartsCore(startTime int64) (c *core, info replica.Info) {
 	c = testCore()
 	for _, id := range []string{"r0", "r1", "r2", "r3"} {
@@ -52,7 +52,8 @@
 	return listed.Ejected
 }
 
-// TestFailureReports_OfOtherStarts: they are late, or early, and name the replica by its id.
+// TestFailureReports_OfOtherStarts checks that reports about an earlier or later start of a
+// replica, which have the same ID, do not count.
 func TestFailureReports_OfOtherStarts(t *testing.T) {
 	c, info := newStartsCore(3000)
 	g := &Gateway{core: c, roster: lease.NewRoster(nil, c.session, "m", time.Now, fastTiming())}
@@ -67,19 +68,19 @@
 	key := replica.Key("r0")
 	for _, startTime := range []int64{3000, 4000} {
 		if deliver([]failureReport{{Replica: key, Failures: 9, StartedUnixMs: startTime}}); isEjected(c, "r0") {
-			t.Fatalf("words about start %d leave out start 1000", startTime)
+			t.Fatalf("reports about start %d eject start 1000", startTime)
 		}
 	}
 	if deliver([]oldFailureReport{{Replica: key, Failures: 9, AgeMs: 2000}}); isEjected(c, "r0") {
-		t.Fatal("words of older programs about what was before the start leave it out")
+		t.Fatal("reports of older versions from before the start eject it")
 	}
 	if deliver([]failureReport{{Replica: key, Failures: 9, StartedUnixMs: 1000}}); !isEjected(c, "r0") {
-		t.Error("words about this start are passed over")
+		t.Error("reports about this start are ignored")
 	}
 }
 
-// TestFailureReports_OfOlderVersionsAreAccepted: nodes of two versions talk to each other during an
-// upgrade.
+// TestFailureReports_OfOlderVersionsAreAccepted guards the exchange of reports between nodes of two
+// versions during an upgrade.
 func TestFailureReports_OfOlderVersionsAreAccepted(t *testing.T) {
 	c, _ := newStartsCore(1000)
 	g := &Gateway{core: c, roster: lease.NewRoster(nil, c.session, "m", time.Now, fastTiming())}
@@ -87,16 +88,16 @@
 		g.handleFailureReports(node, nil, encoded(t, []oldFailureReport{{Replica: replica.Key("r0"), Failures: 9}}))
 	}
 	if !isEjected(c, "r0") {
-		t.Error("evidence of older programs is passed over")
+		t.Error("reports of older versions are ignored")
 	}
 	var decoded []oldFailureReport
 	body := encoded(t, []failureReport{{Replica: 1, Failures: 2, Successes: 3, AgeMs: 4, StartedUnixMs: maxStartTime}})
 	if err := cbor.Unmarshal(body, &decoded); err != nil || decoded[0] != (oldFailureReport{1, 2, 3, 4}) {
-		t.Errorf("older programs read %+v, %v", decoded, err)
+		t.Errorf("older versions decode %+v, %v", decoded, err)
 	}
 }
 
-// TestMessages_FitADatagram has each message be as long as it may.
+// TestMessages_FitADatagram sends messages of the maximum size.
 func TestMessages_FitADatagram(t *testing.T) {
 	const maxReports = 32 // Bounds the reports of replica.Set.FailureReports.
 	reports := make([]failureReport, maxReports)
@@ -130,7 +131,8 @@
 	}
 }
 
-// TestQuarantineMessage_CrashesOfDifferentStartsCountSeparately: two ends of one id within a moment, told by a node.
+// TestQuarantineMessage_CrashesOfDifferentStartsCountSeparately checks crashes of one replica ID
+// within a short time, reported by another node.
 func TestQuarantineMessage_CrashesOfDifferentStartsCountSeparately(t *testing.T) {
 	c := testCore()
 	g := &Gateway{core: c}
@@ -140,11 +142,12 @@
 		g.handleQuarantineMessage("a#1", nil, encoded(t, message))
 	}
 	if verdict := c.quarantine.Check(bad, time.Now()); len(verdict.Replicas) != 3 {
-		t.Errorf("%d ends count, not 3", len(verdict.Replicas))
+		t.Errorf("%d crashes count, want 3", len(verdict.Replicas))
 	}
 }
 
-// TestColdGranter_DeniesOtherStart: one node knows of a start that the other does not.
+// TestColdGranter_DeniesOtherStart checks requests for a start that the granting node does not
+// know.
 func TestColdGranter_DeniesOtherStart(t *testing.T) {
 	c, info := newStartsCore(1000)
 	c.replicas.SetColdLimits(map[string]replica.ColdLimit{"llm": {Rate: 15, Start: 3 * time.Second}})
@@ -165,9 +168,9 @@
 		return reply.Granted
 	}
 	if !isGranted(1000) || !isGranted(0) {
-		t.Error("no place is granted at the start that both know")
+		t.Error("no grant for the start that both know")
 	}
 	if isGranted(2000) {
-		t.Error("a place is granted at another start")
+		t.Error("granted for another start")
 	}
 }
--- a/internal/node/joblog.go
+++ b/internal/node/joblog.go
@@ -36,7 +36,7 @@
 // Ended implements jobs.Events.
 func (l *jobLog) Ended(id string, err error) {
 	l.metrics.jobs.WithLabelValues("ended").Inc()
-	l.log.Info().Str("job", id).Err(err).Msg("job end requested")
+	l.log.Info().Str("job", id).Err(err).Msg("job end asked for")
 }
 
 // Claimed implements jobs.Events.
@@ -111,7 +111,7 @@
 func (l *jobLog) Homeless(job *jobs.Job, homes place.Regions) {
 	l.metrics.jobs.WithLabelValues("homeless").Inc()
 	l.log.Warn().Str("job", job.ID).Str("route", job.Route).Str("tenant", job.Tenant).Strs("homes", homes).
-		Msg("items wait, no node of an allowed region is alive")
+		Msg("items wait, no node of an allowed region lives")
 }
 
 // Resolved implements jobs.Events.
--- a/internal/node/poolmetrics_test.go
+++ b/internal/node/poolmetrics_test.go
@@ -22,11 +22,11 @@
 		t.Fatal(err)
 	}
 	if len(families) != len(poolMetrics) {
-		t.Fatalf("%d figures, want %d", len(families), len(poolMetrics))
+		t.Fatalf("%d metrics, want %d", len(families), len(poolMetrics))
 	}
 	for _, family := range families {
 		if len(family.GetMetric()) != 2 {
-			t.Errorf("%s tells %d pools, want 2", family.GetName(), len(family.GetMetric()))
+			t.Errorf("%s has %d pools, want 2", family.GetName(), len(family.GetMetric()))
 		}
 	}
 }
--- a/internal/node/quarantinestart_test.go
+++ b/internal/node/quarantinestart_test.go
@@ -8,8 +8,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// TestReplicaStates_DistinguishStarts: the quarantine asks about the start at which an answer broke
-// off, and what is listed may be the next one.
+// TestReplicaStates_DistinguishStarts checks queries about the start at which a response broke off
+// while the list may have a later one.
 func TestReplicaStates_DistinguishStarts(t *testing.T) {
 	set := replica.NewSet()
 	states := replicaStates{&core{replicas: set}}
@@ -20,19 +20,19 @@
 	expect := func(startTime int64, want quarantine.ReplicaState) {
 		t.Helper()
 		if got := states.State(replicaStarted(startTime)); got != want {
-			t.Errorf("start %d stands as %d, not %d", startTime, got, want)
+			t.Errorf("state of start %d is %d, want %d", startTime, got, want)
 		}
 	}
 	expect(3000, quarantine.Gone)
 	set.Put(info)
 	expect(3000, quarantine.Serving)
 	expect(0, quarantine.Serving)
-	// Its clock steps back, and it starts again without a word.
+	// Its clock is set back, and it restarts without notice.
 	info.StartedUnixMs = 1000
 	set.Put(info)
 	expect(3000, quarantine.Restarted)
 	expect(1000, quarantine.Serving)
-	// This one says that it will end before it does.
+	// This start is listed as leaving before it ends.
 	info.Leaving = true
 	set.Put(info)
 	expect(1000, quarantine.Leaving)
@@ -44,7 +44,7 @@
 	moved := replicaStarted(2000)
 	moved.Address = "b"
 	if got := states.State(moved); got != quarantine.Restarted {
-		t.Errorf("a replica at another address stands as %d", got)
+		t.Errorf("state of a replica at another address is %d", got)
 	}
 	set.Remove("r", time.Now())
 	expect(2000, quarantine.Gone)
--- a/internal/node/replicalist_test.go
+++ b/internal/node/replicalist_test.go
@@ -19,31 +19,31 @@
 
 const (
 	coldListID = "r"
-	// coldListRate and the tolerance make a bound of 8 requests a second.
+	// coldListRate and coldListTolerance allow 8 requests a second.
 	coldListRate         = 2.0
 	coldListStart        = 3 * time.Second
 	coldListSendInterval = 10 * time.Millisecond
-	// coldListLatency is how long a call to the store is under way.
+	// coldListLatency is the time that a call to the store takes.
 	coldListLatency = 50 * time.Millisecond
 )
 
-// coldListTolerance is what users' deployments allow.
+// coldListTolerance is the tolerance of the users' deployments.
 var coldListTolerance = replica.ColdTolerance{Over: 1.5, Slack: 5}
 
-// coldListBound is the number of requests that a cold replica may get in a second.
+// coldListBound returns the number of requests that a cold replica may get in a second.
 func coldListBound() int {
 	return int(coldListTolerance.Over*coldListRate + coldListTolerance.Slack)
 }
 
-// errDisconnected reports a store that a node has no way to.
-var errDisconnected = errors.New("no way to the store")
+// errDisconnected is the error of calls to a store that the node cannot reach.
+var errDisconnected = errors.New("store unreachable")
 
-// cuttableFeed is a node's way to a feed. One that is cut answers nothing; one of a process that
-// is stopped hands on, once it runs again, what was answered before.
+// cuttableFeed is a node's connection to a feed. While it is cut, calls fail. While the node's
+// process is paused, responses wait until it resumes.
 type cuttableFeed struct {
 	table.Feed
 	cut atomic.Bool
-	// resumesAt is when the node's process runs again, in Unix nanoseconds.
+	// resumesAt is when the process of the node resumes, in Unix nanoseconds.
 	resumesAt atomic.Int64
 }
 
@@ -62,17 +62,17 @@
 	return changes, err
 }
 
-// coldListNode is a node that follows a list with one replica.
+// coldListNode is a node that watches a replica list with one replica.
 type coldListNode struct {
 	*Gateway
 	feed *cuttableFeed
 }
 
-// coldListFleet is nodes that press on a replica as hard as they may.
+// coldListFleet is a set of nodes that send to one replica as often as they may.
 type coldListFleet struct {
 	t    *testing.T
 	list *tabletest.Table
-	// version counts the versions of the replica's row.
+	// version is the version of the replica's row.
 	version uint64
 	nodes   []*coldListNode
 	sent    []time.Time
@@ -101,7 +101,7 @@
 	return node
 }
 
-// writeReplica writes the replica's row, which is cold for so long yet.
+// writeReplica writes the row of the replica, which stays cold for the given time.
 func (f *coldListFleet) writeReplica(left time.Duration) {
 	f.t.Helper()
 	body, err := json.Marshal(standin.ColdListing("a:1", "z", 8, left))
@@ -115,7 +115,7 @@
 	f.version++
 }
 
-// sendFor has all nodes send what they may, for a while.
+// sendFor makes all nodes send as often as they may, for the given time.
 func (f *coldListFleet) sendFor(duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(coldListSendInterval) {
 		for _, node := range f.nodes {
@@ -137,7 +137,8 @@
 	}
 }
 
-// maxPerSecond returns the maxPerSecond requests that the replica got in any one second from a time on.
+// maxPerSecond returns the largest number of requests that the replica got within one second,
+// counting from a given time.
 func (f *coldListFleet) maxPerSecond(from time.Time) int {
 	first, highest := 0, 0
 	for last, at := range f.sent {
@@ -151,9 +152,9 @@
 	return highest
 }
 
-// TestReplicaList_NodesWithoutStoreKeepColdRate guards a replica that turns cold while
-// some nodes hear nothing of the list: what they know of it is old, so they send no more
-// than a cold one bears. A second after it turned cold counts.
+// TestReplicaList_NodesWithoutStoreKeepColdRate guards against an overload of a replica that turns
+// cold while some nodes cannot read the list. Their list is old, so they must send no more than a
+// cold replica allows. Counting starts one second after it turned cold.
 func TestReplicaList_NodesWithoutStoreKeepColdRate(t *testing.T) {
 	for _, cut := range []int{0, 1, 3, 8} {
 		t.Run(fmt.Sprint(cut), func(t *testing.T) {
@@ -174,9 +175,8 @@
 	}
 }
 
-// TestReplicaList_ResponseFromBeforePauseIsStale guards a node that was stopped: the store's
-// answer that it finds when it wakes is from before, so it tells nothing of what has
-// happened meanwhile, however short ago the node has read it.
+// TestReplicaList_ResponseFromBeforePauseIsStale guards against a node that resumes after a pause
+// and takes a response from before the pause for current, because it has read it only now.
 func TestReplicaList_ResponseFromBeforePauseIsStale(t *testing.T) {
 	const pause, coldAfter, sendTime = 3200 * time.Millisecond, 2 * time.Second, 200 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/node/requestlog.go
+++ b/internal/node/requestlog.go
@@ -39,7 +39,7 @@
 func (l *requestLog) Reserved(request *forward.Request, candidate *replica.Candidate, took time.Duration, err error) {
 	l.metrics.reservations.WithLabelValues(reservationOutcome(err)).Inc()
 	l.sampled.Info().Str("request", request.ID).Str("replica", candidate.ID).Str("region", candidate.Region).Int("open", candidate.Open).
-		Float64("others", candidate.Others).Dur("took_ms", took).Err(err).Msg("slot requested")
+		Float64("others", candidate.Others).Dur("took_ms", took).Err(err).Msg("slot asked for")
 }
 
 func reservationOutcome(err error) string {
--- a/internal/node/requestlog_test.go
+++ b/internal/node/requestlog_test.go
@@ -12,8 +12,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// TestRequestLog_BrokenAttemptsNameTheirWork guards that the logs of several nodes
-// tell whether requests under other ids were the same work, without telling its body.
+// TestRequestLog_BrokenAttemptsNameTheirWork checks that the logs of several nodes show whether
+// requests with different IDs were the same work, without showing its body.
 func TestRequestLog_BrokenAttemptsNameTheirWork(t *testing.T) {
 	var lines bytes.Buffer
 	log := &requestLog{log: zerolog.New(&lines)}
--- a/internal/node/served_test.go
+++ b/internal/node/served_test.go
@@ -11,8 +11,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// TestMetrics_ServedCountsByDistance counts requests by the distance of their replica, and no
-// failed ones.
+// TestMetrics_ServedCountsByDistance checks that requests are counted by the distance of their
+// replica, and failed ones not at all.
 func TestMetrics_ServedCountsByDistance(t *testing.T) {
 	metrics, target := newCoreMetrics(), &route.Route{Kind: route.Stream}
 	for _, distance := range []place.Distance{place.SameZone, place.OtherRegion, place.OtherRegion} {
@@ -33,6 +33,6 @@
 		}
 	}
 	if want := map[string]float64{"zone": 1, "elsewhere": 2}; !maps.Equal(served, want) {
-		t.Errorf("served are %v, want %v", served, want)
+		t.Errorf("served requests are %v, want %v", served, want)
 	}
 }
--- a/internal/node/suspend_test.go
+++ b/internal/node/suspend_test.go
@@ -12,8 +12,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestCore_ViewFromBeforeSuspensionIsStale guards that items are not sent by a
-// node that slept, however short, before it has looked whether they still are its own.
+// TestCore_ViewFromBeforeSuspensionIsStale guards against a node that sends items after a
+// suspension of any length before it has checked that they are still its own.
 func TestCore_ViewFromBeforeSuspensionIsStale(t *testing.T) {
 	machine := clocktest.New(t)
 	c := testCore()
@@ -31,14 +31,14 @@
 	waitFor("the view is never fresh", fresh)
 	machine.Suspend(1500 * time.Millisecond)
 	if age := c.viewAge(); age < time.Hour {
-		t.Fatalf("aged %v", age)
+		t.Fatalf("the view has age %v", age)
 	}
 	c.jobWatch.Announce()
-	waitFor("the view stays old after a look", fresh)
+	waitFor("the view stays stale after a poll", fresh)
 }
 
-// TestCore_QuarantineTimeIncludesSuspension guards that the time of a quarantine is not
-// longer at a node that slept, and that the age of an end that is told leaves no sleep out.
+// TestCore_QuarantineTimeIncludesSuspension guards against a quarantine that lasts longer, or a
+// crash that is shown as more recent, at a node that was suspended.
 func TestCore_QuarantineTimeIncludesSuspension(t *testing.T) {
 	machine := clocktest.New(t)
 	c := testCore()
@@ -53,13 +53,13 @@
 	}
 	machine.Suspend(40 * time.Minute)
 	if since := c.Suspects().Items[0].SecondsSinceEnd; since < 2400 {
-		t.Errorf("the newest end is told to be %v s ago", since)
+		t.Errorf("the latest crash is shown as %v s ago", since)
 	}
 	machine.Suspend(25 * time.Minute)
 	if items := c.Suspects().Items; len(items) != 0 {
 		t.Errorf("suspected after more than an hour: %+v", items)
 	}
 	if jobs.QuarantinePartition() != c.quarantine.rows.Partition {
-		t.Error("the rows are elsewhere")
+		t.Error("the rows are in another partition")
 	}
 }
--- a/internal/node/unreadable_test.go
+++ b/internal/node/unreadable_test.go
@@ -16,7 +16,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// serverRow is an entry of the list of servers.
+// serverRow returns a row of the server list.
 func serverRow(id string, version uint64, body string) table.Change {
 	return table.Change{Row: table.Row{Key: table.Key{Partition: "servers", Sort: id}, Version: version, Body: []byte(body)}}
 }
@@ -25,7 +25,7 @@
 	return fmt.Sprintf(`{"service":%q,"address":"10.0.0.1:80","zone":"z","slots":8,"state":"ready"}`, service)
 }
 
-// unreadableCount is the metric of a table and a reason.
+// unreadableCount returns the metric for a table and a reason.
 func unreadableCount(t *testing.T, c *core, name, reason string) float64 {
 	t.Helper()
 	families, err := c.metrics.registry.Gather()
@@ -60,9 +60,9 @@
 
 func unreadableLines(log *bytes.Buffer) int { return strings.Count(log.String(), "row cannot be read") }
 
-// TestApplyReplicas_UnreadableRowRetiresItsReplica overwrites the entry of a replica
-// that a request is under way at: the request goes on, nothing more is sent, its slots are
-// not divided, the others hold, and it is back with an entry that can be read.
+// TestApplyReplicas_UnreadableRowRetiresItsReplica overwrites the row of a replica during a
+// request. The request continues, no more are sent, its slots are not divided, other replicas are
+// unaffected, and it is used again after a readable row.
 func TestApplyReplicas_UnreadableRowRetiresItsReplica(t *testing.T) {
 	for name, body := range map[string]string{"bytes": "\xff\x00", "no address": `{"service":"llm","zone":"z","slots":8,"state":"ready"}`, "state": strings.Replace(serverBody("llm"), "ready", "resting", 1)} {
 		gateway, log := newLoggedGateway(nil)
@@ -74,26 +74,27 @@
 			gateway.applyReplicas(table.Changes{Changes: []table.Change{serverRow("a", 3, body)}}, false)
 		}
 		if acceptsRequests(gateway.core, "llm", "a") || !acceptsRequests(gateway.core, "llm", "b") {
-			t.Errorf("%s: a takes requests, or b does not", name)
+			t.Errorf("%s: a accepts requests, or b does not", name)
 		}
 		if slots := gateway.replicas.RegionSlots("llm")[""]; slots != 8 {
 			t.Errorf("%s: %d slots are divided, want those of b", name, slots)
 		}
 		if info, ok := gateway.replicas.Get("a"); !ok || info.Address != "10.0.0.1:80" {
-			t.Errorf("%s: a is forgotten while a request is under way", name)
+			t.Errorf("%s: a is removed during a request", name)
 		}
 		if unreadableLines(log) != 1 || unreadableCount(t, gateway.core, "servers", "content")+unreadableCount(t, gateway.core, "servers", "encoding") != 1 {
-			t.Errorf("%s: told as %s", name, log)
+			t.Errorf("%s: logged: %s", name, log)
 		}
 		use.End(replica.Succeeded, time.Now())
 		gateway.applyReplicas(table.Changes{Changes: []table.Change{serverRow("a", 4, serverBody("llm"))}}, false)
 		if !acceptsRequests(gateway.core, "llm", "a") {
-			t.Errorf("%s: a is not back", name)
+			t.Errorf("%s: a accepts no requests again", name)
 		}
 	}
 }
 
-// TestApplyReplicas_UnreadableRowOfUnknownReplicaIsSkipped lists nothing for it.
+// TestApplyReplicas_UnreadableRowOfUnknownReplicaIsSkipped checks that an unreadable row of an
+// unknown replica lists nothing.
 func TestApplyReplicas_UnreadableRowOfUnknownReplicaIsSkipped(t *testing.T) {
 	gateway, log := newLoggedGateway(nil)
 	damaged := serverRow("odd", 1, "")
@@ -104,8 +105,8 @@
 	}
 }
 
-// TestApplyReplicas_UndeclaredServiceIsReported lists a replica of a service that the
-// configuration does not name, before and after the configuration came.
+// TestApplyReplicas_UndeclaredServiceIsReported lists replicas of services that the configuration
+// does not declare, before and after the configuration is known.
 func TestApplyReplicas_UndeclaredServiceIsReported(t *testing.T) {
 	gateway, log := newLoggedGateway(nil)
 	config := `{"version":%d,"routes":[{"name":"r","host":"h","pathPrefix":"/r/","routeType":"stream","service":"llm"}],"services":[{"name":"spare"}]}`
@@ -118,12 +119,12 @@
 	early := table.Changes{Changes: []table.Change{serverRow("early", 1, serverBody("other"))}}
 	gateway.replicaWatch.Seed(early, 0, gateway.applyReplicas)
 	if unreadableLines(log) != 0 {
-		t.Errorf("told before the configuration came: %s", log)
+		t.Errorf("reported before the configuration is known: %s", log)
 	}
 	declare(2)
 	declare(3)
 	if unreadableLines(log) != 1 || !strings.Contains(log.String(), `"key":"early"`) {
-		t.Errorf("told of the early one as %s", log)
+		t.Errorf("the early row is logged as %s", log)
 	}
 	for range 2 {
 		gateway.applyReplicas(table.Changes{Changes: []table.Change{
@@ -131,14 +132,14 @@
 		}}, false)
 	}
 	if unreadableLines(log) != 2 || unreadableCount(t, gateway.core, "servers", "unknown") != 2 || !strings.Contains(log.String(), `"key":"odd"`) {
-		t.Errorf("told as %s", log)
+		t.Errorf("logged: %s", log)
 	}
 	if !acceptsRequests(gateway.core, "llm", "a") {
-		t.Error("a declared service's replica takes no requests")
+		t.Error("a replica of a declared service accepts no requests")
 	}
 }
 
-// TestApplyReplicas_UnreadableInventoryRow is the same for the product's own list.
+// TestApplyReplicas_UnreadableInventoryRow checks an unreadable row of the product's own inventory.
 func TestApplyReplicas_UnreadableInventoryRow(t *testing.T) {
 	gateway, log := newLoggedGateway(nil)
 	node := &Node{core: gateway.core}
@@ -152,7 +153,7 @@
 	node.applyReplicas(table.Changes{Changes: []table.Change{row(1, valid)}}, true)
 	node.applyReplicas(table.Changes{Changes: []table.Change{row(2, []byte{0xff})}}, false)
 	if info, ok := node.replicas.Get("a"); !ok || !info.Leaving || unreadableLines(log) != 1 {
-		t.Errorf("a is %+v, told as %s", info, log)
+		t.Errorf("a is %+v, logged: %s", info, log)
 	}
 	node.applyReplicas(table.Changes{Changes: []table.Change{row(3, valid)}}, false)
 	if info, ok := node.replicas.Get("a"); !ok || info.Slots != 4 {
--- a/internal/node/unreadablesite_test.go
+++ b/internal/node/unreadablesite_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// writeUnreadableRows leaves rows of another writer in each table that gateways read, under the key
-// of the round that it is.
+// writeUnreadableRows writes unreadable rows to each table that gateways read, with keys that
+// contain round.
 func writeUnreadableRows(site *gatewaySite, round string) {
 	for _, key := range []string{
 		"job/" + round, "progress/" + round, "counter/" + round, "member/" + round, "member/ghost-" + round + "#1",
@@ -26,9 +26,8 @@
 	site.store.PutValue("op", "", "odd-"+round, nil)
 }
 
-// TestGateway_UnreadableRowsAffectNothingElse leaves rows that cannot be read in all
-// tables, before a gateway starts and after: it starts, serves, runs jobs and learns of what
-// is written later.
+// TestGateway_UnreadableRowsAffectNothingElse writes unreadable rows to all tables before and after
+// a gateway starts. It must start, serve, run jobs and read later rows.
 func TestGateway_UnreadableRowsAffectNothingElse(t *testing.T) {
 	site := newGatewaySite(t, 2)
 	writeUnreadableRows(site, "before")
@@ -43,7 +42,7 @@
 		t.Fatalf("submission: %d %q", status, text)
 	}
 	if listing := site.awaitJob(gateway, "j"); listing.Total != 5 {
-		t.Errorf("listed as %+v", listing)
+		t.Errorf("listing is %+v", listing)
 	}
 	if nodes := gateway.roster.Nodes(); len(nodes) != 1 {
 		t.Errorf("the nodes are %v", nodes)
@@ -61,11 +60,11 @@
 		return len(gateway.roster.Nodes()) == 2 && len(second.roster.Nodes()) == 2
 	})
 	if after := gateway.unreadableTotal(t); after != counted {
-		t.Errorf("%v rows were counted, %v after further looks", counted, after)
+		t.Errorf("%v rows were counted, %v after further polls", counted, after)
 	}
 }
 
-// unreadableTotal is the sum of the metric over tables and reasons.
+// unreadableTotal returns the sum of the metric over all tables and reasons.
 func (g *Gateway) unreadableTotal(t *testing.T) float64 {
 	t.Helper()
 	families, err := g.metrics.registry.Gather()
