--- a/internal/node/gatewaydemand.go
+++ b/internal/node/gatewaydemand.go
@@ -64,7 +64,7 @@
 func (g *Gateway) sendDemand(region string, reports []demandReport) {
 	fanout := demandFanout
 	if region == g.nodes.ownRegion() {
-		fanout -= g.sendToRandom(g.nodes.inZone(), demandZoneFanout, peer.KindDemandReport, reports)
+		fanout -= g.sendToRandom(g.nodes.inOwnZone(), demandZoneFanout, peer.KindDemandReport, reports)
 	}
 	g.sendToRandom(g.nodes.inRegion(region), fanout, peer.KindDemandReport, reports)
 }
--- a/internal/node/nodeindex.go
+++ b/internal/node/nodeindex.go
@@ -30,8 +30,8 @@
 	return n.byRegion[region]
 }
 
-// inZone returns the other nodes in this node's zone. The caller must not modify the slice.
-func (n *nodeIndex) inZone() []string {
+// inOwnZone returns the other nodes in this node's zone. The caller must not modify the slice.
+func (n *nodeIndex) inOwnZone() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.refresh()
--- a/internal/node/unreadable_test.go
+++ b/internal/node/unreadable_test.go
@@ -88,7 +88,7 @@
 		use.End(replica.Succeeded, time.Now())
 		gateway.applyReplicas(table.Changes{Changes: []table.Change{serverRow("a", 4, serverBody("llm"))}}, false)
 		if !acceptsRequests(gateway.core, "llm", "a") {
-			t.Errorf("%s: a accepts no requests again", name)
+			t.Errorf("%s: a does not accept requests again", name)
 		}
 	}
 }
