--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	// staleConfiguration is the silence of the table after which a node does not
-	// show its view of the configuration as the present one.
-	staleConfiguration = 3 * time.Second
+	// staleConfigurationAge is the time without a response of the table after which a node no
+	// longer presents its view of the configuration as current.
+	staleConfigurationAge = 3 * time.Second
 	// servingAttempts bounds the replicas that one online request may run on.
 	servingAttempts = 4
-	// servingObjective and servingGap say when a replica counts as silent.
+	// servingObjective and servingGap are the times to the first event and between two events after
+	// which a replica counts as unresponsive.
 	servingObjective = time.Second
 	servingGap       = 250 * time.Millisecond
-	// defaultQueueTimeout is the longest wait for a replica to have room.
+	// defaultQueueTimeout is the longest time that a request waits for free capacity.
 	defaultQueueTimeout = 2 * time.Second
-	// itemAttempts bounds the runs of an item that a replica reports as failed.
+	// itemAttempts bounds the attempts of an item that replicas report as failed.
 	itemAttempts = 3
-	// servingCrossZone is what a request may wait longer to stay in its zone.
+	// servingCrossZone is how much longer a request may wait in order to stay in its zone.
 	servingCrossZone = 2 * time.Millisecond
-	// servingReserve is the share of a pool's slots, those of its fastest
-	// replicas, that items leave free where the pool names no headroom.
+	// servingReserve is the share of a pool's slots, those of its fastest replicas, that batch
+	// items leave free if the pool declares no headroom.
 	servingReserve = 0.35
 )
 
@@ -37,8 +38,8 @@
 	return replica.Weights{CrossZone: servingCrossZone}
 }
 
-// routesOf turns the declared pools into routes: for each model, and for each
-// adapter of it, one for online requests and one for the items of batches.
+// routesOf converts the declared pools to routes. Each model, and each adapter of a model, has one
+// route for online requests and one for batch items.
 func routesOf(snapshot *resource.Snapshot) *route.Config {
 	config := &route.Config{Version: snapshot.Revision}
 	byHost := map[string]*route.Route{}
@@ -52,7 +53,7 @@
 	return config
 }
 
-func addPool(config *route.Config, byHost map[string]*route.Route, pool string, spec *v1.ModelPoolSpec, wait time.Duration) {
+func addPool(config *route.Config, byHost map[string]*route.Route, pool string, spec *v1.ModelPoolSpec, maxWait time.Duration) {
 	for _, adapter := range append([]string{""}, spec.Adapters...) {
 		model := spec.Model
 		if adapter != "" {
@@ -60,7 +61,7 @@
 		}
 		online := &route.Route{
 			Name: model, Host: model, Prefix: "/", Kind: route.Stream, Resumable: true,
-			MaxAttempts: servingAttempts, MaxWait: wait, Objective: servingObjective, Gap: servingGap, Adapter: adapter,
+			MaxAttempts: servingAttempts, MaxWait: maxWait, Objective: servingObjective, Gap: servingGap, Adapter: adapter,
 		}
 		items := &route.Route{
 			Name: batch.RouteOf(model), Host: batch.RouteOf(model), Prefix: "/", Kind: route.Batch,
@@ -70,12 +71,12 @@
 			items.Reserve = servingReserve
 		}
 		for _, declared := range []*route.Route{online, items} {
-			known := byHost[declared.Host]
-			if known == nil {
-				byHost[declared.Host], known = declared, declared
+			existing := byHost[declared.Host]
+			if existing == nil {
+				byHost[declared.Host], existing = declared, declared
 				config.Routes = append(config.Routes, declared)
 			}
-			known.Shares = append(known.Shares, route.Share{Pool: pool, Weight: 1})
+			existing.Shares = append(existing.Shares, route.Share{Pool: pool, Weight: 1})
 		}
 	}
 }
@@ -89,8 +90,8 @@
 	return defaultQueueTimeout
 }
 
-// evacuationsOf returns the zones that are declared to be evacuated, with the revisions
-// that declare them.
+// evacuationsOf returns the zones that are declared evacuated, with the revisions of their
+// declarations.
 func evacuationsOf(snapshot *resource.Snapshot) map[string]uint64 {
 	versions := map[string]uint64{}
 	for _, entry := range snapshot.List(v1.KindEvacuation) {
@@ -99,13 +100,13 @@
 	return versions
 }
 
-// configApplied puts the evacuations and routes of a new revision in force and has others told.
+// configApplied puts the evacuations and routes of a new revision in force and wakes announceLoop.
 func (n *Node) configApplied(revision uint64) {
-	// Evacuations come first: nothing is sent before there are routes.
-	n.evacuate(evacuationsOf(n.resources.Snapshot()), revision)
+	// Evacuations come first: no request is sent before there are routes.
+	n.setEvacuations(evacuationsOf(n.resources.Snapshot()), revision)
 	n.replaceRoutes(routesOf(n.resources.Snapshot()), revision)
-	if n.options.Applied != nil {
-		n.options.Applied(revision)
+	if n.options.OnApplied != nil {
+		n.options.OnApplied(revision)
 	}
 	select {
 	case n.applied <- struct{}{}:
@@ -113,17 +114,17 @@
 	}
 }
 
-// current reports whether this node's view of the configuration is the present one.
-func (n *Node) current() bool {
-	return n.configWatch.Ready() && n.configWatch.Age() < staleConfiguration
+// configurationCurrent reports whether this node's view of the configuration is up to date.
+func (n *Node) configurationCurrent() bool {
+	return n.configWatch.Ready() && n.configWatch.Age() < staleConfigurationAge
 }
 
-// knowsConfiguration reports whether requests can be decided about.
-func (n *Node) knowsConfiguration() bool {
+// hasConfiguration reports whether this node knows enough to serve requests.
+func (n *Node) hasConfiguration() bool {
 	return n.joined.Load() && n.configWatch.Ready() && n.replicaWatch.Ready() && n.jobWatch.Ready()
 }
 
-// applyReplicas takes in changes of the list of replicas.
+// applyReplicas applies changes of the replica list.
 func (n *Node) applyReplicas(changes table.Changes, whole bool) {
 	for _, change := range changes.Changes {
 		listed, ok := n.inventory.Apply(change)
@@ -133,17 +134,17 @@
 			continue
 		}
 		if !ok {
-			n.dropReplica(change.Sort, change.Version, whole)
+			n.removeReplica(change.Sort, change.Version, whole)
 			continue
 		}
-		n.listReplica(listed.Info(listed.ID), listed.Version, whole)
+		n.putReplica(listed.Info(listed.ID), listed.Version, whole)
 	}
 	if whole {
-		n.listedReplicas(changes.Revision)
+		n.logReplicaList(changes.Revision)
 	}
 }
 
-// placementReplicas returns the replicas as the planner sees them.
+// placementReplicas returns the replicas in the form that the placement planner uses.
 func (n *Node) placementReplicas() []placement.Replica {
 	var replicas []placement.Replica
 	for _, listed := range n.inventory.List() {
--- a/internal/node/gatewaybootstrap_test.go
+++ b/internal/node/gatewaybootstrap_test.go
@@ -13,10 +13,10 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// TestGateway_StartsByWhatAnotherNodeKnowsWhileTheStoreIsAway kills a gateway and starts it
-// anew while the store answers nobody: it serves as its neighbour does, and goes by the
-// store again once that is back.
-func TestGateway_StartsByWhatAnotherNodeKnowsWhileTheStoreIsAway(t *testing.T) {
+// TestGateway_StartsWithStateOfAnotherNodeDuringStoreOutage kills a gateway and restarts it while
+// the store is unavailable. It must serve with the state of another node, and use the store again
+// afterwards.
+func TestGateway_StartsWithStateOfAnotherNodeDuringStoreOutage(t *testing.T) {
 	site := newGatewaySite(t, 2)
 	site.store.Put("op", "evacuate/far", map[string]any{})
 	first, second := site.start("a"), site.start("b")
@@ -25,38 +25,37 @@
 	})
 	second.Kill()
 	site.store.SetFault(func(string) standin.Fault { return standin.Unavailable })
-	again, err := StartGateway(context.Background(), second.settings, zerolog.Nop())
+	restarted, err := StartGateway(context.Background(), second.settings, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(again.Kill)
-	site.eventually("the gateway is ready though the store is away", again.Ready)
-	if again.configWatch.Ready() || again.replicaWatch.Ready() || again.jobWatch.Ready() {
-		t.Fatal("the store has answered")
+	t.Cleanup(restarted.Kill)
+	site.eventually("the gateway is ready without the store", restarted.Ready)
+	if restarted.configWatch.Ready() || restarted.replicaWatch.Ready() || restarted.jobWatch.Ready() {
+		t.Fatal("the store has responded")
 	}
-	if status, text, _ := site.call(again, http.MethodPost, "/resume/x", "q", nil); status != http.StatusOK {
+	if status, text, _ := site.call(restarted, http.MethodPost, "/resume/x", "q", nil); status != http.StatusOK {
 		t.Fatalf("status %d, %s", status, text)
 	}
-	if !again.replicas.Evacuated()["far"] {
-		t.Error("it does not know of the zone that is emptied")
+	if !restarted.replicas.Evacuated()["far"] {
+		t.Error("the evacuated zone is unknown")
 	}
-	if nodes := again.roster.Nodes(); len(nodes) != 2 {
-		t.Errorf("it divides slots among %v", nodes)
+	if nodes := restarted.roster.Nodes(); len(nodes) != 2 {
+		t.Errorf("slots are divided among %v", nodes)
 	}
 	site.store.Remove("op", "evacuate/far")
 	site.store.Remove("servers", site.servers[0].ID)
 	site.configure(2, "resume", "more")
 	site.store.SetFault(nil)
-	site.eventually("it goes by the store again", func() bool {
-		status, _, _ := site.call(again, http.MethodPost, "/more/x", "q2", nil)
-		return status == http.StatusOK && again.jobWatch.Ready() && !again.replicas.Evacuated()["far"] &&
-			len(again.replicas.List(time.Now())) == 1
+	site.eventually("the gateway uses the store again", func() bool {
+		status, _, _ := site.call(restarted, http.MethodPost, "/more/x", "q2", nil)
+		return status == http.StatusOK && restarted.jobWatch.Ready() && !restarted.replicas.Evacuated()["far"] &&
+			len(restarted.replicas.List(time.Now())) == 1
 	})
 }
 
-// TestGateway_ANodeThatNobodyTellsAnythingWaitsForTheStore has a gateway start alone while
-// the store is away.
-func TestGateway_ANodeThatNobodyTellsAnythingWaitsForTheStore(t *testing.T) {
+// TestGateway_WithoutPeersWaitsForStore starts a single gateway while the store is unavailable.
+func TestGateway_WithoutPeersWaitsForStore(t *testing.T) {
 	site := newGatewaySite(t, 1)
 	site.store.SetFault(func(string) standin.Fault { return standin.Unavailable })
 	gateway := site.launch("a", nil)
@@ -67,34 +66,34 @@
 		}
 	}
 	if gateway.Ready() {
-		t.Error("a node that knows nothing calls itself ready")
+		t.Error("a node without state is ready")
 	}
-	response, err := http.Get("http://" + gateway.peers.Address() + pathHeld)
+	response, err := http.Get("http://" + gateway.peers.Address() + pathBootstrap)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = response.Body.Close()
 	if response.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("a node that knows nothing passes on %d", response.StatusCode)
+		t.Errorf("a node without state responds with %d", response.StatusCode)
 	}
 	site.store.SetFault(nil)
 	site.eventually("ready once the store answers", gateway.Ready)
 }
 
-// FuzzHeldTold decodes what another process may send to a node that starts.
+// FuzzHeldTold decodes bootstrap states that a node may receive from another process.
 func FuzzHeldTold(f *testing.F) {
-	whole, err := cbor.Marshal(heldTold{Config: feedTold{AgeMs: 5, Rows: []rowTold{{Partition: "op", Sort: "config", Version: 3, Body: []byte("{}")}}}})
+	valid, err := cbor.Marshal(bootstrapState{Config: feedState{AgeMs: 5, Rows: []feedRow{{Partition: "op", Sort: "config", Version: 3, Body: []byte("{}")}}}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole)
+	f.Add(valid)
 	f.Add([]byte{0xa1, 0x01, 0xf6})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		told := &heldTold{}
-		if cbor.Unmarshal(body, told) != nil {
+		state := &bootstrapState{}
+		if cbor.Unmarshal(body, state) != nil {
 			return
 		}
-		for _, feed := range []feedTold{told.Config, told.Replicas, told.Members} {
+		for _, feed := range []feedState{state.Config, state.Replicas, state.Members} {
 			if len(feed.changes().Changes) != len(feed.Rows) || feed.age() < 0 {
 				t.Errorf("%d rows, age %v", len(feed.Rows), feed.age())
 			}
--- a/internal/node/gatewayevidence_test.go
+++ b/internal/node/gatewayfailurereports_test.go
@@ -8,13 +8,13 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// TestGateway_LeavesAReplicaOutThatFailsForOthers has a replica fail all that two
-// gateways send there, while it says that it is well: a third, which never met it, leaves
-// it out too, and uses it again once it serves.
-func TestGateway_LeavesAReplicaOutThatFailsForOthers(t *testing.T) {
+// TestGateway_EjectsReplicaThatFailsForOtherNodes has a replica fail all requests of two gateways
+// while it is listed as ready. A third gateway, which sent it none, must eject it too, and use it
+// again once it serves.
+func TestGateway_EjectsReplicaThatFailsForOtherNodes(t *testing.T) {
 	site := newGatewaySite(t, 4)
-	bad := site.servers[0]
-	bad.SetBehaviour(func(int) standin.Behaviour { return standin.Fail })
+	failing := site.servers[0]
+	failing.SetBehaviour(func(int) standin.Behaviour { return standin.Fail })
 	gateways := []*Gateway{site.start("a"), site.start("b"), site.start("c")}
 	site.eventually("nodes know each other", func() bool {
 		for _, gateway := range gateways {
@@ -25,21 +25,21 @@
 		return true
 	})
 	ejected := func(gateway *Gateway) bool {
-		for _, one := range gateway.replicas.List(time.Now()) {
-			if one.ID == bad.ID {
-				return one.Ejected
+		for _, r := range gateway.replicas.List(time.Now()) {
+			if r.ID == failing.ID {
+				return r.Ejected
 			}
 		}
 		return false
 	}
 	number := 0
-	site.eventually("the third gateway leaves it out", func() bool {
+	site.eventually("the third gateway ejects it", func() bool {
 		for _, gateway := range gateways[:2] {
 			number++
 			site.call(gateway, "POST", fmt.Sprintf("/resume/%d", number), fmt.Sprintf("r%d", number), nil)
 		}
 		return ejected(gateways[2])
 	})
-	bad.SetBehaviour(nil)
+	failing.SetBehaviour(nil)
 	site.eventually("it is used again", func() bool { return !ejected(gateways[2]) })
 }
--- a/internal/node/gatewayquarantine_test.go
+++ b/internal/node/gatewayquarantine_test.go
@@ -17,27 +17,27 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// TestGateway_QuarantineIsSeenAndReleased takes the way of an operator: from a refusal to the
-// work, and to its release at all nodes.
-func TestGateway_QuarantineIsSeenAndReleased(t *testing.T) {
-	site := newHarmSite(t, 8)
-	gateways := []*Gateway{site.gateway("a"), site.gateway("b")}
+// TestGateway_QuarantineIsShownAndReleased follows the steps of an operator, from a refusal to the
+// work and to its release at all nodes.
+func TestGateway_QuarantineIsShownAndReleased(t *testing.T) {
+	site := newCrashSite(t, 8)
+	gateways := []*Gateway{site.startGateway("a"), site.startGateway("b")}
 	for _, gateway := range gateways {
 		gateway.settings.Operator.KeySHA256 = v1.HashKey("operator")
 	}
-	site.sendUntilThree(gateways)
+	site.sendUntilThreeCrashes(gateways)
 	site.eventually("both refuse", func() bool {
-		return len(gateways[0].harm.All(time.Now())) == 1 && len(gateways[1].harm.All(time.Now())) == 1 &&
+		return len(gateways[0].quarantine.All(time.Now())) == 1 && len(gateways[1].quarantine.All(time.Now())) == 1 &&
 			gateways[0].Suspects().Items[0].Quarantined && gateways[1].Suspects().Items[0].Quarantined
 	})
-	status, _, header := site.call(gateways[1], "POST", "/resume/work", "refused", harmBody)
+	status, _, header := site.call(gateways[1], "POST", "/resume/work", "refused", crashingBody)
 	if status != http.StatusServiceUnavailable || header.Get("X-Wheelhoist-Reason") != "quarantined" {
 		t.Fatalf("refused with %d, %v", status, header)
 	}
-	// The first trial is due 5 s after the newest end, the second 20 s after it, and all nodes
-	// know its outcome a second later; the calls until here take less than the first pause.
+	// The first trial is due 5 s after the latest crash, the second 20 s after it, and all nodes
+	// know its outcome a second later. The calls up to here take less than the first pause.
 	if wait, err := strconv.ParseFloat(header.Get("Retry-After"), 64); err != nil || wait <= 1 || wait > 21 {
-		t.Fatalf("a refused caller is to come back after %q s", header.Get("Retry-After"))
+		t.Fatalf("a refused caller is to retry after %q s", header.Get("Retry-After"))
 	}
 	operator := client.New("http://"+gateways[0].settings.Gateway.Metrics, "operator")
 	list, err := operator.Suspects(t.Context())
@@ -54,21 +54,21 @@
 	if _, err := operator.Release(t.Context(), work); err != nil {
 		t.Fatal(err)
 	}
-	site.eventually("both let it run again", func() bool {
+	site.eventually("both run it again", func() bool {
 		return len(gateways[0].Suspects().Items) == 0 && len(gateways[1].Suspects().Items) == 0
 	})
-	ended := site.crashes(time.Time{})
-	site.send(gateways[1], harmBody)
-	if site.crashes(time.Time{}) == ended {
+	crashes := site.crashes(time.Time{})
+	site.send(gateways[1], crashingBody)
+	if site.crashes(time.Time{}) == crashes {
 		t.Fatal("released work does not run")
 	}
 }
 
-// TestGateway_ReplicasThatEndByThemselvesCondemnNobody ends replicas one after the other
-// under requests that are harmless.
-func TestGateway_ReplicasThatEndByThemselvesCondemnNobody(t *testing.T) {
-	site := newHarmSite(t, 6)
-	gateways := []*Gateway{site.gateway("a"), site.gateway("b")}
+// TestGateway_ReplicasThatCrashByThemselvesQuarantineNothing kills replicas one after the other
+// while they run harmless requests.
+func TestGateway_ReplicasThatCrashByThemselvesQuarantineNothing(t *testing.T) {
+	site := newCrashSite(t, 6)
+	gateways := []*Gateway{site.startGateway("a"), site.startGateway("b")}
 	stop := time.After(3 * time.Second)
 	kill := time.NewTicker(80 * time.Millisecond)
 	defer kill.Stop()
@@ -92,18 +92,12 @@
 	}
 }
 
-// TestGateway_KnowsWhatEndedWellAtANodeThatIsLost: that a work ends well is known where it ran. When
-// these nodes are lost, nobody is left who could speak for it, and three ends that it meets by
-// chance have it refused at all nodes, as if it had never ended well.
-//
-// Seen in a soak (seed 7215): the work of a route that was added at 43 s ended well at node-6
-// and node-3 from 49.3 to 49.7 s, met two ends by harmful work at 50.1 and 50.3 s, and both nodes
-// were lost with their zone at 52 s. "work quarantined" stands for it at node-2 at 54.157 s, after
-// a third end, with the limit of work that was never seen to end well; nobody answered the
-// question that goes with it, all nodes refused the work until the end of the run 18 s later.
-func TestGateway_KnowsWhatEndedWellAtANodeThatIsLost(t *testing.T) {
-	site := newHarmSite(t, 4)
-	gateways := []*Gateway{site.gateway("a"), site.gateway("b")}
+// TestGateway_KnowsSuccessesOfLostNode guards against the loss of all nodes that saw a work succeed
+// (soak seed 7215): without their successes, three crashes that the work meets by chance would
+// quarantine it at all nodes.
+func TestGateway_KnowsSuccessesOfLostNode(t *testing.T) {
+	site := newCrashSite(t, 4)
+	gateways := []*Gateway{site.startGateway("a"), site.startGateway("b")}
 	site.eventually("nodes know each other", func() bool {
 		return gateways[0].roster.Count() == len(gateways) && gateways[1].roster.Count() == len(gateways)
 	})
@@ -114,81 +108,78 @@
 			t.Fatalf("harmless work gets %d", status)
 		}
 	}
-	site.eventually("the other node knows that the work ends well", func() bool {
-		_, known := gateways[1].harm.LastSuccess(work)
+	site.eventually("the other node knows that the work succeeds", func() bool {
+		_, known := gateways[1].quarantine.LastSuccess(work)
 		return known
 	})
 	gateways[0].Kill()
 	for i := range quarantine.DefaultCrashLimit {
-		began := time.Now()
+		sentAt := time.Now()
 		time.Sleep(10 * time.Millisecond)
-		gateways[1].harm.guard.RecordCrash(quarantine.CrashReport{
-			Replica: fmt.Sprintf("gone-%d", i), Runs: []quarantine.Run{{Work: work, SentAt: began}}, At: time.Now(),
+		gateways[1].quarantine.guard.RecordCrash(quarantine.CrashReport{
+			Replica: fmt.Sprintf("gone-%d", i), Runs: []quarantine.Run{{Work: work, SentAt: sentAt}}, At: time.Now(),
 		})
 	}
 	if status := site.send(gateways[1], popular); status != http.StatusOK {
-		t.Errorf("harmless work gets %d after three ends", status)
+		t.Errorf("harmless work gets %d after three crashes", status)
 	}
 }
 
-// TestGateway_AnswersANodeThatItDoesNotKnow: a node that has just started asks what speaks for work
-// before the others have read its row, while the store is slow. The answer was sent to the address
-// in that row, so to nobody, and the node refused popular work.
-//
-// Seen in a soak (--seed 7218 --nodes 6 --regions 2): node-0, started at 20.289 s of the minute,
-// wrote "work quarantined" for the work of two routes at 21.040 s and "store does not answer,
-// started by what another node knows" at 21.190 s; it refused eight requests of them within the next
-// second, though node-2 and node-4 had run since the begin and had seen both end well.
-func TestGateway_AnswersANodeThatItDoesNotKnow(t *testing.T) {
-	site := newHarmSite(t, 2)
-	gateway := site.gateway("a")
+// TestGateway_RepliesToUnknownNode guards against a lost reply to a node that has just started
+// (soak --seed 7218 --nodes 6 --regions 2). It queries the successes of a work before other nodes
+// have read its member row, so the reply must go to the source address of the query; otherwise the
+// node refuses popular work.
+func TestGateway_RepliesToUnknownNode(t *testing.T) {
+	site := newCrashSite(t, 2)
+	gateway := site.startGateway("a")
 	work := quarantine.Work{1}
-	gateway.harm.guard.RecordSuccess(work)
-	stranger, source := listenStranger(t)
-	answers := make(chan harmTold, 1)
-	stranger.Handle(peer.KindCrashReport, func(_ string, _ *net.UDPAddr, body []byte) {
-		var told harmTold
-		if err := cbor.Unmarshal(body, &told); err != nil {
+	gateway.quarantine.guard.RecordSuccess(work)
+	unknown, source := listenUnknownNode(t)
+	replies := make(chan quarantineMessage, 1)
+	unknown.Handle(peer.KindCrashReport, func(_ string, _ *net.UDPAddr, body []byte) {
+		var message quarantineMessage
+		if err := cbor.Unmarshal(body, &message); err != nil {
 			t.Error(err)
 		}
-		answers <- told
+		replies <- message
 	})
-	go func() { _ = stranger.Run() }()
-	gateway.takeHarm("stranger#1", source, encoded(t, harmTold{Asked: &work}))
+	go func() { _ = unknown.Run() }()
+	gateway.handleQuarantineMessage("stranger#1", source, encoded(t, quarantineMessage{Query: &work}))
 	select {
-	case told := <-answers:
-		if len(told.Cleared) != 1 || told.Cleared[0].Work != work {
-			t.Errorf("answered %+v", told)
+	case message := <-replies:
+		if len(message.Clearings) != 1 || message.Clearings[0].Work != work {
+			t.Errorf("replied %+v", message)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("a node that is not known gets no answer")
+		t.Error("an unknown node gets no reply")
 	}
 }
 
-// TestHarm_EndsTellWhatEndedWellBefore: a node that has just started knows by the word of an end that
-// work which met it ended well elsewhere, without asking.
-func TestHarm_EndsTellWhatEndedWellBefore(t *testing.T) {
+// TestQuarantineMessage_CrashesCarryEarlierSuccesses checks that a node that has just started
+// learns from a crash report that work running at the crash had succeeded elsewhere, without a
+// query.
+func TestQuarantineMessage_CrashesCarryEarlierSuccesses(t *testing.T) {
 	c := testCore()
 	g := &Gateway{core: c}
 	popular, other := quarantine.Work{1}, quarantine.Work{2}
-	told := harmTold{Ends: []endTold{{
-		Replica: "r", Born: 1000, Works: []quarantine.Work{popular, other}, AgeMs: 100, Lasted: []int64{10, 10}, Well: []int64{500, 0},
+	message := quarantineMessage{Crashes: []crashEntry{{
+		Replica: "r", StartTime: 1000, Works: []quarantine.Work{popular, other}, AgeMs: 100, Durations: []int64{10, 10}, SuccessAges: []int64{500, 0},
 	}}}
-	g.takeHarm("a#1", nil, encoded(t, told))
-	at, known := c.harm.LastSuccess(popular)
+	g.handleQuarantineMessage("a#1", nil, encoded(t, message))
+	at, known := c.quarantine.LastSuccess(popular)
 	if age := time.Since(at); !known || age < 600*time.Millisecond || age > 10*time.Second {
-		t.Errorf("work that ended well 0.6 s ago: known %v, %v ago", known, age)
+		t.Errorf("work that succeeded 0.6 s ago: known %v, %v ago", known, age)
 	}
-	if _, known := c.harm.LastSuccess(other); known {
-		t.Error("work counts as having ended well that nobody saw")
+	if _, known := c.quarantine.LastSuccess(other); known {
+		t.Error("work without a known success counts as successful")
 	}
-	if verdict := c.harm.Check(popular, time.Now()); len(verdict.Replicas) != 1 {
-		t.Errorf("%d ends count, not the one that came later", len(verdict.Replicas))
+	if verdict := c.quarantine.Check(popular, time.Now()); len(verdict.Replicas) != 1 {
+		t.Errorf("%d crashes count, want only the one after the success", len(verdict.Replicas))
 	}
 }
 
-// listenStranger opens the socket of a node that no other one knows.
-func listenStranger(t testing.TB) (*peer.Socket, *net.UDPAddr) {
+// listenUnknownNode opens the socket of a node that is not a member.
+func listenUnknownNode(t testing.TB) (*peer.Socket, *net.UDPAddr) {
 	t.Helper()
 	socket, err := peer.Listen("127.0.0.1:0", "stranger#1")
 	if err != nil {
@@ -202,7 +193,7 @@
 	return socket, address
 }
 
-// TestGateway_ResetConnectionsEndNothing has answers break off at servers that live on.
+// TestGateway_ResetConnectionsEndNothing has responses break off at servers that do not crash.
 func TestGateway_ResetConnectionsEndNothing(t *testing.T) {
 	site := newGatewaySite(t, 4)
 	for _, server := range site.servers {
@@ -218,22 +209,22 @@
 }
 
 func FuzzHarmTold(f *testing.F) {
-	body, err := cbor.Marshal(harmTold{
-		Ends:    []endTold{{Replica: "r", Works: []quarantine.Work{{1}}, AgeMs: 5}},
-		Cleared: []clearedTold{{Work: quarantine.Work{1}, AgeMs: -5}},
+	body, err := cbor.Marshal(quarantineMessage{
+		Crashes:   []crashEntry{{Replica: "r", Works: []quarantine.Work{{1}}, AgeMs: 5}},
+		Clearings: []clearingEntry{{Work: quarantine.Work{1}, AgeMs: -5}},
 	})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(body)
 	f.Add([]byte{0xbf})
-	socket, source := listenStranger(f)
+	socket, source := listenUnknownNode(f)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		g := &Gateway{core: testCore(), peers: socket}
-		g.takeHarm("a#1", source, body)
+		g.handleQuarantineMessage("a#1", source, body)
 		for _, suspect := range g.Suspects().Items {
 			if suspect.SecondsSinceEnd < 0 {
-				t.Fatalf("an end of the future: %+v", suspect)
+				t.Fatalf("a crash in the future: %+v", suspect)
 			}
 		}
 	})
--- a/internal/node/poolmetrics_test.go
+++ b/internal/node/poolmetrics_test.go
@@ -9,24 +9,24 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-func TestPoolCollector_TellsEachPool(t *testing.T) {
-	set := replica.NewSet()
-	set.Put(replica.Info{ID: "a", Pool: "one", Slots: 8})
-	set.Put(replica.Info{ID: "b", Pool: "two", Slots: 4})
+func TestPoolCollector_ExportsEachPool(t *testing.T) {
+	replicas := replica.NewSet()
+	replicas.Put(replica.Info{ID: "a", Pool: "one", Slots: 8})
+	replicas.Put(replica.Info{ID: "b", Pool: "two", Slots: 4})
 	registry := prometheus.NewPedanticRegistry()
-	if err := registry.Register(&poolCollector{replicas: set, now: time.Now}); err != nil {
+	if err := registry.Register(&poolCollector{replicas: replicas, now: time.Now}); err != nil {
 		t.Fatal(err)
 	}
 	families, err := registry.Gather()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(families) != len(poolFigures) {
-		t.Fatalf("%d figures, want %d", len(families), len(poolFigures))
+	if len(families) != len(poolMetrics) {
+		t.Fatalf("%d metrics, want %d", len(families), len(poolMetrics))
 	}
 	for _, family := range families {
 		if len(family.GetMetric()) != 2 {
-			t.Errorf("%s tells %d pools, want 2", family.GetName(), len(family.GetMetric()))
+			t.Errorf("%s has %d pools, want 2", family.GetName(), len(family.GetMetric()))
 		}
 	}
 }
--- a/internal/node/suspend_test.go
+++ b/internal/node/suspend_test.go
@@ -12,54 +12,54 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestCore_AViewFromBeforeASuspensionIsTooOldToSendBy guards that items are not sent by a
-// node that slept, however short, before it has looked whether they still are its own.
-func TestCore_AViewFromBeforeASuspensionIsTooOldToSendBy(t *testing.T) {
+// TestCore_ViewFromBeforeSuspensionIsStale guards against a node that sends items after a
+// suspension of any length before it has checked that they are still its own.
+func TestCore_ViewFromBeforeSuspensionIsStale(t *testing.T) {
 	machine := clocktest.New(t)
 	c := testCore()
 	c.jobWatch.Pace = func() table.Pace { return table.Pace{AfterAnnouncement: time.Millisecond, Default: time.Minute} }
 	tabletest.Follow(t, c.jobWatch)
 	fresh := func() bool { return c.viewAge() < time.Second }
-	wait := func(what string, holds func() bool) {
+	waitFor := func(failure string, condition func() bool) {
 		t.Helper()
-		for deadline := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+		for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatal(what)
+				t.Fatal(failure)
 			}
 		}
 	}
-	wait("the view is never fresh", fresh)
+	waitFor("the view is never fresh", fresh)
 	machine.Suspend(1500 * time.Millisecond)
 	if age := c.viewAge(); age < time.Hour {
-		t.Fatalf("aged %v", age)
+		t.Fatalf("the view has age %v", age)
 	}
 	c.jobWatch.Announce()
-	wait("the view stays old after a look", fresh)
+	waitFor("the view stays stale after a poll", fresh)
 }
 
-// TestCore_QuarantineEndsInASuspensionToo guards that the time of a quarantine is not
-// longer at a node that slept, and that the age of an end that is told leaves no sleep out.
-func TestCore_QuarantineEndsInASuspensionToo(t *testing.T) {
+// TestCore_QuarantineTimeIncludesSuspension guards against a quarantine that lasts longer, or a
+// crash that is shown as more recent, at a node that was suspended.
+func TestCore_QuarantineTimeIncludesSuspension(t *testing.T) {
 	machine := clocktest.New(t)
 	c := testCore()
-	c.harm.rows.Apply(table.Changes{Now: time.Hour}, true)
+	c.quarantine.rows.Apply(table.Changes{Now: time.Hour}, true)
 	work := quarantine.Work{1}
 	for _, id := range []string{"a", "b", "c"} {
 		now := clock.Now()
-		c.harm.guard.RecordCrash(quarantine.CrashReport{Replica: id, Runs: []quarantine.Run{{Work: work, SentAt: now}}, At: now})
+		c.quarantine.guard.RecordCrash(quarantine.CrashReport{Replica: id, Runs: []quarantine.Run{{Work: work, SentAt: now}}, At: now})
 	}
 	if !c.Suspects().Items[0].Quarantined {
 		t.Fatal("not quarantined")
 	}
 	machine.Suspend(40 * time.Minute)
 	if since := c.Suspects().Items[0].SecondsSinceEnd; since < 2400 {
-		t.Errorf("the newest end is told to be %v s ago", since)
+		t.Errorf("the latest crash is shown as %v s ago", since)
 	}
 	machine.Suspend(25 * time.Minute)
 	if items := c.Suspects().Items; len(items) != 0 {
 		t.Errorf("suspected after more than an hour: %+v", items)
 	}
-	if jobs.QuarantinePartition() != c.harm.rows.Partition {
-		t.Error("the rows are elsewhere")
+	if jobs.QuarantinePartition() != c.quarantine.rows.Partition {
+		t.Error("the rows are in another partition")
 	}
 }
