--- a/internal/lab/emulator/engine.go
+++ b/internal/lab/emulator/engine.go
@@ -27,29 +27,30 @@
 	Version    string
 	Adapters   []string
 	Generation Generation
-	// LoadLag is the age of the load reports.
+	// LoadLag is the minimum age of the load reports that the engine serves.
 	LoadLag time.Duration
-	// Weights is the weight store; nil loads at once.
+	// Weights is the weight store. If nil, no weights are fetched.
 	Weights  object.Store
 	Recorder *history.Recorder
 	Seed     uint64
 }
 
-// Engine is an emulated model engine (one replica).
+// Engine is an emulated inference engine, one per replica.
 type Engine struct {
 	config    EngineConfig
 	scheduler *scheduler
 	mux       *http.ServeMux
 	started   time.Time
 
-	mu       sync.Mutex
-	state    engine.State
-	serving  engine.Order
-	reports  []engine.Load
-	loadings int
+	mu      sync.Mutex
+	state   engine.State
+	serving engine.Order
+	reports []engine.Load
+	// lastLoadID identifies the most recent weight load; earlier loads must not change state.
+	lastLoadID int
 }
 
-// NewEngine returns an engine that serves its configured version. Run steps it.
+// NewEngine returns an engine that serves its configured version. Call Run to execute steps.
 func NewEngine(config EngineConfig) *Engine {
 	e := &Engine{
 		config:  config,
@@ -61,32 +62,32 @@
 	e.mux = http.NewServeMux()
 	e.mux.HandleFunc("POST "+openai.PathChatCompletions, e.complete)
 	e.mux.HandleFunc("POST "+openai.PathCompletions, e.complete)
-	e.mux.HandleFunc("GET /v1/requests/{id}", e.requestStatus)
+	e.mux.HandleFunc("GET /v1/requests/{id}", e.getRequestStatus)
 	e.mux.HandleFunc("GET /v1/requests/{id}/stream", e.resume)
 	e.mux.HandleFunc("POST /v1/requests/{id}/abort", e.abort)
-	e.mux.HandleFunc("GET /load", e.loadReport)
-	e.mux.HandleFunc("GET /orders", e.currentOrder)
-	e.mux.HandleFunc("PUT /orders", e.obey)
+	e.mux.HandleFunc("GET /load", e.getLoad)
+	e.mux.HandleFunc("GET /orders", e.getOrder)
+	e.mux.HandleFunc("PUT /orders", e.putOrder)
 	return e
 }
 
-// Handler serves the engine protocol.
+// Handler returns the HTTP handler of the engine protocol.
 func (e *Engine) Handler() http.Handler { return e.mux }
 
-// Run steps the engine until the context ends.
+// Run executes steps and samples the load until ctx is done.
 func (e *Engine) Run(ctx context.Context) {
 	go e.sampleLoad(ctx)
 	e.scheduler.run(ctx)
 }
 
-// Leave marks the engine as leaving in its load reports.
-func (e *Engine) Leave() {
+// MarkLeaving makes the engine report that it is leaving.
+func (e *Engine) MarkLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.state = engine.StateLeaving
 }
 
-// SetSlowdown multiplies the time of every step from now on.
+// SetSlowdown multiplies the duration of all following steps by factor; 1 is normal speed.
 func (e *Engine) SetSlowdown(factor float64) {
 	e.scheduler.mu.Lock()
 	defer e.scheduler.mu.Unlock()
@@ -100,11 +101,11 @@
 	return e.scheduler.totals
 }
 
-// Slots returns the number of sequences that run at a time.
+// Slots returns the maximum number of sequences that run concurrently.
 func (e *Engine) Slots() int { return e.config.Generation.MaxSequences }
 
-// Open returns the number of attempts that wait or run.
-func (e *Engine) Open() int {
+// OpenAttempts returns the number of queued and running attempts.
+func (e *Engine) OpenAttempts() int {
 	e.scheduler.mu.Lock()
 	defer e.scheduler.mu.Unlock()
 	return len(e.scheduler.waiting) + len(e.scheduler.running)
@@ -117,23 +118,23 @@
 	}
 	request, err := openai.ParseCompletion(body)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, openai.TypeInvalidRequest, err.Error())
+		writeError(w, http.StatusBadRequest, openai.TypeInvalidRequest, err.Error())
 		return
 	}
-	seq, refusal := e.newSequence(r.Header.Get(engine.HeaderRequestID), &request)
-	if refusal != "" {
-		refuse(w, http.StatusServiceUnavailable, openai.TypeOverloaded, refusal)
+	seq, reason := e.newSequence(r.Header.Get(engine.HeaderRequestID), &request)
+	if reason != "" {
+		writeError(w, http.StatusServiceUnavailable, openai.TypeOverloaded, reason)
 		return
 	}
 	seq.readers = 1
 	if !e.scheduler.add(seq) {
-		refuse(w, http.StatusTooManyRequests, openai.TypeOverloaded, "queue full or request id in use")
+		writeError(w, http.StatusTooManyRequests, openai.TypeOverloaded, "queue full or request id in use")
 		return
 	}
-	e.answer(w, r, seq, request.Stream, r.URL.Path == openai.PathChatCompletions, 0)
+	e.serveSequence(w, r, seq, request.Stream, r.URL.Path == openai.PathChatCompletions, 0)
 }
 
-// newSequence builds the sequence of a request, or says why it is refused.
+// newSequence returns the sequence for a request, or the reason why the request is refused.
 func (e *Engine) newSequence(id string, request *openai.CompletionRequest) (*sequence, string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -169,7 +170,7 @@
 	return false
 }
 
-func refuse(w http.ResponseWriter, status int, kind openai.ErrorType, message string) {
+func writeError(w http.ResponseWriter, status int, kind openai.ErrorType, message string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(openai.ErrorAnswer{Error: openai.ErrorDetail{Message: message, Type: kind}})
@@ -180,7 +181,7 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-func (e *Engine) requestStatus(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) getRequestStatus(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	e.scheduler.mu.Lock()
 	seq, ok := e.scheduler.byID[id]
@@ -196,7 +197,7 @@
 	writeJSON(w, e.scheduler.abort(r.PathValue("id")))
 }
 
-// sampleLoad keeps the reports of the recent past, so that an old one can be served.
+// sampleLoad records load reports periodically and keeps those that laggedLoad still needs.
 func (e *Engine) sampleLoad(ctx context.Context) {
 	ticker := time.NewTicker(loadSampleInterval)
 	defer ticker.Stop()
@@ -205,7 +206,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			report := e.measure(now)
+			report := e.measureLoad(now)
 			e.mu.Lock()
 			e.reports = append(e.reports, report)
 			for len(e.reports) > 1 && e.reports[1].ReportedUnixMs <= now.Add(-e.config.LoadLag).UnixMilli() {
@@ -216,7 +217,7 @@
 	}
 }
 
-func (e *Engine) measure(now time.Time) engine.Load {
+func (e *Engine) measureLoad(now time.Time) engine.Load {
 	e.mu.Lock()
 	load := engine.Load{
 		State: e.state, Role: e.serving.Role, Model: e.config.Model,
@@ -248,8 +249,9 @@
 	return load
 }
 
-// lagged returns the newest report that is at least LoadLag old.
-func (e *Engine) lagged() engine.Load {
+// laggedLoad returns the newest report that is at least LoadLag old, the oldest one if none is, or
+// the current load before the first sample.
+func (e *Engine) laggedLoad() engine.Load {
 	e.mu.Lock()
 	if len(e.reports) > 0 {
 		report := e.reports[0]
@@ -257,15 +259,15 @@
 		return report
 	}
 	e.mu.Unlock()
-	return e.measure(time.Now())
+	return e.measureLoad(time.Now())
 }
 
-func (e *Engine) loadReport(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, e.lagged())
+func (e *Engine) getLoad(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, e.laggedLoad())
 }
 
 func (e *Engine) loadHeader() string {
-	report, err := json.Marshal(e.lagged())
+	report, err := json.Marshal(e.laggedLoad())
 	if err != nil {
 		return ""
 	}
--- a/internal/lab/emulator/machinelist.go
+++ b/internal/lab/emulator/machinelist.go
@@ -14,25 +14,24 @@
 	"github.com/wheelhoist/wheelhoist/internal/machines"
 )
 
-// MachineList is a stand-in for the platform's machine list. Changes show
-// only after Lag.
+// MachineList emulates the platform's machine list. Changes become visible only after a lag.
 type MachineList struct {
-	// Faults guards all calls.
+	// Faults applies to all calls.
 	Faults *Faults
 
 	mu      sync.Mutex
 	lag     time.Duration
 	current map[string]machines.Machine
-	pending []pendingMachine
+	pending []pendingChange
 }
 
-type pendingMachine struct {
-	visible time.Time
-	machine machines.Machine
-	removed bool
+type pendingChange struct {
+	visibleAt time.Time
+	machine   machines.Machine
+	removed   bool
 }
 
-// NewMachineList returns an empty list whose changes show after lag.
+// NewMachineList returns an empty list whose changes become visible after lag.
 func NewMachineList(seed uint64, lag time.Duration) *MachineList {
 	return &MachineList{
 		Faults: NewFaults(seed, func(w http.ResponseWriter) {
@@ -43,33 +42,33 @@
 	}
 }
 
-// Add lists a machine at once, as one that has long been there.
+// Add adds or replaces a machine without the lag.
 func (l *MachineList) Add(machine machines.Machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.current[machine.ID] = machine
 }
 
-// Set changes or adds a machine after the lag.
+// Set adds or replaces a machine; the change becomes visible after the lag.
 func (l *MachineList) Set(machine machines.Machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.pending = append(l.pending, pendingMachine{visible: time.Now().Add(l.lag), machine: machine})
+	l.pending = append(l.pending, pendingChange{visibleAt: time.Now().Add(l.lag), machine: machine})
 }
 
-// Remove takes a machine off the list after the lag.
+// Remove removes a machine; the change becomes visible after the lag.
 func (l *MachineList) Remove(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	change := pendingMachine{visible: time.Now().Add(l.lag), removed: true}
+	change := pendingChange{visibleAt: time.Now().Add(l.lag), removed: true}
 	change.machine.ID = id
 	l.pending = append(l.pending, change)
 }
 
-// Handler serves the list as a JSON array.
+// Handler returns the HTTP handler that serves the list as a JSON array with an ETag.
 func (l *MachineList) Handler() http.Handler {
 	return l.Faults.Wrap(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, err := json.Marshal(l.visible(time.Now()))
+		body, err := json.Marshal(l.visibleMachines(time.Now()))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
@@ -85,21 +84,21 @@
 	}))
 }
 
-func (l *MachineList) visible(now time.Time) []machines.Machine {
+func (l *MachineList) visibleMachines(now time.Time) []machines.Machine {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var waiting []pendingMachine
+	var pending []pendingChange
 	for _, change := range l.pending {
 		switch {
-		case change.visible.After(now):
-			waiting = append(waiting, change)
+		case change.visibleAt.After(now):
+			pending = append(pending, change)
 		case change.removed:
 			delete(l.current, change.machine.ID)
 		default:
 			l.current[change.machine.ID] = change.machine
 		}
 	}
-	l.pending = waiting
+	l.pending = pending
 	list := make([]machines.Machine, 0, len(l.current))
 	for _, machine := range l.current {
 		list = append(list, machine)
--- a/internal/lab/experiment/scenario.go
+++ b/internal/lab/experiment/scenario.go
@@ -1,5 +1,5 @@
-// Package experiment runs the lab's scenarios: a site under load, with faults,
-// whose history is checked at the end.
+// Package experiment runs the scenarios of the lab. A scenario runs a site under load, injects faults
+// and checks the recorded history at the end.
 package experiment
 
 import (
@@ -22,96 +22,96 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("experiment")
 
-// Options are the choices of one run.
+// Options configures one run.
 type Options struct {
 	Profile  profile.Profile
 	Seed     uint64
 	Duration time.Duration
-	// Nodes is the number of nodes; 0 takes the scenario's own.
+	// Nodes is the number of nodes; 0 uses the number of the scenario.
 	Nodes int
-	// Progress is told what happens; nil drops it.
+	// Progress receives progress messages; nil discards them.
 	Progress func(format string, arguments ...any)
 }
 
-// Mix is the load of a scenario beside its faults.
+// Mix describes the load of a scenario.
 type Mix struct {
 	// Online scales the profile's online rate; 0 means none.
 	Online float64
-	// OnceShare is the share of online requests that may run only once; half
-	// of them carry an Idempotency-Key.
-	OnceShare float64
-	// Jobs is the number of jobs of one heap; 0 means no batch.
+	// NotRepeatableShare is the share of online requests that are not repeatable. About half of
+	// them have an Idempotency-Key.
+	NotRepeatableShare float64
+	// Jobs is the number of jobs per wave; 0 means no batch load.
 	Jobs int
-	// Items is the number of items of a job; 0 takes the profile's.
+	// Items is the number of items per job; 0 uses the number of the profile.
 	Items int
-	// OnceItems makes every third job's items not repeatable.
-	OnceItems bool
-	// Cancel cancels every fourth job while it runs.
+	// NotRepeatableItems makes the items of every third job not repeatable.
+	NotRepeatableItems bool
+	// Cancel cancels every fourth job one second after it is accepted.
 	Cancel bool
-	// Resend submits every job twice at the same time.
+	// Resend submits every job twice concurrently.
 	Resend bool
-	// Operators is the number of operators that race on two resources.
+	// Operators is the number of operators that concurrently update two resources.
 	Operators int
-	// Rollout changes the pool's version in the middle of the run.
+	// Rollout changes the model version of the pool during the run.
 	Rollout bool
 }
 
 // Scenario is a named experiment.
 type Scenario struct {
-	Name  string
-	About string
-	Mix   Mix
-	Nodes int
-	// Faults are injected while the load runs.
+	Name        string
+	Description string
+	Mix         Mix
+	Nodes       int
+	// Faults are injected concurrently while the load runs.
 	Faults []Fault
-	// Run, when set, replaces the common course of a run.
+	// Run, if set, replaces the standard run of Mix and Faults.
 	Run func(ctx context.Context, options Options) (*Result, error)
 }
 
-// processes reports whether a fault needs the nodes to be real processes.
-func (s *Scenario) processes() bool {
+// needsProcesses reports whether any fault needs the nodes to run as separate processes.
+func (s *Scenario) needsProcesses() bool {
 	for _, fault := range s.Faults {
-		if fault.Processes {
+		if fault.NeedsProcesses {
 			return true
 		}
 	}
 	return false
 }
 
-// Batch is the summary of the batch work.
+// Batch summarizes the batch load of a run.
 type Batch struct {
-	Jobs       int     `json:"jobs"`
-	Items      int     `json:"items"`
-	PerSecond  float64 `json:"items_per_s"`
-	WastedPart float64 `json:"wasted_token_share"`
-	// TableWrites is the number of row writes of the table per 1,000 items.
+	Jobs             int     `json:"jobs"`
+	Items            int     `json:"items"`
+	PerSecond        float64 `json:"items_per_s"`
+	WastedTokenShare float64 `json:"wasted_token_share"`
+	// TableWrites is the number of table row writes per 1,000 items.
 	TableWrites float64 `json:"table_writes_per_1000_items,omitempty"`
 }
 
-// Result is the outcome of a run.
+// Result is the result of a run.
 type Result struct {
-	Scenario   string             `json:"scenario"`
-	Profile    string             `json:"profile"`
-	Seed       uint64             `json:"seed"`
-	Violations []string           `json:"violations"`
-	Online     load.Online        `json:"online"`
-	Batch      Batch              `json:"batch"`
-	VersusOne  *float64           `json:"ttft_p99_vs_alone,omitempty"`
-	IdleUse    *float64           `json:"idle_use,omitempty"`
-	Figures    map[string]float64 `json:"figures,omitempty"`
-	Rows       []Row              `json:"rows,omitempty"`
+	Scenario           string             `json:"scenario"`
+	Profile            string             `json:"profile"`
+	Seed               uint64             `json:"seed"`
+	Violations         []string           `json:"violations"`
+	Online             load.Online        `json:"online"`
+	Batch              Batch              `json:"batch"`
+	TTFTP99VersusAlone *float64           `json:"ttft_p99_vs_alone,omitempty"`
+	IdleUse            *float64           `json:"idle_use,omitempty"`
+	Figures            map[string]float64 `json:"figures,omitempty"`
+	Rows               []Row              `json:"rows,omitempty"`
 
 	Events []history.Event `json:"-"`
 	Points []load.Point    `json:"-"`
 }
 
-// Row is one line of a comparison.
+// Row holds the figures of one variant in a comparison.
 type Row struct {
 	Name    string             `json:"name"`
 	Figures map[string]float64 `json:"figures"`
 }
 
-// run is the state of a scenario that follows the common course.
+// run is the state of a standard run.
 type run struct {
 	options  Options
 	scenario *Scenario
@@ -127,7 +127,7 @@
 	figures map[string]float64
 }
 
-// lockedRandom is a random source for several goroutines.
+// lockedRandom is a random source that is safe for concurrent use.
 type lockedRandom struct {
 	mu     sync.Mutex
 	source *rand.Rand
@@ -153,11 +153,11 @@
 
 const (
 	defaultNodes = 4
-	// finishLimit bounds the wait for the jobs after the load has ended.
-	finishLimit = 90 * time.Second
+	// jobsTimeout bounds the wait for all jobs after the load has ended.
+	jobsTimeout = 90 * time.Second
 )
 
-// Execute runs a scenario.
+// Execute runs a scenario. Violations are part of the result, not an error.
 func Execute(ctx context.Context, scenario *Scenario, options Options) (*Result, error) {
 	if options.Progress == nil {
 		options.Progress = func(string, ...any) {}
@@ -173,8 +173,8 @@
 	return executeMix(ctx, scenario, options)
 }
 
-// executeMix runs the common course: load and faults side by side, then the
-// wait for all jobs, then the check.
+// executeMix executes a standard run: load and faults concurrently, then the wait for all jobs, then
+// the check of the history.
 func executeMix(ctx context.Context, scenario *Scenario, options Options) (*Result, error) {
 	nodes := options.Nodes
 	if nodes == 0 {
@@ -190,7 +190,7 @@
 	var err error
 	r.site, err = site.Start(ctx, site.Config{
 		Profile: options.Profile, Nodes: nodes, Listen: "127.0.0.1:0", Seed: options.Seed,
-		Recorder: r.recorder, Processes: scenario.processes(),
+		Recorder: r.recorder, Processes: scenario.needsProcesses(),
 	})
 	if err != nil {
 		return nil, err
@@ -198,17 +198,17 @@
 	defer r.site.Close()
 	options.Progress("site ready: %d nodes, %d replicas", nodes, options.Profile.ReplicaCount())
 	r.started = time.Now()
-	r.loadAndFaults(ctx)
-	r.finishJobs(ctx)
+	r.runLoadAndFaults(ctx)
+	r.verifyJobs(ctx)
 	return r.result(), nil
 }
 
-// loadAndFaults runs everything that lasts for the run's duration.
-func (r *run) loadAndFaults(ctx context.Context) {
+// runLoadAndFaults runs the load and the faults concurrently for the duration of the run.
+func (r *run) runLoadAndFaults(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.Duration)
 	defer cancel()
 	var group sync.WaitGroup
-	start := func(action func(context.Context)) {
+	spawn := func(action func(context.Context)) {
 		group.Add(1)
 		go func() {
 			defer group.Done()
@@ -217,19 +217,19 @@
 	}
 	mix := r.scenario.Mix
 	if mix.Online > 0 {
-		start(r.online)
+		spawn(r.replayOnline)
 	}
 	if mix.Jobs > 0 {
-		start(r.submitHeaps)
+		spawn(r.submitWaves)
 	}
 	for operator := range mix.Operators {
-		start(func(ctx context.Context) { r.operate(ctx, operator) })
+		spawn(func(ctx context.Context) { r.runOperator(ctx, operator) })
 	}
 	if mix.Rollout {
-		start(r.rollout)
+		spawn(r.rollOutVersion)
 	}
 	for _, fault := range r.scenario.Faults {
-		start(func(ctx context.Context) {
+		spawn(func(ctx context.Context) {
 			r.recorder.Record(history.Event{Source: "lab", Type: history.FaultStart, Detail: fault.Name})
 			fault.Inject(ctx, r)
 			r.recorder.Record(history.Event{Source: "lab", Type: history.FaultEnd, Detail: fault.Name})
@@ -238,20 +238,20 @@
 	group.Wait()
 }
 
-func (r *run) fail(err error) {
+func (r *run) addError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.errors = append(r.errors, err)
 }
 
-// figure adds a figure to the result.
-func (r *run) figure(name string, value float64) {
+// addFigure sets a figure of the result.
+func (r *run) addFigure(name string, value float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.figures[name] = value
 }
 
-// result checks the history and sums up.
+// result checks the history and summarizes the run.
 func (r *run) result() *Result {
 	elapsed := time.Since(r.started).Seconds()
 	events := r.recorder.Events()
@@ -293,7 +293,7 @@
 		wasted += totals.AbortedTokens
 	}
 	if batchTokens > 0 {
-		summary.WastedPart = float64(wasted) / float64(batchTokens)
+		summary.WastedTokenShare = float64(wasted) / float64(batchTokens)
 	}
 	if summary.Items > 0 {
 		writes, _ := r.site.Platform.Table.Counts()
@@ -302,8 +302,8 @@
 	return summary
 }
 
-// Find returns a scenario by its name. A name may join faults of one family
-// with "+", as in "batch-kill-node+store-down".
+// Find returns the scenario with the given name. A name can combine several faults with "+", as in
+// "batch-kill-node+store-down".
 func Find(name string) (*Scenario, error) {
 	for _, scenario := range All() {
 		if scenario.Name == name {
@@ -316,20 +316,20 @@
 		return nil, Error.New("unknown scenario %q, see run --list", name)
 	}
 	combined := &Scenario{Name: name, Mix: base.mix, Nodes: base.nodes}
-	for _, part := range strings.Split(list, "+") {
-		fault, ok := faultByName(part)
+	for _, faultName := range strings.Split(list, "+") {
+		fault, ok := faultByName(faultName)
 		if !ok {
-			return nil, Error.New("unknown scenario %q: no fault %q", name, part)
+			return nil, Error.New("unknown scenario %q: no fault %q", name, faultName)
 		}
 		combined.Faults = append(combined.Faults, fault)
 	}
 	return combined, nil
 }
 
-// All returns the named scenarios: each family with each fault alone, and the
-// ones with a course of their own.
+// All returns all scenarios: every family with every single fault, sorted by family, then the
+// standalone ones.
 func All() []*Scenario {
-	var list []*Scenario
+	var scenarios []*Scenario
 	var names []string
 	for name := range families {
 		names = append(names, name)
@@ -337,42 +337,42 @@
 	sort.Strings(names)
 	for _, name := range names {
 		for _, fault := range faults {
-			list = append(list, &Scenario{
-				Name: name + "-" + fault.Name, About: fmt.Sprintf("%s under: %s", families[name].about, fault.About),
+			scenarios = append(scenarios, &Scenario{
+				Name: name + "-" + fault.Name, Description: fmt.Sprintf("%s under: %s", families[name].description, fault.Description),
 				Mix: families[name].mix, Nodes: families[name].nodes, Faults: []Fault{fault},
 			})
 		}
 	}
-	return append(list, special...)
+	return append(scenarios, standaloneScenarios...)
 }
 
-// family is a load that every fault can be combined with.
+// family is a load that can be combined with any fault.
 type family struct {
-	about string
-	mix   Mix
-	nodes int
+	description string
+	mix         Mix
+	nodes       int
 }
 
 var families = map[string]family{
 	"batch": {
-		about: "jobs in heaps, some resent, cancelled or not repeatable, beside light online load",
-		mix:   Mix{Online: 0.3, Jobs: 3, OnceItems: true, Cancel: true, Resend: true},
+		description: "waves of jobs, some resent, cancelled or not repeatable, with light online load",
+		mix:         Mix{Online: 0.3, Jobs: 3, NotRepeatableItems: true, Cancel: true, Resend: true},
 	},
 	"online": {
-		about: "online bursts, a part not repeatable, beside a batch",
-		mix:   Mix{Online: 1, OnceShare: 0.2, Jobs: 1},
+		description: "online bursts, some requests not repeatable, with batch load",
+		mix:         Mix{Online: 1, NotRepeatableShare: 0.2, Jobs: 1},
 	},
 	"config": {
-		about: "operators racing on the same resources",
-		mix:   Mix{Online: 0.2, Operators: 6},
+		description: "operators updating the same resources concurrently",
+		mix:         Mix{Online: 0.2, Operators: 6},
 	},
 	"placement": {
-		about: "a new version rolled out under load",
-		mix:   Mix{Online: 0.5, Jobs: 1, Operators: 1, Rollout: true},
+		description: "rollout of a new version under load",
+		mix:         Mix{Online: 0.5, Jobs: 1, Operators: 1, Rollout: true},
 	},
 	"membership": {
-		about: "nodes watching each other under light load",
-		mix:   Mix{Online: 0.2, Operators: 2},
-		nodes: 6,
+		description: "node membership under light load",
+		mix:         Mix{Online: 0.2, Operators: 2},
+		nodes:       6,
 	},
 }
--- a/internal/lab/history/check.go
+++ b/internal/lab/history/check.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Rule names an invariant.
+// Rule identifies an invariant of a history.
 type Rule string
 
-// Rules.
+// Rules that Check verifies.
 const (
 	RuleItemOnce       Rule = "item-exactly-once"
 	RuleItemResult     Rule = "item-result-readable"
@@ -28,32 +28,32 @@
 	RuleFencedOrders   Rule = "orders-fenced"
 )
 
-// Limits of the rules.
+// Grace periods of the rules.
 const (
-	// LeavingGrace is the time after which a leaving replica must get nothing.
+	// LeavingGrace is the time after which a leaving replica must not receive requests.
 	LeavingGrace = 3 * time.Second
-	// CancelGrace is the time in which a cancelled job's items must stop.
+	// CancelGrace is the time within which the items of a cancelled job must stop.
 	CancelGrace = 2 * time.Second
 )
 
-// Violation is a broken rule.
+// Violation describes one violation of a rule.
 type Violation struct {
 	Rule   Rule   `json:"rule"`
 	Detail string `json:"detail"`
 }
 
-// String renders the violation in one line.
+// String formats the violation on one line.
 func (v Violation) String() string { return string(v.Rule) + ": " + v.Detail }
 
-// checker holds a history in the order of time.
+// checker holds a history sorted by time and the violations found in it.
 type checker struct {
-	events []Event
-	found  []Violation
-	// crashed tells whether anything but planned stops happened.
+	events     []Event
+	violations []Violation
+	// crashed reports whether the history contains failures other than planned stops.
 	crashed bool
 }
 
-// Check returns the violations of a history.
+// Check returns the violations found in a history. The events need not be sorted.
 func Check(events []Event) []Violation {
 	sorted := append([]Event(nil), events...)
 	sort.SliceStable(sorted, func(i, j int) bool { return sorted[i].Time < sorted[j].Time })
@@ -71,159 +71,160 @@
 	c.checkConfigReverts()
 	c.checkConfigAccepted()
 	c.checkConfigWrites()
-	return c.found
+	return c.violations
 }
 
-func (c *checker) violate(rule Rule, format string, arguments ...any) {
-	c.found = append(c.found, Violation{Rule: rule, Detail: fmt.Sprintf(format, arguments...)})
+func (c *checker) report(rule Rule, format string, arguments ...any) {
+	c.violations = append(c.violations, Violation{Rule: rule, Detail: fmt.Sprintf(format, arguments...)})
 }
 
-// logical returns the request that an attempt belongs to.
-func logical(attempt string) string {
+// requestOf returns the request ID of an attempt ID, "request~...".
+func requestOf(attempt string) string {
 	request, _, _ := strings.Cut(attempt, "~")
 	return request
 }
 
-// jobOf returns the job of a batch attempt, "job-line~...".
+// jobOf returns the job ID of a batch attempt ID, "job-line~...".
 func jobOf(attempt string) string {
-	request := logical(attempt)
+	request := requestOf(attempt)
 	if cut := strings.LastIndexByte(request, '-'); cut > 0 {
 		return request[:cut]
 	}
 	return request
 }
 
-// checkJobs: every accepted job reaches a final state, with all its items.
+// checkJobs checks that every accepted job that is not cancelled reaches a final state, that all its
+// items are counted in it, and that cancelled jobs do not end in another state.
 func (c *checker) checkJobs() {
-	accepted := map[string]int{}
+	itemCounts := map[string]int{}
 	final := map[string]Event{}
 	cancelled := map[string]bool{}
 	for _, event := range c.events {
 		switch event.Type {
 		case BatchAccepted:
-			accepted[event.Job] = event.Count
+			itemCounts[event.Job] = event.Count
 		case BatchFinal:
 			final[event.Job] = event
 		case BatchCancelled:
 			cancelled[event.Job] = true
 		}
 	}
-	for job, count := range accepted {
+	for job, count := range itemCounts {
 		end, ended := final[job]
 		switch {
 		case !ended && !cancelled[job]:
-			c.violate(RuleJobFinishes, "job %s was accepted and never finished", job)
+			c.report(RuleJobFinishes, "job %s was accepted and never finished", job)
 		case ended && cancelled[job] && end.Outcome != "cancelled":
-			c.violate(RuleCancelStops, "job %s was cancelled and ended as %s", job, end.Outcome)
+			c.report(RuleCancelStops, "job %s was cancelled and ended as %s", job, end.Outcome)
 		case ended && (end.Outcome == "completed" || end.Outcome == "expired") && end.Count != count:
-			c.violate(RuleItemOnce, "job %s has %d items ended of %d", job, end.Count, count)
+			c.report(RuleItemOnce, "job %s has %d items ended of %d", job, end.Count, count)
 		}
 	}
 }
 
-// checkItems: a finished job has exactly one right result for each item.
+// checkItems checks that a finished job has exactly one result per item and that it is correct.
 func (c *checker) checkItems() {
 	results := map[string]map[string]int{}
-	ended := map[string]bool{}
-	accepted := map[string]int{}
+	finished := map[string]bool{}
+	itemCounts := map[string]int{}
 	for _, event := range c.events {
 		switch event.Type {
 		case BatchAccepted:
-			accepted[event.Job] = event.Count
+			itemCounts[event.Job] = event.Count
 		case BatchFinal:
-			ended[event.Job] = event.Outcome == "completed" || event.Outcome == "expired"
+			finished[event.Job] = event.Outcome == "completed" || event.Outcome == "expired"
 		case BatchResult:
 			if results[event.Job] == nil {
 				results[event.Job] = map[string]int{}
 			}
 			results[event.Job][event.Item]++
 			if !event.Match {
-				c.violate(RuleItemResult, "job %s item %s: result is not the item's own (%s)", event.Job, event.Item, event.Outcome)
+				c.report(RuleItemResult, "job %s item %s: result is not the item's own (%s)", event.Job, event.Item, event.Outcome)
 			}
 			if event.Outcome == "outcome_unknown" && (event.Repeatable || !c.crashed) {
-				c.violate(RuleItemResult, "job %s item %s ended as unknown, repeatable %v, crashes %v", event.Job, event.Item, event.Repeatable, c.crashed)
+				c.report(RuleItemResult, "job %s item %s ended as unknown, repeatable %v, crashes %v", event.Job, event.Item, event.Repeatable, c.crashed)
 			}
 			if event.Outcome == "item_failed" {
-				c.violate(RuleItemResult, "job %s item %s failed: %s", event.Job, event.Item, event.Detail)
+				c.report(RuleItemResult, "job %s item %s failed: %s", event.Job, event.Item, event.Detail)
 			}
 		}
 	}
 	for job, items := range results {
-		for item, times := range items {
-			if times != 1 {
-				c.violate(RuleItemOnce, "job %s item %s has %d results", job, item, times)
+		for item, count := range items {
+			if count != 1 {
+				c.report(RuleItemOnce, "job %s item %s has %d results", job, item, count)
 			}
 		}
 	}
-	for job, done := range ended {
-		if done && len(results[job]) != accepted[job] {
-			c.violate(RuleItemOnce, "job %s has results for %d of %d items", job, len(results[job]), accepted[job])
+	for job, done := range finished {
+		if done && len(results[job]) != itemCounts[job] {
+			c.report(RuleItemOnce, "job %s has results for %d of %d items", job, len(results[job]), itemCounts[job])
 		}
 	}
 }
 
-// checkAtMostOnce: a request or item that is not repeatable starts at most
-// once at all engines together.
+// checkAtMostOnce checks that a request or item that is not repeatable starts at most once across all
+// engines.
 func (c *checker) checkAtMostOnce() {
-	once := map[string]bool{}
+	notRepeatable := map[string]bool{}
 	starts := map[string]int{}
 	for _, event := range c.events {
 		switch {
 		case event.Type == ClientSend && !event.Repeatable:
-			once[event.Request] = true
+			notRepeatable[event.Request] = true
 		case event.Type == EngineStart && strings.HasSuffix(event.Attempt, "~once"):
-			once[logical(event.Attempt)] = true
+			notRepeatable[requestOf(event.Attempt)] = true
 		}
 		if event.Type == EngineStart {
-			starts[logical(event.Attempt)]++
+			starts[requestOf(event.Attempt)]++
 		}
 	}
-	for request := range once {
+	for request := range notRepeatable {
 		if starts[request] > 1 {
-			c.violate(RuleAtMostOnce, "%s ran %d times", request, starts[request])
+			c.report(RuleAtMostOnce, "%s ran %d times", request, starts[request])
 		}
 	}
 }
 
-// checkNotRun: between a sending and its refusal as not run, and from there to
-// the next sending, the request does not start at any engine.
+// checkNotRun checks that a request that was refused as not run started on no engine, neither before
+// the refusal nor between the refusal and the next send.
 func (c *checker) checkNotRun() {
-	type sending struct {
+	type send struct {
 		starts  int
 		refused bool
 	}
-	open := map[string]*sending{}
+	sends := map[string]*send{}
 	for _, event := range c.events {
 		switch event.Type {
 		case ClientSend:
-			open[event.Request] = &sending{}
+			sends[event.Request] = &send{}
 		case EngineStart:
-			state := open[logical(event.Attempt)]
-			if state == nil {
+			current := sends[requestOf(event.Attempt)]
+			if current == nil {
 				continue
 			}
-			state.starts++
-			if state.refused {
-				c.violate(RuleNotRun, "%s started after it was refused as not run", logical(event.Attempt))
+			current.starts++
+			if current.refused {
+				c.report(RuleNotRun, "%s started after it was refused as not run", requestOf(event.Attempt))
 			}
 		case ClientRefused:
-			state := open[event.Request]
-			if state == nil || event.Executed != "no" {
+			current := sends[event.Request]
+			if current == nil || event.Executed != "no" {
 				continue
 			}
-			state.refused = true
-			if state.starts > 0 {
-				c.violate(RuleNotRun, "%s was refused as not run and had started: %s", event.Request, event.Detail)
+			current.refused = true
+			if current.starts > 0 {
+				c.report(RuleNotRun, "%s was refused as not run and had started: %s", event.Request, event.Detail)
 			}
 		}
 	}
 }
 
-// checkAnswers: an answer that ended as whole is the request's own.
+// checkAnswers checks that every answer is complete and belongs to its request.
 func (c *checker) checkAnswers() {
 	for _, event := range c.events {
 		if event.Type == ClientAnswer && (!event.Whole || !event.Match) {
-			c.violate(RuleWholeAnswer, "%s got an answer that is not its own or not whole", event.Request)
+			c.report(RuleWholeAnswer, "%s got an answer that is not its own or not whole", event.Request)
 		}
 	}
 }
--- a/internal/lab/history/check_test.go
+++ b/internal/lab/history/check_test.go
@@ -8,8 +8,8 @@
 
 const second = int64(time.Second)
 
-// badHistories holds, for each rule, a history that breaks it and no other.
-var badHistories = map[Rule][]Event{
+// violatingHistories maps each rule to a history that violates this rule only.
+var violatingHistories = map[Rule][]Event{
 	RuleJobFinishes: {
 		{Type: BatchAccepted, Job: "j", Count: 1},
 	},
@@ -76,24 +76,24 @@
 	},
 }
 
-func TestCheck_EachRuleFails(t *testing.T) {
-	for rule, events := range badHistories {
+func TestCheck_DetectsEachViolation(t *testing.T) {
+	for rule, events := range violatingHistories {
 		t.Run(string(rule), func(t *testing.T) {
 			found := Check(events)
 			if len(found) == 0 {
-				t.Fatal("the bad history passed")
+				t.Fatal("Check found no violation")
 			}
 			for _, violation := range found {
 				if violation.Rule != rule {
-					t.Errorf("also broke %s", violation)
+					t.Errorf("unexpected violation: %s", violation)
 				}
 			}
 		})
 	}
 }
 
-// A planned stop is no excuse for an item that nobody can tell about.
-func TestCheck_UnknownItemNeedsACrash(t *testing.T) {
+// Guards against accepting an item with an unknown outcome after planned stops only.
+func TestCheck_UnknownOutcomeNeedsCrash(t *testing.T) {
 	events := []Event{
 		{Type: BatchAccepted, Job: "j", Count: 1},
 		{Time: 1, Type: NodeStopping, Detail: "node-0"},
@@ -101,7 +101,7 @@
 		{Time: 3, Type: BatchResult, Job: "j", Item: "a", Match: true, Outcome: "outcome_unknown"},
 	}
 	if found := Check(events); len(found) != 1 || found[0].Rule != RuleItemResult {
-		t.Fatalf("violations %v", found)
+		t.Fatalf("violations %v, want one of item-result-readable", found)
 	}
 	events[1].Type = NodeKilled
 	if found := Check(events); len(found) != 0 {
@@ -109,8 +109,8 @@
 	}
 }
 
-func TestCheck_GoodHistoryPasses(t *testing.T) {
-	good := []Event{
+func TestCheck_AcceptsValidHistory(t *testing.T) {
+	valid := []Event{
 		{Type: BatchAccepted, Job: "j", Count: 1},
 		{Time: 1, Type: EngineReceived, Class: Online, Replica: "e", Attempt: "r~a.1"},
 		{Time: 2, Type: EngineStart, Class: Online, Replica: "e", Attempt: "r~a.1"},
@@ -128,12 +128,12 @@
 		{Time: 14, Type: ConfigInvoke, Source: "b", Detail: "write", Operation: "2", Key: "k", Expect: 3},
 		{Time: 15, Type: ConfigReturn, Source: "b", Detail: "write", Operation: "2", Key: "k", Expect: 3, Outcome: OutcomeAccepted, Revision: 4},
 	}
-	if found := Check(good); len(found) > 0 {
-		t.Fatalf("violations in a good history: %v", found)
+	if found := Check(valid); len(found) > 0 {
+		t.Fatalf("violations in a valid history: %v", found)
 	}
 }
 
-func TestRead_TellsTheBrokenEvent(t *testing.T) {
+func TestRead_ErrorNamesInvalidEvent(t *testing.T) {
 	_, err := Read(strings.NewReader("{\"type\":\"client_send\"}\n{broken"))
 	if err == nil || !strings.Contains(err.Error(), "event 2") {
 		t.Fatalf("error %v does not name event 2", err)
--- a/internal/lab/history/checkconfig.go
+++ b/internal/lab/history/checkconfig.go
@@ -8,33 +8,33 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// checkConfigReverts: the revision in force on a node never falls while the
-// node runs; after a restart it is at least what the node last held.
+// checkConfigReverts checks that the revision applied by a node never decreases, including across
+// restarts of the node.
 func (c *checker) checkConfigReverts() {
-	held := map[string]uint64{}
+	highest := map[string]uint64{}
 	for _, event := range c.events {
 		if event.Type != ConfigApplied {
 			continue
 		}
-		if event.Revision < held[event.Source] {
-			c.violate(RuleConfigReverts, "%s went from revision %d to %d", event.Source, held[event.Source], event.Revision)
+		if event.Revision < highest[event.Source] {
+			c.report(RuleConfigReverts, "%s went from revision %d to %d", event.Source, highest[event.Source], event.Revision)
 		}
-		held[event.Source] = max(held[event.Source], event.Revision)
+		highest[event.Source] = max(highest[event.Source], event.Revision)
 	}
 }
 
-// checkConfigAccepted: a read that began after a write was acknowledged as
-// accepted sees at least that write's revision, through whichever node.
+// checkConfigAccepted checks that a read invoked after a write was acknowledged as accepted returns at
+// least the revision of that write, regardless of the node.
 func (c *checker) checkConfigAccepted() {
 	accepted := map[string]uint64{}
-	floor := map[string]uint64{}
+	minimum := map[string]uint64{}
 	for _, event := range c.events {
 		switch {
 		case event.Type == ConfigInvoke && event.Detail == configRead:
-			floor[event.Operation] = accepted[event.Key]
+			minimum[event.Operation] = accepted[event.Key]
 		case event.Type == ConfigReturn && event.Detail == configRead && event.Outcome == outcomeOK:
-			if event.Revision < floor[event.Operation] {
-				c.violate(RuleConfigAccepted, "%s read revision %d of %s after %d was accepted", event.Source, event.Revision, event.Key, floor[event.Operation])
+			if event.Revision < minimum[event.Operation] {
+				c.report(RuleConfigAccepted, "%s read revision %d of %s after %d was accepted", event.Source, event.Revision, event.Key, minimum[event.Operation])
 			}
 		case event.Type == ConfigReturn && event.Detail == configWrite && event.Outcome == OutcomeAccepted:
 			accepted[event.Key] = max(accepted[event.Key], event.Revision)
@@ -42,40 +42,40 @@
 	}
 }
 
-// Details and outcomes of configuration calls.
+// Details and outcomes of configuration calls. The values are recorded in histories.
 const (
 	configRead  = "read"
 	configWrite = "write"
 	outcomeOK   = "ok"
-	// OutcomeAccepted: committed and in force on all nodes.
+	// OutcomeAccepted means committed and applied by all nodes.
 	OutcomeAccepted = "accepted"
-	// OutcomePending: committed, not yet in force on all nodes.
+	// OutcomePending means committed, but not yet applied by all nodes.
 	OutcomePending = "pending"
-	// OutcomeConflict: refused for its expected version.
+	// OutcomeConflict means rejected because the expected version did not match.
 	OutcomeConflict = "conflict"
-	// OutcomeRefused: provably not done.
+	// OutcomeRefused means refused with a guarantee of no effect.
 	OutcomeRefused = "refused"
-	// OutcomeUnknown: no answer, or an undecided one.
+	// OutcomeUnknown means no response, or one that does not tell whether the call took effect.
 	OutcomeUnknown = "unknown"
 )
 
-// configInput is a compare-and-set of one resource.
+// configInput is the input of a compare-and-set on one resource.
 type configInput struct {
 	key    string
 	expect uint64
-	// unclaimed are the revisions of the resource in the table's own record that
-	// no caller was told: what a write with an unknown outcome may have taken.
-	unclaimed []uint64
+	// unacknowledged holds the revisions that the table committed for the resource but that no
+	// write returned. A write with an unknown outcome may have produced one of them.
+	unacknowledged []uint64
 }
 
-// configOutput is what the caller learned.
+// configOutput is the result that the caller received.
 type configOutput struct {
 	outcome  string
 	revision uint64
 }
 
-// configModel is a resource as a versioned register: a write with the right
-// expected version sets a higher one.
+// configModel models a resource as a versioned register: a write with the correct expected version
+// sets a higher version. Each resource is checked separately.
 var configModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -96,24 +96,24 @@
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(state, input, output any) []any {
 		version := state.(uint64)
-		wanted := input.(configInput)
-		got := output.(configOutput)
-		switch got.outcome {
+		in := input.(configInput)
+		out := output.(configOutput)
+		switch out.outcome {
 		case OutcomeAccepted, OutcomePending:
-			if wanted.expect != version || got.revision <= version {
+			if in.expect != version || out.revision <= version {
 				return nil
 			}
-			return []any{got.revision}
+			return []any{out.revision}
 		case OutcomeConflict:
-			if wanted.expect == version {
+			if in.expect == version {
 				return nil
 			}
 			return []any{version}
 		case OutcomeUnknown:
-			// It took no effect, or it took the revision found out later.
+			// It had no effect, or it committed one of the unacknowledged revisions.
 			states := []any{version}
-			for _, revision := range wanted.unclaimed {
-				if wanted.expect == version && revision > version {
+			for _, revision := range in.unacknowledged {
+				if in.expect == version && revision > version {
 					states = append(states, revision)
 				}
 			}
@@ -128,7 +128,7 @@
 	},
 }
 
-// checkConfigWrites: all compare-and-set writes together are linearizable.
+// checkConfigWrites checks that the compare-and-set writes are linearizable.
 func (c *checker) checkConfigWrites() {
 	operations := c.configOperations()
 	if len(operations) == 0 {
@@ -136,16 +136,16 @@
 	}
 	model := configModel.ToModel()
 	if !porcupine.CheckOperations(model, operations) {
-		c.violate(RuleConfigWrites, "%d writes have no order that explains their answers", len(operations))
+		c.report(RuleConfigWrites, "%d writes have no order that explains their answers", len(operations))
 	}
 }
 
-// configOperations pairs the calls with their answers. A call with an unknown
-// outcome may take effect until the end of the history.
+// configOperations pairs write invocations with their returns. A write with an unknown outcome may
+// take effect at any later time, so its return time is unbounded.
 func (c *checker) configOperations() []porcupine.Operation {
-	unclaimed := c.unclaimedRevisions()
+	unacknowledged := c.unacknowledgedRevisions()
 	invoked := map[string]Event{}
-	client := map[string]int{}
+	clientIDs := map[string]int{}
 	var operations []porcupine.Operation
 	for _, event := range c.events {
 		if event.Detail != configWrite {
@@ -159,16 +159,16 @@
 			if !ok {
 				continue
 			}
-			if _, known := client[event.Source]; !known {
-				client[event.Source] = len(client)
+			if _, known := clientIDs[event.Source]; !known {
+				clientIDs[event.Source] = len(clientIDs)
 			}
 			operation := porcupine.Operation{
-				ClientId: client[event.Source], Call: call.Time, Return: event.Time,
+				ClientId: clientIDs[event.Source], Call: call.Time, Return: event.Time,
 				Input:  configInput{key: call.Key, expect: call.Expect},
 				Output: configOutput{outcome: event.Outcome, revision: event.Revision},
 			}
 			if event.Outcome == OutcomeUnknown {
-				operation.Input = configInput{key: call.Key, expect: call.Expect, unclaimed: unclaimed[call.Key]}
+				operation.Input = configInput{key: call.Key, expect: call.Expect, unacknowledged: unacknowledged[call.Key]}
 				operation.Return = math.MaxInt64
 			}
 			operations = append(operations, operation)
@@ -177,21 +177,21 @@
 	return operations
 }
 
-// unclaimedRevisions returns, for each resource, the revisions in the table's
-// record that no write was told.
-func (c *checker) unclaimedRevisions() map[string][]uint64 {
-	told := map[uint64]bool{}
+// unacknowledgedRevisions returns, per resource, the revisions that the table committed but that no
+// write returned.
+func (c *checker) unacknowledgedRevisions() map[string][]uint64 {
+	acknowledged := map[uint64]bool{}
 	for _, event := range c.events {
 		if event.Type == ConfigReturn && event.Detail == configWrite && event.Revision != 0 {
-			told[event.Revision] = true
+			acknowledged[event.Revision] = true
 		}
 	}
-	unclaimed := map[string][]uint64{}
+	unacknowledged := map[string][]uint64{}
 	for _, event := range c.events {
 		key, isConfig := strings.CutPrefix(event.Key, "config/")
-		if event.Type == TableEffect && isConfig && !told[event.Revision] {
-			unclaimed[key] = append(unclaimed[key], event.Revision)
+		if event.Type == TableEffect && isConfig && !acknowledged[event.Revision] {
+			unacknowledged[key] = append(unacknowledged[key], event.Revision)
 		}
 	}
-	return unclaimed
+	return unacknowledged
 }
--- a/internal/lab/load/stats.go
+++ b/internal/lab/load/stats.go
@@ -10,44 +10,45 @@
 )
 
 const (
+	// histogramMax is the largest value that is recorded, in microseconds.
 	histogramMax    = int64(2 * time.Minute / time.Microsecond)
 	histogramDigits = 3
 )
 
-// Stats collects what callers measured. It is safe for concurrent use.
+// Stats collects the outcomes and latencies of online requests. It is safe for concurrent use.
 type Stats struct {
-	mu       sync.Mutex
-	ttft     *hdrhistogram.Histogram
-	total    *hdrhistogram.Histogram
-	gaps     *hdrhistogram.Histogram
-	requests int
-	answered int
-	// reconnected counts the answers that were continued through another node.
+	mu        sync.Mutex
+	ttft      *hdrhistogram.Histogram
+	total     *hdrhistogram.Histogram
+	tokenGaps *hdrhistogram.Histogram
+	requests  int
+	answered  int
+	// reconnected is the number of answers that were interrupted and resumed.
 	reconnected int
 	refused     int
 	failed      int
 	wrong       int
 	tokens      int
-	// points keep the time series for plots.
+	// points is the time series for plots.
 	points []Point
 	start  time.Time
 }
 
-// Point is one answered request of the time series.
+// Point is an answered request in the time series.
 type Point struct {
-	// At is seconds since the first answer.
+	// At is the time since the first answer, in seconds.
 	At float64
-	// TTFT is in milliseconds.
+	// TTFT is the time to the first token, in milliseconds.
 	TTFT float64
 }
 
-// NewStats returns empty statistics.
+// NewStats returns statistics without any requests.
 func NewStats() *Stats {
-	create := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramMax, histogramDigits) }
-	return &Stats{ttft: create(), total: create(), gaps: create()}
+	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramMax, histogramDigits) }
+	return &Stats{ttft: newHistogram(), total: newHistogram(), tokenGaps: newHistogram()}
 }
 
-// Add takes in the outcome of a request.
+// Add records the outcome of a request.
 func (s *Stats) Add(event history.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,18 +76,18 @@
 	}
 }
 
-// Gap takes in the time between two tokens.
-func (s *Stats) Gap(gap time.Duration) {
+// AddTokenGap records the time between two consecutive tokens of an answer.
+func (s *Stats) AddTokenGap(gap time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = s.gaps.RecordValue(gap.Microseconds())
+	_ = s.tokenGaps.RecordValue(gap.Microseconds())
 }
 
-// Online is the summary of online requests.
+// Online summarizes the online requests of a run. Latencies are in milliseconds.
 type Online struct {
 	Requests int `json:"requests"`
 	Answered int `json:"answered"`
-	// Reconnected answers were continued through another node.
+	// Reconnected is the number of answers that were interrupted and resumed.
 	Reconnected int     `json:"reconnected"`
 	Refused     int     `json:"refused"`
 	Failed      int     `json:"failed"`
@@ -99,10 +100,10 @@
 	TTFTP99     float64 `json:"ttft_p99_ms"`
 	GapP95      float64 `json:"token_gap_p95_ms"`
 	GapP99      float64 `json:"token_gap_p99_ms"`
-	TTFTWorst   float64 `json:"ttft_max_ms"`
+	TTFTMax     float64 `json:"ttft_max_ms"`
 }
 
-// Summary returns the figures so far, in milliseconds.
+// Summary returns the summary of the requests recorded so far.
 func (s *Stats) Summary() Online {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,12 +114,12 @@
 		Requests: s.requests, Answered: s.answered, Reconnected: s.reconnected, Refused: s.refused, Failed: s.failed, Wrong: s.wrong,
 		Tokens: s.tokens, P50: quantile(s.total, 50), P99: quantile(s.total, 99),
 		TTFTP50: quantile(s.ttft, 50), TTFTP95: quantile(s.ttft, 95), TTFTP99: quantile(s.ttft, 99),
-		GapP95: quantile(s.gaps, 95), GapP99: quantile(s.gaps, 99),
-		TTFTWorst: float64(s.ttft.Max()) / 1000,
+		GapP95: quantile(s.tokenGaps, 95), GapP99: quantile(s.tokenGaps, 99),
+		TTFTMax: float64(s.ttft.Max()) / 1000,
 	}
 }
 
-// Points returns the time series.
+// Points returns a copy of the time series.
 func (s *Stats) Points() []Point {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/port/port_test.go
+++ b/internal/lab/port/port_test.go
@@ -10,12 +10,11 @@
 	"testing"
 )
 
-// A finding (CI beside a soak): a port that the kernel had given out was taken by an
-// outgoing connection before the gateway that it was meant for listened there.
-func TestFree_OutgoingConnectionsCannotTakeIt(t *testing.T) {
+// Guards against ports that an outgoing connection can occupy before the owner listens on them.
+func TestFree_AvoidsEphemeralRange(t *testing.T) {
 	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
-		t.Skip("the kernel does not tell its range")
+		t.Skip("the ephemeral port range of the kernel cannot be read")
 	}
 	var low, high int
 	if _, err := fmt.Sscan(string(text), &low, &high); err != nil {
@@ -28,20 +27,20 @@
 		}
 		_, port, _ := net.SplitHostPort(address)
 		if number, _ := strconv.Atoi(port); number >= low && number <= high {
-			t.Fatalf("port %d is one that the kernel gives to outgoing connections", number)
+			t.Fatalf("port %d is in the ephemeral port range of the kernel", number)
 		}
 	}
 }
 
-// A port that is in use by somebody who did not ask this package is not chosen.
-func TestFree_WhatOthersListenOnIsNotChosen(t *testing.T) {
+// Ports used by processes that do not allocate them with this package are skipped, for TCP and UDP.
+func TestFree_SkipsPortsInUse(t *testing.T) {
 	for _, network := range []string{"tcp", "udp"} {
-		listener, taken, err := listen(network)
+		listener, usedPort, err := listen(network)
 		if err != nil {
 			t.Fatal(err)
 		}
-		here := chooser{first: taken, last: taken + 1}
-		if address, err := here.free(); !errors.Is(err, ErrNone) {
+		local := allocator{start: usedPort, end: usedPort + 1}
+		if address, err := local.allocate(); !errors.Is(err, ErrNoneFree) {
 			t.Errorf("%s: got %s, error %v", network, address, err)
 		}
 		if err := listener.Close(); err != nil {
@@ -50,7 +49,7 @@
 	}
 }
 
-// listen takes any port.
+// listen opens a socket on a port that the kernel chooses.
 func listen(network string) (listener io.Closer, port int, err error) {
 	if network == "udp" {
 		packets, err := net.ListenPacket(network, address(0))
--- a/internal/lab/site/site_test.go
+++ b/internal/lab/site/site_test.go
@@ -21,9 +21,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/lab/site"
 )
 
-// untilDeadline returns a context that ends a little before the test's time is over, so
-// that a failure is told.
-func untilDeadline(t *testing.T) context.Context {
+// beforeDeadline returns a context that ends shortly before the deadline of the test, so that a
+// failure is reported instead of a panic of the test binary.
+func beforeDeadline(t *testing.T) context.Context {
 	t.Helper()
 	const margin = 30 * time.Second
 	deadline, ok := t.Deadline()
@@ -37,30 +37,30 @@
 
 func start(t *testing.T, nodes int) *site.Site {
 	t.Helper()
-	running, err := site.Start(untilDeadline(t), site.Config{Profile: profile.Urnik, Nodes: nodes, Listen: "127.0.0.1:0", Seed: 1})
+	testSite, err := site.Start(beforeDeadline(t), site.Config{Profile: profile.Urnik, Nodes: nodes, Listen: "127.0.0.1:0", Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(running.Close)
-	return running
+	t.Cleanup(testSite.Close)
+	return testSite
 }
 
-func sdk(running *site.Site, node int) openai.Client {
+func sdk(testSite *site.Site, node int) openai.Client {
 	return openai.NewClient(
-		option.WithBaseURL(running.Nodes()[node].URL()+"/v1"), option.WithAPIKey(site.TenantKey), option.WithMaxRetries(0),
+		option.WithBaseURL(testSite.Nodes()[node].URL()+"/v1"), option.WithAPIKey(site.TenantKey), option.WithMaxRetries(0),
 	)
 }
 
-// The official client streams, uploads a file, and creates, polls, reads and
-// cancels a batch, each call through another node.
+// The official OpenAI client can stream a completion, upload a file, and create, poll, read and cancel
+// a batch, with calls that go to different nodes.
 func TestSite_OpenAIClient(t *testing.T) {
-	running := start(t, 3)
+	testSite := start(t, 3)
 	ctx := t.Context()
-	streamWith(ctx, t, running)
+	streamWith(ctx, t, testSite)
 
 	items := load.Items(profile.Urnik.Batch, 5, "sdk", 60, false)
-	batch := submitWith(ctx, t, sdk(running, 1), items)
-	client := sdk(running, 2)
+	batch := submitWith(ctx, t, sdk(testSite, 1), items)
+	client := sdk(testSite, 2)
 	var err error
 	for batch.Status != openai.BatchStatusCompleted {
 		time.Sleep(100 * time.Millisecond)
@@ -73,10 +73,10 @@
 		t.Fatal(err)
 	}
 	checkResults(t, content.Body, items)
-	cancelWith(ctx, t, running)
+	cancelWith(ctx, t, testSite)
 }
 
-// submitWith uploads items and creates a batch over them.
+// submitWith uploads items and creates a batch of them.
 func submitWith(ctx context.Context, t *testing.T, client openai.Client, items []load.Item) *openai.Batch {
 	t.Helper()
 	file, err := client.Files.New(ctx, openai.FileNewParams{
@@ -96,9 +96,10 @@
 	return batch
 }
 
-func streamWith(ctx context.Context, t *testing.T, running *site.Site) {
+// streamWith checks that a streamed completion and one that is not streamed have the expected text.
+func streamWith(ctx context.Context, t *testing.T, testSite *site.Site) {
 	t.Helper()
-	client := sdk(running, 0)
+	client := sdk(testSite, 0)
 	stream := client.Chat.Completions.NewStreaming(ctx, openai.ChatCompletionNewParams{
 		Model: profile.Urnik.Model, MaxTokens: openai.Int(40), Seed: openai.Int(3),
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("hours of crew 7")},
@@ -116,18 +117,19 @@
 	if text.String() != expected {
 		t.Fatalf("streamed %q, want %q", text.String(), expected)
 	}
-	whole, err := client.Chat.Completions.New(ctx, openai.ChatCompletionNewParams{
+	completion, err := client.Chat.Completions.New(ctx, openai.ChatCompletionNewParams{
 		Model: profile.Urnik.Model, MaxTokens: openai.Int(40), Seed: openai.Int(3),
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("hours of crew 7")},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if whole.Choices[0].Message.Content != expected {
-		t.Fatalf("whole answer %q, want %q", whole.Choices[0].Message.Content, expected)
+	if completion.Choices[0].Message.Content != expected {
+		t.Fatalf("completion without streaming is %q, want %q", completion.Choices[0].Message.Content, expected)
 	}
 }
 
+// checkResults checks that each item has exactly one result, with the expected text.
 func checkResults(t *testing.T, body io.Reader, items []load.Item) {
 	t.Helper()
 	results := map[string]string{}
@@ -142,7 +144,7 @@
 		if err := json.Unmarshal(line.Response.Body, &completion); err != nil {
 			t.Fatal(err)
 		}
-		if _, twice := results[line.CustomID]; twice {
+		if _, duplicate := results[line.CustomID]; duplicate {
 			t.Errorf("item %s has two results", line.CustomID)
 		}
 		results[line.CustomID] = completion.Text()
@@ -154,16 +156,17 @@
 		prompt := "user: " + item.Prompt + "\n"
 		expected := emulator.NewAnswer(profile.Urnik.Model, "v1", prompt, item.Seed, item.MaxTokens).Text()
 		if results[item.ID] != expected {
-			t.Fatalf("item %s has another item's answer", item.ID)
+			t.Fatalf("item %s does not have the expected answer", item.ID)
 		}
 	}
 }
 
-func cancelWith(ctx context.Context, t *testing.T, running *site.Site) {
+// cancelWith checks that a batch submitted through one node can be cancelled through another.
+func cancelWith(ctx context.Context, t *testing.T, testSite *site.Site) {
 	t.Helper()
-	client := sdk(running, 0)
+	client := sdk(testSite, 0)
 	batch := submitWith(ctx, t, client, load.Items(profile.Urnik.Batch, 6, "cancel", 5000, false))
-	other := sdk(running, 1)
+	other := sdk(testSite, 1)
 	cancelled, err := other.Batches.Cancel(ctx, batch.ID)
 	if err != nil {
 		t.Fatal(err)
@@ -171,30 +174,29 @@
 	if cancelled.Status != openai.BatchStatusCancelled {
 		t.Fatalf("cancelled batch is %s", cancelled.Status)
 	}
-	again, err := client.Batches.Get(ctx, batch.ID)
-	if err != nil || again.Status != openai.BatchStatusCancelled {
-		t.Fatalf("batch is %s afterwards, error %v", again.Status, err)
+	current, err := client.Batches.Get(ctx, batch.ID)
+	if err != nil || current.Status != openai.BatchStatusCancelled {
+		t.Fatalf("batch is %s afterwards, error %v", current.Status, err)
 	}
 }
 
-// Bad input is refused with an error in the form of the API that says that
-// nothing ran.
+// Invalid requests are rejected with an API error and a header which says that nothing was executed.
 func TestSite_BadInput(t *testing.T) {
-	running := start(t, 1)
-	url := running.Nodes()[0].URL()
-	good := `{"model":"urnik-llm","messages":[{"role":"user","content":"x"}]}`
+	testSite := start(t, 1)
+	url := testSite.Nodes()[0].URL()
+	valid := `{"model":"urnik-llm","messages":[{"role":"user","content":"x"}]}`
 	cases := []struct {
 		name, path, key, body string
 		status                int
 	}{
 		{"malformed", wire.PathChatCompletions, site.TenantKey, `{"model":`, http.StatusBadRequest},
 		{"no messages", wire.PathChatCompletions, site.TenantKey, `{"model":"urnik-llm"}`, http.StatusBadRequest},
-		{"unknown model", wire.PathChatCompletions, site.TenantKey, strings.Replace(good, "urnik-llm", "none", 1), http.StatusNotFound},
-		{"wrong key", wire.PathChatCompletions, "nobody", good, http.StatusUnauthorized},
-		{"operator is no tenant", wire.PathChatCompletions, site.OperatorKey, good, http.StatusUnauthorized},
-		{"too large", wire.PathChatCompletions, site.TenantKey, strings.Repeat(" ", 5<<20) + good, http.StatusRequestEntityTooLarge},
+		{"unknown model", wire.PathChatCompletions, site.TenantKey, strings.Replace(valid, "urnik-llm", "none", 1), http.StatusNotFound},
+		{"wrong key", wire.PathChatCompletions, "nobody", valid, http.StatusUnauthorized},
+		{"operator key", wire.PathChatCompletions, site.OperatorKey, valid, http.StatusUnauthorized},
+		{"too large", wire.PathChatCompletions, site.TenantKey, strings.Repeat(" ", 5<<20) + valid, http.StatusRequestEntityTooLarge},
 		{"unknown file", wire.PathBatches, site.TenantKey, `{"input_file_id":"file-x","endpoint":"/v1/chat/completions"}`, http.StatusNotFound},
-		{"bad window", wire.PathBatches, site.TenantKey, `{"input_file_id":"file-x","completion_window":"soon"}`, http.StatusBadRequest},
+		{"invalid window", wire.PathBatches, site.TenantKey, `{"input_file_id":"file-x","completion_window":"soon"}`, http.StatusBadRequest},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -216,16 +218,16 @@
 				t.Errorf("answer %d %+v, want %d", response.StatusCode, answer, test.status)
 			}
 			if executed := response.Header.Get("X-Wheelhoist-Executed"); executed != "no" {
-				t.Errorf("executed %q, want no", executed)
+				t.Errorf("X-Wheelhoist-Executed is %q, want no", executed)
 			}
 		})
 	}
 }
 
-// A job over a file with broken lines fails, and says which lines.
-func TestSite_BrokenLines(t *testing.T) {
-	running := start(t, 1)
-	tenant := running.Tenant(0)
+// A batch whose input file has malformed lines fails and reports the line numbers.
+func TestSite_MalformedLines(t *testing.T) {
+	testSite := start(t, 1)
+	tenant := testSite.Tenant(0)
 	items := load.Items(profile.Urnik.Batch, 5, "broken", 3, false)
 	source := string(load.JSONL(profile.Urnik.Model, items)) + "{\"custom_id\":\n"
 	file, err := tenant.Upload(t.Context(), "items.jsonl", strings.NewReader(source))
@@ -237,6 +239,6 @@
 		t.Fatal(err)
 	}
 	if batch.Status != wire.BatchFailed || batch.Errors == nil || batch.Errors.Data[0].Line != 4 {
-		t.Fatalf("batch %+v, want failed with a finding on line 4", batch)
+		t.Fatalf("batch %+v, want failed with an error on line 4", batch)
 	}
 }
--- a/internal/node/gatewaycold_test.go
+++ b/internal/node/gatewaycold_test.go
@@ -11,19 +11,19 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// TestGateway_ColdReplicaServesAllNodesWithinItsRate has the only replica be cold: each
-// node serves, also those that do not feed it, and together they send no more than it
-// bears.
+// TestGateway_ColdReplicaServesAllNodesWithinItsRate checks that with a single, cold replica every
+// node serves requests, also those that are not senders of it, and that all nodes together keep its
+// rate limit.
 func TestGateway_ColdReplicaServesAllNodesWithinItsRate(t *testing.T) {
 	const rate, requests = 8.0, 3
 	site := newGatewaySite(t, 0)
 	cold := &standin.Server{ID: "i-cold", Events: siteEvents, EventTime: 2 * time.Millisecond}
-	listening := httptest.NewServer(cold)
-	t.Cleanup(listening.Close)
+	httpServer := httptest.NewServer(cold)
+	t.Cleanup(httpServer.Close)
 	site.servers = append(site.servers, cold)
 	config := standin.NewConfig(2, siteHost, 1000, "resume").(map[string]any)
 	config["services"] = []map[string]any{{"name": "llm", "coldPerS": rate, "coldStartS": 30}}
-	listing := standin.ServerRow(listening.Listener.Addr().String(), "z", 8, false).(map[string]any)
+	listing := standin.ServerRow(httpServer.Listener.Addr().String(), "z", 8, false).(map[string]any)
 	listing["coldLeftMs"] = 30000
 	site.store.Put("op", "config", config)
 	site.store.Put("servers", cold.ID, listing)
@@ -54,16 +54,16 @@
 	assertRate(t, cold.Runs(), rate)
 }
 
-// assertRate checks that no second holds more runs than allowed.
-func assertRate(t *testing.T, runs []standin.Run, most float64) {
+// assertRate checks that no more than limit runs start within any second.
+func assertRate(t *testing.T, runs []standin.Run, limit float64) {
 	t.Helper()
 	first := 0
 	for last := range runs {
 		for runs[last].At.Sub(runs[first].At) >= time.Second {
 			first++
 		}
-		if got := last - first + 1; float64(got) > most {
-			t.Fatalf("%d requests in a second, at most %v allowed", got, most)
+		if got := last - first + 1; float64(got) > limit {
+			t.Fatalf("%d requests in a second, at most %v allowed", got, limit)
 		}
 	}
 }
--- a/internal/node/gatewayquota.go
+++ b/internal/node/gatewayquota.go
@@ -17,7 +17,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/server"
 )
 
-// noPeers takes the place of a socket where nodes do not reach each other.
+// noPeers implements quota.Sender for nodes without a socket.
 type noPeers struct{}
 
 var errNoPeers = errors.New("no address for other nodes is set")
@@ -34,7 +34,7 @@
 	g.quota.OnError = func(err error) { g.sampled.Warn().Err(err).Msg("message between nodes failed") }
 }
 
-// tenantLimit returns a tenant's limit by the configuration in force.
+// tenantLimit returns a tenant's limit in the configuration in force.
 func (g *Gateway) tenantLimit(name string) (quota.Limit, bool) {
 	routes := g.routes.Load()
 	if routes == nil {
@@ -47,7 +47,7 @@
 	return quota.Limit{Rate: declared.Rate, Burst: declared.Burst}, true
 }
 
-// admit refuses a request that is beyond its tenant's limit.
+// admit refuses a request that exceeds its tenant's limit.
 func (g *Gateway) admit(ctx context.Context, request *forward.Request) error {
 	limit, known := g.tenantLimit(request.Tenant)
 	if !known {
@@ -58,7 +58,7 @@
 	if err == nil {
 		return nil
 	}
-	g.metrics.turned.WithLabelValues("over the limit").Inc()
+	g.metrics.rejected.WithLabelValues("over the limit").Inc()
 	entry := g.sampled.Info().Str("request", request.ID).Str("tenant", request.Tenant).Dur("took_ms", clock.Since(began))
 	var refusal *quota.RefusalError
 	if errors.As(err, &refusal) {
@@ -69,13 +69,13 @@
 	return Error.Wrap(outcome.Failed(err))
 }
 
-// tenantUses returns the use that tenants make of their limits, by name.
+// tenantUses returns the usage of tenants' limits, sorted by name.
 func (g *Gateway) tenantUses() []server.TenantUsage {
 	var uses []server.TenantUsage
-	for _, one := range g.quota.Limiter.Usage(clock.Now()) {
+	for _, usage := range g.quota.Limiter.Usage(clock.Now()) {
 		uses = append(uses, server.TenantUsage{
-			Name: one.Tenant, Rate: one.Limit.Rate, Burst: one.Limit.Burst, Demand: one.Demand,
-			Admitted: one.Admitted, Share: one.Share, GrantAge: one.GrantAge.Seconds(),
+			Name: usage.Tenant, Rate: usage.Limit.Rate, Burst: usage.Limit.Burst, Demand: usage.Demand,
+			Admitted: usage.Admitted, Share: usage.Share, GrantAge: usage.GrantAge.Seconds(),
 		})
 	}
 	slices.SortFunc(uses, func(a, b server.TenantUsage) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/node/gatewaysite_test.go
+++ b/internal/node/gatewaysite_test.go
@@ -28,15 +28,15 @@
 	siteQuotaSlack = 10
 )
 
-// gatewaySite is a stand-in of the platform with gateways before it.
+// gatewaySite is a simulated platform with gateways.
 type gatewaySite struct {
-	t        *testing.T
-	store    *standin.Store
-	storeAt  string
-	servers  []*standin.Server
-	gateways []*Gateway
-	// alone gateways are not told where others are reached.
-	alone bool
+	t            *testing.T
+	store        *standin.Store
+	storeAddress string
+	servers      []*standin.Server
+	gateways     []*Gateway
+	// withoutPeers starts gateways without an address for other nodes.
+	withoutPeers bool
 }
 
 func newGatewaySite(t *testing.T, servers int) *gatewaySite {
@@ -44,24 +44,23 @@
 	site := &gatewaySite{t: t, store: standin.NewStore()}
 	storeServer := httptest.NewServer(site.store)
 	t.Cleanup(storeServer.Close)
-	site.storeAt = storeServer.Listener.Addr().String()
+	site.storeAddress = storeServer.Listener.Addr().String()
 	for i := range servers {
-		one := &standin.Server{ID: fmt.Sprintf("i-%d", i), Events: siteEvents, EventTime: 2 * time.Millisecond}
-		listening := httptest.NewServer(one)
-		t.Cleanup(listening.Close)
-		site.servers = append(site.servers, one)
-		site.list(one.ID, listening.Listener.Addr().String(), "ready")
+		server := &standin.Server{ID: fmt.Sprintf("i-%d", i), Events: siteEvents, EventTime: 2 * time.Millisecond}
+		httpServer := httptest.NewServer(server)
+		t.Cleanup(httpServer.Close)
+		site.servers = append(site.servers, server)
+		site.listServer(server.ID, httpServer.Listener.Addr().String(), "ready")
 	}
 	site.configure(1, "resume")
 	return site
 }
 
-func (s *gatewaySite) list(id, address, state string) {
+func (s *gatewaySite) listServer(id, address, state string) {
 	s.store.Put("servers", id, standin.ServerRow(address, "z", 8, state != "ready"))
 }
 
-// configure puts a configuration with a stream route under each prefix, and a
-// batch route, in force.
+// configure puts a configuration in force with a stream route under each prefix and a batch route.
 func (s *gatewaySite) configure(version int, prefixes ...string) {
 	s.store.Put("op", "config", standin.NewConfig(version, siteHost, 100000, prefixes...))
 }
@@ -78,36 +77,37 @@
 // start starts a gateway and waits until it is ready and knows all servers.
 func (s *gatewaySite) start(id string) *Gateway {
 	s.t.Helper()
-	return s.startAt(settings.Node{ID: id, Zone: "z"})
+	return s.startNode(settings.Node{ID: id, Zone: "z"})
 }
 
-// startAt starts a gateway at a place and waits until it is ready and knows all servers.
-func (s *gatewaySite) startAt(at settings.Node) *Gateway {
+// startNode starts a gateway with the given node settings and waits until it is ready and knows all
+// servers.
+func (s *gatewaySite) startNode(node settings.Node) *Gateway {
 	s.t.Helper()
-	gateway := s.launchAt(at)
+	gateway := s.launchNode(node)
 	s.eventually("gateway ready", func() bool {
 		return gateway.Ready() && len(gateway.replicas.Snapshot("llm", 0, time.Now())) == len(s.servers)
 	})
 	return gateway
 }
 
-// launch starts a gateway and waits for nothing.
+// launch starts a gateway without waiting for it.
 func (s *gatewaySite) launch(id string, zones place.Map) *Gateway {
 	s.t.Helper()
-	return s.launchAt(settings.Node{ID: id, Zone: "z", Zones: zones})
+	return s.launchNode(settings.Node{ID: id, Zone: "z", Zones: zones})
 }
 
-// launchAt starts a gateway at a place and waits for nothing.
-func (s *gatewaySite) launchAt(at settings.Node) *Gateway {
+// launchNode starts a gateway with the given node settings without waiting for it.
+func (s *gatewaySite) launchNode(node settings.Node) *Gateway {
 	s.t.Helper()
-	at.Listen = freeAddress(s.t)
+	node.Listen = freeAddress(s.t)
 	config := &settings.Settings{
-		Node: at,
+		Node: node,
 		Gateway: settings.Gateway{
-			Store: s.storeAt, Readiness: freeAddress(s.t), Metrics: freeAddress(s.t), Peers: freeAddress(s.t), Quota: settings.Quota{Over: siteQuotaOver, Slack: siteQuotaSlack}, Grace: v1.Duration(4 * time.Second),
+			Store: s.storeAddress, Readiness: freeAddress(s.t), Metrics: freeAddress(s.t), Peers: freeAddress(s.t), Quota: settings.Quota{Over: siteQuotaOver, Slack: siteQuotaSlack}, Grace: v1.Duration(4 * time.Second),
 		},
 	}
-	if s.alone {
+	if s.withoutPeers {
 		config.Gateway.Peers = ""
 	}
 	config.ApplyDefaults()
@@ -120,12 +120,12 @@
 	return gateway
 }
 
-func (s *gatewaySite) eventually(what string, holds func() bool) {
+func (s *gatewaySite) eventually(description string, condition func() bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(15 * time.Second)
-	for !holds() {
+	for !condition() {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("not in time: %s", what)
+			s.t.Fatalf("timed out waiting for: %s", description)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -136,7 +136,7 @@
 	return s.callWith(gateway, method, path, id, body, nil)
 }
 
-// callWith makes a call with further headers.
+// callWith makes a call with additional headers.
 func (s *gatewaySite) callWith(gateway *Gateway, method, path, id string, body []byte, header http.Header) (int, string, http.Header) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), 10*time.Second)
--- a/internal/node/joblog.go
+++ b/internal/node/joblog.go
@@ -10,7 +10,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// jobLog logs and counts what happens to jobs.
+// jobLog logs and counts the events of jobs.
 type jobLog struct {
 	log     zerolog.Logger
 	sampled zerolog.Logger
@@ -27,9 +27,9 @@
 }
 
 // Refused implements jobs.Events.
-func (l *jobLog) Refused(id string, used, asked, quota int64, err error) {
+func (l *jobLog) Refused(id string, used, requested, quota int64, err error) {
 	l.metrics.jobs.WithLabelValues("refused").Inc()
-	l.log.Warn().Str("job", id).Int64("tokens_used", used).Int64("tokens_asked", asked).
+	l.log.Warn().Str("job", id).Int64("tokens_used", used).Int64("tokens_asked", requested).
 		Int64("quota", quota).Err(err).Msg("job refused")
 }
 
@@ -48,11 +48,11 @@
 func (l *jobLog) Asked(job *jobs.Job, age time.Duration, err error) {
 	if err != nil {
 		l.metrics.jobs.WithLabelValues("unsure").Inc()
-		l.sampled.Warn().Str("job", job.ID).Dur("view_age_ms", age).Err(err).Msg("nobody is sure of a result, the table did not answer")
+		l.sampled.Warn().Str("job", job.ID).Dur("view_age_ms", age).Err(err).Msg("result not confirmed, the table did not answer")
 		return
 	}
 	l.metrics.jobs.WithLabelValues("asked").Inc()
-	l.sampled.Info().Str("job", job.ID).Dur("view_age_ms", age).Msg("job asked for, the view was old")
+	l.sampled.Info().Str("job", job.ID).Dur("view_age_ms", age).Msg("job read from the table, the view was old")
 }
 
 // ItemSent implements jobs.Events.
@@ -74,18 +74,18 @@
 }
 
 // GaveWay implements jobs.Events.
-func (l *jobLog) GaveWay(job *jobs.Job, item, id string, after int, why replica.Pressure) {
+func (l *jobLog) GaveWay(job *jobs.Job, item, id string, after int, pressure replica.Pressure) {
 	label := "arrival"
 	switch {
-	case why.Fleet > 0:
+	case pressure.Fleet > 0:
 		label = "fleet"
-	case why.Queued > 0:
+	case pressure.Queued > 0:
 		label = "queue"
 	}
-	l.metrics.gaveWay.WithLabelValues(label).Inc()
+	l.metrics.yields.WithLabelValues(label).Inc()
 	l.sampled.Info().Str("job", job.ID).Str("item", item).Str("replica", id).Int("after", after).
-		Int("queued", why.Queued).Dur("wait_ms", why.Wait).Dur("patience_ms", why.Patience).Dur("load_age_ms", why.Age).
-		Float64("fleet", why.Fleet).Msg("item gives way")
+		Int("queued", pressure.Queued).Dur("wait_ms", pressure.Wait).Dur("patience_ms", pressure.Patience).Dur("load_age_ms", pressure.Age).
+		Float64("fleet", pressure.Fleet).Msg("item yields its slot")
 }
 
 // ItemListed implements jobs.Events.
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -19,40 +19,41 @@
 	"github.com/wheelhoist/wheelhoist/platform"
 )
 
-// coreMetrics are the metrics of a core, named by the Prometheus conventions.
-// Labels are kinds and outcomes only, so their number is bounded.
+// coreMetrics are the metrics of a core, named by the Prometheus conventions. Label values are
+// kinds and outcomes only, so the number of series is bounded.
 type coreMetrics struct {
 	registry    *prometheus.Registry
 	requests    *prometheus.CounterVec
-	turned      *prometheus.CounterVec
+	rejected    *prometheus.CounterVec
 	attempts    *prometheus.CounterVec
-	first       *prometheus.HistogramVec
-	gap         *prometheus.HistogramVec
+	firstEvent  *prometheus.HistogramVec
+	eventGap    *prometheus.HistogramVec
 	connections prometheus.Counter
-	// served counts requests by how far their replica was.
+	// served counts requests by the distance of their replica.
 	served      *prometheus.CounterVec
 	storeCalls  *prometheus.CounterVec
 	storeTime   *prometheus.HistogramVec
 	droppedLogs prometheus.Counter
 	jobs        *prometheus.CounterVec
 	items       *prometheus.CounterVec
-	gaveWay     *prometheus.CounterVec
-	// reservations counts the slots asked for at replicas, by the answer.
+	yields      *prometheus.CounterVec
+	// reservations counts the slots requested from replicas, by the response.
 	reservations *prometheus.CounterVec
-	// ejectedByMany counts replicas left out on the evidence of several nodes.
-	ejectedByMany prometheus.Counter
-	// restarts counts replicas that were noticed to have started again under their id.
+	// sharedEjections counts replicas ejected on the evidence of several nodes.
+	sharedEjections prometheus.Counter
+	// restarts counts detected restarts of replicas under the same ID.
 	restarts prometheus.Counter
-	// quarantined counts works that were, cleared those of which a run ended well, released
-	// those that operators released.
+	// quarantined counts works put in quarantine, cleared suspected works that succeeded, and
+	// released works released by operators.
 	quarantined, cleared, released prometheus.Counter
-	// refused counts the requests that no replica could take, by what excluded most.
-	refused *prometheus.CounterVec
+	// noReplica counts the requests that no replica could serve, by the main reason for which
+	// replicas were excluded.
+	noReplica *prometheus.CounterVec
 	// unreadable counts versions of rows that cannot be read, by table and reason.
 	unreadable *prometheus.CounterVec
-	// predictionError is how far the first event was from its prediction.
+	// predictionError is the actual less the predicted time to the first event.
 	predictionError prometheus.Histogram
-	// completed counts the completed items, for measurements.
+	// completed counts the completed items, for ItemsCompleted.
 	completed atomic.Uint64
 }
 
@@ -63,16 +64,16 @@
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "wheelhoist_gateway_requests_total", Help: "Forwarded requests by route kind and outcome.",
 		}, []string{"kind", "outcome"}),
-		turned: prometheus.NewCounterVec(prometheus.CounterOpts{
+		rejected: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "wheelhoist_gateway_turned_away_total", Help: "Requests turned away before they were forwarded, by reason.",
 		}, []string{"reason"}),
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "wheelhoist_gateway_attempts_total", Help: "Attempts at replicas by route kind.",
 		}, []string{"kind"}),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		firstEvent: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "wheelhoist_gateway_first_event_seconds", Help: "Time from receipt to the first event.", Buckets: seconds,
 		}, []string{"kind"}),
-		gap: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		eventGap: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "wheelhoist_gateway_event_gap_seconds", Help: "Longest pause between two events of an answer.", Buckets: seconds,
 		}, []string{"kind"}),
 		connections: prometheus.NewCounter(prometheus.CounterOpts{
@@ -94,13 +95,13 @@
 	m.items = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wheelhoist_job_items_total", Help: "Batch items by what happened to them at this node.",
 	}, []string{"event"})
-	m.gaveWay = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.yields = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wheelhoist_items_gave_way_total", Help: "Items that made room for online requests, by what asked for it.",
 	}, []string{"cause"})
 	m.reservations = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wheelhoist_gateway_reservations_total", Help: "Slots asked for at replicas by requests that found none of their node free, by the answer.",
 	}, []string{"outcome"})
-	m.ejectedByMany = prometheus.NewCounter(prometheus.CounterOpts{
+	m.sharedEjections = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "wheelhoist_gateway_replicas_ejected_by_many_total", Help: "Replicas left out for a while on the evidence of several nodes.",
 	})
 	m.restarts = prometheus.NewCounter(prometheus.CounterOpts{
@@ -115,7 +116,7 @@
 	m.released = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "wheelhoist_quarantine_released_total", Help: "Works that operators released at this node.",
 	})
-	m.refused = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.noReplica = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wheelhoist_gateway_requests_excluded_total", Help: "Requests that ended because no replica could take them, by what excluded most replicas.",
 	}, []string{"reason"})
 	m.predictionError = prometheus.NewHistogram(prometheus.HistogramOpts{
@@ -128,22 +129,22 @@
 	m.unreadable = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wheelhoist_rows_unreadable_total", Help: "Versions of rows and objects that this node cannot read, by table and reason.",
 	}, []string{"table", "reason"})
-	m.registry.MustRegister(m.unreadable, m.restarts, m.quarantined, m.cleared, m.released, m.served, m.ejectedByMany, m.refused, m.gaveWay, m.reservations, m.predictionError, m.jobs, m.items, m.requests, m.turned, m.attempts, m.first, m.gap, m.connections,
+	m.registry.MustRegister(m.unreadable, m.restarts, m.quarantined, m.cleared, m.released, m.served, m.sharedEjections, m.noReplica, m.yields, m.reservations, m.predictionError, m.jobs, m.items, m.requests, m.rejected, m.attempts, m.firstEvent, m.eventGap, m.connections,
 		m.storeCalls, m.storeTime, m.droppedLogs)
 	return m
 }
 
-// gauge adds a metric that is read when it is asked for.
+// gauge registers a gauge whose value is read at collection.
 func (m *coreMetrics) gauge(name, help string, value func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 }
 
-// counter adds a count that is read when it is asked for.
+// counter registers a counter whose value is read at collection.
 func (m *coreMetrics) counter(name, help string, value func() float64) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, value))
 }
 
-// registerViews adds what a core knows.
+// registerViews registers the gauges that show the state of a core.
 func (m *coreMetrics) registerViews(c *core) {
 	m.gauge("wheelhoist_gateway_requests_open", "Requests being forwarded.", func() float64 { return float64(c.open.Load()) })
 	m.gauge("wheelhoist_gateway_config_version", "Version of the configuration in force.", func() float64 {
@@ -164,7 +165,7 @@
 	})
 }
 
-// registerPeers adds what travels between nodes.
+// registerPeers registers the counts of datagrams between nodes.
 func (m *coreMetrics) registerPeers(socket *peer.Socket) {
 	count := func(pick func(sent, received, malformed int64) int64) func() float64 {
 		return func() float64 { return float64(pick(socket.Counts())) }
@@ -174,13 +175,13 @@
 	m.gauge("wheelhoist_peer_datagrams_malformed", "Datagrams received that nobody could read.", count(func(_, _, malformed int64) int64 { return malformed }))
 }
 
-// registerPools adds what is learned of a pool, once it serves, and what items wait for.
+// registerPools registers the collectors of pools and of waiting items.
 func (m *coreMetrics) registerPools(c *core) {
 	m.registry.MustRegister(&poolCollector{replicas: c.replicas, now: clock.Now})
-	m.registry.MustRegister(&waitCollector{account: c.runner.Account, now: clock.Now})
+	m.registry.MustRegister(&itemWaitCollector{counts: c.runner.Account, now: clock.Now})
 }
 
-// registerAge adds the age of a watched source.
+// registerAge registers the age of a watched source.
 func (m *coreMetrics) registerAge(name, help string, watcher *table.Watcher) {
 	m.gauge(name, help, func() float64 { return watcher.Age().Seconds() })
 }
@@ -189,7 +190,7 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-func (m *coreMetrics) storeCall(call platform.CallKind, took time.Duration, err error) {
+func (m *coreMetrics) observeStoreCall(call platform.CallKind, took time.Duration, err error) {
 	label := "done"
 	if err != nil {
 		label = "failed_" + outcome.Of(err).String()
@@ -198,14 +199,14 @@
 	m.storeTime.WithLabelValues(call.Path).Observe(took.Seconds())
 }
 
-// excluded counts a request that ended because no replica could take it.
-func (m *coreMetrics) excluded(err error) {
-	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) {
-		m.refused.WithLabelValues(none.MainReason().String()).Inc()
+// countExcluded counts a request that failed because no replica could serve it.
+func (m *coreMetrics) countExcluded(err error) {
+	if noReplicaErr := (*replica.NoReplicaError)(nil); errors.As(err, &noReplicaErr) {
+		m.noReplica.WithLabelValues(noReplicaErr.MainReason().String()).Inc()
 	}
 }
 
-func (m *coreMetrics) forwarded(target *route.Route, result forward.Result, err error) {
+func (m *coreMetrics) observeForwarded(target *route.Route, result forward.Result, err error) {
 	kind := string(target.Kind)
 	label := "done"
 	if err != nil {
@@ -217,9 +218,9 @@
 	}
 	m.attempts.WithLabelValues(kind).Add(float64(result.Attempts))
 	if result.HeadSent {
-		m.first.WithLabelValues(kind).Observe(result.TimeToFirstByte.Seconds())
+		m.firstEvent.WithLabelValues(kind).Observe(result.TimeToFirstByte.Seconds())
 	}
 	if result.Events > 1 {
-		m.gap.WithLabelValues(kind).Observe(result.MaxGap.Seconds())
+		m.eventGap.WithLabelValues(kind).Observe(result.MaxGap.Seconds())
 	}
 }
--- /dev/null
+++ b/internal/node/nodeindex.go
@@ -0,0 +1,83 @@
+package node
+
+import (
+	"slices"
+	"sync"
+
+	"github.com/wheelhoist/wheelhoist/internal/lease"
+	"github.com/wheelhoist/wheelhoist/internal/place"
+)
+
+// nodeIndex groups the other nodes by zone and region and caches the result until the nodes change.
+// The zero value with a roster is ready to use. It is safe for concurrent use.
+type nodeIndex struct {
+	roster *lease.Roster
+
+	mu         sync.Mutex
+	generation uint64
+	ownPlace   place.Place
+	// all are the other nodes, sameZone those in this node's zone, byRegion those of each region.
+	all      []string
+	sameZone []string
+	byRegion map[string][]string
+}
+
+// inRegion returns the other nodes of a region. The caller must not modify the slice.
+func (n *nodeIndex) inRegion(region string) []string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.refresh()
+	return n.byRegion[region]
+}
+
+// inOwnZone returns the other nodes in this node's zone. The caller must not modify the slice.
+func (n *nodeIndex) inOwnZone() []string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.refresh()
+	return n.sameZone
+}
+
+// others returns the other nodes of all regions. The caller must not modify the slice.
+func (n *nodeIndex) others() []string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.refresh()
+	return n.all
+}
+
+// ownRegion returns this node's region.
+func (n *nodeIndex) ownRegion() string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.refresh()
+	return n.ownPlace.Region
+}
+
+// refresh rebuilds the index if the nodes have changed. The caller holds mu.
+func (n *nodeIndex) refresh() {
+	generation := n.roster.Generation()
+	if n.byRegion != nil && n.generation == generation {
+		return
+	}
+	n.generation = generation
+	n.index(n.roster.Self(), n.roster.Places())
+}
+
+// index rebuilds the index from nodes. The caller holds mu.
+func (n *nodeIndex) index(self string, nodes []place.Node) {
+	n.ownPlace, n.all, n.sameZone, n.byRegion = place.Place{}, nil, nil, map[string][]string{}
+	if i := slices.IndexFunc(nodes, func(node place.Node) bool { return node.ID == self }); i >= 0 {
+		n.ownPlace = nodes[i].Place
+	}
+	for _, node := range nodes {
+		if node.ID == self {
+			continue
+		}
+		n.all = append(n.all, node.ID)
+		n.byRegion[node.Region] = append(n.byRegion[node.Region], node.ID)
+		if node.Place == n.ownPlace {
+			n.sameZone = append(n.sameZone, node.ID)
+		}
+	}
+}
--- a/internal/node/quarantinestart_test.go
+++ b/internal/node/quarantinestart_test.go
@@ -8,29 +8,31 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// TestStandings_TellStartsApart: the quarantine asks about the start at which an answer broke
-// off, and what is listed may be the next one.
-func TestStandings_TellStartsApart(t *testing.T) {
+// TestReplicaStates_DistinguishStarts checks queries about the start at which a response broke off
+// while the list may have a later one.
+func TestReplicaStates_DistinguishStarts(t *testing.T) {
 	set := replica.NewSet()
-	asked := standings{&core{replicas: set}}
+	states := replicaStates{&core{replicas: set}}
 	info := replica.Info{ID: "r", StartedUnixMs: 3000, Address: "a", Pool: "llm", Slots: 1}
-	start := func(born int64) quarantine.Replica { return quarantine.Replica{ID: "r", StartTime: born, Address: "a"} }
-	expect := func(born int64, want quarantine.ReplicaState) {
+	replicaStarted := func(startTime int64) quarantine.Replica {
+		return quarantine.Replica{ID: "r", StartTime: startTime, Address: "a"}
+	}
+	expect := func(startTime int64, want quarantine.ReplicaState) {
 		t.Helper()
-		if got := asked.State(start(born)); got != want {
-			t.Errorf("start %d stands as %d, not %d", born, got, want)
+		if got := states.State(replicaStarted(startTime)); got != want {
+			t.Errorf("state of start %d is %d, want %d", startTime, got, want)
 		}
 	}
 	expect(3000, quarantine.Gone)
 	set.Put(info)
 	expect(3000, quarantine.Serving)
 	expect(0, quarantine.Serving)
-	// Its clock steps back, and it starts again without a word.
+	// Its clock is set back, and it restarts without notice.
 	info.StartedUnixMs = 1000
 	set.Put(info)
 	expect(3000, quarantine.Restarted)
 	expect(1000, quarantine.Serving)
-	// This one says that it will end before it does.
+	// This start is listed as leaving before it ends.
 	info.Leaving = true
 	set.Put(info)
 	expect(1000, quarantine.Leaving)
@@ -39,10 +41,10 @@
 	expect(1000, quarantine.Leaving)
 	expect(3000, quarantine.Restarted)
 	expect(2000, quarantine.Serving)
-	moved := start(2000)
+	moved := replicaStarted(2000)
 	moved.Address = "b"
-	if got := asked.State(moved); got != quarantine.Restarted {
-		t.Errorf("a replica at another address stands as %d", got)
+	if got := states.State(moved); got != quarantine.Restarted {
+		t.Errorf("state of a replica at another address is %d", got)
 	}
 	set.Remove("r", time.Now())
 	expect(2000, quarantine.Gone)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -14,7 +14,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/traffic"
 )
 
-// Status describes this node and what it sees of the others.
+// Status returns the status of this node and its view of the fleet.
 func (n *Node) Status() server.NodeStatus {
 	status := n.core.status()
 	status.Node, status.Zone, status.Revision = n.settings.Node.ID, n.settings.Node.Zone, n.resources.Revision()
@@ -25,13 +25,13 @@
 		reported[listed.ID] = listed
 	}
 	for i := range status.Replicas {
-		known := reported[status.Replicas[i].ID]
-		status.Replicas[i].State, status.Replicas[i].Role = known.State, known.Role
+		entry := reported[status.Replicas[i].ID]
+		status.Replicas[i].State, status.Replicas[i].Role = entry.State, entry.Role
 	}
 	return status
 }
 
-// status describes the other nodes and the replicas as this one sees them.
+// status returns the other nodes and the replicas as this node sees them.
 func (c *core) status() server.NodeStatus {
 	status := server.NodeStatus{Members: []server.MemberStatus{}, Replicas: []server.ReplicaStatus{}}
 	for _, session := range c.owners.Sessions() {
@@ -41,11 +41,11 @@
 		}
 		status.Members = append(status.Members, server.MemberStatus{ID: session.Node(), Zone: c.zoneOf(session.Node()), Status: state})
 	}
-	for _, known := range c.replicas.List(clock.Now()) {
+	for _, candidate := range c.replicas.List(clock.Now()) {
 		status.Replicas = append(status.Replicas, server.ReplicaStatus{
-			ID: known.ID, Zone: known.Zone, Pool: known.Pool, Version: known.Version,
-			State: replicaState(&known), Open: known.Open, Batch: known.Batch, Ejected: known.Ejected,
-			ColdLeft: known.Cold.Left.Seconds(), ColdRate: known.Cold.Rate,
+			ID: candidate.ID, Zone: candidate.Zone, Pool: candidate.Pool, Version: candidate.Version,
+			State: replicaState(&candidate), Open: candidate.Open, Batch: candidate.Batch, Ejected: candidate.Ejected,
+			ColdLeft: candidate.Cold.Left.Seconds(), ColdRate: candidate.Cold.Rate,
 		})
 	}
 	status.Zones = c.zoneStatus(&status, clock.Now())
@@ -53,8 +53,8 @@
 	return status
 }
 
-func replicaState(known *replica.Candidate) engine.State {
-	if known.Leaving {
+func replicaState(candidate *replica.Candidate) engine.State {
+	if candidate.Leaving {
 		return engine.StateLeaving
 	}
 	return engine.StateReady
@@ -63,7 +63,7 @@
 // ItemsCompleted returns the number of batch items that this node has completed.
 func (n *Node) ItemsCompleted() uint64 { return n.metrics.completed.Load() }
 
-// registerTraffic adds the bytes that control costs.
+// registerTraffic registers the bytes of control traffic.
 func (m *coreMetrics) registerTraffic(control *traffic.Counter) {
 	m.gauge("wheelhoist_control_sent_bytes", "Bytes sent to the platform and to the engines for control.",
 		func() float64 { return float64(control.Sent()) })
@@ -71,7 +71,7 @@
 		func() float64 { return float64(control.Received()) })
 }
 
-// errCut is what calls fail with that the lab has cut off.
+// errCut is the error of calls made while the lab cuts the node off.
 var errCut = errors.New("cut off by the lab")
 
 // cutTransport fails calls while the node is cut off.
@@ -88,8 +88,8 @@
 	return t.RoundTripper.RoundTrip(r)
 }
 
-// counted returns a transport whose bytes count as control traffic.
-func (n *Node) counted() http.RoundTripper {
+// countedTransport returns a transport whose bytes count as control traffic.
+func (n *Node) countedTransport() http.RoundTripper {
 	return &http.Transport{
 		DialContext:         n.control.Dial(dialer.New(callTimeout).DialContext),
 		MaxIdleConnsPerHost: 32, IdleConnTimeout: time.Minute,
@@ -99,7 +99,7 @@
 // transport returns the transport to the table and the object store.
 func (n *Node) transport() http.RoundTripper {
 	if n.options.Cut == nil {
-		return n.counted()
+		return n.countedTransport()
 	}
-	return cutTransport{RoundTripper: n.counted(), cut: n.options.Cut}
+	return cutTransport{RoundTripper: n.countedTransport(), cut: n.options.Cut}
 }
--- a/internal/node/unreadablesite_test.go
+++ b/internal/node/unreadablesite_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// damageSite leaves rows of another writer in each table that gateways read, under the key
-// of the round that it is.
-func damageSite(site *gatewaySite, round string) {
+// writeUnreadableRows writes unreadable rows to each table that gateways read, with keys that
+// contain round.
+func writeUnreadableRows(site *gatewaySite, round string) {
 	for _, key := range []string{
 		"job/" + round, "progress/" + round, "counter/" + round, "member/" + round, "member/ghost-" + round + "#1",
 		"end/" + round, "cleared/" + round, round,
@@ -26,14 +26,13 @@
 	site.store.PutValue("op", "", "odd-"+round, nil)
 }
 
-// TestGateway_RowsOfAnotherWriterSpoilNothingElse leaves rows that cannot be read in all
-// tables, before a gateway starts and after: it starts, serves, runs jobs and learns of what
-// is written later.
-func TestGateway_RowsOfAnotherWriterSpoilNothingElse(t *testing.T) {
+// TestGateway_UnreadableRowsAffectNothingElse writes unreadable rows to all tables before and after
+// a gateway starts. It must start, serve, run jobs and read later rows.
+func TestGateway_UnreadableRowsAffectNothingElse(t *testing.T) {
 	site := newGatewaySite(t, 2)
-	damageSite(site, "before")
+	writeUnreadableRows(site, "before")
 	gateway := site.start("a")
-	damageSite(site, "after")
+	writeUnreadableRows(site, "after")
 	site.configure(2, "resume", "added")
 	site.eventually("the later configuration is in force", func() bool { return gateway.routes.Load().Version == 2 })
 	if status, text, _ := site.call(gateway, http.MethodPost, "/added/x", "q", nil); status != http.StatusOK {
@@ -42,8 +41,8 @@
 	if status, text, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", job("j", 5)); status != http.StatusAccepted {
 		t.Fatalf("submission: %d %q", status, text)
 	}
-	if read := site.awaitJob(gateway, "j"); read.Total != 5 {
-		t.Errorf("listed as %+v", read)
+	if listing := site.awaitJob(gateway, "j"); listing.Total != 5 {
+		t.Errorf("listing is %+v", listing)
 	}
 	if nodes := gateway.roster.Nodes(); len(nodes) != 1 {
 		t.Errorf("the nodes are %v", nodes)
@@ -60,12 +59,12 @@
 	site.eventually("the nodes know each other", func() bool {
 		return len(gateway.roster.Nodes()) == 2 && len(second.roster.Nodes()) == 2
 	})
-	if now := gateway.unreadableTotal(t); now != counted {
-		t.Errorf("%v rows were counted, %v after further looks", counted, now)
+	if after := gateway.unreadableTotal(t); after != counted {
+		t.Errorf("%v rows were counted, %v after further polls", counted, after)
 	}
 }
 
-// unreadableTotal is the sum of the metric over tables and reasons.
+// unreadableTotal returns the sum of the metric over all tables and reasons.
 func (g *Gateway) unreadableTotal(t *testing.T) float64 {
 	t.Helper()
 	families, err := g.metrics.registry.Gather()
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -7,25 +7,25 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// newHalf returns a set with one replica of 8 slots, 4 of them this node's.
-func newHalf() *Set {
+// newSetWithHalfShare returns a set with one replica of 8 slots, 4 of which are allotted to this
+// node.
+func newSetWithHalfShare() *Set {
 	set := NewSet()
 	set.Put(Info{ID: "r", Pool: testPool, Slots: 8})
-	set.Divide("a", nowhere("a", "b"))
+	set.Divide("a", nodesWithoutPlace("a", "b"))
 	return set
 }
 
-// TestSet_ItemsLeaveSlotsThatOtherNodesNeed runs items at a node without callers of
-// its own: once others tell that they need more slots than they have, its items are in
-// excess and no more are started.
-func TestSet_ItemsLeaveSlotsThatOtherNodesNeed(t *testing.T) {
-	set, now := newHalf(), time.Unix(1000, 0)
+// If other nodes report that they need more slots than they have, the items of a node without
+// online requests are in excess, and no more may start.
+func TestUpdateDemand_ExcessIfOtherNodesNeedSlots(t *testing.T) {
+	set, now := newSetWithHalfShare(), time.Unix(1000, 0)
 	for range 4 {
 		set.Begin("r", RequestInfo{Batch: true}, now)
 	}
 	excess := func() int { return set.UpdateDemand(now)[0].Excess }
 	if excess := excess(); excess > 0 {
-		t.Fatalf("%d items in excess though nobody needs their slots", excess)
+		t.Fatalf("%d items in excess although no online request needs their slots", excess)
 	}
 	for range 3 {
 		excess()
@@ -33,31 +33,31 @@
 		now = now.Add(100 * time.Millisecond)
 	}
 	if excess := excess(); excess != 4 {
-		t.Fatalf("%d items in excess, want all 4: the fleet needs every slot", excess)
+		t.Fatalf("%d items in excess when online requests need all slots, want 4", excess)
 	}
-	if room := set.FreeItemSlots(testPool, now); room > 0 {
-		t.Fatalf("room for %d items", room)
+	if free := set.FreeItemSlots(testPool, now); free > 0 {
+		t.Fatalf("%d free slots when online requests need all slots", free)
 	}
 	now = now.Add(2 * fleetMaxAge)
 	if excess := excess(); excess > 0 {
-		t.Fatalf("%d items in excess by words that are old", excess)
+		t.Fatalf("%d items in excess because of expired reports", excess)
 	}
 }
 
-func TestSet_WhatIsToldIsNotTakenBlindly(t *testing.T) {
-	set, now := newHalf(), time.Unix(1000, 0)
+func TestRecordDemand_IgnoresInvalidReports(t *testing.T) {
+	set, now := newSetWithHalfShare(), time.Unix(1000, 0)
 	set.RecordDemand("unknown", 8, 4, now)
 	set.RecordDemand(testPool, -1, 4, now)
 	set.RecordDemand(testPool, 8, 0, now)
 	if len(set.fleet) != 0 {
-		t.Fatalf("taken in: %v", set.fleet)
+		t.Fatalf("invalid reports are recorded: %v", set.fleet)
 	}
 }
 
-// TestSet_ItemsLeaveSlotsThatGuestsNeed: online requests of another region that find no
-// room at home come here, and items of this region make room for them.
-func TestSet_ItemsLeaveSlotsThatGuestsNeed(t *testing.T) {
-	set, now := newHalf(), time.Unix(1000, 0)
+// Online requests from another region whose slots are full count as demand of this region, so that
+// its items leave their slots.
+func TestUpdateDemand_ExcessIfOtherRegionsNeedSlots(t *testing.T) {
+	set, now := newSetWithHalfShare(), time.Unix(1000, 0)
 	for range 4 {
 		set.Begin("r", RequestInfo{Batch: true}, now)
 	}
@@ -68,11 +68,11 @@
 		now = now.Add(100 * time.Millisecond)
 	}
 	if excess := set.UpdateDemand(now)[0].Excess; excess < 3 {
-		t.Fatalf("%d of 4 items in excess though guests need all 8 slots", excess)
+		t.Fatalf("%d of 4 items in excess when requests from another region need all 8 slots, want at least 3", excess)
 	}
 }
 
-func TestSet_NeedsCountRequestsInOtherRegions(t *testing.T) {
+func TestUpdateDemand_CountsRequestsInOtherRegions(t *testing.T) {
 	set, now := NewSet(), time.Unix(1000, 0)
 	set.Put(Info{ID: "home", Pool: testPool, Zone: "n", Region: "north", Slots: 8})
 	set.Put(Info{ID: "away", Pool: testPool, Zone: "s", Region: "south", Slots: 8})
@@ -82,6 +82,6 @@
 	}
 	set.Begin("away", RequestInfo{Batch: true}, now)
 	if away := set.UpdateDemand(now)[0].Away; len(away) != 1 || away["south"] != 2 {
-		t.Fatalf("away are %v, want 2 in the south", away)
+		t.Fatalf("Away = %v, want 2 in the south", away)
 	}
 }
--- a/internal/replica/slope_test.go
+++ b/internal/replica/slope_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestSlope_IsLearnedThroughNoise(t *testing.T) {
+func TestSlope_WithNoise(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var s slope
 	for range 400 {
@@ -15,16 +15,16 @@
 	}
 	got, ok := s.get()
 	if !ok || math.Abs(got*50000-1) > 0.1 {
-		t.Fatalf("slope is %v, %v, want 1/50000", got, ok)
+		t.Fatalf("slope = %v, %v, want about 1/50000", got, ok)
 	}
 }
 
-func TestSlope_IsNotToldWhereAllAreAlike(t *testing.T) {
+func TestSlope_NoneWithoutSpread(t *testing.T) {
 	var s slope
 	for range 400 {
 		s.add(450, 0.08)
 	}
 	if got, ok := s.get(); ok {
-		t.Fatalf("slope is %v though all prompts have one length", got)
+		t.Fatalf("slope = %v although all x are equal, want none", got)
 	}
 }
