--- a/internal/batch/feeder.go
+++ b/internal/batch/feeder.go
@@ -353,7 +353,7 @@
 		return err
 	}
 	if fed.inDanger(time.Now()) {
-		submitted.Advance = dangerAdvance
+		submitted.HeadStart = dangerAdvance
 	}
 	return f.Service.Work.Submit(ctx, submitted)
 }
--- a/internal/batch/feeder_test.go
+++ b/internal/batch/feeder_test.go
@@ -71,19 +71,19 @@
 
 type quiet struct{}
 
-func (quiet) Accepted(*jobs.Job, time.Duration, bool)                       {}
-func (quiet) Refused(string, int64, int64, int64, error)                    {}
-func (quiet) Ended(string, error)                                           {}
-func (quiet) Claimed(*jobs.Entry, string, error)                            {}
-func (quiet) ItemSent(*jobs.Job, string, string, int)                       {}
-func (quiet) ItemFailed(*jobs.Job, string, string, error)                   {}
-func (quiet) ItemQuarantined(*jobs.Job, string, error)                      {}
-func (quiet) GaveWay(*jobs.Job, string, string, int, replica.Pressure)      {}
-func (quiet) ItemListed(*jobs.Job, string, int, jobs.Reason, time.Duration) {}
-func (quiet) Removed(*jobs.Job, error)                                      {}
-func (quiet) Asked(*jobs.Job, time.Duration, error)                         {}
-func (quiet) Homeless(*jobs.Job, place.Regions)                             {}
-func (quiet) Resolved(string, int, error)                                   {}
+func (quiet) Accepted(*jobs.Job, time.Duration, bool)                        {}
+func (quiet) Refused(string, int64, int64, int64, error)                     {}
+func (quiet) Ended(string, error)                                            {}
+func (quiet) Claimed(*jobs.Entry, string, error)                             {}
+func (quiet) ItemSent(*jobs.Job, string, string, int)                        {}
+func (quiet) ItemFailed(*jobs.Job, string, string, error)                    {}
+func (quiet) ItemQuarantined(*jobs.Job, string, error)                       {}
+func (quiet) ItemPreempted(*jobs.Job, string, string, int, replica.Pressure) {}
+func (quiet) ItemListed(*jobs.Job, string, int, jobs.Reason, time.Duration)  {}
+func (quiet) Removed(*jobs.Job, error)                                       {}
+func (quiet) Refreshed(*jobs.Job, time.Duration, error)                      {}
+func (quiet) AwaitingRegion(*jobs.Job, place.Regions)                        {}
+func (quiet) Resolved(string, int, error)                                    {}
 
 // member is a node that serves, feeds and runs batches until it is stopped.
 type member struct {
--- a/internal/batch/group.go
+++ b/internal/batch/group.go
@@ -29,7 +29,7 @@
 	first, _ := batch.groupRange(number)
 	submitted := &jobs.Submission{
 		ID: groupID(batch.ID, number), Route: RouteOf(batch.Model), Host: RouteOf(batch.Model),
-		Completion: time.Until(batch.Deadline), Retention: time.Until(batch.Deadline), Turns: true,
+		Completion: time.Until(batch.Deadline), Retention: time.Until(batch.Deadline), FIFO: true,
 		// Neither a batch that has ended nor a group that is done is begun again.
 		Guards: []table.Write{
 			{Key: activeKey(batch.ID), Expect: batch.active},
@@ -44,8 +44,8 @@
 		request, _ := openai.ParseCompletion(item.Body)
 		submitted.Items = append(submitted.Items, jobs.Item{
 			ID: fmt.Sprintf("%s-%d", batch.ID, first+i), Path: item.URL, Body: item.Body,
-			Tokens: int64(len(item.Body)/bytesPerToken + request.Limit()),
-			Once:   item.NotRepeatable, Label: item.CustomID,
+			Tokens:     int64(len(item.Body)/bytesPerToken + request.Limit()),
+			AtMostOnce: item.NotRepeatable, Label: item.CustomID,
 		})
 	}
 	return submitted, nil
--- a/internal/jobs/accept.go
+++ b/internal/jobs/accept.go
@@ -57,23 +57,23 @@
 // Submit accepts a job for good, or says that it never runs (ErrQuota,
 // ErrNotAccepted), or that nobody can tell yet (ErrUndecided).
 func (s *Service) Submit(ctx context.Context, submission *Submission) error {
-	began := clock.Now()
+	start := clock.Now()
 	if err := submission.Check(); err != nil {
 		return err
 	}
 	if entry := s.View.Get(submission.ID); entry != nil {
-		return s.again(submission, entry, began, true)
+		return s.acceptExisting(submission, entry, start, true)
 	}
-	if err := s.View.await(ctx); err != nil {
+	if err := s.View.awaitLoaded(ctx); err != nil {
 		return Error.Wrap(errors.Join(ErrNotAccepted, err))
 	}
-	if err := s.fits(ctx, submission); err != nil {
-		return s.againOr(ctx, submission, began, err)
+	if err := s.checkQuota(ctx, submission); err != nil {
+		return s.recheckRefusal(ctx, submission, start, err)
 	}
-	described := &Job{}
-	s.declare(described, submission)
-	if described.Homes != nil && len(described.Homes) == 0 {
-		err := Error.Wrap(errors.Join(ErrNotAccepted, ErrHomeless))
+	declared := &Job{}
+	s.setRouting(declared, submission)
+	if declared.AllowedRegions != nil && len(declared.AllowedRegions) == 0 {
+		err := Error.Wrap(errors.Join(ErrNotAccepted, ErrNoRegion))
 		s.Events.Refused(submission.ID, 0, submission.tokens(), submission.Quota, err)
 		return err
 	}
@@ -83,35 +83,35 @@
 		return Error.Wrap(errors.Join(ErrNotAccepted, err))
 	}
 	// The runner may take the job up before admit returns.
-	s.remember(submission.ID, submission.Items)
-	err := s.admit(ctx, submission, content, began)
+	s.cacheContent(submission.ID, submission.Items)
+	err := s.admit(ctx, submission, content, start)
 	if err != nil || !s.runsHere(ctx, submission.ID) {
-		s.forget(submission.ID)
+		s.dropContent(submission.ID)
 	}
 	return err
 }
 
-// again answers a submission whose job is there: it is accepted, if it is the tenant's.
-func (s *Service) again(submission *Submission, entry *Entry, began time.Time, resent bool) error {
+// acceptExisting answers a submission whose job is there: it is accepted, if it is the tenant's.
+func (s *Service) acceptExisting(submission *Submission, entry *Entry, start time.Time, resent bool) error {
 	if entry.Job.Tenant != submission.Tenant {
-		return Error.Wrap(ErrTaken)
+		return Error.Wrap(ErrIDTaken)
 	}
-	s.Events.Accepted(entry.Job, clock.Since(began), resent)
+	s.Events.Accepted(entry.Job, clock.Since(start), resent)
 	return nil
 }
 
-// againOr answers a submission that is to be refused with an error by what is known here. Where
+// recheckRefusal answers a submission that is to be refused with an error by what is known here. Where
 // the view is old, the job may have been accepted elsewhere, and may fit: the table is asked for
 // it, and if it is not there the caller is told that it was not accepted, not that there is no
 // room.
-func (s *Service) againOr(ctx context.Context, submission *Submission, began time.Time, refusal error) error {
-	if asOf := s.View.AsOf(); asOf.IsZero() || clock.Since(asOf) <= s.believed() {
+func (s *Service) recheckRefusal(ctx context.Context, submission *Submission, start time.Time, refusal error) error {
+	if asOf := s.View.AsOf(); asOf.IsZero() || clock.Since(asOf) <= s.maxTrustedAge() {
 		return refusal
 	}
 	entry, err := s.find(ctx, submission.ID)
 	switch {
 	case err == nil:
-		return s.again(submission, entry, began, true)
+		return s.acceptExisting(submission, entry, start, true)
 	case errors.Is(err, ErrNotFound):
 		return Error.Wrap(errors.Join(ErrNotAccepted, ErrUnavailable))
 	default:
@@ -119,28 +119,28 @@
 	}
 }
 
-// fits reports ErrQuota if the job does not fit by what is known now. Before it does, it
+// checkQuota reports ErrQuota if the job does not fit by what is known now. Before it does, it
 // asks for the newest news, for items may have been listed a moment ago.
-func (s *Service) fits(ctx context.Context, submission *Submission) error {
+func (s *Service) checkQuota(ctx context.Context, submission *Submission) error {
 	if submission.Quota <= 0 {
 		return nil
 	}
 	used := s.View.used(submission.account())
-	if used+submission.tokens() > submission.Quota && s.Awaited != nil {
-		s.awaitLook(ctx)
+	if used+submission.tokens() > submission.Quota && s.RequestUpdate != nil {
+		s.awaitUpdate(ctx)
 		used = s.View.used(submission.account())
 	}
 	if used+submission.tokens() <= submission.Quota {
 		return nil
 	}
-	return s.overQuota(submission, used)
+	return s.refuseQuota(submission, used)
 }
 
-// awaitLook asks for a look at the jobs and waits for it, for lookPatience at most.
-func (s *Service) awaitLook(ctx context.Context) {
+// awaitUpdate asks for a look at the jobs and waits for it, for lookPatience at most.
+func (s *Service) awaitUpdate(ctx context.Context) {
 	changed := s.View.Changed()
-	s.Awaited()
-	ctx, cancel := context.WithTimeout(ctx, lookPatience)
+	s.RequestUpdate()
+	ctx, cancel := context.WithTimeout(ctx, updateTimeout)
 	defer cancel()
 	select {
 	case <-ctx.Done():
@@ -148,8 +148,8 @@
 	}
 }
 
-// overQuota tells that a job does not fit beside what is used, and returns ErrQuota.
-func (s *Service) overQuota(submission *Submission, used int64) error {
+// refuseQuota tells that a job does not fit beside what is used, and returns ErrQuota.
+func (s *Service) refuseQuota(submission *Submission, used int64) error {
 	err := Error.Wrap(ErrQuota)
 	s.Events.Refused(submission.ID, used, submission.tokens(), submission.Quota, err)
 	return err
@@ -163,8 +163,8 @@
 	operation string
 	// pending is set while a write without an answer may still land; pendingOn is
 	// the version of the counter that it, the newest of them, is conditional on.
-	pending   bool
-	pendingOn uint64
+	pending        bool
+	pendingVersion uint64
 	// failures counts the tries that had no answer or a refusal, conflicts those
 	// whose conditions did not hold.
 	failures  int
@@ -176,99 +176,99 @@
 // With a quota the transaction also moves the counter of the job's shard on. A
 // later version of that counter then proves that no earlier write of this job can
 // land any more: the version that it was conditional on is gone.
-func (s *Service) admit(ctx context.Context, submission *Submission, content []byte, began time.Time) error {
-	try := &admission{submission: submission, content: content, operation: table.NewOperation()}
-	delay := retryFirst
+func (s *Service) admit(ctx context.Context, submission *Submission, content []byte, start time.Time) error {
+	adm := &admission{submission: submission, content: content, operation: table.NewOperation()}
+	delay := retryDelay
 	for {
 		if entry := s.View.Get(submission.ID); entry != nil {
-			s.tell(entry.runners(), submission.ID)
-			return s.again(submission, entry, began, try.pending)
+			s.notify(entry.activeNodes(), submission.ID)
+			return s.acceptExisting(submission, entry, start, adm.pending)
 		}
-		err := s.tryAdmit(ctx, try)
-		pause := delay
+		err := s.tryAdmit(ctx, adm)
+		backoff := delay
 		switch {
 		case err == nil:
 			continue
 		case errors.Is(err, ErrQuota), errors.Is(err, ErrSuperseded):
 			return err
 		case errors.Is(err, ErrUnreadable):
-			return s.undecided(try, err)
+			return s.undecided(adm, err)
 		case errors.Is(err, table.ErrConflict):
-			pause = try.conflictPause()
+			backoff = adm.conflictBackoff()
 		default:
-			try.failures++
-			delay = min(2*delay, retryMax)
+			adm.failures++
+			delay = min(2*delay, retryDelayMax)
 		}
-		if !retry.Sleep(ctx, pause) {
-			return s.unadmitted(try, err)
+		if !retry.Sleep(ctx, backoff) {
+			return s.admissionStopped(adm, err)
 		}
 	}
 }
 
-// conflictPause returns how long to wait after a conflict: not at all after the
+// conflictBackoff returns how long to wait after a conflict: not at all after the
 // first, which only shows what this node had not heard of.
-func (a *admission) conflictPause() time.Duration {
+func (a *admission) conflictBackoff() time.Duration {
 	a.conflicts++
 	if a.conflicts == 1 {
 		return 0
 	}
-	return rand.N(min(time.Duration(a.conflicts-1)*conflictPause, conflictPauseMax))
+	return rand.N(min(time.Duration(a.conflicts-1)*conflictDelay, conflictDelayMax))
 }
 
-func (s *Service) unadmitted(try *admission, err error) error {
-	if try.pending {
-		return s.undecided(try, err)
+func (s *Service) admissionStopped(adm *admission, err error) error {
+	if adm.pending {
+		return s.undecided(adm, err)
 	}
-	return s.refused(try, errors.Join(ErrNotAccepted, err))
+	return s.refuseAdmission(adm, errors.Join(ErrNotAccepted, err))
 }
 
 // undecided says that the job may have been accepted.
-func (s *Service) undecided(try *admission, err error) error {
-	return s.refused(try, errors.Join(ErrUndecided, err))
+func (s *Service) undecided(adm *admission, err error) error {
+	return s.refuseAdmission(adm, errors.Join(ErrUndecided, err))
 }
 
-func (s *Service) refused(try *admission, final error) error {
-	s.Events.Refused(try.submission.ID, 0, try.submission.tokens(), try.submission.Quota, final)
+func (s *Service) refuseAdmission(adm *admission, final error) error {
+	s.Events.Refused(adm.submission.ID, 0, adm.submission.tokens(), adm.submission.Quota, final)
 	return Error.Wrap(final)
 }
 
-func (s *Service) tryAdmit(ctx context.Context, try *admission) error {
-	submission := try.submission
+func (s *Service) tryAdmit(ctx context.Context, adm *admission) error {
+	submission := adm.submission
 	usages := s.View.usages(submission.account())
 	own := usages[shardNumber(submission.ID)]
 	var counters []table.Write
 	var accepted int64
 	if submission.Quota > 0 {
 		var fits bool
-		counters, accepted, fits = reserve(usages, submission.ID, submission.account(), submission.Quota, submission.tokens())
+		counters, accepted, fits = reserveQuota(usages, submission.ID, submission.account(), submission.Quota, submission.tokens())
 		if !fits {
-			return s.refuse(ctx, try, usages)
+			return s.refuseOrFence(ctx, adm, usages)
 		}
 	}
-	writes, err := s.admissionWrites(ctx, submission, try.content, accepted)
+	writes, err := s.admissionWrites(ctx, submission, adm.content, accepted)
 	if err != nil {
 		return outcome.Failed(err)
 	}
 	writes = append(writes, counters...)
 	var versions []uint64
-	err = s.pace.call(ctx, try.failures, func(callCtx context.Context) error {
-		versions, err = s.Table.Commit(callCtx, try.operation, writes...)
+	err = s.writeLatency.call(ctx, adm.failures, func(callCtx context.Context) error {
+		versions, err = s.Table.Commit(callCtx, adm.operation, writes...)
 		return err
 	})
 	switch {
 	case err == nil:
-		s.View.Put(written(writes, versions)...)
+		s.View.Put(putRows(writes, versions)...)
 		return nil
 	case errors.Is(err, table.ErrConflict):
-		return s.afterConflict(try, err)
+		return s.afterConflict(adm, err)
 	case outcome.Of(err) != outcome.NotDone:
-		try.pending, try.pendingOn = true, own.version
+		adm.pending, adm.pendingVersion = true, own.version
 	}
 	return err
 }
 
-// written returns the rows that a commit has put.
-func written(writes []table.Write, versions []uint64) []table.Row {
+// putRows returns the rows that a commit has put.
+func putRows(writes []table.Write, versions []uint64) []table.Row {
 	var rows []table.Row
 	for i, write := range writes {
 		if write.Kind == table.Put {
@@ -278,30 +278,30 @@
 	return rows
 }
 
-// refuse turns a job away that does not fit, once no write of it can land any more.
-func (s *Service) refuse(ctx context.Context, try *admission, usages [shards]usage) error {
-	if try.pending {
-		return s.withdraw(ctx, try, usages)
+// refuseOrFence turns a job away that does not fit, once no write of it can land any more.
+func (s *Service) refuseOrFence(ctx context.Context, adm *admission, usages [shards]usage) error {
+	if adm.pending {
+		return s.fenceWrites(ctx, adm, usages)
 	}
-	return s.overQuota(try.submission, total(usages))
+	return s.refuseQuota(adm.submission, totalUsed(usages))
 }
 
-// withdraw makes sure that no unanswered write of the job can land any more, by
+// fenceWrites makes sure that no unanswered write of the job can land any more, by
 // moving the counter on under the condition that the job is not there.
-func (s *Service) withdraw(ctx context.Context, try *admission, usages [shards]usage) error {
-	shard := shardNumber(try.submission.ID)
+func (s *Service) fenceWrites(ctx context.Context, adm *admission, usages [shards]usage) error {
+	shard := shardNumber(adm.submission.ID)
 	own := usages[shard]
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	moved := own.write(try.submission.account(), shard, own.counter)
-	versions, err := s.Table.Commit(callCtx, table.NewOperation(), moved,
-		table.Write{Key: jobKey(try.submission.ID), Kind: table.Check, Expect: table.Absent})
+	advanced := own.counterWrite(adm.submission.account(), shard, own.counter)
+	versions, err := s.Table.Commit(callCtx, table.NewOperation(), advanced,
+		table.Write{Key: jobKey(adm.submission.ID), Kind: table.Check, Expect: table.Absent})
 	if err == nil {
-		s.View.Put(table.Row{Key: moved.Key, Version: versions[0], Body: moved.Body})
-		try.pending = false
+		s.View.Put(table.Row{Key: advanced.Key, Version: versions[0], Body: advanced.Body})
+		adm.pending = false
 		return outcome.Failed(ErrQuota)
 	}
-	return s.afterConflict(try, err)
+	return s.afterConflict(adm, err)
 }
 
 func (s *Service) admissionWrites(ctx context.Context, submission *Submission, content []byte, accepted int64) ([]table.Write, error) {
@@ -314,9 +314,9 @@
 		ID: submission.ID, Created: now, Accepted: accepted,
 		Due: now + submission.Completion, Expires: now + submission.Retention,
 	}
-	s.declare(job, submission)
-	if submission.Turns {
-		job.Rank = now - submission.Advance
+	s.setRouting(job, submission)
+	if submission.FIFO {
+		job.Rank = now - submission.HeadStart
 	}
 	chunks := contentChunks(content)
 	job.Chunks = len(chunks)
@@ -325,7 +325,7 @@
 	}
 	s.spread(job, submission, lease.Node(session))
 	progress := &Progress{}
-	if len(job.Nodes) == 0 && s.mayHold(job, session) {
+	if len(job.Nodes) == 0 && s.mayStore(job, session) {
 		progress.Owner = session
 	}
 	writes := []table.Write{
@@ -344,36 +344,36 @@
 
 // afterConflict takes in what a conflict shows: the job itself, accepted by an
 // earlier try or elsewhere, a guard that does not hold, or counters that have moved.
-func (s *Service) afterConflict(try *admission, err error) error {
+func (s *Service) afterConflict(adm *admission, err error) error {
 	var conflict *table.ConflictError
 	if !errors.As(err, &conflict) {
 		return err
 	}
-	s.learn(err)
-	if _, accepted := conflict.Row(jobKey(try.submission.ID)); accepted {
-		return s.standing(try.submission.ID, err)
+	s.applyConflict(err)
+	if _, accepted := conflict.Row(jobKey(adm.submission.ID)); accepted {
+		return s.existingJobError(adm.submission.ID, err)
 	}
-	if try.submission.broken(conflict) {
+	if adm.submission.guardFailed(conflict) {
 		return Error.Wrap(outcome.Failed(ErrSuperseded))
 	}
-	own, _ := conflict.Row(counterKey(try.submission.account(), shardOf(try.submission.ID)))
-	if own.Version > try.pendingOn {
-		try.pending = false
+	own, _ := conflict.Row(counterKey(adm.submission.account(), shardOf(adm.submission.ID)))
+	if own.Version > adm.pendingVersion {
+		adm.pending = false
 	}
 	return err
 }
 
-// standing returns the error of a try that met the job's rows. If they cannot be read the
+// existingJobError returns the error of a try that met the job's rows. If they cannot be read the
 // next try would meet them again: the job may have been accepted before, and nobody can tell.
-func (s *Service) standing(id string, err error) error {
+func (s *Service) existingJobError(id string, err error) error {
 	if s.View.Get(id) == nil {
 		return Error.Wrap(outcome.Failed(ErrUnreadable))
 	}
 	return err
 }
 
-// broken reports whether a conflict is about one of the guards.
-func (s *Submission) broken(conflict *table.ConflictError) bool {
+// guardFailed reports whether a conflict is about one of the guards.
+func (s *Submission) guardFailed(conflict *table.ConflictError) bool {
 	for _, guard := range s.Guards {
 		row, _ := conflict.Row(guard.Key)
 		if row.Version != guard.Expect {
--- a/internal/jobs/accept_test.go
+++ b/internal/jobs/accept_test.go
@@ -104,7 +104,7 @@
 	if err := node.Submit(t.Context(), large); err != nil {
 		t.Fatal(err)
 	}
-	node.forget("j")
+	node.dropContent("j")
 	body, err := node.Body(t.Context(), "j", "j-2")
 	if err != nil || len(body) != 300<<10 {
 		t.Fatalf("body has %d bytes, %v", len(body), err)
--- a/internal/jobs/once_test.go
+++ b/internal/jobs/atmostonce_test.go
@@ -18,7 +18,7 @@
 func onceSubmission(id string, items int) *Submission {
 	submitted := submission(id, items)
 	for i := range submitted.Items {
-		submitted.Items[i].Once = true
+		submitted.Items[i].AtMostOnce = true
 	}
 	return submitted
 }
@@ -90,7 +90,7 @@
 	}
 	eventually(t, func() bool { return hanging.attempts() == 1 })
 	runner.mu.Lock()
-	runner.paused = true
+	runner.stopped = true
 	runner.mu.Unlock()
 	next := startNode(t, shared, &objecttest.Store{}, "node#2")
 	backend := &scriptedBackend{answer: func(*forward.Attempt, int) (*forward.Answer, error) {
@@ -158,11 +158,11 @@
 		t.Fatal(err)
 	}
 	runner := NewRunner(RunnerOptions{Service: first.Service, Owners: noOwners{}})
-	owned := &work{job: entry.Job, ctx: t.Context(), cancel: func() {}}
-	one := &task{work: owned, once: true}
+	owned := &ownedJob{job: entry.Job, ctx: t.Context(), cancel: func() {}}
+	one := &task{owned: owned, atMostOnce: true}
 	owned.tasks = []*task{one}
-	runner.mark(owned, owned.tasks)
-	if one.marked {
+	runner.writeStartMarks(owned, owned.tasks)
+	if one.startMarked {
 		t.Fatal("an item that the next owner has marked counts as marked by this one")
 	}
 }
--- /dev/null
+++ b/internal/jobs/attempt.go
@@ -0,0 +1,231 @@
+package jobs
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/wheelhoist/wheelhoist/internal/clock"
+	"github.com/wheelhoist/wheelhoist/internal/forward"
+	"github.com/wheelhoist/wheelhoist/internal/outcome"
+	"github.com/wheelhoist/wheelhoist/internal/replica"
+	"github.com/wheelhoist/wheelhoist/internal/route"
+	"github.com/wheelhoist/wheelhoist/internal/sse"
+)
+
+const (
+	// refusedBackoff is the pause after a replica had no room.
+	refusedBackoff = 60 * time.Millisecond
+	// interruptedBackoff is the pause after an answer broke off.
+	interruptedBackoff = 20 * time.Millisecond
+	// failedBackoff is the pause after a replica reported a failed run.
+	failedBackoff = 150 * time.Millisecond
+	// maxInvalidAnswers is the number of answers that an item can never be done
+	// after which it is dead.
+	maxInvalidAnswers = 1
+)
+
+// errItemFailed reports a run that the replica itself says failed.
+var errItemFailed = errors.New("replica reported a failed run")
+
+// errItemInvalid reports an item that can never be done.
+var errItemInvalid = errors.New("replica says that the item can never be done")
+
+// runAttempt makes one attempt at an item.
+func (r *Runner) runAttempt(ctx context.Context, t *task, item *Item, target *route.Route, chosen replica.Info, use *replica.Use) {
+	defer t.cancel(nil)
+	r.Service.Events.ItemSent(t.owned.job, item.ID, chosen.ID, t.lastEvent)
+	start, firstEvent := clock.Now(), t.lastEvent
+	err := r.exchangeItem(ctx, t, item, chosen, use)
+	r.recordRun(t, firstEvent, clock.Since(start), err)
+	use.End(replicaResult(t.owned.ctx, err), clock.Now())
+	r.reportToQuarantine(t.owned.ctx, t, item, chosen, start, firstEvent, err)
+	if err != nil && t.owned.ctx.Err() == nil && !errors.Is(err, errPreempted) {
+		r.Service.Events.ItemFailed(t.owned.job, item.ID, chosen.ID, err)
+	}
+	r.handleResult(t, target, chosen, err)
+	r.wake()
+}
+
+func replicaResult(ctx context.Context, err error) replica.Result {
+	switch {
+	case err == nil, errors.Is(err, errItemInvalid), errors.Is(err, errItemFailed):
+		return replica.Succeeded
+	case ctx.Err() != nil, errors.Is(err, errPreempted), errors.Is(err, forward.ErrStalled):
+		// A replica that answers others is not at fault for one connection that died, or
+		// for a long queue.
+		return replica.Abandoned
+	case errors.Is(err, forward.ErrUnreachable), errors.Is(err, forward.ErrMoved):
+		return replica.Unreachable
+	case outcome.Of(err) == outcome.NotDone:
+		return replica.Refused
+	default:
+		return replica.Failed
+	}
+}
+
+// handleResult decides what becomes of an item after an attempt.
+func (r *Runner) handleResult(t *task, target *route.Route, chosen replica.Info, err error) {
+	if err == nil {
+		r.finish(t, "")
+		return
+	}
+	if reason := atMostOnceReason(t, err); reason != "" {
+		r.finish(t, reason)
+		return
+	}
+	r.mu.Lock()
+	t.state = taskWaiting
+	t.setWait(WaitBackoff, err)
+	backoff := interruptedBackoff
+	switch {
+	case errors.Is(err, errItemInvalid):
+		t.invalid++
+		backoff = failedBackoff
+	case errors.Is(err, errItemFailed):
+		t.failures++
+		backoff = failedBackoff
+	case errors.Is(err, errPreempted):
+		backoff = preemptedBackoff
+	case outcome.Of(err) == outcome.NotDone:
+		backoff = refusedBackoff
+		t.excluded[chosen.Incarnation()] = true
+	default:
+		t.excluded[chosen.Incarnation()] = true
+	}
+	t.notBefore = clock.Now().Add(backoff)
+	reason := t.deadReason(target.MaxAttempts)
+	r.mu.Unlock()
+	if reason != "" {
+		r.finish(t, reason)
+	}
+}
+
+// deadReason says whether an item has failed for good. The caller holds the
+// runner's lock.
+func (t *task) deadReason(maxAttempts int) Reason {
+	switch {
+	case t.invalid >= maxInvalidAnswers:
+		return Invalid
+	case t.failures >= maxAttempts:
+		return Failed
+	default:
+		return ""
+	}
+}
+
+// exchangeItem sends an item and collects the data of its events. What has come
+// stays with the task, so that the next attempt goes on after it.
+func (r *Runner) exchangeItem(ctx context.Context, t *task, item *Item, chosen replica.Info, use *replica.Use) error {
+	stop := r.watchSilence(t, use)
+	defer stop()
+	err := r.send(ctx, t, item, chosen, use)
+	reported := errors.Is(err, errItemInvalid) || errors.Is(err, errItemFailed)
+	if err == nil || reported {
+		return err
+	}
+	for _, cause := range []error{errPreempted, forward.ErrSilent, forward.ErrStalled, forward.ErrRestarted} {
+		if errors.Is(context.Cause(ctx), cause) {
+			return outcome.Undecided(cause)
+		}
+	}
+	return err
+}
+
+func (r *Runner) send(ctx context.Context, t *task, item *Item, chosen replica.Info, use *replica.Use) error {
+	sent := clock.Now()
+	answer, err := r.Backend.Send(ctx, &forward.Attempt{
+		Request: itemRequest(t.owned.job, item), Replica: chosen, LastEventID: t.lastEvent, Reservation: t.reservation,
+	})
+	if err != nil {
+		return err
+	}
+	defer func() { _ = answer.Body.Close() }()
+	switch {
+	case answer.Status == http.StatusUnprocessableEntity:
+		return outcome.Undecided(errItemInvalid)
+	case answer.Status == http.StatusInternalServerError:
+		return outcome.Undecided(errItemFailed)
+	case answer.Status != http.StatusOK || !answer.EventStream:
+		return outcome.Undecided(fmt.Errorf("%w: status %d", forward.ErrBroken, answer.Status))
+	}
+	// A verdict on the item stands; only a run that goes on can give way.
+	if answer.ColdLeft > 0 {
+		use.Chill(answer.ColdLeft, clock.Now())
+	}
+	if answer.Load != nil {
+		use.Load(*answer.Load, clock.Now())
+	}
+	return r.collect(t, answer, use, sent)
+}
+
+// collect takes in the events of an answer to an attempt that was sent at a time.
+func (r *Runner) collect(t *task, answer *forward.Answer, use *replica.Use, sent time.Time) error {
+	reader := sse.NewReader(answer.Body)
+	gaps := eventGaps{last: sent}
+	defer func() { r.recordGaps(gaps) }()
+	for {
+		event, err := reader.Next()
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return outcome.Undecided(fmt.Errorf("%w: %w", forward.ErrBroken, err))
+		}
+		now := clock.Now()
+		gaps.record(now)
+		use.Heard(now)
+		use.First(now)
+		if err := r.appendEvent(t, event); err != nil {
+			return err
+		}
+	}
+}
+
+// appendEvent appends an event's data to the item's text, each event exactly once.
+func (r *Runner) appendEvent(t *task, event sse.Event) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if event.ID <= t.lastEvent {
+		return nil
+	}
+	if event.ID != t.lastEvent+1 {
+		return outcome.Undecided(fmt.Errorf("%w: event %d follows event %d", forward.ErrBroken, event.ID, t.lastEvent))
+	}
+	if t.lastEvent > 0 {
+		t.text = append(t.text, '\n')
+	}
+	t.text = append(t.text, event.Data...)
+	t.lastEvent = event.ID
+	t.lastProgress = clock.Now()
+	return nil
+}
+
+func itemRequest(job *Job, item *Item) *forward.Request {
+	header := make(http.Header, len(item.Header))
+	for name, value := range item.Header {
+		header.Set(name, value)
+	}
+	return &forward.Request{
+		ID: item.ID, Method: http.MethodPost, Target: item.Path, Host: job.Host,
+		Header: header, Body: item.Body, AtMostOnce: item.AtMostOnce, Batch: true, Tenant: job.Tenant,
+	}
+}
+
+// recordRun takes in a run that began after an event.
+func (r *Runner) recordRun(t *task, firstEvent int, elapsed time.Duration, err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.estimate.recordPace(t.lastEvent-firstEvent, elapsed)
+	switch {
+	case err == nil:
+		r.estimate.recordEvents(t.lastEvent)
+	case t.lastEvent > firstEvent:
+		t.stalls = 0
+	case errors.Is(err, forward.ErrStalled), errors.Is(err, forward.ErrSilent):
+		t.stalls++
+	}
+}
--- a/internal/jobs/borrow.go
+++ b/internal/jobs/borrow.go
@@ -19,36 +19,36 @@
 const (
 	// borrowTries is the number of replicas of the own region that are asked each time,
 	// borrowAway that of those of other regions after them.
-	borrowTries = 3
-	borrowAway  = 2
-	// borrowPause is the pause at this node before replicas of a lane are asked again after
+	borrowTries       = 3
+	borrowRemoteTries = 2
+	// borrowBackoff is the pause at this node before replicas of a lane are asked again after
 	// all of them refused. It doubles with each time in a row, up to borrowPauseMax, and is
 	// spread by half to either side, so that nodes that were refused together come apart.
 	// A node asks 3 times a second and lane where all are full, 5 times in a fleet of regions.
-	borrowPause    = 200 * time.Millisecond
-	borrowPauseMax = time.Second
-	// borrowedPause is the pause after one had a slot. It bounds what a node takes on words
+	borrowBackoff    = 200 * time.Millisecond
+	borrowBackoffMax = time.Second
+	// borrowInterval is the pause after one had a slot. It bounds what a node takes on words
 	// of some 100 ms ago.
-	borrowedPause = 50 * time.Millisecond
-	// borrowTimeout bounds one question, a way there and back and a new connection.
-	borrowTimeout = 250 * time.Millisecond
-	// borrowHold is how long a slot is set aside: the item follows at once, but a node with a
+	borrowInterval = 50 * time.Millisecond
+	// reserveTimeout bounds one question, a way there and back and a new connection.
+	reserveTimeout = 250 * time.Millisecond
+	// reservationTTL is how long a slot is set aside: the item follows at once, but a node with a
 	// small share of a core may be held up for a few times 100 ms.
-	borrowHold = 400 * time.Millisecond
+	reservationTTL = 400 * time.Millisecond
 )
 
-// borrow has an item look for a slot of others in the background if it has found no room for
+// tryBorrow has an item look for a slot of others in the background if it has found no room for
 // long enough.
-func (r *Runner) borrow(send itemSend, room *itemRoom, now time.Time) {
-	if room.borrowed[send.lane] {
+func (r *Runner) tryBorrow(send pendingSend, pass *dispatchPass, now time.Time) {
+	if pass.borrowTried[send.lane] {
 		return
 	}
 	waited, due := r.borrowDue(send, now)
 	if !due || waited < replica.BorrowAfter {
 		return
 	}
-	room.borrowed[send.lane] = true
-	if !r.Replicas.MayBorrow(send.pool, waited, now) || !r.prepared(send, now) {
+	pass.borrowTried[send.lane] = true
+	if !r.Replicas.MayBorrow(send.pool, waited, now) || !r.readyToSend(send, now) {
 		return
 	}
 	demand := r.demand(send)
@@ -57,71 +57,71 @@
 	demand.Starved = waited >= replica.BorrowStarved
 	// Replicas that are as good as each other are asked by each node in another order.
 	demand.Affinity = rand.Uint64()
-	r.setBorrowing(send.lane, func(state *borrowing) { state.asking = true })
+	r.updateBorrowState(send.lane, func(state *borrowState) { state.inProgress = true })
 	go func() {
-		sent := r.borrowAny(send, demand)
-		r.setBorrowing(send.lane, func(state *borrowing) { state.asked(sent, clock.Now()) })
+		sent := r.borrowSlot(send, demand)
+		r.updateBorrowState(send.lane, func(state *borrowState) { state.record(sent, clock.Now()) })
 	}()
 }
 
-// borrowing is the state of the questions for slots of a lane.
-type borrowing struct {
-	// asking is set while replicas are asked, for one item at a time.
-	asking bool
-	// next is when they may be asked again, refused how often in a row all refused.
-	next    time.Time
-	refused int
+// borrowState is the state of the questions for slots of a lane.
+type borrowState struct {
+	// inProgress is set while replicas are asked, for one item at a time.
+	inProgress bool
+	// notBefore is when they may be asked again, refused how often in a row all refused.
+	notBefore time.Time
+	refusals  int
 }
 
-// asked takes in what came of a question.
-func (b *borrowing) asked(sent bool, now time.Time) {
-	b.asking = false
+// record takes in what came of a question.
+func (b *borrowState) record(sent bool, now time.Time) {
+	b.inProgress = false
 	if sent {
-		b.refused, b.next = 0, now.Add(borrowedPause)
+		b.refusals, b.notBefore = 0, now.Add(borrowInterval)
 		return
 	}
-	pause := min(borrowPause<<min(b.refused, 8), borrowPauseMax)
-	b.refused++
-	b.next = now.Add(pause/2 + rand.N(pause))
+	pause := min(borrowBackoff<<min(b.refusals, 8), borrowBackoffMax)
+	b.refusals++
+	b.notBefore = now.Add(pause/2 + rand.N(pause))
 }
 
 // borrowDue returns how long an item has not come on, and reports whether it is time to ask
 // replicas for slots of others.
-func (r *Runner) borrowDue(send itemSend, now time.Time) (waited time.Duration, due bool) {
+func (r *Runner) borrowDue(send pendingSend, now time.Time) (waited time.Duration, due bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	state := r.borrows[send.lane]
-	return now.Sub(send.task.cameOn), !state.asking && !now.Before(state.next)
+	state := r.borrowStates[send.lane]
+	return now.Sub(send.task.lastProgress), !state.inProgress && !now.Before(state.notBefore)
 }
 
-// setBorrowing changes the state of a lane.
-func (r *Runner) setBorrowing(where lane, change func(*borrowing)) {
+// updateBorrowState changes the state of a lane.
+func (r *Runner) updateBorrowState(key lane, change func(*borrowState)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	state := r.borrows[where]
+	state := r.borrowStates[key]
 	change(&state)
-	r.borrows[where] = state
+	r.borrowStates[key] = state
 }
 
-// borrowAny asks a few replicas, one after the other, for a slot. It reports whether the
+// borrowSlot asks a few replicas, one after the other, for a slot. It reports whether the
 // item was sent.
-func (r *Runner) borrowAny(send itemSend, demand *replica.Demand) bool {
-	return r.borrowFrom(send, demand, borrowTries, false) || r.borrowFrom(send, demand, borrowAway, true)
+func (r *Runner) borrowSlot(send pendingSend, demand *replica.Demand) bool {
+	return r.borrowFrom(send, demand, borrowTries, false) || r.borrowFrom(send, demand, borrowRemoteTries, true)
 }
 
 // borrowFrom asks up to so many replicas, of other regions if away is set.
-func (r *Runner) borrowFrom(send itemSend, demand *replica.Demand, tries int, away bool) bool {
+func (r *Runner) borrowFrom(send pendingSend, demand *replica.Demand, tries int, remote bool) bool {
 	for range tries {
 		now := clock.Now()
-		chosen, err := replica.PickIdle(r.Replicas.SnapshotFor(send.pool, demand, now), demand, r.Weights, away)
+		chosen, err := replica.PickIdle(r.Replicas.SnapshotFor(send.pool, demand, now), demand, r.Weights, remote)
 		if err != nil || r.Reserver == nil && chosen.Free() < 1 {
 			// The next look tries again.
 			return false
 		}
-		reservation, err := r.reserveAt(send.task.work.ctx, chosen, send.item())
+		reservation, err := r.reserveAt(send.task.owned.ctx, chosen, send.item())
 		if err == nil {
 			demand.Reserved = reservation != ""
-			return r.launch(send, demand, chosen, reservation)
+			return r.startRun(send, demand, chosen, reservation)
 		}
 		demand.Exclude[chosen.ID] = true
 		demand.Unheard = false
@@ -135,12 +135,12 @@
 	if r.Reserver == nil {
 		return "", nil
 	}
-	began := clock.Now()
-	callCtx, cancel := context.WithTimeout(ctx, borrowTimeout)
+	start := clock.Now()
+	callCtx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	reservation, err := r.Reserver.Reserve(callCtx, chosen.Info, int(item.Tokens), borrowHold)
+	reservation, err := r.Reserver.Reserve(callCtx, chosen.Info, int(item.Tokens), reservationTTL)
 	if errors.Is(err, forward.ErrRefused) {
-		r.Replicas.Full(chosen.Info, began)
+		r.Replicas.Full(chosen.Info, start)
 	}
 	return reservation, err
 }
--- /dev/null
+++ b/internal/jobs/checkpoint.go
@@ -0,0 +1,100 @@
+package jobs
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/wheelhoist/wheelhoist/internal/retry"
+	"github.com/wheelhoist/wheelhoist/internal/table"
+)
+
+const (
+	// checkpointInterval is the time between two writes of a job's unfinished texts,
+	// and so the most that a crash costs of each item.
+	checkpointInterval = 2 * time.Second
+	// minCheckpointEvents is the least progress of an item that is worth a write.
+	minCheckpointEvents = 20
+	// maxCheckpointRows bounds the texts of one write.
+	maxCheckpointRows = 20
+)
+
+// RunCheckpoints writes the texts of unfinished items now and then, until the
+// context ends, so that a crash does not make them begin anew.
+func (r *Runner) RunCheckpoints(ctx context.Context) {
+	for retry.Sleep(ctx, checkpointInterval) {
+		for _, owned := range r.ownedJobs() {
+			if ctx.Err() != nil || r.isStopped() {
+				return
+			}
+			// A failed write is made up for by the next one.
+			r.checkpoint(ctx, owned, minCheckpointEvents)
+		}
+	}
+}
+
+func (r *Runner) ownedJobs() []*ownedJob {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	owned := make([]*ownedJob, 0, len(r.owned))
+	for _, w := range r.owned {
+		owned = append(owned, w)
+	}
+	return owned
+}
+
+// checkpoint writes the texts of unfinished items that have come on by some
+// events since they were last written.
+func (r *Runner) checkpoint(ctx context.Context, owned *ownedJob, minEvents int) bool {
+	writes, saved, reached := r.checkpointWrites(owned, minEvents)
+	if len(writes) == 0 {
+		return true
+	}
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	versions, err := r.Service.Table.Commit(callCtx, table.NewOperation(), writes...)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if err != nil {
+		updateVersions(err, writes, saved)
+		return false
+	}
+	for i, t := range saved {
+		t.checkpointVersion, t.checkpointEvent = versions[i], reached[i]
+	}
+	return true
+}
+
+// updateVersions takes the versions of the rows from a conflict: a write without an
+// answer may have landed. The caller holds the runner's lock.
+func updateVersions(err error, writes []table.Write, saved []*task) {
+	var conflict *table.ConflictError
+	if !errors.As(err, &conflict) {
+		return
+	}
+	for i, t := range saved {
+		row, _ := conflict.Row(writes[i].Key)
+		t.checkpointVersion = row.Version
+	}
+}
+
+// checkpointWrites returns the writes, the tasks they are about and the event that
+// each of them reaches.
+func (r *Runner) checkpointWrites(owned *ownedJob, minEvents int) ([]table.Write, []*task, []int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var writes []table.Write
+	var saved []*task
+	var reached []int
+	for _, t := range owned.tasks {
+		unlisted := t.state == taskWaiting || t.state == taskRunning
+		if !unlisted || t.lastEvent < t.checkpointEvent+minEvents || len(t.text) > maxRowText || len(writes) >= maxCheckpointRows {
+			continue
+		}
+		body := encode(storedResult{Text: string(t.text), LastEvent: t.lastEvent})
+		writes = append(writes, table.Write{Key: checkpointKey(owned.job.ID, t.index), Expect: t.checkpointVersion, Body: body})
+		saved = append(saved, t)
+		reached = append(reached, t.lastEvent)
+	}
+	return writes, saved, reached
+}
--- a/internal/jobs/keep_test.go
+++ b/internal/jobs/checkpoint_test.go
@@ -13,8 +13,8 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
-	owned := &work{job: node.View.Get("j").Job, ctx: ctx, cancel: cancel}
-	one := &task{work: owned, state: taskRunning, text: []byte("so far"), after: keepEvents}
+	owned := &ownedJob{job: node.View.Get("j").Job, ctx: ctx, cancel: cancel}
+	one := &task{owned: owned, state: taskRunning, text: []byte("so far"), lastEvent: minCheckpointEvents}
 	owned.tasks = []*task{one}
 	runner.owned["j"] = owned
 	return one
@@ -29,14 +29,14 @@
 	}
 	runner := NewRunner(RunnerOptions{Service: first.Service})
 	one := runningTask(t, first, runner)
-	if !runner.keepTexts(t.Context(), one.work, keepEvents) {
+	if !runner.checkpoint(t.Context(), one.owned, minCheckpointEvents) {
 		t.Fatal("the text was not written")
 	}
 	entry, err := second.find(t.Context(), "j")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if kept := second.keptTexts(t.Context(), entry); kept[0].Text != "so far" || kept[0].After != keepEvents {
+	if kept := second.loadCheckpoints(t.Context(), entry); kept[0].Text != "so far" || kept[0].LastEvent != minCheckpointEvents {
 		t.Fatalf("kept texts are %+v", kept)
 	}
 }
@@ -50,14 +50,14 @@
 	runner := NewRunner(RunnerOptions{Service: node.Service})
 	one := runningTask(t, node, runner)
 	shared.CommitFault = func([]table.Write) tabletest.Fault { return tabletest.Lost }
-	runner.keepTexts(t.Context(), one.work, keepEvents)
+	runner.checkpoint(t.Context(), one.owned, minCheckpointEvents)
 	shared.CommitFault = nil
-	one.text, one.after = []byte("further"), 2*keepEvents
+	one.text, one.lastEvent = []byte("further"), 2*minCheckpointEvents
 	for range 2 {
-		runner.keepTexts(t.Context(), one.work, keepEvents)
+		runner.checkpoint(t.Context(), one.owned, minCheckpointEvents)
 	}
 	entry := node.View.Get("j")
-	if kept := node.keptTexts(t.Context(), entry); kept[0].Text != "further" {
+	if kept := node.loadCheckpoints(t.Context(), entry); kept[0].Text != "further" {
 		t.Fatalf("kept texts are %+v", kept)
 	}
 }
--- a/internal/jobs/commit.go
+++ b/internal/jobs/commit.go
@@ -15,85 +15,85 @@
 )
 
 const (
-	// commitRows and commitBytes bound the results of one transaction.
-	commitRows  = 60
-	commitBytes = 300 << 10
-	// commitRetry is the pause before results are tried again that could not be listed.
-	commitRetry = 250 * time.Millisecond
-	// textPatience bounds the tries to write the text of one result as an object, in which
+	// maxCommitRows and commitBytes bound the results of one transaction.
+	maxCommitRows  = 60
+	maxCommitBytes = 300 << 10
+	// commitRetryDelay is the pause before results are tried again that could not be listed.
+	commitRetryDelay = 250 * time.Millisecond
+	// textPutTimeout bounds the tries to write the text of one result as an object, in which
 	// those of its job that finish meanwhile wait to be listed.
-	textPatience = 2 * objectTimeout
+	textPutTimeout = 2 * objectTimeout
 )
 
 // finish notes an item's outcome, without a reason if it has its answer, and has
 // it listed.
-func (r *Runner) finish(one *task, reason Reason) {
+func (r *Runner) finish(t *task, reason Reason) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.finishLocked(one, reason)
+	r.finishLocked(t, reason)
 }
 
 // finishLocked is finish for a caller that holds mu.
-func (r *Runner) finishLocked(one *task, reason Reason) {
-	if one.state == taskFinished || one.state == taskListed {
+func (r *Runner) finishLocked(t *task, reason Reason) {
+	if t.state == taskFinished || t.state == taskListed {
 		return
 	}
-	one.state = taskFinished
-	one.waits(WaitListing, nil)
-	one.cameOn = clock.Now()
-	one.reason = reason
-	owned := one.work
-	owned.finished = append(owned.finished, one)
-	if !owned.commits {
-		owned.commits = true
-		go r.commitAll(owned)
+	t.state = taskFinished
+	t.setWait(WaitListing, nil)
+	t.lastProgress = clock.Now()
+	t.reason = reason
+	owned := t.owned
+	owned.finished = append(owned.finished, t)
+	if !owned.committing {
+		owned.committing = true
+		go r.commitLoop(owned)
 	}
 }
 
-// commitAll lists finished items until there are none. What finishes during a
+// commitLoop lists finished items until there are none. What finishes during a
 // commit goes together into the next one.
-func (r *Runner) commitAll(owned *work) {
+func (r *Runner) commitLoop(owned *ownedJob) {
 	for {
-		r.gather(owned)
+		r.awaitBatch(owned)
 		r.mu.Lock()
 		batch := owned.takeFinished()
 		if len(batch) == 0 {
-			owned.commits = false
+			owned.committing = false
 			r.mu.Unlock()
 			return
 		}
 		r.mu.Unlock()
-		if left := r.commit(owned, batch); left > 0 && !retry.Sleep(owned.ctx, commitRetry) {
+		if left := r.commit(owned, batch); left > 0 && !retry.Sleep(owned.ctx, commitRetryDelay) {
 			// Another node has the job by now, or it ended.
-			r.dropFinished(owned)
+			r.discardFinished(owned)
 			return
 		}
 	}
 }
 
-// dropFinished forgets the results of a job that could not be listed.
-func (r *Runner) dropFinished(owned *work) {
+// discardFinished forgets the results of a job that could not be listed.
+func (r *Runner) discardFinished(owned *ownedJob) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	owned.finished, owned.commits = nil, false
+	owned.finished, owned.committing = nil, false
 }
 
-// gather waits for more results to commit together, if that is wanted and more
+// awaitBatch waits for more results to commit together, if that is wanted and more
 // are to come.
-func (r *Runner) gather(owned *work) {
+func (r *Runner) awaitBatch(owned *ownedJob) {
 	r.mu.Lock()
-	more := !r.paused && owned.unfinished()
+	more := !r.stopped && owned.hasUnfinished()
 	r.mu.Unlock()
 	if more && r.CommitInterval > 0 {
 		retry.Sleep(owned.ctx, r.CommitInterval)
 	}
 }
 
-// unfinished reports whether items have no outcome yet. The caller holds the
+// hasUnfinished reports whether items have no outcome yet. The caller holds the
 // runner's lock.
-func (w *work) unfinished() bool {
-	for _, one := range w.tasks {
-		if one.state == taskWaiting || one.state == taskRunning {
+func (w *ownedJob) hasUnfinished() bool {
+	for _, t := range w.tasks {
+		if t.state == taskWaiting || t.state == taskRunning {
 			return true
 		}
 	}
@@ -104,13 +104,13 @@
 // of their own go behind the others and not with them: one that cannot be written takes
 // textPatience, which the others of its job would wait for at each try. The caller holds the
 // runner's lock.
-func (w *work) takeFinished() []*task {
+func (w *ownedJob) takeFinished() []*task {
 	slices.SortStableFunc(w.finished, func(a, b *task) int {
-		return cmp.Compare(a.objects(), b.objects())
+		return cmp.Compare(a.objectCount(), b.objectCount())
 	})
-	size := w.commitSize()
-	for i, one := range w.finished[:size] {
-		if one.objects() != w.finished[0].objects() {
+	size := w.batchSize()
+	for i, t := range w.finished[:size] {
+		if t.objectCount() != w.finished[0].objectCount() {
 			size = i
 			break
 		}
@@ -120,21 +120,21 @@
 	return batch
 }
 
-// objects is the number of objects that the result of an item needs beside its row.
-func (t *task) objects() int {
+// objectCount is the number of objectCount that the result of an item needs beside its row.
+func (t *task) objectCount() int {
 	if t.reason != "" || len(t.text) <= maxRowText {
 		return 0
 	}
 	return 1
 }
 
-// commitSize is the number of finished items that go into one transaction. The
+// batchSize is the number of finished items that go into one transaction. The
 // caller holds the runner's lock.
-func (w *work) commitSize() int {
+func (w *ownedJob) batchSize() int {
 	size := 0
-	for i, one := range w.finished {
-		size += len(one.text)
-		if i >= commitRows || (i > 0 && size > commitBytes) {
+	for i, t := range w.finished {
+		size += len(t.text)
+		if i >= maxCommitRows || (i > 0 && size > maxCommitBytes) {
 			return i
 		}
 	}
@@ -142,9 +142,9 @@
 }
 
 // commit lists results, and returns the number of those that are to be tried again.
-func (r *Runner) commit(owned *work, batch []*task) (left int) {
+func (r *Runner) commit(owned *ownedJob, batch []*task) (remaining int) {
 	// The results outlive the ownership: who has them may list them.
-	failed, err := r.Service.listMost(context.WithoutCancel(owned.ctx), owned.job, batch)
+	failed, err := r.Service.listWritable(context.WithoutCancel(owned.ctx), owned.job, batch)
 	if err != nil {
 		r.Service.Events.ItemFailed(owned.job, "", "", err)
 	}
@@ -155,42 +155,42 @@
 		r.drop(owned)
 		return
 	}
-	for _, one := range batch {
-		if slices.Contains(failed, one) {
-			one.waits(WaitListing, err)
+	for _, t := range batch {
+		if slices.Contains(failed, t) {
+			t.setWait(WaitListing, err)
 			continue
 		}
-		one.state = taskListed
+		t.state = taskListed
 	}
 	owned.finished = append(owned.finished, failed...)
 	return len(failed)
 }
 
 // drop ends the work on a job at this node. The caller holds mu.
-func (r *Runner) drop(owned *work) {
+func (r *Runner) drop(owned *ownedJob) {
 	owned.cancel()
 	if r.owned[owned.job.ID] == owned {
 		delete(r.owned, owned.job.ID)
 	}
 }
 
-// list gives items their positions and texts in one transaction.
-func (s *Service) list(ctx context.Context, job *Job, batch []*task) error {
-	_, err := s.listMost(ctx, job, batch)
+// listResults gives items their positions and texts in one transaction.
+func (s *Service) listResults(ctx context.Context, job *Job, batch []*task) error {
+	_, err := s.listWritable(ctx, job, batch)
 	return err
 }
 
-// listMost gives items their positions and texts in one transaction, but for those whose text
+// listWritable gives items their positions and texts in one transaction, but for those whose text
 // cannot be written. It returns the items that are not listed, with why.
-func (s *Service) listMost(ctx context.Context, job *Job, batch []*task) (failed []*task, err error) {
+func (s *Service) listWritable(ctx context.Context, job *Job, batch []*task) (failed []*task, err error) {
 	rows := make(map[*task][]byte, len(batch))
-	for _, one := range batch {
-		row, rowErr := s.resultRow(ctx, job, one)
+	for _, t := range batch {
+		row, rowErr := s.resultRow(ctx, job, t)
 		if rowErr != nil {
-			failed, err = append(failed, one), rowErr
+			failed, err = append(failed, t), rowErr
 			continue
 		}
-		rows[one] = row
+		rows[t] = row
 	}
 	if len(rows) == 0 {
 		return failed, err
@@ -200,19 +200,19 @@
 			return nil, false
 		}
 		var writes []table.Write
-		for _, one := range batch {
-			if rows[one] == nil || progress.has(one.index) {
+		for _, t := range batch {
+			if rows[t] == nil || progress.isListed(t.index) {
 				continue
 			}
 			position := len(progress.Listed)
-			progress.Listed = append(progress.Listed, Listed{Item: one.index, Dead: one.reason != ""})
-			writes = append(writes, table.Write{Key: resultKey(job.ID, position), Expect: table.Absent, Body: rows[one]})
+			progress.Listed = append(progress.Listed, Listed{Item: t.index, Dead: t.reason != ""})
+			writes = append(writes, table.Write{Key: resultKey(job.ID, position), Expect: table.Absent, Body: rows[t]})
 		}
 		return writes, len(writes) > 0
 	})
 	switch {
 	case updateErr == nil:
-		s.listed(job, batch)
+		s.reportListed(job, batch)
 	case errors.Is(updateErr, ErrNotFound):
 		// The job was removed, so nothing is to be listed any more.
 		return nil, nil
@@ -222,49 +222,49 @@
 	return failed, err
 }
 
-func (s *Service) listed(job *Job, batch []*task) {
+func (s *Service) reportListed(job *Job, batch []*task) {
 	entry := s.View.Get(job.ID)
 	if entry == nil {
 		return
 	}
 	position := map[int]int{}
-	for place, listed := range entry.Progress.Listed {
-		position[listed.Item] = place
+	for i, listed := range entry.Progress.Listed {
+		position[listed.Item] = i
 	}
-	for _, one := range batch {
-		if place, ok := position[one.index]; ok {
-			s.Events.ItemListed(job, job.Items[one.index].ID, place, one.reason, clock.Since(one.started))
+	for _, t := range batch {
+		if i, ok := position[t.index]; ok {
+			s.Events.ItemListed(job, job.Items[t.index].ID, i, t.reason, clock.Since(t.firstSent))
 		}
 	}
 }
 
 // resultRow encodes a result, with a long text in an object of its own.
-func (s *Service) resultRow(ctx context.Context, job *Job, one *task) ([]byte, error) {
-	if one.reason != "" {
-		return encode(storedResult{Reason: one.reason}), nil
+func (s *Service) resultRow(ctx context.Context, job *Job, t *task) ([]byte, error) {
+	if t.reason != "" {
+		return encode(storedResult{Reason: t.reason}), nil
 	}
-	if one.objects() == 0 {
-		return encode(storedResult{Text: string(one.text)}), nil
+	if t.objectCount() == 0 {
+		return encode(storedResult{Text: string(t.text)}), nil
 	}
-	name := textObject(job.ID, one.index)
-	putCtx, cancel := context.WithTimeout(ctx, textPatience)
+	name := textObject(job.ID, t.index)
+	putCtx, cancel := context.WithTimeout(ctx, textPutTimeout)
 	defer cancel()
-	if err := s.putObject(putCtx, name, one.text); err != nil {
+	if err := s.putObject(putCtx, name, t.text); err != nil {
 		return nil, err
 	}
 	return encode(storedResult{Object: name}), nil
 }
 
-// keptTexts returns the texts that an earlier owner kept of unfinished items.
+// loadCheckpoints returns the texts that an earlier owner kept of unfinished items.
 // Without them items only begin anew.
-func (s *Service) keptTexts(ctx context.Context, entry *Entry) map[int]storedResult {
-	kept := map[int]storedResult{}
+func (s *Service) loadCheckpoints(ctx context.Context, entry *Entry) map[int]storedResult {
+	checkpoints := map[int]storedResult{}
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	prefix := entry.Job.ID + "/kept/"
 	rows, err := s.Table.List(callCtx, resultPartition(entry.Job.ID), prefix, MaxItems)
 	if err != nil {
-		return kept
+		return checkpoints
 	}
 	for _, row := range rows {
 		number, ok := strings.CutPrefix(row.Sort, prefix)
@@ -276,14 +276,14 @@
 			s.View.Unreadable.Report(row.AsUnreadable(table.Content, err))
 			continue
 		}
-		var text storedResult
-		if err := row.Decode(&text); err != nil {
+		var checkpoint storedResult
+		if err := row.Decode(&checkpoint); err != nil {
 			// The item begins anew, and its next text is written over this one.
 			s.View.Unreadable.Report(err)
-			text = storedResult{}
+			checkpoint = storedResult{}
 		}
-		text.version = row.Version
-		kept[index] = text
+		checkpoint.version = row.Version
+		checkpoints[index] = checkpoint
 	}
-	return kept
+	return checkpoints
 }
--- a/internal/jobs/commit_test.go
+++ b/internal/jobs/commit_test.go
@@ -62,7 +62,7 @@
 					index = items - 1 - step
 				}
 				one := &task{index: index, text: []byte(fmt.Sprintf("text of %d by %d", index, number))}
-				_ = node.list(ctx, entry.Job, []*task{one})
+				_ = node.listResults(ctx, entry.Job, []*task{one})
 				if number == 0 && step == endAfter {
 					_ = node.End(ctx, "j")
 				}
@@ -118,7 +118,7 @@
 		}
 	}
 	entry := node.View.Get("j")
-	if err := node.list(t.Context(), entry.Job, []*task{{index: 0, text: []byte("late")}}); err != nil {
+	if err := node.listResults(t.Context(), entry.Job, []*task{{index: 0, text: []byte("late")}}); err != nil {
 		t.Fatal(err)
 	}
 	if listed := node.View.Get("j").Progress.Listed; len(listed) != 0 {
@@ -135,10 +135,10 @@
 	}
 	runner := NewRunner(RunnerOptions{Service: first.Service})
 	ctx, cancel := context.WithCancel(t.Context())
-	owned := &work{job: first.View.Get("j").Job, ctx: ctx, cancel: cancel}
-	owned.tasks = []*task{{work: owned, state: taskRunning, text: []byte("so far"), after: 7}}
+	owned := &ownedJob{job: first.View.Get("j").Job, ctx: ctx, cancel: cancel}
+	owned.tasks = []*task{{owned: owned, state: taskRunning, text: []byte("so far"), lastEvent: 7}}
 	runner.owned["j"] = owned
-	runner.HandBack(t.Context())
+	runner.Release(t.Context())
 	if ctx.Err() == nil {
 		t.Fatal("the item goes on after its job was handed back")
 	}
@@ -146,8 +146,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept := second.keptTexts(t.Context(), entry)
-	if kept[0].Text != "so far" || kept[0].After != 7 {
+	kept := second.loadCheckpoints(t.Context(), entry)
+	if kept[0].Text != "so far" || kept[0].LastEvent != 7 {
 		t.Fatalf("kept texts are %+v", kept)
 	}
 }
@@ -161,7 +161,7 @@
 	shared.CommitFault = func([]table.Write) tabletest.Fault { return tabletest.Down }
 	runner := NewRunner(RunnerOptions{Service: node.Service})
 	workCtx, cancelWork := context.WithCancel(context.Background())
-	owned := &work{job: node.View.Get("j").Job, ctx: workCtx, cancel: cancelWork}
+	owned := &ownedJob{job: node.View.Get("j").Job, ctx: workCtx, cancel: cancelWork}
 	runner.owned["j"] = owned
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
@@ -170,5 +170,5 @@
 			t.Error("items were broken off before their job was handed back")
 		}
 	})
-	runner.HandBack(ctx)
+	runner.Release(ctx)
 }
--- a/internal/jobs/content.go
+++ b/internal/jobs/content.go
@@ -13,17 +13,17 @@
 const (
 	// chunkBytes bounds the content in one row.
 	chunkBytes = 40 << 10
-	// maxInline bounds the content that goes into the rows of the acceptance
+	// maxInlineContent bounds the content that goes into the rows of the acceptance
 	// itself; it keeps the transaction below 1 MB with its encoding. Larger
 	// contents become an object, which is a call more, and a slower one.
-	maxInline = 600 << 10
-	// maxContents bounds the jobs whose items are kept in memory.
-	maxContents = 64
+	maxInlineContent = 600 << 10
+	// maxCachedContents bounds the jobs whose items are kept in memory.
+	maxCachedContents = 64
 )
 
 // contentChunks cuts a content into the bodies of rows; none if it is too large.
 func contentChunks(content []byte) [][]byte {
-	if len(content) > maxInline {
+	if len(content) > maxInlineContent {
 		return nil
 	}
 	var chunks [][]byte
@@ -45,14 +45,14 @@
 // make it a job's. The object is only ever written with this content, so it may
 // be written twice.
 func (s *Service) putContent(ctx context.Context, id string, content []byte) error {
-	if len(content) <= maxInline {
+	if len(content) <= maxInlineContent {
 		return nil
 	}
-	return s.putObject(ctx, contentKey(id), content)
+	return s.putObject(ctx, contentObject(id), content)
 }
 
 func (s *Service) putObject(ctx context.Context, key string, body []byte) error {
-	return Error.Wrap(repeat(ctx, objectTimeout, func(callCtx context.Context) error {
+	return Error.Wrap(retryCall(ctx, objectTimeout, func(callCtx context.Context) error {
 		return s.Objects.Put(callCtx, key, body)
 	}))
 }
@@ -67,15 +67,15 @@
 	}
 	content, err := s.readContent(ctx, job)
 	if err != nil {
-		return nil, s.unreadable(err)
+		return nil, s.reportUnreadable(err)
 	}
 	items, err = decodeContent(job, content)
-	return items, s.unreadable(err)
+	return items, s.reportUnreadable(err)
 }
 
-// unreadable reports what cannot be read, and marks it for callers: the store answers, but
+// reportUnreadable reports what cannot be read, and marks it for callers: the store answers, but
 // asking again will not help.
-func (s *Service) unreadable(err error) error {
+func (s *Service) reportUnreadable(err error) error {
 	if found := (*table.UnreadableError)(nil); !errors.As(err, &found) {
 		return err
 	}
@@ -91,17 +91,17 @@
 	}
 	same := func(item Item, head ItemHead) bool { return item.ID == head.ID }
 	if !slices.EqualFunc(items, job.Items, same) {
-		return nil, content.AsUnreadable(table.Content, errOtherItems)
+		return nil, content.AsUnreadable(table.Content, errItemMismatch)
 	}
 	return items, nil
 }
 
-// objectPartition stands for the partition of what is not in a row, in reports.
-const objectPartition = "objects"
+// objectReportPartition stands for the partition of what is not in a row, in reports.
+const objectReportPartition = "objects"
 
 var (
-	errOtherItems = errors.New("the content has other items than the job")
-	errChunkGone  = errors.New("rows of the content are missing")
+	errItemMismatch = errors.New("the content has other items than the job")
+	errChunkMissing = errors.New("rows of the content are missing")
 )
 
 // Items returns the items of a job.
@@ -110,10 +110,10 @@
 // readContent reads the encoded items of a job, as the body of a row.
 func (s *Service) readContent(ctx context.Context, job *Job) (*table.Row, error) {
 	if job.Chunks == 0 {
-		return s.namedObject(ctx, contentKey(job.ID))
+		return s.readNamedObject(ctx, contentObject(job.ID))
 	}
 	var rows []table.Row
-	err := repeat(ctx, slowCallTimeout, func(callCtx context.Context) (err error) {
+	err := retryCall(ctx, slowCallTimeout, func(callCtx context.Context) (err error) {
 		rows, err = s.Table.List(callCtx, resultPartition(job.ID), chunkPrefix(job.ID), job.Chunks)
 		return err
 	})
@@ -128,7 +128,7 @@
 	content := &table.Row{Key: chunkKey(job.ID, 0)}
 	for number := range job.Chunks {
 		if number >= len(rows) || rows[number].Key != chunkKey(job.ID, number) {
-			return nil, content.AsUnreadable(table.Content, errChunkGone)
+			return nil, content.AsUnreadable(table.Content, errChunkMissing)
 		}
 		row := rows[number]
 		if row.Unreadable != nil {
@@ -140,29 +140,29 @@
 	return content, nil
 }
 
-// remember keeps the items of a job that this node runs.
-func (s *Service) remember(id string, items []Item) {
+// cacheContent keeps the items of a job that this node runs.
+func (s *Service) cacheContent(id string, items []Item) {
 	s.contentMu.Lock()
 	defer s.contentMu.Unlock()
 	if s.contents == nil {
 		s.contents = map[string][]Item{}
 	}
-	if len(s.contents) < maxContents {
+	if len(s.contents) < maxCachedContents {
 		s.contents[id] = items
 	}
 }
 
-// forget drops the items of a job that is done.
-func (s *Service) forget(id string) {
+// dropContent drops the items of a job that is done.
+func (s *Service) dropContent(id string) {
 	s.contentMu.Lock()
 	defer s.contentMu.Unlock()
 	delete(s.contents, id)
 }
 
-// namedObject reads an object that a row names, as the body of a row. It is there as long as
+// readNamedObject reads an object that a row names, as the body of a row. It is there as long as
 // that row is, so a missing one is lost.
-func (s *Service) namedObject(ctx context.Context, name string) (*table.Row, error) {
-	row := &table.Row{Key: table.Key{Partition: objectPartition, Sort: name}}
+func (s *Service) readNamedObject(ctx context.Context, name string) (*table.Row, error) {
+	row := &table.Row{Key: table.Key{Partition: objectReportPartition, Sort: name}}
 	body, err := s.getObject(ctx, name)
 	if notFound(err) {
 		return nil, row.AsUnreadable(table.Content, err)
@@ -172,7 +172,7 @@
 }
 
 func (s *Service) getObject(ctx context.Context, key string) (body []byte, err error) {
-	err = repeat(ctx, objectTimeout, func(callCtx context.Context) error {
+	err = retryCall(ctx, objectTimeout, func(callCtx context.Context) error {
 		body, err = object.ReadAll(callCtx, s.Objects, key)
 		return err
 	})
--- a/internal/jobs/freshness_test.go
+++ b/internal/jobs/freshness_test.go
@@ -130,20 +130,20 @@
 // who came later than the table looked, and than results may be missing for, asks again.
 func TestRead_AnswerToAnEarlierQuestionIsNotHandedOn(t *testing.T) {
 	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, lister *Service, reader *readingNode) {
-		reader.Table = &laggingTable{Service: shared, delay: askTimeout - time.Millisecond}
-		reader.Settle = settleTime / 4
+		reader.Table = &laggingTable{Service: shared, delay: refreshTimeout - time.Millisecond}
+		reader.MaxStaleness = settleTime / 4
 		time.Sleep(settleTime)
-		first := make(chan *Reading)
+		first := make(chan *ReadResult)
 		go func() {
 			reading, _ := reader.Read(t.Context(), "job", 1, 0)
 			first <- reading
 		}()
 		synctest.Wait()
 		listOne(t, lister, "job", 1)
-		time.Sleep(askTimeout - 10*time.Millisecond)
+		time.Sleep(refreshTimeout - 10*time.Millisecond)
 		reading, err := reader.Read(t.Context(), "job", 1, 0)
 		if err != nil || len(reading.Results) != 1 {
-			t.Errorf("a result listed %v ago, settled after %v: %+v, %v", askTimeout, reader.Settle, reading, err)
+			t.Errorf("a result listed %v ago, settled after %v: %+v, %v", refreshTimeout, reader.MaxStaleness, reading, err)
 		}
 		if reading := <-first; reading == nil {
 			t.Error("the first reader had no answer")
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -41,8 +41,8 @@
 	// ErrSuperseded reports that a guard of the submission does not hold; the job
 	// did not run and never will.
 	ErrSuperseded = errors.New("job superseded")
-	// ErrTaken reports that another tenant has a job with the id.
-	ErrTaken = errors.New("another tenant has a job with this id")
+	// ErrIDTaken reports that another tenant has a job with the id.
+	ErrIDTaken = errors.New("another tenant has a job with this id")
 	// ErrUnavailable reports that the store did not answer in time.
 	ErrUnavailable = errors.New("store unavailable")
 	// ErrUnreadable reports that what the store holds of a job cannot be read. It stays
@@ -73,8 +73,8 @@
 	Body   []byte            `cbor:"4,keyasint"`
 	// Tokens counts the prompt and the most of the answer.
 	Tokens int64 `cbor:"5,keyasint"`
-	// Once items are never sent again once they may have run.
-	Once bool `cbor:"6,keyasint,omitempty"`
+	// AtMostOnce items are never sent again once they may have run.
+	AtMostOnce bool `cbor:"6,keyasint,omitempty"`
 	// Label is the submitter's own, kept with the item.
 	Label string `cbor:"7,keyasint,omitempty"`
 }
@@ -91,10 +91,10 @@
 	Quota      int64
 	Completion time.Duration
 	Retention  time.Duration
-	// Turns says that jobs take turns in the order of their acceptance, not of
+	// FIFO says that jobs take turns in the order of their acceptance, not of
 	// their due times; Advance lets this one go so much before its turn.
-	Turns   bool
-	Advance time.Duration
+	FIFO      bool
+	HeadStart time.Duration
 	// Guards are conditions on other rows: should one of them not hold, the job
 	// is not accepted (ErrSuperseded).
 	Guards []table.Write
@@ -132,11 +132,11 @@
 	Tenant string `cbor:"12,keyasint,omitempty"`
 	// Regions are those of Nodes, one if all stand in the same, none if they do not tell.
 	Regions []string `cbor:"13,keyasint,omitempty"`
-	// Others are the routes beside Route that items belong to.
-	Others []string `cbor:"14,keyasint,omitempty"`
-	// Homes are the regions where the job might run when it was accepted, none for
+	// OtherRoutes are the routes beside Route that items belong to.
+	OtherRoutes []string `cbor:"14,keyasint,omitempty"`
+	// AllowedRegions are the regions where the job might run when it was accepted, none for
 	// anywhere; those declared since take precedence.
-	Homes place.Regions `cbor:"15,keyasint,omitempty"`
+	AllowedRegions place.Regions `cbor:"15,keyasint,omitempty"`
 
 	// version is that of the row this was read from.
 	version uint64
@@ -177,12 +177,12 @@
 	Failures map[int]int `cbor:"4,keyasint,omitempty"`
 	// Started items may run only once and were about to be sent.
 	Started []int `cbor:"5,keyasint,omitempty"`
-	// Moved names the nodes that took items over from lost ones.
-	Moved map[int]string `cbor:"6,keyasint,omitempty"`
+	// Reassigned names the nodes that took items over from lost ones.
+	Reassigned map[int]string `cbor:"6,keyasint,omitempty"`
 }
 
-// has reports whether an item is listed.
-func (p *Progress) has(item int) bool {
+// isListed reports whether an item is listed.
+func (p *Progress) isListed(item int) bool {
 	for _, listed := range p.Listed {
 		if listed.Item == item {
 			return true
@@ -199,7 +199,7 @@
 	for item, count := range p.Failures {
 		copied.Failures[item] = count
 	}
-	copied.Moved = maps.Clone(p.Moved)
+	copied.Reassigned = maps.Clone(p.Reassigned)
 	return &copied
 }
 
@@ -233,8 +233,8 @@
 	Text string `cbor:"1,keyasint,omitempty"`
 	// Object names the object that holds a text too long for a row.
 	Object string `cbor:"2,keyasint,omitempty"`
-	// After is the last event of a kept text.
-	After int `cbor:"3,keyasint,omitempty"`
+	// LastEvent is the last event of a kept text.
+	LastEvent int `cbor:"3,keyasint,omitempty"`
 	// Reason says why a dead item has no answer.
 	Reason Reason `cbor:"4,keyasint,omitempty"`
 
@@ -252,29 +252,29 @@
 
 func shardOf(job string) string { return shardName(shardNumber(job)) }
 
-// memberPart holds the rows of the nodes that are there. It is read first, so that a
+// memberShard holds the rows of the nodes that are there. It is read first, so that a
 // job is never known without the nodes that it names, and is apart from the shards,
 // whose rate of writes the jobs need.
-const memberPart = "members"
+const memberShard = "members"
 
-// Parts lists the parts of Group in the order in which they must be read.
-func Parts() []string {
-	parts := []string{memberPart, quarantinePart}
+// Shards lists the parts of Group in the order in which they must be read.
+func Shards() []string {
+	all := []string{memberShard, quarantineShard}
 	for shard := range shards {
-		parts = append(parts, shardName(shard))
+		all = append(all, shardName(shard))
 	}
-	return parts
+	return all
 }
 
-// quarantinePart holds the rows of replicas that ended and of the work that ran there.
-const quarantinePart = "quarantine"
+// quarantineShard holds the rows of replicas that ended and of the work that ran there.
+const quarantineShard = "quarantine"
 
 // QuarantinePartition is the partition of the rows of replicas that ended and of the work
 // that ran there. Nodes follow it with the jobs, which costs them no calls of its own.
-func QuarantinePartition() string { return Group + "/" + quarantinePart }
+func QuarantinePartition() string { return Group + "/" + quarantineShard }
 
 // MemberPartition is the partition of the rows of the nodes that are there.
-func MemberPartition() string { return Group + "/" + memberPart }
+func MemberPartition() string { return Group + "/" + memberShard }
 
 // Prefixes of the rows of a part. Counters come first, see counterKey.
 const (
@@ -297,11 +297,11 @@
 	return table.Key{Partition: resultPartition(job), Sort: fmt.Sprintf("%s/%06d", job, position)}
 }
 
-func keptKey(job string, item int) table.Key {
+func checkpointKey(job string, item int) table.Key {
 	return table.Key{Partition: resultPartition(job), Sort: fmt.Sprintf("%s/kept/%06d", job, item)}
 }
 
-func contentKey(job string) string { return "job-" + job }
+func contentObject(job string) string { return "job-" + job }
 
 func textObject(job string, item int) string { return fmt.Sprintf("text-%s-%d", job, item) }
 
--- a/internal/jobs/launch.go
+++ b/internal/jobs/launch.go
@@ -10,99 +10,99 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// itemSend is an item to be sent, with where it may go.
-type itemSend struct {
+// pendingSend is an item to be sent, with where it may go.
+type pendingSend struct {
 	lane
-	task   *task
-	target *route.Route
-	homes  place.Regions
+	task    *task
+	target  *route.Route
+	regions place.Regions
 }
 
 // item returns the content of the item.
-func (s *itemSend) item() *Item { return &s.task.work.items[s.task.index] }
+func (s *pendingSend) item() *Item { return &s.task.owned.items[s.task.index] }
 
-// startResult is what came of a try to send an item.
-type startResult int
+// sendResult is what came of a try to send an item.
+type sendResult int
 
 const (
-	startedItem startResult = iota
-	// notNow items must wait for something of their own.
-	notNow
-	// noRoom tells that no replica takes an item.
-	noRoom
-	// allTried tells that all replicas where this node has slots refused an item, or failed
+	itemStarted sendResult = iota
+	// notReady items must wait for something of their own.
+	notReady
+	// noReplica tells that no replica takes an item.
+	noReplica
+	// allExcluded tells that all replicas where this node has slots refused an item, or failed
 	// it: others may hold these slots for good.
-	allTried
+	allExcluded
 )
 
-// start sends one task if a replica has room. The error says why there is none.
-func (r *Runner) start(send itemSend, now time.Time) (startResult, error) {
-	if !r.prepared(send, now) {
-		return notNow, nil
+// trySend sends one task if a replica has room. The error says why there is none.
+func (r *Runner) trySend(send pendingSend, now time.Time) (sendResult, error) {
+	if !r.readyToSend(send, now) {
+		return notReady, nil
 	}
-	one, demand := send.task, r.demand(send)
+	t, demand := send.task, r.demand(send)
 	chosen, err := replica.Pick(r.Replicas.SnapshotFor(send.pool, demand, now), demand, r.Weights)
 	if err != nil {
-		if len(one.exclude) == 0 {
-			return noRoom, err
+		if len(t.excluded) == 0 {
+			return noReplica, err
 		}
-		one.exclude = map[string]bool{}
-		return allTried, nil
+		t.excluded = map[string]bool{}
+		return allExcluded, nil
 	}
-	if !r.launch(send, demand, chosen, "") {
-		return notNow, nil
+	if !r.startRun(send, demand, chosen, "") {
+		return notReady, nil
 	}
-	return startedItem, nil
+	return itemStarted, nil
 }
 
-// prepared reports whether nothing of its own keeps an item from being sent.
-func (r *Runner) prepared(send itemSend, now time.Time) bool {
-	one := send.task
-	if r.quarantined(one, send.item(), now) {
+// readyToSend reports whether nothing of its own keeps an item from being sent.
+func (r *Runner) readyToSend(send pendingSend, now time.Time) bool {
+	t := send.task
+	if r.holdQuarantined(t, send.item(), now) {
 		return false
 	}
-	if r.unmarked(one) {
-		r.noteWait(one, WaitMark, nil)
-		r.markStarted(one.work)
+	if r.needsStartMark(t) {
+		r.recordWait(t, WaitStartMark, nil)
+		r.markStarted(t.owned)
 		return false
 	}
 	return true
 }
 
 // demand is what an item asks of a replica.
-func (r *Runner) demand(send itemSend) *replica.Demand {
+func (r *Runner) demand(send pendingSend) *replica.Demand {
 	return &replica.Demand{
 		Zone: r.Zone, Region: r.Region, Ask: replica.Ask{Tokens: int(send.item().Tokens), Batch: true},
-		Adapter: send.target.Adapter, Reserve: send.target.Reserve, Exclude: send.task.exclude, Regions: send.homes,
+		Adapter: send.target.Adapter, Reserve: send.target.Reserve, Exclude: send.task.excluded, Regions: send.regions,
 	}
 }
 
-// launch sends an item to a replica, into the slot set aside there if a reservation names
+// startRun sends an item to a replica, into the slot set aside there if a reservation names
 // one. It reports whether the item was sent.
-func (r *Runner) launch(send itemSend, demand *replica.Demand, chosen *replica.Candidate, reservation string) bool {
-	one, now := send.task, clock.Now()
+func (r *Runner) startRun(send pendingSend, demand *replica.Demand, chosen *replica.Candidate, reservation string) bool {
+	t, now := send.task, clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.paused || one.state != taskWaiting || one.work.ctx.Err() != nil {
+	if r.stopped || t.state != taskWaiting || t.owned.ctx.Err() != nil {
 		return false
 	}
 	use := r.Replicas.BeginAt(chosen.Info, demand.Ask, now)
 	if use == nil {
 		// The replica is cold and others have used its rate up meanwhile, or it has
 		// started again since.
-		one.waits(WaitReplica, nil)
+		t.setWait(WaitReplica, nil)
 		return false
 	}
-	one.state = taskRunning
-	one.waits(WaitAnswer, nil)
-	if one.started.IsZero() {
-		one.started = now
+	t.state = taskRunning
+	t.setWait(WaitAnswer, nil)
+	if t.firstSent.IsZero() {
+		t.firstSent = now
 	}
-	one.yielding = false
-	one.use, one.reservation, one.borrowed = use, reservation, demand.Borrowed
-	one.starved = now.Sub(one.cameOn) >= replica.BorrowStarved
-	ctx, cancel := context.WithCancelCause(one.work.ctx)
-	one.replica, one.pool, one.cancel = chosen.ID, send.pool, cancel
-	go r.run(ctx, one, send.item(), send.target, chosen.Info, use)
+	t.preempted = false
+	t.use, t.reservation, t.borrowed = use, reservation, demand.Borrowed
+	t.starved = now.Sub(t.lastProgress) >= replica.BorrowStarved
+	ctx, cancel := context.WithCancelCause(t.owned.ctx)
+	t.replica, t.pool, t.cancel = chosen.ID, send.pool, cancel
+	go r.runAttempt(ctx, t, send.item(), send.target, chosen.Info, use)
 	return true
 }
--- a/internal/jobs/tell_test.go
+++ b/internal/jobs/notify_test.go
@@ -39,11 +39,11 @@
 	node := detachedNode(t, shared, shared.Feed(Group), "a#1")
 	node.Fleet = &someOwners{live: []string{"a#1", "b#1", "c#1", "d#1"}}
 	var told toldNodes
-	node.Tell = told.tell
+	node.Notify = told.tell
 	if err := node.Submit(t.Context(), submission("j", 3)); err != nil {
 		t.Fatal(err)
 	}
-	runners := node.View.Get("j").runners()
+	runners := node.View.Get("j").activeNodes()
 	if got := told.take(); len(got) != 3 || !slices.Equal(got, slices.Sorted(slices.Values(runners))) {
 		t.Errorf("told %v of a job that %v run", got, runners)
 	}
@@ -64,14 +64,14 @@
 		t.Fatal(err)
 	}
 	waiting := make(chan int, 1)
-	node.Awaited = func() { waiting <- node.Waiting() }
+	node.RequestUpdate = func() { waiting <- node.Waiters() }
 	if _, err := node.Read(t.Context(), "j", 0, 20*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
 	if got := <-waiting; got != 1 {
 		t.Errorf("%d callers wait, want 1", got)
 	}
-	if got := node.Waiting(); got != 0 {
+	if got := node.Waiters(); got != 0 {
 		t.Errorf("%d callers wait after the answer", got)
 	}
 }
@@ -94,7 +94,7 @@
 		node.View.Apply(all, true)
 	}
 	looked := 0
-	node.Awaited = func() { looked++; look() }
+	node.RequestUpdate = func() { looked++; look() }
 	if err := node.Submit(t.Context(), limited("full", 2, quota)); !errors.Is(err, ErrQuota) || looked != 1 {
 		t.Fatalf("a job beyond the quota: %v after %d looks, want ErrQuota after 1", err, looked)
 	}
--- a/internal/jobs/work.go
+++ b/internal/jobs/ownedjob.go
@@ -11,25 +11,25 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// loadPause is the pause before content is read again that could not be: one that is not there
+// loadRetryDelay is the pause before content is read again that could not be: one that is not there
 // costs a call to the store each time.
-const loadPause = time.Second
+const loadRetryDelay = time.Second
 
-// work is an owned job. The runner's lock guards it.
-type work struct {
-	job      *Job
-	items    []Item
-	tasks    []*task
-	finished []*task
-	commits  bool
+// ownedJob is an owned job. The runner's lock guards it.
+type ownedJob struct {
+	job        *Job
+	items      []Item
+	tasks      []*task
+	finished   []*task
+	committing bool
 	// loading is set while items are read from the store. After they could not be read for
 	// loadErr they are tried again at loadAt.
 	loading bool
 	loadErr error
 	loadAt  time.Time
-	// unread are the items of this node that have no task yet, since when.
-	unread      []int
-	unreadSince time.Time
+	// unloaded are the items of this node that have no task yet, since when.
+	unloaded      []int
+	unloadedSince time.Time
 	// version is that of the progress that the tasks are made of; complete is set
 	// once each item of this node has one.
 	version  uint64
@@ -41,9 +41,9 @@
 	ctx    context.Context
 }
 
-// unreadableRetry is the pause between two looks at a content that cannot be read. It is put
+// unreadableRetryDelay is the pause between two looks at a content that cannot be read. It is put
 // right by hand, if at all.
-const unreadableRetry = 5 * time.Second
+const unreadableRetryDelay = 5 * time.Second
 
 type taskState int
 
@@ -57,24 +57,24 @@
 
 // task is an item to run.
 type task struct {
-	work  *work
+	owned *ownedJob
 	index int
 	state taskState
 	// text and after are what earlier runs have brought.
-	text  []byte
-	after int
+	text      []byte
+	lastEvent int
 	// reason says why a finished item has no answer; empty if it has one.
 	reason Reason
-	// once items may run only once; marked ones are marked as started.
-	once   bool
-	marked bool
+	// atMostOnce items may run only atMostOnce; marked ones are marked as started.
+	atMostOnce  bool
+	startMarked bool
 	// failures counts runs that the replica itself reported as failed.
 	failures int
 	// invalid counts answers that the item can never be done.
-	invalid  int
-	notUntil time.Time
-	exclude  map[string]bool
-	started  time.Time
+	invalid   int
+	notBefore time.Time
+	excluded  map[string]bool
+	firstSent time.Time
 	// replica, pool and cancel belong to the run under way.
 	replica string
 	pool    string
@@ -87,23 +87,23 @@
 	starved     bool
 	// stalls counts the attempts in a row that stalled and brought no new event.
 	stalls int
-	// yielding is set once the run was told to give way.
-	yielding bool
-	// keptVersion is the version of the row with the item's kept text.
-	keptVersion uint64
-	// keptAfter is the last event of that text.
-	keptAfter int
-	// identity tells the item from others by its content; nil until it is asked for.
-	identity *quarantine.Work
-	// held is set while the item is known to be quarantined.
-	held bool
+	// preempted is set once the run was told to give way.
+	preempted bool
+	// checkpointVersion is the version of the row with the item's kept text.
+	checkpointVersion uint64
+	// checkpointEvent is the last event of that text.
+	checkpointEvent int
+	// workID tells the item from others by its content; nil until it is asked for.
+	workID *quarantine.Work
+	// quarantined is set while the item is known to be quarantined.
+	quarantined bool
 	// wait is what the item waits for, waitCause what decided it, waitBegun since when.
 	wait      Wait
 	waitCause error
-	waitBegun time.Time
-	// cameOn is when the item last came on: it was taken up, its answer brought an event, or
+	waitStart time.Time
+	// lastProgress is when the item last came on: it was taken up, its answer brought an event, or
 	// it got its outcome.
-	cameOn time.Time
+	lastProgress time.Time
 }
 
 // reconcile takes up the items that the view says are this node's, and drops
@@ -115,9 +115,9 @@
 	}
 	open := map[string]bool{}
 	for _, entry := range r.Service.View.Open() {
-		if own := entry.own(session); len(own) > 0 && r.Service.mayHold(entry.Job, session) {
+		if own := entry.ownItems(session); len(own) > 0 && r.Service.mayStore(entry.Job, session) {
 			open[entry.Job.ID] = true
-			r.takeUp(ctx, entry, own)
+			r.ensureLoaded(ctx, entry, own)
 		}
 	}
 	r.mu.Lock()
@@ -126,76 +126,76 @@
 		if !open[id] {
 			owned.cancel()
 			delete(r.owned, id)
-			r.Service.forget(id)
+			r.Service.dropContent(id)
 		}
 	}
 }
 
-// takeUp loads items, and the texts kept of them, in the background.
-func (r *Runner) takeUp(ctx context.Context, entry *Entry, own []int) {
+// ensureLoaded loads items, and the texts kept of them, in the background.
+func (r *Runner) ensureLoaded(ctx context.Context, entry *Entry, own []int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.paused {
+	if r.stopped {
 		return
 	}
 	owned := r.owned[entry.Job.ID]
 	if owned == nil {
 		workCtx, cancel := context.WithCancel(ctx)
-		owned = &work{job: entry.Job, ctx: workCtx, cancel: cancel}
+		owned = &ownedJob{job: entry.Job, ctx: workCtx, cancel: cancel}
 		r.owned[entry.Job.ID] = owned
 	}
 	if owned.version == entry.Version && owned.complete {
 		return
 	}
 	owned.version = entry.Version
-	missing := owned.assign(own)
-	owned.complete = len(missing) == 0
+	unloaded := owned.syncTasks(own)
+	owned.complete = len(unloaded) == 0
 	now := clock.Now()
-	owned.await(missing, now)
+	owned.setUnloaded(unloaded, now)
 	switch {
 	case owned.complete:
-	case r.Service.View.Known() && r.Service.View.until(owned.job.Expires) < 0:
-		r.expireUnread(owned, now)
+	case r.Service.View.Loaded() && r.Service.View.timeUntil(owned.job.Expires) < 0:
+		r.expireUnloaded(owned, now)
 	case !owned.loading && !now.Before(owned.loadAt):
 		owned.loading = true
-		go r.load(owned, entry, missing)
+		go r.load(owned, entry, unloaded)
 	}
 }
 
-// await notes the items that have no task yet. The caller holds the runner's lock.
-func (w *work) await(missing []int, now time.Time) {
-	if len(w.unread) == 0 {
-		w.unreadSince = now
+// setUnloaded notes the items that have no task yet. The caller holds the runner's lock.
+func (w *ownedJob) setUnloaded(indexes []int, now time.Time) {
+	if len(w.unloaded) == 0 {
+		w.unloadedSince = now
 	}
-	w.unread = missing
+	w.unloaded = indexes
 }
 
-// expireUnread ends items that were not read in time, for which no content is needed. The
+// expireUnloaded ends items that were not read in time, for which no content is needed. The
 // caller holds the runner's lock.
-func (r *Runner) expireUnread(owned *work, now time.Time) {
-	for _, index := range owned.unread {
-		one := &task{work: owned, index: index, started: now}
-		owned.tasks = append(owned.tasks, one)
-		r.finishLocked(one, Expired)
+func (r *Runner) expireUnloaded(owned *ownedJob, now time.Time) {
+	for _, index := range owned.unloaded {
+		t := &task{owned: owned, index: index, firstSent: now}
+		owned.tasks = append(owned.tasks, t)
+		r.finishLocked(t, Expired)
 	}
-	owned.unread = nil
+	owned.unloaded = nil
 }
 
-// assign stops and removes the tasks of items that another node runs now, and
+// syncTasks stops and removes the tasks of items that another node runs now, and
 // returns the items that have no task yet. The caller holds the runner's lock.
-func (w *work) assign(own []int) (missing []int) {
-	mine := make([]bool, len(w.job.Items))
+func (w *ownedJob) syncTasks(own []int) (missing []int) {
+	assigned := make([]bool, len(w.job.Items))
 	for _, item := range own {
-		mine[item] = true
+		assigned[item] = true
 	}
 	known := make([]bool, len(w.job.Items))
-	w.tasks = slices.DeleteFunc(w.tasks, func(one *task) bool {
-		if one.state == taskFinished || one.state == taskListed || mine[one.index] {
-			known[one.index] = true
+	w.tasks = slices.DeleteFunc(w.tasks, func(t *task) bool {
+		if t.state == taskFinished || t.state == taskListed || assigned[t.index] {
+			known[t.index] = true
 			return false
 		}
-		if one.state == taskRunning {
-			one.cancel(errMoved)
+		if t.state == taskRunning {
+			t.cancel(errReassigned)
 		}
 		return true
 	})
@@ -208,7 +208,7 @@
 }
 
 // load reads items and makes tasks of them.
-func (r *Runner) load(owned *work, entry *Entry, indexes []int) {
+func (r *Runner) load(owned *ownedJob, entry *Entry, indexes []int) {
 	items, err := r.Service.content(owned.ctx, entry.Job)
 	if err == nil && len(items) != len(entry.Job.Items) {
 		err = Error.New("content of job %s has %d items of %d", entry.Job.ID, len(items), len(entry.Job.Items))
@@ -217,9 +217,9 @@
 		r.loadFailed(owned, err)
 		return
 	}
-	var kept map[int]storedResult
-	if len(entry.Progress.Moved) > 0 || r.Service.View.Now()-entry.Job.Created >= keepInterval {
-		kept = r.Service.keptTexts(owned.ctx, entry)
+	var checkpoints map[int]storedResult
+	if len(entry.Progress.Reassigned) > 0 || r.Service.View.Now()-entry.Job.Created >= checkpointInterval {
+		checkpoints = r.Service.loadCheckpoints(owned.ctx, entry)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -228,32 +228,32 @@
 		owned.items = items
 	}
 	for _, index := range indexes {
-		if !slices.Contains(owned.unread, index) {
+		if !slices.Contains(owned.unloaded, index) {
 			// It has expired, or is another node's by now.
 			continue
 		}
-		one := &task{work: owned, index: index, once: items[index].Once, failures: entry.Progress.Failures[index], exclude: map[string]bool{}, cameOn: clock.Now()}
-		if text, ok := kept[index]; ok {
-			one.text, one.after, one.keptVersion = []byte(text.Text), text.After, text.version
-			one.keptAfter = text.After
+		t := &task{owned: owned, index: index, atMostOnce: items[index].AtMostOnce, failures: entry.Progress.Failures[index], excluded: map[string]bool{}, lastProgress: clock.Now()}
+		if checkpoint, ok := checkpoints[index]; ok {
+			t.text, t.lastEvent, t.checkpointVersion = []byte(checkpoint.Text), checkpoint.LastEvent, checkpoint.version
+			t.checkpointEvent = checkpoint.LastEvent
 		}
-		owned.tasks = append(owned.tasks, one)
+		owned.tasks = append(owned.tasks, t)
 		if slices.Contains(entry.Progress.Started, index) {
 			// An owner before this one may have sent it.
-			r.finishLocked(one, Undecided)
+			r.finishLocked(t, Undecided)
 		}
 	}
-	owned.unread = slices.DeleteFunc(owned.unread, func(index int) bool { return slices.Contains(indexes, index) })
+	owned.unloaded = slices.DeleteFunc(owned.unloaded, func(index int) bool { return slices.Contains(indexes, index) })
 	r.wake()
 }
 
 // loadFailed has items be read again after a pause.
-func (r *Runner) loadFailed(owned *work, err error) {
+func (r *Runner) loadFailed(owned *ownedJob, err error) {
 	r.mu.Lock()
 	first := owned.loadErr == nil && owned.ctx.Err() == nil
-	pause := loadPause
+	pause := loadRetryDelay
 	if errors.Is(err, ErrUnreadable) {
-		pause = unreadableRetry
+		pause = unreadableRetryDelay
 	}
 	owned.loading, owned.loadErr, owned.loadAt = false, err, clock.Now().Add(pause)
 	r.mu.Unlock()
--- a/internal/jobs/placing.go
+++ b/internal/jobs/placement.go
@@ -14,27 +14,27 @@
 // their results written from there, unless its slots are taken by items while others'
 // are free.
 
-// placing decides which nodes run items. Where all nodes tell the same region, or none,
+// placement decides which nodes run items. Where all nodes tell the same region, or none,
 // there is one region and nothing to decide but the node.
-type placing struct {
+type placement struct {
 	// nodes are those that may run the items, by region, in the order of preference.
 	nodes map[string][]string
 	// slots are those of the replicas that may run the items, by region.
 	slots map[string]int
-	// load counts the unlisted items of each node, busy those of each region.
-	load, busy map[string]int
-	// own is the region of the node that decides.
-	own string
+	// load counts the unlisted items of each node, regionLoad those of each region.
+	load, regionLoad map[string]int
+	// ownRegion is the region of the node that decides.
+	ownRegion string
 }
 
-// placing returns what decides where items of a job go; nil if no node may run any.
-func (s *Service) placing(job *Job, homes place.Regions, self string) *placing {
-	p := &placing{nodes: map[string][]string{}, load: s.View.load(), busy: map[string]int{}, own: s.region(self)}
-	for _, node := range preferred(s.Fleet.Nodes(), job.ID) {
+// newPlacement returns what decides where items of a job go; nil if no node may run any.
+func (s *Service) newPlacement(job *Job, regions place.Regions, self string) *placement {
+	p := &placement{nodes: map[string][]string{}, load: s.View.load(), regionLoad: map[string]int{}, ownRegion: s.region(self)}
+	for _, node := range sortByPreference(s.Fleet.Nodes(), job.ID) {
 		region := s.region(node)
-		if homes.Allows(region) {
+		if regions.Allows(region) {
 			p.nodes[region] = append(p.nodes[region], node)
-			p.busy[region] += p.load[node]
+			p.regionLoad[region] += p.load[node]
 		}
 	}
 	if len(p.nodes) == 0 {
@@ -43,7 +43,7 @@
 	if len(p.nodes) > 1 {
 		p.slots = s.regionSlots(job)
 	}
-	if !p.slotted() {
+	if !p.hasSlots() {
 		// Without knowledge of replicas each node counts for as much.
 		p.slots = map[string]int{}
 		for region, nodes := range p.nodes {
@@ -53,8 +53,8 @@
 	return p
 }
 
-// slotted reports whether any region is known to have slots.
-func (p *placing) slotted() bool {
+// hasSlots reports whether any region is known to have slots.
+func (p *placement) hasSlots() bool {
 	for region := range p.nodes {
 		if p.slots[region] > 0 {
 			return true
@@ -63,8 +63,8 @@
 	return false
 }
 
-// preferred sorts nodes by their preference for a piece of work.
-func preferred(nodes []string, work string) []string {
+// sortByPreference sorts nodes by their preference for a piece of work.
+func sortByPreference(nodes []string, work string) []string {
 	slices.SortFunc(nodes, func(a, b string) int {
 		if lease.Preferred([]string{a, b}, work) == a {
 			return -1
@@ -94,32 +94,32 @@
 
 // next returns the node that runs the next item, the one with the fewest in the region
 // chosen, and that region.
-func (p *placing) next() (node, region string) {
-	region = p.region()
+func (p *placement) next() (node, region string) {
+	region = p.chooseRegion()
 	node = slices.MinFunc(p.nodes[region], func(a, b string) int { return p.load[a] - p.load[b] })
 	p.load[node]++
-	p.busy[region]++
+	p.regionLoad[region]++
 	return node, region
 }
 
-// region chooses the region of the next item: the own one unless its slots are taken and
+// chooseRegion chooses the chooseRegion of the next item: the own one unless its slots are taken and
 // another's are not, else the one with the fewest items for its slots.
-func (p *placing) region() string {
+func (p *placement) chooseRegion() string {
 	regions := slices.Sorted(maps.Keys(p.nodes))
-	best := slices.MinFunc(regions, func(a, b string) int { return cmp.Compare(p.usage(a), p.usage(b)) })
-	if _, here := p.nodes[p.own]; !here || p.slots[p.own] == 0 {
+	best := slices.MinFunc(regions, func(a, b string) int { return cmp.Compare(p.slotLoad(a), p.slotLoad(b)) })
+	if _, here := p.nodes[p.ownRegion]; !here || p.slots[p.ownRegion] == 0 {
 		return best
 	}
-	if p.usage(p.own) >= 1 && p.usage(best) < 1 {
+	if p.slotLoad(p.ownRegion) >= 1 && p.slotLoad(best) < 1 {
 		return best
 	}
-	return p.own
+	return p.ownRegion
 }
 
-// usage is the number of items for each slot of a region.
-func (p *placing) usage(region string) float64 {
+// slotLoad is the number of items for each slot of a region.
+func (p *placement) slotLoad(region string) float64 {
 	if p.slots[region] == 0 {
 		return math.Inf(1)
 	}
-	return float64(p.busy[region]) / float64(p.slots[region])
+	return float64(p.regionLoad[region]) / float64(p.slots[region])
 }
--- a/internal/jobs/placing_test.go
+++ b/internal/jobs/placement_test.go
@@ -29,8 +29,8 @@
 		{"unknown own region", both, "", map[string]int{"n": 1}, map[string]int{"n": 4, "s": 4}, "s"},
 		{"one region that tells nothing", map[string][]string{"": {"x-1"}}, "", map[string]int{"": 9}, map[string]int{"": 1}, ""},
 	} {
-		placing := &placing{nodes: one.nodes, own: one.own, busy: one.busy, slots: one.slots}
-		if got := placing.region(); got != one.want {
+		placing := &placement{nodes: one.nodes, ownRegion: one.own, regionLoad: one.busy, slots: one.slots}
+		if got := placing.chooseRegion(); got != one.want {
 			t.Errorf("%s: %q, want %q", one.name, got, one.want)
 		}
 	}
@@ -53,7 +53,7 @@
 		submitted := submission("j", rapid.IntRange(1, 20).Draw(rt, "items"))
 		job := &Job{ID: "j", Route: "batch", Items: make([]ItemHead, len(submitted.Items))}
 		service.spread(job, submitted, names[0])
-		ordered := preferred(slices.Clone(names), job.ID)
+		ordered := sortByPreference(slices.Clone(names), job.ID)
 		load := map[string]int{}
 		for i := range job.Items {
 			want := slices.MinFunc(ordered, func(a, b string) int { return load[a] - load[b] })
@@ -91,7 +91,7 @@
 			t.Errorf("node %s has %d items, want %d", node, items, want)
 		}
 	}
-	if got := fmt.Sprint(entry.region(0), entry.region(10)); got != fmt.Sprint("n", "s") {
+	if got := fmt.Sprint(entry.regionOf(0), entry.regionOf(10)); got != fmt.Sprint("n", "s") {
 		t.Errorf("regions of the first and the last item: %s", got)
 	}
 }
@@ -107,7 +107,7 @@
 		entry := site.nodes["s-1"].View.Get("j")
 		var runners []string
 		for i := range entry.Job.Items {
-			if node := entry.runner(i); !slices.Contains(runners, node) {
+			if node := entry.nodeOf(i); !slices.Contains(runners, node) {
 				runners = append(runners, node)
 			}
 		}
@@ -144,7 +144,7 @@
 	for name, want := range map[string]int{"n-2": 8, "s-2": 3} {
 		eventually(t, func() bool {
 			entry := site.nodes[name].View.Get("j")
-			return entry != nil && len(entry.Progress.Moved) >= 8
+			return entry != nil && len(entry.Progress.Reassigned) >= 8
 		})
 		site.claim(name)
 		if items := len(site.nodes[name].View.Get("j").itemsOf(name)); items != want {
@@ -160,11 +160,11 @@
 		Service: &Service{Fleet: &homeFleet{}}, Owners: &homeFleet{live: []string{"x-1#1", "n-1#1"}},
 	})
 	live := runner.Owners.Live()
-	if near := runner.near(live, "n"); len(near) != 1 || lease.Node(near[0]) != "n-1" {
+	if near := runner.preferRegion(live, "n"); len(near) != 1 || lease.Node(near[0]) != "n-1" {
 		t.Errorf("near n: %v", near)
 	}
 	for _, region := range []string{"", "s"} {
-		if near := runner.near(live, region); len(near) != len(live) {
+		if near := runner.preferRegion(live, region); len(near) != len(live) {
 			t.Errorf("near %q: %v", region, near)
 		}
 	}
--- a/internal/jobs/yield_test.go
+++ b/internal/jobs/preempt_test.go
@@ -25,12 +25,12 @@
 	one.replica, one.pool, one.cancel = "r", testPool, cancel
 	one.use = set.Begin("r", replica.Ask{Batch: true}, time.Now())
 	set.Evacuate(map[string]bool{"a": true})
-	runner.YieldPool(testPool, 1, replica.Pressure{})
+	runner.PreemptPool(testPool, 1, replica.Pressure{})
 	if ctx.Err() != nil {
 		t.Fatal("an item gave up a slot that nobody may use")
 	}
 	set.Evacuate(nil)
-	runner.YieldPool(testPool, 1, replica.Pressure{})
+	runner.PreemptPool(testPool, 1, replica.Pressure{})
 	if ctx.Err() == nil {
 		t.Fatal("an item did not give way")
 	}
@@ -47,7 +47,7 @@
 		site.submitAt(0, "j", 1)
 		site.load(func(ctx context.Context) {
 			for retry.Sleep(ctx, 10*time.Millisecond) {
-				site.nodes[0].runner.Yield("n-s0", 1, replica.Pressure{Queued: 1})
+				site.nodes[0].runner.Preempt("n-s0", 1, replica.Pressure{Queued: 1})
 			}
 		})
 		site.awaitDone("j", replica.BorrowStarved+5*time.Second)
--- a/internal/jobs/plan_test.go
+++ b/internal/jobs/priority_test.go
@@ -8,24 +8,24 @@
 
 func TestTurn_EarliestDueFirstAndHopelessLast(t *testing.T) {
 	runner := NewRunner(RunnerOptions{})
-	runner.usual = usual{events: 100, event: 50 * time.Millisecond}
+	runner.estimate = itemEstimate{events: 100, eventTime: 50 * time.Millisecond}
 	const now = 10 * time.Second
-	work := func(id string, due time.Duration) *work { return &work{job: &Job{ID: id, Due: due}} }
+	work := func(id string, due time.Duration) *ownedJob { return &ownedJob{job: &Job{ID: id, Due: due}} }
 	tasks := []*task{
-		{work: work("hopeless", 14*time.Second)},
-		{work: work("later", 200*time.Second)},
-		{work: work("nearly done", 14*time.Second), after: 60},
-		{work: work("soon", 100*time.Second)},
+		{owned: work("hopeless", 14*time.Second)},
+		{owned: work("later", 200*time.Second)},
+		{owned: work("nearly done", 14*time.Second), lastEvent: 60},
+		{owned: work("soon", 100*time.Second)},
 	}
 	slices.SortFunc(tasks, func(a, b *task) int {
-		if runner.turnOf(a, now).before(runner.turnOf(b, now)) {
+		if runner.priorityOf(a, now).before(runner.priorityOf(b, now)) {
 			return -1
 		}
 		return 1
 	})
 	var order []string
 	for _, one := range tasks {
-		order = append(order, one.work.job.ID)
+		order = append(order, one.owned.job.ID)
 	}
 	if want := []string{"nearly done", "soon", "later", "hopeless"}; !slices.Equal(order, want) {
 		t.Fatalf("order is %v, want %v", order, want)
@@ -33,10 +33,10 @@
 }
 
 func TestUsual_LearnsWhatItemsAreLike(t *testing.T) {
-	var items usual
+	var items itemEstimate
 	for range 200 {
-		items.run(200)
-		items.pace(200, 5*time.Second)
+		items.recordEvents(200)
+		items.recordPace(200, 5*time.Second)
 	}
 	if left := items.remaining(100); left < 2300*time.Millisecond || left > 2700*time.Millisecond {
 		t.Fatalf("half an item takes %v, want some 2.5 s", left)
--- a/internal/jobs/quota.go
+++ b/internal/jobs/quota.go
@@ -54,8 +54,8 @@
 // counterKey names the counter row of an account and a shard. It lies in the partition
 // of the shard's jobs, so that one transaction of one partition accepts a job, and
 // before the jobs, so that a whole read never shows a counter without its jobs.
-func counterKey(of account, shard string) table.Key {
-	return table.Key{Partition: Group + "/" + shard, Sort: prefixCounter + of.String()}
+func counterKey(acct account, shard string) table.Key {
+	return table.Key{Partition: Group + "/" + shard, Sort: prefixCounter + acct.String()}
 }
 
 // knownCounter is what a node knows of a counter.
@@ -67,12 +67,12 @@
 	settled int64
 }
 
-// rebuild takes in that the feed has come to a counter row that cannot be read. All jobs that
+// resetCounter takes in that the feed has come to a counter row that cannot be read. All jobs that
 // were accepted under earlier versions have come too, so the tokens in use are known from
 // them, and the next acceptance writes the counter anew over that version. It changes the
 // counters of all shards, for nobody can tell what this one said of the quota. Not by a
 // conflict: one may show the row before the feed brings the jobs. The caller holds mu.
-func (v *View) rebuild(change table.Change) {
+func (v *View) resetCounter(change table.Change) {
 	known := v.counters[change.Key]
 	if change.Removed || !strings.HasPrefix(change.Sort, prefixCounter) || change.Version <= known.version {
 		return
@@ -97,21 +97,21 @@
 }
 
 // usages returns the quota that an account uses, by shard.
-func (v *View) usages(of account) [shards]usage {
+func (v *View) usages(acct account) [shards]usage {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var all [shards]usage
 	for shard := range all {
-		known := v.counters[counterKey(of, shardName(shard))]
+		known := v.counters[counterKey(acct, shardName(shard))]
 		all[shard] = usage{counter: known.counter, version: known.version, used: max(0, known.Accepted-known.settled)}
 	}
 	for id, entry := range v.progress {
-		if entry.Job.account() != of {
+		if entry.Job.account() != acct {
 			continue
 		}
 		shard := shardNumber(id)
-		all[shard].used += entry.remaining()
-		known := v.counters[counterKey(of, shardName(shard))]
+		all[shard].used += entry.unfinishedTokens()
+		known := v.counters[counterKey(acct, shardName(shard))]
 		if entry.Job.Accepted > known.settled && entry.Job.Accepted <= known.Accepted {
 			all[shard].used -= entry.Job.tokens()
 		}
@@ -120,53 +120,53 @@
 }
 
 // used returns the tokens of an account's unfinished items.
-func (v *View) used(of account) int64 { return total(v.usages(of)) }
+func (v *View) used(acct account) int64 { return totalUsed(v.usages(acct)) }
 
-func total(all [shards]usage) int64 {
+func totalUsed(all [shards]usage) int64 {
 	var sum int64
-	for _, one := range all {
-		sum += one.used
+	for _, u := range all {
+		sum += u.used
 	}
 	return sum
 }
 
-// part is what a shard may hold of a quota by itself.
-func part(quota int64) int64 { return quota / shards }
+// shardQuota is what a shard may hold of a quota by itself.
+func shardQuota(quota int64) int64 { return quota / shards }
 
-// alone reports whether a job of so many tokens may be accepted on the condition of
+// fitsShard reports whether a job of so many tokens may be accepted on the condition of
 // its own shard's counter only.
-func (u *usage) alone(quota, tokens int64) bool {
-	return u.version != table.Absent && u.Quota == quota && !u.Joint && u.used+tokens <= part(quota)
+func (u *usage) fitsShard(quota, tokens int64) bool {
+	return u.version != table.Absent && u.Quota == quota && !u.Joint && u.used+tokens <= shardQuota(quota)
 }
 
-// reserve returns the changes of counters that accept a job, and the sum that its
+// reserveQuota returns the changes of counters that accept a job, and the sum that its
 // shard's counter comes to. ok is false if the job does not fit.
-func reserve(all [shards]usage, id string, of account, quota, tokens int64) (writes []table.Write, accepted int64, ok bool) {
+func reserveQuota(all [shards]usage, id string, acct account, quota, tokens int64) (writes []table.Write, accepted int64, ok bool) {
 	own := shardNumber(id)
 	accepted = all[own].Accepted + tokens
-	if all[own].alone(quota, tokens) {
+	if all[own].fitsShard(quota, tokens) {
 		next := counter{Accepted: accepted, Quota: quota}
-		return []table.Write{all[own].write(of, own, next)}, accepted, true
+		return []table.Write{all[own].counterWrite(acct, own, next)}, accepted, true
 	}
-	if total(all)+tokens > quota {
+	if totalUsed(all)+tokens > quota {
 		return nil, 0, false
 	}
 	all[own].used += tokens
 	joint := false
-	for _, one := range all {
-		joint = joint || one.used > part(quota)
+	for _, u := range all {
+		joint = joint || u.used > shardQuota(quota)
 	}
 	for shard := range all {
 		next := counter{Accepted: all[shard].Accepted, Quota: quota, Joint: joint}
 		if shard == own {
 			next.Accepted = accepted
 		}
-		writes = append(writes, all[shard].write(of, shard, next))
+		writes = append(writes, all[shard].counterWrite(acct, shard, next))
 	}
 	return writes, accepted, true
 }
 
-// write is the change of a counter on the condition that it is as known.
-func (u *usage) write(of account, shard int, next counter) table.Write {
-	return table.Write{Key: counterKey(of, shardName(shard)), Expect: u.version, Body: encode(next)}
+// counterWrite is the change of a counter on the condition that it is as known.
+func (u *usage) counterWrite(acct account, shard int, next counter) table.Write {
+	return table.Write{Key: counterKey(acct, shardName(shard)), Expect: u.version, Body: encode(next)}
 }
--- a/internal/jobs/read.go
+++ b/internal/jobs/read.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// maxAnswerText bounds the texts of one read.
-	maxAnswerText = 900 << 10
+	// maxReadText bounds the texts of one read.
+	maxReadText = 900 << 10
 	// maxCachedText bounds the texts kept in memory.
 	maxCachedText = 16 << 20
 )
 
-// Reading is an answer to a read of a job's results.
-type Reading struct {
+// ReadResult is an answer to a read of a job's results.
+type ReadResult struct {
 	Total   int
 	Results []Result
 	// Next is the position after the last result.
@@ -24,21 +24,21 @@
 }
 
 // Read returns the results from a position on. It waits for one, up to patience.
-func (s *Service) Read(ctx context.Context, id string, position int, patience time.Duration) (*Reading, error) {
+func (s *Service) Read(ctx context.Context, id string, position int, wait time.Duration) (*ReadResult, error) {
 	entry, err := s.find(ctx, id)
 	if err != nil {
 		return nil, err
 	}
-	if patience > 0 {
-		entry = s.beforeWait(ctx, entry, position)
+	if wait > 0 {
+		entry = s.freshenBeforeWait(ctx, entry, position)
 	}
-	entry, err = s.sure(ctx, s.awaitResult(ctx, entry, position, patience), position)
+	entry, err = s.ensureFresh(ctx, s.awaitResult(ctx, entry, position, wait), position)
 	if err != nil {
 		return nil, err
 	}
-	reading := &Reading{Total: len(entry.Job.Items), Next: position}
+	result := &ReadResult{Total: len(entry.Job.Items), Next: position}
 	cache := &s.cache
-	if !s.holdsHere(ctx, entry.Job) {
+	if !s.mayStoreHere(ctx, entry.Job) {
 		// The texts pass through to the caller; nothing of them stays here.
 		cache = &textCache{}
 	}
@@ -47,35 +47,35 @@
 		return nil, err
 	}
 	for _, text := range texts {
-		listed := entry.Progress.Listed[reading.Next]
-		reading.Results = append(reading.Results, Result{
+		listed := entry.Progress.Listed[result.Next]
+		result.Results = append(result.Results, Result{
 			Item: entry.Job.Items[listed.Item].ID, Dead: listed.Dead, Text: text.text, Reason: text.reason,
 		})
-		reading.Next++
+		result.Next++
 	}
-	return reading, nil
+	return result, nil
 }
 
 // awaitResult waits until the job has a result at a position, cannot get one
 // any more, or patience ends.
-func (s *Service) awaitResult(ctx context.Context, entry *Entry, position int, patience time.Duration) *Entry {
-	deadline := time.NewTimer(patience)
+func (s *Service) awaitResult(ctx context.Context, entry *Entry, position int, wait time.Duration) *Entry {
+	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
-	s.waiting.Add(1)
-	defer s.waiting.Add(-1)
-	asked := false
+	s.waiters.Add(1)
+	defer s.waiters.Add(-1)
+	requested := false
 	for {
 		changed := s.View.Changed()
 		if known := s.View.Get(entry.Job.ID); known != nil {
 			entry = known
 		}
-		if len(entry.Progress.Listed) > position || !entry.open() || patience <= 0 {
+		if len(entry.Progress.Listed) > position || !entry.isOpen() || wait <= 0 {
 			return entry
 		}
-		if !asked && s.Awaited != nil {
-			s.Awaited()
+		if !requested && s.RequestUpdate != nil {
+			s.RequestUpdate()
 		}
-		asked = true
+		requested = true
 		select {
 		case <-ctx.Done():
 			return entry
@@ -87,21 +87,21 @@
 }
 
 // texts returns the texts from a position on, as many as fit an answer.
-func (s *Service) texts(ctx context.Context, cache *textCache, entry *Entry, position int) ([]keptText, error) {
-	var texts []keptText
+func (s *Service) texts(ctx context.Context, cache *textCache, entry *Entry, position int) ([]resultText, error) {
+	var texts []resultText
 	size := 0
 	for ; position < len(entry.Progress.Listed); position++ {
 		text, ok := cache.get(entry.Job.ID, position)
 		if !ok {
 			if err := s.fetchTexts(ctx, cache, entry, position); err != nil {
-				return texts, partly(texts, err)
+				return texts, ignoreIfPartial(texts, err)
 			}
 			if text, ok = cache.get(entry.Job.ID, position); !ok {
-				return texts, partly(texts, Error.Wrap(ErrUnavailable))
+				return texts, ignoreIfPartial(texts, Error.Wrap(ErrUnavailable))
 			}
 		}
 		size += len(text.text)
-		if len(texts) > 0 && size > maxAnswerText {
+		if len(texts) > 0 && size > maxReadText {
 			return texts, nil
 		}
 		texts = append(texts, text)
@@ -109,8 +109,8 @@
 	return texts, nil
 }
 
-// partly lets a read answer with what it has.
-func partly(texts []keptText, err error) error {
+// ignoreIfPartial lets a read answer with what it has.
+func ignoreIfPartial(texts []resultText, err error) error {
 	if len(texts) > 0 {
 		return nil
 	}
@@ -127,7 +127,7 @@
 		after = id + "/"
 	}
 	var rows []table.Row
-	err := repeat(ctx, callTimeout, func(callCtx context.Context) (err error) {
+	err := retryCall(ctx, callTimeout, func(callCtx context.Context) (err error) {
 		rows, err = s.Table.List(callCtx, resultPartition(id), after, limit)
 		return err
 	})
@@ -153,16 +153,16 @@
 func (s *Service) cacheRow(ctx context.Context, cache *textCache, id string, position int, row table.Row) error {
 	var stored storedResult
 	if err := row.Decode(&stored); err != nil {
-		return s.unreadable(err)
+		return s.reportUnreadable(err)
 	}
 	if stored.Object != "" {
-		text, err := s.namedObject(ctx, stored.Object)
+		text, err := s.readNamedObject(ctx, stored.Object)
 		if err != nil {
-			return s.unreadable(err)
+			return s.reportUnreadable(err)
 		}
 		stored.Text = string(text.Body)
 	}
-	cache.put(id, position, keptText{text: stored.Text, reason: stored.Reason})
+	cache.put(id, position, resultText{text: stored.Text, reason: stored.Reason})
 	return nil
 }
 
@@ -190,8 +190,8 @@
 	position int
 }
 
-// keptText is what a listed result says.
-type keptText struct {
+// resultText is what a listed result says.
+type resultText struct {
 	text   string
 	reason Reason
 }
@@ -199,19 +199,19 @@
 // textCache keeps texts of listed results, which never change.
 type textCache struct {
 	mu    sync.Mutex
-	texts map[textKey]keptText
+	texts map[textKey]resultText
 	order []textKey
 	size  int
 }
 
-func (c *textCache) get(job string, position int) (keptText, bool) {
+func (c *textCache) get(job string, position int) (resultText, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	text, ok := c.texts[textKey{job, position}]
 	return text, ok
 }
 
-func (c *textCache) put(job string, position int, text keptText) {
+func (c *textCache) put(job string, position int, text resultText) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	key := textKey{job, position}
@@ -219,7 +219,7 @@
 		return
 	}
 	if c.texts == nil {
-		c.texts = map[textKey]keptText{}
+		c.texts = map[textKey]resultText{}
 	}
 	c.texts[key] = text
 	c.order = append(c.order, key)
--- a/internal/jobs/ask_test.go
+++ b/internal/jobs/refresh_test.go
@@ -45,7 +45,7 @@
 		before := reader.View.Get("job")
 		reader.feed.silent.Store(false)
 		time.Sleep(3 * settleTime)
-		entry, err := reader.sure(t.Context(), before, 1)
+		entry, err := reader.ensureFresh(t.Context(), before, 1)
 		if err != nil || len(entry.Progress.Listed) != 2 {
 			t.Fatalf("%d listed, %v; the view has %d", len(entry.Progress.Listed), err, len(reader.View.Get("job").Progress.Listed))
 		}
@@ -155,7 +155,7 @@
 func TestSure_AskedBeforeAWaitIfTheFeedStandsStill(t *testing.T) {
 	withStaleReader(t, func(t *testing.T, _ *tabletest.Table, lister *Service, reader *readingNode) {
 		listOne(t, lister, "job", 1)
-		time.Sleep(standingStill)
+		time.Sleep(stalledFeedAge)
 		began := time.Now()
 		reading, err := reader.Read(t.Context(), "job", 1, settleTime)
 		if err != nil || len(reading.Results) != 1 || time.Since(began) > 0 {
@@ -188,7 +188,7 @@
 					}()
 				}
 				time.Sleep(seconds * time.Second)
-				if count := asked.asked.Load(); count > fleetAsks*(seconds+1) || count < fleetAsks*seconds/2 {
+				if count := asked.asked.Load(); count > fleetRefreshRate*(seconds+1) || count < fleetRefreshRate*seconds/2 {
 					t.Errorf("the table was asked %d times in %d s", count, seconds)
 				}
 				time.Sleep(10 * time.Second)
--- /dev/null
+++ b/internal/jobs/regions.go
@@ -0,0 +1,160 @@
+package jobs
+
+import (
+	"context"
+	"errors"
+	"slices"
+
+	"github.com/wheelhoist/wheelhoist/internal/clock"
+	"github.com/wheelhoist/wheelhoist/internal/lease"
+	"github.com/wheelhoist/wheelhoist/internal/place"
+	"github.com/wheelhoist/wheelhoist/internal/route"
+)
+
+// Homes: where a route or a tenant has regions of its own, the items of its jobs run
+// only at replicas there, and only nodes that stand there hold their bodies and texts.
+// The node that a caller has come to is the exception: it takes a job in and answers
+// looks at it, and keeps nothing. The homes in force when something is decided bind, so a
+// change moves what waits.
+
+// ErrNoRegion reports a job whose route and tenant have no region in common: it may be
+// kept nowhere, so it is not accepted.
+var ErrNoRegion = errors.New("no region may keep the job")
+
+// Fleet tells which nodes there are and where they stand.
+type Fleet interface {
+	// Nodes returns the live nodes.
+	Nodes() []string
+	// Region returns the region of a live node; empty if it has not told.
+	Region(node string) string
+}
+
+// allowedRegions returns the regions where a job may run and its bodies may lie: nil is anywhere,
+// an empty set nowhere. While no configuration is known it is nowhere.
+func (s *Service) allowedRegions(job *Job) place.Regions {
+	if s.Routes == nil {
+		return nil
+	}
+	routes := s.Routes()
+	if routes == nil {
+		return place.Regions{}
+	}
+	regions := routeRegions(routes, job, routes.ByName(job.Route))
+	for _, other := range job.OtherRoutes {
+		regions = regions.And(routeRegions(routes, job, routes.ByName(other)))
+	}
+	return regions
+}
+
+// routeRegions returns the homes of a job's items on a route. For a route or a tenant that is
+// not declared any more those that it had when the job was accepted bind.
+func routeRegions(routes *route.Table, job *Job, target *route.Route) place.Regions {
+	tenant := routes.Tenant(job.Tenant)
+	var regions place.Regions
+	if target == nil || job.Tenant != "" && tenant == nil {
+		regions = job.AllowedRegions
+	}
+	if target != nil {
+		regions = regions.And(target.Regions)
+	}
+	if tenant != nil {
+		regions = regions.And(tenant.Regions)
+	}
+	return regions
+}
+
+// setRouting notes in a job what its homes depend on.
+func (s *Service) setRouting(job *Job, submission *Submission) {
+	job.Route, job.Host, job.Tenant = submission.Route, submission.Host, submission.Tenant
+	if s.Routes == nil || s.Routes() == nil {
+		return
+	}
+	routes := s.Routes()
+	for _, item := range submission.Items {
+		target := routes.Match(job.Host, item.Path)
+		if target != nil && target.Name != job.Route && !slices.Contains(job.OtherRoutes, target.Name) {
+			job.OtherRoutes = append(job.OtherRoutes, target.Name)
+		}
+	}
+	job.AllowedRegions = s.allowedRegions(job)
+}
+
+// inRegions returns those of some sessions whose nodes stand in a home.
+func (s *Service) inRegions(sessions []string, regions place.Regions) []string {
+	if regions == nil {
+		return sessions
+	}
+	var matching []string
+	for _, session := range sessions {
+		if regions.Allows(s.region(lease.Node(session))) {
+			matching = append(matching, session)
+		}
+	}
+	return matching
+}
+
+// region returns the region of a node; empty if it is not known.
+func (s *Service) region(node string) string {
+	if s.Fleet == nil {
+		return ""
+	}
+	return s.Fleet.Region(node)
+}
+
+// mayStore reports whether a session's node may hold the bodies and texts of a job.
+func (s *Service) mayStore(job *Job, session string) bool {
+	return s.allowedRegions(job).Allows(s.region(lease.Node(session)))
+}
+
+// mayStoreHere reports whether this node may hold the bodies and texts of a job; if it
+// cannot say who it is, it holds none that have homes.
+func (s *Service) mayStoreHere(ctx context.Context, job *Job) bool {
+	if s.allowedRegions(job) == nil {
+		return true
+	}
+	session, err := s.Session(ctx)
+	return err == nil && s.mayStore(job, session)
+}
+
+// runsHere reports whether this node runs items of a job.
+func (s *Service) runsHere(ctx context.Context, id string) bool {
+	entry := s.View.Get(id)
+	session, err := s.Session(ctx)
+	return err == nil && entry != nil && len(entry.ownItems(session)) > 0 && s.mayStore(entry.Job, session)
+}
+
+// outsideRegions reports whether a live node has been told or found to stand outside the homes
+// of what it was to run.
+func (r *Runner) outsideRegions(node string, regions place.Regions) bool {
+	return regions != nil && slices.Contains(r.Owners.Nodes(), node) && !regions.Allows(r.Owners.Region(node))
+}
+
+// awaitRegion looks after a job that no live node may run, at one node of the fleet. Its items
+// wait, listed as not done, until they may be given up. The node says so and, in the end,
+// lists them as dead, for which it needs no body.
+func (r *Runner) awaitRegion(ctx context.Context, entry *Entry, regions place.Regions) {
+	if !r.awaitingRegion[entry.Job.ID] {
+		r.awaitingRegion[entry.Job.ID] = true
+		r.Service.Events.AwaitingRegion(entry.Job, regions)
+	}
+	if r.Service.View.timeUntil(entry.Job.Expires) < 0 {
+		r.expireItems(ctx, entry)
+	}
+}
+
+// expireItems lists the items of a job that are not done as expired.
+func (r *Runner) expireItems(ctx context.Context, entry *Entry) {
+	callCtx, cancel := context.WithTimeout(ctx, slowCallTimeout)
+	defer cancel()
+	listed := entry.Progress.listedItems(len(entry.Job.Items))
+	var batch []*task
+	for i := range entry.Job.Items {
+		if !listed[i] && len(batch) < maxCommitRows {
+			batch = append(batch, &task{index: i, reason: Expired, firstSent: clock.Now()})
+		}
+	}
+	if err := r.Service.listResults(callCtx, entry.Job, batch); err != nil {
+		// The next look tries again.
+		r.Service.Events.ItemFailed(entry.Job, "", "", err)
+	}
+}
--- a/internal/jobs/homes_test.go
+++ b/internal/jobs/regions_test.go
@@ -81,7 +81,7 @@
 		site.claim("s-1", "s-2")
 	}
 	entry := site.nodes["s-1"].View.Get("j")
-	if len(entry.Progress.Moved) != 0 || len(entry.Progress.Listed) != 0 {
+	if len(entry.Progress.Reassigned) != 0 || len(entry.Progress.Listed) != 0 {
 		t.Fatalf("progress is %+v while nobody at home lives", entry.Progress)
 	}
 	if said := site.nodes["s-1"].events.homeless.Load() + site.nodes["s-2"].events.homeless.Load(); said != 1 {
@@ -145,7 +145,7 @@
 	submitted := submission("j", 1)
 	submitted.Tenant = homeTenant
 	err := site.nodes["n-1"].Submit(t.Context(), submitted)
-	if !errors.Is(err, ErrNotAccepted) || !errors.Is(err, ErrHomeless) {
+	if !errors.Is(err, ErrNotAccepted) || !errors.Is(err, ErrNoRegion) {
 		t.Fatalf("submission: %v", err)
 	}
 	if _, err := site.nodes["n-1"].Read(t.Context(), "j", 0, 0); !errors.Is(err, ErrNotFound) {
@@ -161,7 +161,7 @@
 	site.routes.Store(route.NewTable(&route.Config{}))
 	site.stop("n-1")
 	site.claim("s-1")
-	if moved := site.nodes["s-1"].View.Get("j").Progress.Moved; len(moved) != 0 {
+	if moved := site.nodes["s-1"].View.Get("j").Progress.Reassigned; len(moved) != 0 {
 		t.Fatalf("items moved to %v", moved)
 	}
 	site.checkUntouched("s-1")
@@ -170,7 +170,7 @@
 func TestHomes_UnknownConfigurationIsNowhere(t *testing.T) {
 	site := newHomeSite(t, nil, nil, "n-1")
 	site.routes.Store(nil)
-	if homes := site.nodes["n-1"].homes(&Job{Route: "batch"}); homes == nil || len(homes) != 0 {
+	if homes := site.nodes["n-1"].allowedRegions(&Job{Route: "batch"}); homes == nil || len(homes) != 0 {
 		t.Fatalf("homes are %#v", homes)
 	}
 }
@@ -236,10 +236,10 @@
 		t.Fatal(err)
 	}
 	entry := &Entry{Job: &job, Progress: &Progress{}}
-	if job.Homes != nil || entry.region(0) != "" {
+	if job.AllowedRegions != nil || entry.regionOf(0) != "" {
 		t.Fatalf("job is %+v", job)
 	}
-	if homes := (&Service{Routes: newHomeSite(t, place.Regions{"n"}, nil).routes.Load}).homes(&job); fmt.Sprint(homes) != "[n]" {
+	if homes := (&Service{Routes: newHomeSite(t, place.Regions{"n"}, nil).routes.Load}).allowedRegions(&job); fmt.Sprint(homes) != "[n]" {
 		t.Fatalf("homes are %v", homes)
 	}
 }
--- a/internal/jobs/homesite_test.go
+++ b/internal/jobs/regionsite_test.go
@@ -88,7 +88,7 @@
 	homeless atomic.Int64
 }
 
-func (e *homeEvents) Homeless(*Job, place.Regions) { e.homeless.Add(1) }
+func (e *homeEvents) AwaitingRegion(*Job, place.Regions) { e.homeless.Add(1) }
 
 // homeNode is a node of a homeFleet.
 type homeNode struct {
@@ -205,7 +205,7 @@
 		Service: node.Service, Replicas: replicas, Backend: node, Routes: node.countedRoutes, Owners: s.fleet,
 		ViewAge: func() time.Duration { return 0 },
 	})
-	replicas.Pressed = node.runner.Yield
+	replicas.Pressed = node.runner.Preempt
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -223,7 +223,7 @@
 func (s *homeSite) stop(name string) {
 	node := s.nodes[name]
 	node.runner.mu.Lock()
-	node.runner.paused = true
+	node.runner.stopped = true
 	node.runner.mu.Unlock()
 	live := slices.DeleteFunc(s.fleet.Live(), func(session string) bool { return session == name+"#1" })
 	s.fleet.set(live...)
@@ -232,7 +232,7 @@
 // claim lets live nodes look for what they should take over.
 func (s *homeSite) claim(names ...string) {
 	for _, name := range names {
-		s.nodes[name].runner.claimLost(s.t.Context())
+		s.nodes[name].runner.claimOrphaned(s.t.Context())
 	}
 }
 
--- a/internal/jobs/handback.go
+++ b/internal/jobs/release.go
@@ -9,24 +9,24 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// handBackRetry is the pause before a job that could not be handed back is
+// releaseRetryDelay is the pause before a job that could not be handed back is
 // tried again.
-const handBackRetry = 300 * time.Millisecond
+const releaseRetryDelay = 300 * time.Millisecond
 
-// HandBack gives this node's jobs free for others, with the texts that their
+// Release gives this node's jobs free for others, with the texts that their
 // items have brought so far. Until a job is handed back its running items go
 // on, so nothing is lost while the store does not answer. It returns when all
 // jobs are handed back, or when the context ends.
-func (r *Runner) HandBack(ctx context.Context) {
+func (r *Runner) Release(ctx context.Context) {
 	r.mu.Lock()
-	r.paused = true
+	r.stopped = true
 	r.mu.Unlock()
-	r.allWait(WaitHandBack)
-	owned := r.ownedWork()
+	r.recordWaitAll(WaitRelease)
+	owned := r.ownedJobs()
 	done := make(chan struct{}, len(owned))
-	for _, one := range owned {
+	for _, w := range owned {
 		go func() {
-			r.handBack(ctx, one)
+			r.releaseJob(ctx, w)
 			done <- struct{}{}
 		}()
 	}
@@ -35,28 +35,28 @@
 	}
 }
 
-func (r *Runner) handBack(ctx context.Context, owned *work) {
+func (r *Runner) releaseJob(ctx context.Context, owned *ownedJob) {
 	defer owned.cancel()
 	for ctx.Err() == nil && owned.ctx.Err() == nil {
-		if r.runsOnce(owned) {
-			retry.Sleep(ctx, onceCheck)
+		if r.hasAtMostOnceInFlight(owned) {
+			retry.Sleep(ctx, atMostOncePollInterval)
 			continue
 		}
-		if r.keepTexts(ctx, owned, 1) && r.release(ctx, owned) {
+		if r.checkpoint(ctx, owned, 1) && r.tryRelease(ctx, owned) {
 			return
 		}
-		retry.Sleep(ctx, handBackRetry)
+		retry.Sleep(ctx, releaseRetryDelay)
 	}
 }
 
-// release gives a job free, with the failures counted so far.
-func (r *Runner) release(ctx context.Context, owned *work) bool {
+// tryRelease gives a job free, with the failures counted so far.
+func (r *Runner) tryRelease(ctx context.Context, owned *ownedJob) bool {
 	failures := map[int]int{}
-	notRun := r.markedNotRun(owned)
+	unsent := r.markedUnsent(owned)
 	r.mu.Lock()
-	for _, one := range owned.tasks {
-		if one.failures > 0 {
-			failures[one.index] = one.failures
+	for _, t := range owned.tasks {
+		if t.failures > 0 {
+			failures[t.index] = t.failures
 		}
 	}
 	r.mu.Unlock()
@@ -67,7 +67,7 @@
 			return nil, false
 		}
 		progress.Owner = ""
-		progress.unmark(notRun)
+		progress.removeStarted(unsent)
 		for item, count := range failures {
 			progress.Failures[item] = max(progress.Failures[item], count)
 		}
--- a/internal/jobs/remove.go
+++ b/internal/jobs/remove.go
@@ -7,39 +7,39 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// removeRows bounds the rows that one write removes.
-const removeRows = 50
+// maxRemoveRows bounds the rows that one write removes.
+const maxRemoveRows = 50
 
 // Remove takes a job whose results are kept elsewhere off the table, in one
 // transaction with further writes, whose conditions guard it. What the job row
 // leads to is removed afterwards; what stays when that fails is never read.
-func (s *Service) Remove(ctx context.Context, entry *Entry, more ...table.Write) error {
+func (s *Service) Remove(ctx context.Context, entry *Entry, extra ...table.Write) error {
 	writes := append([]table.Write{
 		{Key: jobKey(entry.Job.ID), Kind: table.Delete, Expect: entry.Job.version},
 		{Key: progressKey(entry.Job.ID), Kind: table.Delete, Expect: entry.Version},
-	}, more...)
+	}, extra...)
 	if err := table.CommitSettled(ctx, s.Table, table.NewOperation(), writes...); err != nil {
 		return Error.Wrap(err)
 	}
 	s.View.Drop(entry.Job.ID)
-	s.forget(entry.Job.ID)
+	s.dropContent(entry.Job.ID)
 	if entry.Job.Chunks == 0 {
-		s.dropObject(ctx, contentKey(entry.Job.ID))
+		s.deleteObject(ctx, contentObject(entry.Job.ID))
 	}
-	s.sweep(ctx, entry.Job)
+	s.deleteRows(ctx, entry.Job)
 	return nil
 }
 
-// dropObject removes an object that no row names any more. One that stays is
+// deleteObject removes an object that no row names any more. One that stays is
 // only a waste.
-func (s *Service) dropObject(ctx context.Context, key string) { _ = s.Objects.Delete(ctx, key) }
+func (s *Service) deleteObject(ctx context.Context, key string) { _ = s.Objects.Delete(ctx, key) }
 
-// sweep removes the rows of a job's contents, results and kept texts, and the
+// deleteRows removes the rows of a job's contents, results and kept texts, and the
 // objects that results name.
-func (s *Service) sweep(ctx context.Context, job *Job) {
+func (s *Service) deleteRows(ctx context.Context, job *Job) {
 	prefix := job.ID + "/"
 	for {
-		rows, err := s.Table.List(ctx, resultPartition(job.ID), prefix, removeRows)
+		rows, err := s.Table.List(ctx, resultPartition(job.ID), prefix, maxRemoveRows)
 		if err != nil {
 			return
 		}
@@ -51,7 +51,7 @@
 			writes = append(writes, table.Write{Key: row.Key, Kind: table.Delete, Expect: row.Version})
 			var stored storedResult
 			if row.Decode(&stored) == nil && stored.Object != "" {
-				s.dropObject(ctx, stored.Object)
+				s.deleteObject(ctx, stored.Object)
 			}
 		}
 		if len(writes) == 0 {
@@ -68,5 +68,5 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.remove(jobKey(id))
-	v.wake()
+	v.notify()
 }
--- a/internal/jobs/known_test.go
+++ b/internal/jobs/restart_test.go
@@ -55,8 +55,8 @@
 		t.Fatalf("before anything is listed: %+v, %v", reading, err)
 	}
 	entry := first.View.Get("job")
-	done := &task{work: &work{job: entry.Job}, index: 0, text: []byte("text")}
-	if err := first.list(t.Context(), entry.Job, []*task{done}); err != nil {
+	done := &task{owned: &ownedJob{job: entry.Job}, index: 0, text: []byte("text")}
+	if err := first.listResults(t.Context(), entry.Job, []*task{done}); err != nil {
 		t.Fatal(err)
 	}
 	if reading, err := restarted.Read(t.Context(), "job", 0, 0); err != nil || len(reading.Results) != 1 {
--- a/internal/jobs/repeat.go
+++ b/internal/jobs/retrycall.go
@@ -10,19 +10,19 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// repeat makes a call that may be made any number of times until it succeeds,
+// retryCall makes a call that may be made any number of times until it succeeds,
 // finds nothing, or the context ends. limit bounds one try, so that a hung
 // connection is left. It returns the last error.
-func repeat(ctx context.Context, limit time.Duration, call func(context.Context) error) error {
-	delay := retryFirst
+func retryCall(ctx context.Context, timeout time.Duration, call func(context.Context) error) error {
+	delay := retryDelay
 	for {
-		callCtx, cancel := context.WithTimeout(ctx, limit)
+		callCtx, cancel := context.WithTimeout(ctx, timeout)
 		err := call(callCtx)
 		cancel()
 		if err == nil || notFound(err) || !retry.Sleep(ctx, delay) {
 			return err
 		}
-		delay = min(2*delay, retryMax)
+		delay = min(2*delay, retryDelayMax)
 	}
 }
 
--- a/internal/jobs/runner.go
+++ b/internal/jobs/runner.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// tick bounds the time between two looks at what can be run.
-	tick = 100 * time.Millisecond
-	// staleView is the age of the view beyond which no new items are sent: an
+	// dispatchInterval bounds the time between two looks at what can be run.
+	dispatchInterval = 100 * time.Millisecond
+	// maxViewAge is the age of the view beyond which no new items are sent: an
 	// end of a job would not be noticed.
-	staleView = 8 * time.Second
+	maxViewAge = 8 * time.Second
 )
 
 // Owners tells which sessions are gone. The lease watcher implements it.
@@ -68,32 +68,32 @@
 type Runner struct {
 	RunnerOptions
 
-	mu     sync.Mutex
-	owned  map[string]*work
-	paused bool
-	freed  chan struct{}
-	// usual is what items are like, pauses how their answers come.
-	usual  usual
-	pauses pauses
-	// homeless are the jobs that no live node may run; RunClaims alone uses it.
-	homeless map[string]bool
-	// nobodys are the items that no live node runs, as of the last look at lost owners.
-	nobodys nobodys
-	// borrows are the lanes where items asked for slots of others.
-	borrows map[lane]borrowing
+	mu      sync.Mutex
+	owned   map[string]*ownedJob
+	stopped bool
+	wakeups chan struct{}
+	// estimate is what items are like, pauses how their answers come.
+	estimate itemEstimate
+	gaps     gapEstimates
+	// awaitingRegion are the jobs that no live node may run; RunClaims alone uses it.
+	awaitingRegion map[string]bool
+	// orphans are the items that no live node runs, as of the last look at lost owners.
+	orphans orphans
+	// borrowStates are the lanes where items asked for slots of others.
+	borrowStates map[lane]borrowState
 }
 
 // NewRunner returns a runner that owns nothing yet.
 func NewRunner(options RunnerOptions) *Runner {
 	return &Runner{
-		RunnerOptions: options, owned: map[string]*work{}, freed: make(chan struct{}, 1), homeless: map[string]bool{},
-		borrows: map[lane]borrowing{},
+		RunnerOptions: options, owned: map[string]*ownedJob{}, wakeups: make(chan struct{}, 1), awaitingRegion: map[string]bool{},
+		borrowStates: map[lane]borrowState{},
 	}
 }
 
 // Run runs items until the context ends.
 func (r *Runner) Run(ctx context.Context) {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(dispatchInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		changed := r.Service.View.Changed()
@@ -103,7 +103,7 @@
 		case <-ctx.Done():
 		case <-ticker.C:
 		case <-changed:
-		case <-r.freed:
+		case <-r.wakeups:
 		}
 	}
 }
@@ -111,127 +111,127 @@
 // wake makes Run look again at once.
 func (r *Runner) wake() {
 	select {
-	case r.freed <- struct{}{}:
+	case r.wakeups <- struct{}{}:
 	default:
 	}
 }
 
 // dispatch sends what can be sent, the earliest due first.
 func (r *Runner) dispatch(now time.Time) {
-	if !r.Service.View.Known() || r.ViewAge() > staleView {
-		r.allWait(WaitView)
+	if !r.Service.View.Loaded() || r.ViewAge() > maxViewAge {
+		r.recordWaitAll(WaitView)
 		return
 	}
 	routes := r.Routes()
 	if routes == nil {
-		r.allWait(WaitRoutes)
+		r.recordWaitAll(WaitRoutes)
 		return
 	}
-	room := itemRoom{free: map[string]int{}, none: map[string]error{}, full: map[lane]error{}, borrowed: map[lane]bool{}}
-	for _, ready := range r.waiting(now) {
-		one := ready.task
-		if r.Service.View.until(one.work.job.Expires) < 0 {
-			r.finish(one, Expired)
+	pass := dispatchPass{freeSlots: map[string]int{}, slotCause: map[string]error{}, fullLanes: map[lane]error{}, borrowTried: map[lane]bool{}}
+	for _, ready := range r.readyTasks(now) {
+		t := ready.task
+		if r.Service.View.timeUntil(t.owned.job.Expires) < 0 {
+			r.finish(t, Expired)
 			continue
 		}
-		target := routes.Match(one.work.job.Host, one.work.items[one.index].Path)
+		target := routes.Match(t.owned.job.Host, t.owned.items[t.index].Path)
 		if target == nil || target.Kind != route.Batch {
-			r.noteWait(one, WaitRoute, nil)
+			r.recordWait(t, WaitRoute, nil)
 			continue
 		}
-		r.offer(one, target, homesBy(routes, one.work.job, target), &room, now)
+		r.tryDispatch(t, target, routeRegions(routes, t.owned.job, target), &pass, now)
 	}
 }
 
 // lane is a part of a pool that items may be served in: the regions, those with an adapter,
 // without the replicas that are left to online requests.
 type lane struct {
-	pool, homes, adapter string
-	reserve              float64
+	pool, regions, adapter string
+	reserve                float64
 }
 
-// itemRoom is where items found room in one look at those that wait.
-type itemRoom struct {
-	// free is the room that this node has left in each pool, none what decided it.
-	free map[string]int
-	none map[string]error
-	// full are the lanes where no replica takes an item, with why.
-	full map[lane]error
-	// borrowed are the lanes where an item has tried to borrow a slot.
-	borrowed map[lane]bool
+// dispatchPass is where items found room in one look at those that wait.
+type dispatchPass struct {
+	// freeSlots is the room that this node has left in each pool, none what decided it.
+	freeSlots map[string]int
+	slotCause map[string]error
+	// fullLanes are the lanes where no replica takes an item, with why.
+	fullLanes map[lane]error
+	// borrowTried are the lanes where an item has tried to borrow a slot.
+	borrowTried map[lane]bool
 }
 
-// offer sends an item if there is room for it where it may be served.
-func (r *Runner) offer(one *task, target *route.Route, homes place.Regions, room *itemRoom, now time.Time) {
-	where := lane{pool: target.Pool(), homes: strings.Join(homes, ","), adapter: target.Adapter, reserve: target.Reserve}
-	if _, ok := room.free[where.pool]; !ok {
-		decided := r.Replicas.RoomForItems(where.pool, now)
-		room.free[where.pool], room.none[where.pool] = decided.Free(), decided
+// tryDispatch sends an item if there is room for it where it may be served.
+func (r *Runner) tryDispatch(t *task, target *route.Route, regions place.Regions, pass *dispatchPass, now time.Time) {
+	key := lane{pool: target.Pool(), regions: strings.Join(regions, ","), adapter: target.Adapter, reserve: target.Reserve}
+	if _, ok := pass.freeSlots[key.pool]; !ok {
+		decided := r.Replicas.RoomForItems(key.pool, now)
+		pass.freeSlots[key.pool], pass.slotCause[key.pool] = decided.Free(), decided
 	}
-	send := itemSend{task: one, target: target, lane: where, homes: homes}
-	if room.free[where.pool] <= 0 {
-		r.noteWait(one, WaitRoom, room.none[where.pool])
-		r.borrow(send, room, now)
+	send := pendingSend{task: t, target: target, lane: key, regions: regions}
+	if pass.freeSlots[key.pool] <= 0 {
+		r.recordWait(t, WaitSlot, pass.slotCause[key.pool])
+		r.tryBorrow(send, pass, now)
 		return
 	}
-	if full := room.full[where]; full != nil {
-		r.noteWait(one, WaitReplica, full)
-		r.borrow(send, room, now)
+	if full := pass.fullLanes[key]; full != nil {
+		r.recordWait(t, WaitReplica, full)
+		r.tryBorrow(send, pass, now)
 		return
 	}
-	started, err := r.start(send, now)
-	switch started {
-	case startedItem:
-		room.free[where.pool]--
-	case noRoom:
-		room.full[where] = err
-		r.noteWait(one, WaitReplica, err)
-		r.borrow(send, room, now)
-	case allTried:
-		r.borrow(send, room, now)
+	result, err := r.trySend(send, now)
+	switch result {
+	case itemStarted:
+		pass.freeSlots[key.pool]--
+	case noReplica:
+		pass.fullLanes[key] = err
+		r.recordWait(t, WaitReplica, err)
+		r.tryBorrow(send, pass, now)
+	case allExcluded:
+		r.tryBorrow(send, pass, now)
 	}
 }
 
-// noteWait notes what an item waits for that is not sent.
-func (r *Runner) noteWait(one *task, what Wait, cause error) {
+// recordWait notes what an item waits for that is not sent.
+func (r *Runner) recordWait(t *task, kind Wait, cause error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if one.state == taskWaiting {
-		one.waits(what, cause)
+	if t.state == taskWaiting {
+		t.setWait(kind, cause)
 	}
 }
 
-// allWait notes that all items which are not under way wait for the same.
-func (r *Runner) allWait(what Wait) {
+// recordWaitAll notes that all items which are not under way wait for the same.
+func (r *Runner) recordWaitAll(kind Wait) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, owned := range r.owned {
-		for _, one := range owned.tasks {
-			if one.state == taskWaiting {
-				one.waits(what, nil)
+		for _, t := range owned.tasks {
+			if t.state == taskWaiting {
+				t.setWait(kind, nil)
 			}
 		}
 	}
 }
 
-// waiting returns the tasks that could be sent, in the order of their turns.
-func (r *Runner) waiting(now time.Time) []readyTask {
+// readyTasks returns the tasks that could be sent, in the order of their turns.
+func (r *Runner) readyTasks(now time.Time) []readyTask {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.paused {
+	if r.stopped {
 		return nil
 	}
 	storeNow := r.Service.View.Now()
 	var ready []readyTask
 	for _, owned := range r.owned {
-		for _, one := range owned.tasks {
-			if one.state == taskWaiting && !now.Before(one.notUntil) {
-				ready = append(ready, readyTask{one, r.turnOf(one, storeNow)})
+		for _, t := range owned.tasks {
+			if t.state == taskWaiting && !now.Before(t.notBefore) {
+				ready = append(ready, readyTask{t, r.priorityOf(t, storeNow)})
 			}
 		}
 	}
 	slices.SortFunc(ready, func(a, b readyTask) int {
-		if a.turn.before(b.turn) {
+		if a.priority.before(b.priority) {
 			return -1
 		}
 		return 1
@@ -242,14 +242,14 @@
 // readyTask is a task that could be sent, with its turn.
 type readyTask struct {
 	*task
-	turn turn
+	priority priority
 }
 
-// turnOf returns an item's place among others. The caller holds mu.
-func (r *Runner) turnOf(one *task, storeNow time.Duration) turn {
-	job := one.work.job
-	return turn{
-		late: job.Due != 0 && job.Due-storeNow < r.usual.remaining(one.after),
-		rank: job.rank(), job: job.ID, item: one.index,
+// priorityOf returns an item's place among others. The caller holds mu.
+func (r *Runner) priorityOf(t *task, storeNow time.Duration) priority {
+	job := t.owned.job
+	return priority{
+		late: job.Due != 0 && job.Due-storeNow < r.estimate.remaining(t.lastEvent),
+		rank: job.rank(), job: job.ID, item: t.index,
 	}
 }
--- a/internal/jobs/runner_test.go
+++ b/internal/jobs/runner_test.go
@@ -64,19 +64,19 @@
 // quietEvents takes notices and keeps none.
 type quietEvents struct{}
 
-func (quietEvents) Accepted(*Job, time.Duration, bool)                  {}
-func (quietEvents) Refused(string, int64, int64, int64, error)          {}
-func (quietEvents) Ended(string, error)                                 {}
-func (quietEvents) Claimed(*Entry, string, error)                       {}
-func (quietEvents) ItemSent(*Job, string, string, int)                  {}
-func (quietEvents) ItemFailed(*Job, string, string, error)              {}
-func (quietEvents) ItemQuarantined(*Job, string, error)                 {}
-func (quietEvents) GaveWay(*Job, string, string, int, replica.Pressure) {}
-func (quietEvents) ItemListed(*Job, string, int, Reason, time.Duration) {}
-func (quietEvents) Removed(*Job, error)                                 {}
-func (quietEvents) Asked(*Job, time.Duration, error)                    {}
-func (quietEvents) Homeless(*Job, place.Regions)                        {}
-func (quietEvents) Resolved(operation string, attempts int, err error)  {}
+func (quietEvents) Accepted(*Job, time.Duration, bool)                        {}
+func (quietEvents) Refused(string, int64, int64, int64, error)                {}
+func (quietEvents) Ended(string, error)                                       {}
+func (quietEvents) Claimed(*Entry, string, error)                             {}
+func (quietEvents) ItemSent(*Job, string, string, int)                        {}
+func (quietEvents) ItemFailed(*Job, string, string, error)                    {}
+func (quietEvents) ItemQuarantined(*Job, string, error)                       {}
+func (quietEvents) ItemPreempted(*Job, string, string, int, replica.Pressure) {}
+func (quietEvents) ItemListed(*Job, string, int, Reason, time.Duration)       {}
+func (quietEvents) Removed(*Job, error)                                       {}
+func (quietEvents) Refreshed(*Job, time.Duration, error)                      {}
+func (quietEvents) AwaitingRegion(*Job, place.Regions)                        {}
+func (quietEvents) Resolved(operation string, attempts int, err error)        {}
 
 // testNode is a service with a view that follows a shared table.
 type testNode struct {
@@ -132,7 +132,7 @@
 		Service: node.Service, Replicas: replicas, Backend: backend, Routes: batchTable, Owners: noOwners{},
 		ViewAge: func() time.Duration { return 0 },
 	})
-	replicas.Pressed = runner.Yield
+	replicas.Pressed = runner.Preempt
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
--- a/internal/jobs/service.go
+++ b/internal/jobs/service.go
@@ -24,19 +24,19 @@
 	callTimeout = 1200 * time.Millisecond
 	// slowCallTimeout bounds a call that was given up for slowness before.
 	slowCallTimeout = 3 * time.Second
-	retryFirst      = 20 * time.Millisecond
-	retryMax        = 250 * time.Millisecond
-	// conflictPause bounds the pause after the second conflict of one acceptance;
+	retryDelay      = 20 * time.Millisecond
+	retryDelayMax   = 250 * time.Millisecond
+	// conflictDelay bounds the pause after the second conflict of one acceptance;
 	// it grows with each further one up to conflictPauseMax. Two transactions of 3 ms
 	// and their way, as the platform states them, fit into it.
-	conflictPause    = 10 * time.Millisecond
-	conflictPauseMax = 60 * time.Millisecond
+	conflictDelay    = 10 * time.Millisecond
+	conflictDelayMax = 60 * time.Millisecond
 	// objectTimeout bounds one call that moves an object.
 	objectTimeout = 4 * time.Second
-	// lookPatience bounds the wait for a look at the jobs before one is refused for its
+	// updateTimeout bounds the wait for a look at the jobs before one is refused for its
 	// size: the rest between two looks that are asked for is 120 ms in a fleet of up to
 	// 80 nodes, and a caller is to have its answer within some 600 ms.
-	lookPatience = 150 * time.Millisecond
+	updateTimeout = 150 * time.Millisecond
 )
 
 // Events is told of what happens to jobs, for logs and metrics.
@@ -49,17 +49,17 @@
 	ItemFailed(job *Job, item string, replica string, err error)
 	// ItemQuarantined tells of an item that is not sent, for it ended replicas.
 	ItemQuarantined(job *Job, item string, err error)
-	// GaveWay tells of an item that makes room for online requests, and why.
-	GaveWay(job *Job, item string, replica string, after int, why replica.Pressure)
+	// ItemPreempted tells of an item that makes room for online requests, and why.
+	ItemPreempted(job *Job, item string, replica string, after int, why replica.Pressure)
 	ItemListed(job *Job, item string, position int, dead Reason, took time.Duration)
 	Resolved(operation string, attempts int, err error)
 	Removed(job *Job, err error)
-	// Asked tells that a job was asked of the table for a reader, for the view was of an age
+	// Refreshed tells that a job was asked of the table for a reader, for the view was of an age
 	// at which it may lack a result. With an error nobody is sure, and the reader is told so
 	// unless it waits on.
-	Asked(job *Job, age time.Duration, err error)
-	// Homeless tells of a job whose items wait because no node of its homes lives.
-	Homeless(job *Job, homes place.Regions)
+	Refreshed(job *Job, age time.Duration, err error)
+	// AwaitingRegion tells of a job whose items wait because no node of its homes lives.
+	AwaitingRegion(job *Job, regions place.Regions)
 }
 
 // Service accepts, reads and ends jobs. It is safe for concurrent use.
@@ -77,25 +77,25 @@
 	Routes func() *route.Table
 	// Slots, if set, returns the slots of a pool's replicas by region.
 	Slots func(pool string) map[string]int
-	// Tell, if set, tells nodes that there is news of a job for them. The word may be
+	// Notify, if set, tells nodes that there is news of a job for them. The word may be
 	// lost: the feed brings the news all the same.
-	Tell func(nodes []string, job string)
-	// Awaited, if set, is told that a caller waits for news of a job.
-	Awaited func()
+	Notify func(nodes []string, job string)
+	// RequestUpdate, if set, is told that a caller waits for news of a job.
+	RequestUpdate func()
 
-	// waiting counts the callers that wait for news.
-	waiting atomic.Int64
+	// waiters counts the callers that wait for news.
+	waiters atomic.Int64
 
-	// Settle is how long after a result was read at any node this one has to show it; zero is
+	// MaxStaleness is how long after a result was read at any node this one has to show it; zero is
 	// DefaultSettle.
-	Settle time.Duration
+	MaxStaleness time.Duration
 
-	cache textCache
-	pace  pace
-	// asks are the questions to the table about jobs that are under way, one a job.
-	asks singleflight.Group
-	// askLimit bounds them.
-	askLimit askLimit
+	cache        textCache
+	writeLatency writeLatency
+	// refreshes are the questions to the table about jobs that are under way, one a job.
+	refreshes singleflight.Group
+	// refreshLimit bounds them.
+	refreshLimit refreshLimiter
 	// contents are the items of jobs that this node accepted lately.
 	contentMu sync.Mutex
 	contents  map[string][]Item
@@ -106,55 +106,55 @@
 // is nothing to do; it is called again whenever the row has moved on, so it
 // also finds out that an unanswered write of its own has landed.
 func (s *Service) update(ctx context.Context, id string, change func(*Progress) ([]table.Write, bool)) error {
-	delay := retryFirst
+	delay := retryDelay
 	attempts := 0
 	operation := table.NewOperation()
-	standing := standingRows{}
+	foreign := foreignRows{}
 	for {
 		entry := s.View.Get(id)
 		if entry == nil {
 			return Error.Wrap(ErrNotFound)
 		}
-		if s.View.Lost(id) {
+		if s.View.ProgressUnreadable(id) {
 			// No version of the row is known that a change could follow on.
 			return Error.Wrap(outcome.Failed(ErrUnreadable))
 		}
 		next := entry.Progress.clone()
-		more, needed := change(next)
+		extra, needed := change(next)
 		if !needed {
-			s.resolved(operation, attempts, nil)
+			s.reportResolved(operation, attempts, nil)
 			return nil
 		}
-		standing.replace(more)
+		foreign.expectExisting(extra)
 		attempts++
-		err := s.pace.call(ctx, attempts-1, func(callCtx context.Context) error {
-			return s.commitProgress(callCtx, id, entry.Version, next, operation, more)
+		err := s.writeLatency.call(ctx, attempts-1, func(callCtx context.Context) error {
+			return s.commitProgress(callCtx, id, entry.Version, next, operation, extra)
 		})
 		if err == nil {
-			s.resolved(operation, attempts, nil)
+			s.reportResolved(operation, attempts, nil)
 			return nil
 		}
-		if s.learn(err) && s.moved(entry) {
+		if s.applyConflict(err) && s.hasChanged(entry) {
 			continue
 		}
-		standing.note(err, more, s.View.Unreadable)
+		foreign.record(err, extra, s.View.Unreadable)
 		if !retry.Sleep(ctx, delay) {
-			s.resolved(operation, attempts, err)
+			s.reportResolved(operation, attempts, err)
 			return Error.Wrap(outcome.Undecided(err))
 		}
-		delay = min(2*delay, retryMax)
+		delay = min(2*delay, retryDelayMax)
 	}
 }
 
-func (s *Service) resolved(operation string, attempts int, err error) {
+func (s *Service) reportResolved(operation string, attempts int, err error) {
 	if attempts > 1 {
 		s.Events.Resolved(operation, attempts, err)
 	}
 }
 
-func (s *Service) commitProgress(ctx context.Context, id string, version uint64, next *Progress, operation string, more []table.Write) error {
+func (s *Service) commitProgress(ctx context.Context, id string, version uint64, next *Progress, operation string, extra []table.Write) error {
 	write := table.Write{Key: progressKey(id), Expect: version, Body: encode(next)}
-	versions, err := s.Table.Commit(ctx, operation, append([]table.Write{write}, more...)...)
+	versions, err := s.Table.Commit(ctx, operation, append([]table.Write{write}, extra...)...)
 	if err != nil {
 		return err
 	}
@@ -162,27 +162,27 @@
 	return nil
 }
 
-// moved reports whether something else is known of a job than an entry says. If not, the
+// hasChanged reports whether something else is known of a job than an entry says. If not, the
 // same change would meet the same conflict at once.
-func (s *Service) moved(entry *Entry) bool {
+func (s *Service) hasChanged(entry *Entry) bool {
 	known := s.View.Get(entry.Job.ID)
-	return known == nil || known.Version != entry.Version || s.View.Lost(entry.Job.ID)
+	return known == nil || known.Version != entry.Version || s.View.ProgressUnreadable(entry.Job.ID)
 }
 
-// learn takes in the rows of a conflict. It reports whether there were any.
-func (s *Service) learn(err error) bool {
+// applyConflict takes in the rows of a conflict. It reports whether there were any.
+func (s *Service) applyConflict(err error) bool {
 	var conflict *table.ConflictError
 	if !errors.As(err, &conflict) {
 		return false
 	}
-	learned := false
+	applied := false
 	for _, row := range conflict.Rows {
 		if table.InGroup(row.Partition, Group) {
 			s.View.Put(row)
-			learned = true
+			applied = true
 		}
 	}
-	return learned
+	return applied
 }
 
 // Tenant returns the name of the tenant that a job is of; empty if callers were not
@@ -210,26 +210,26 @@
 	})
 	s.Events.Ended(id, err)
 	if entry := s.View.Get(id); err == nil && entry != nil {
-		s.tell(entry.runners(), id)
+		s.notify(entry.activeNodes(), id)
 	}
 	return err
 }
 
-// tell tells nodes that there is news of a job for them.
-func (s *Service) tell(nodes []string, job string) {
-	if s.Tell != nil && len(nodes) > 0 {
-		s.Tell(nodes, job)
+// notify tells nodes that there is news of a job for them.
+func (s *Service) notify(nodes []string, job string) {
+	if s.Notify != nil && len(nodes) > 0 {
+		s.Notify(nodes, job)
 	}
 }
 
-// Waiting returns the number of callers that wait for news of a job.
-func (s *Service) Waiting() int { return int(s.waiting.Load()) }
+// Waiters returns the number of callers that wait for news of a job.
+func (s *Service) Waiters() int { return int(s.waiters.Load()) }
 
 // find returns a job from the view or else from the store, so that a job that
 // was accepted a moment ago elsewhere is known here too. Before all jobs have been
 // read once no news of a job comes by the feed, so it is read from the store each time.
 func (s *Service) find(ctx context.Context, id string) (*Entry, error) {
-	if entry := s.View.Get(id); entry != nil && s.View.Known() {
+	if entry := s.View.Get(id); entry != nil && s.View.Loaded() {
 		return entry, nil
 	}
 	row, err := s.getRow(ctx, jobKey(id))
@@ -254,7 +254,7 @@
 }
 
 func (s *Service) getRow(ctx context.Context, key table.Key) (row table.Row, err error) {
-	err = repeat(ctx, callTimeout, func(callCtx context.Context) error {
+	err = retryCall(ctx, callTimeout, func(callCtx context.Context) error {
 		row, err = s.Table.Get(callCtx, key)
 		return err
 	})
--- a/internal/jobs/room_test.go
+++ b/internal/jobs/slots_test.go
@@ -80,9 +80,9 @@
 func (s *roomSite) account() string {
 	text := ""
 	for _, node := range s.nodes {
-		if waiting := node.runner.Waiting(); !node.dead.Load() && len(waiting) > 0 {
+		if waiting := node.runner.ItemWaits(); !node.dead.Load() && len(waiting) > 0 {
 			share := node.set.Learned(clock.Now())[testPool].Share
-			text += fmt.Sprintf("\n%s, share %d, %d items, the oldest waits for %s since %v", node.name, share, len(waiting), waiting[0].For, clock.Since(waiting[0].Since))
+			text += fmt.Sprintf("\n%s, share %d, %d items, the oldest waits for %s since %v", node.name, share, len(waiting), waiting[0].For, clock.Since(waiting[0].LastProgress))
 		}
 	}
 	return text
--- a/internal/jobs/roomprop_test.go
+++ b/internal/jobs/slotsprop_test.go
@@ -155,11 +155,11 @@
 func (s *roomSite) longest(free time.Time) time.Duration {
 	var longest time.Duration
 	for _, node := range s.nodes {
-		for _, one := range node.runner.Waiting() {
+		for _, one := range node.runner.ItemWaits() {
 			if node.dead.Load() || one.For == WaitAnswer || one.For == WaitListing {
 				continue
 			}
-			since := one.Since
+			since := one.LastProgress
 			if free.After(since) {
 				since = free
 			}
--- a/internal/jobs/roomsite_test.go
+++ b/internal/jobs/slotssite_test.go
@@ -116,7 +116,7 @@
 		Service: node.Service, Replicas: node.set, Backend: node, Reserver: node, Routes: batchTable, Owners: s.owners,
 		ViewAge: func() time.Duration { return 0 }, Region: regionOf(name),
 	})
-	node.set.Pressed = node.runner.Yield
+	node.set.Pressed = node.runner.Preempt
 	s.nodes = append(s.nodes, node)
 }
 
@@ -139,10 +139,10 @@
 		for _, need := range n.set.Needs(clock.Now()) {
 			why := replica.Pressure{Fleet: need.Fleet}
 			if need.Excess > 0 {
-				n.runner.YieldPool(need.Pool, need.Excess, why)
+				n.runner.PreemptPool(need.Pool, need.Excess, why)
 			}
 			if need.BorrowedExcess > 0 {
-				n.runner.YieldBorrowed(need.Pool, need.BorrowedExcess, why)
+				n.runner.PreemptBorrowed(need.Pool, need.BorrowedExcess, why)
 			}
 			for _, other := range n.site.someOthers(n, 3) {
 				if late := n.site.late(); late >= 0 {
--- a/internal/jobs/spread.go
+++ b/internal/jobs/spread.go
@@ -13,10 +13,10 @@
 // region that has the fewest to run. Items that may run only once stay with the owner,
 // for only an owner may mark them.
 func (s *Service) spread(job *Job, submission *Submission, self string) {
-	if s.Fleet == nil || slices.ContainsFunc(submission.Items, func(item Item) bool { return item.Once }) {
+	if s.Fleet == nil || slices.ContainsFunc(submission.Items, func(item Item) bool { return item.AtMostOnce }) {
 		return
 	}
-	placing := s.placing(job, s.homes(job), self)
+	placing := s.newPlacement(job, s.allowedRegions(job), self)
 	if placing == nil {
 		return
 	}
@@ -30,11 +30,11 @@
 		}
 		job.Items[i].Node = index[node]
 	}
-	job.Regions = shorten(job.Regions)
+	job.Regions = compactRegions(job.Regions)
 }
 
-// shorten returns the regions of nodes as a job row holds them.
-func shorten(regions []string) []string {
+// compactRegions returns the regions of nodes as a job row holds them.
+func compactRegions(regions []string) []string {
 	if len(slices.Compact(slices.Clone(regions))) > 1 {
 		return regions
 	}
@@ -48,51 +48,51 @@
 func (v *View) load() map[string]int {
 	load := map[string]int{}
 	for _, entry := range v.Open() {
-		listed := entry.Progress.listed(len(entry.Job.Items))
+		listed := entry.Progress.listedItems(len(entry.Job.Items))
 		for i := range entry.Job.Items {
 			if !listed[i] {
-				load[entry.runner(i)]++
+				load[entry.nodeOf(i)]++
 			}
 		}
 	}
 	return load
 }
 
-// listed tells of each item whether it is listed.
-func (p *Progress) listed(items int) []bool {
+// listedItems tells of each item whether it is listedItems.
+func (p *Progress) listedItems(items int) []bool {
 	listed := make([]bool, items)
-	for _, one := range p.Listed {
-		listed[one.Item] = true
+	for _, result := range p.Listed {
+		listed[result.Item] = true
 	}
 	return listed
 }
 
-// runner returns the node that runs an item.
-func (e *Entry) runner(item int) string {
+// nodeOf returns the node that runs an item.
+func (e *Entry) nodeOf(item int) string {
 	if len(e.Job.Nodes) == 0 {
 		return lease.Node(e.Progress.Owner)
 	}
-	if node, ok := e.Progress.Moved[item]; ok {
+	if node, ok := e.Progress.Reassigned[item]; ok {
 		return node
 	}
 	return e.Job.Nodes[e.Job.Items[item].Node]
 }
 
-// runners returns the nodes that have unlisted items to run, each once.
-func (e *Entry) runners() []string {
+// activeNodes returns the nodes that have unlisted items to run, each once.
+func (e *Entry) activeNodes() []string {
 	var nodes []string
-	listed := e.Progress.listed(len(e.Job.Items))
+	listed := e.Progress.listedItems(len(e.Job.Items))
 	for i := range e.Job.Items {
-		if node := e.runner(i); !listed[i] && node != "" && !slices.Contains(nodes, node) {
+		if node := e.nodeOf(i); !listed[i] && node != "" && !slices.Contains(nodes, node) {
 			nodes = append(nodes, node)
 		}
 	}
 	return nodes
 }
 
-// region returns the region where an item was to run when its job was accepted; empty if
+// regionOf returns the regionOf where an item was to run when its job was accepted; empty if
 // it is not known.
-func (e *Entry) region(item int) string {
+func (e *Entry) regionOf(item int) string {
 	switch len(e.Job.Regions) {
 	case 0:
 		return ""
@@ -103,8 +103,8 @@
 	}
 }
 
-// own returns the unlisted items that a session is to run.
-func (e *Entry) own(session string) []int {
+// ownItems returns the unlisted items that a session is to run.
+func (e *Entry) ownItems(session string) []int {
 	if len(e.Job.Nodes) == 0 && e.Progress.Owner != session {
 		return nil
 	}
@@ -114,7 +114,7 @@
 // unlisted returns the items that are not listed.
 func (e *Entry) unlisted() []int {
 	var items []int
-	for i, listed := range e.Progress.listed(len(e.Job.Items)) {
+	for i, listed := range e.Progress.listedItems(len(e.Job.Items)) {
 		if !listed {
 			items = append(items, i)
 		}
@@ -125,9 +125,9 @@
 // itemsOf returns the unlisted items that a node is to run.
 func (e *Entry) itemsOf(node string) []int {
 	var items []int
-	listed := e.Progress.listed(len(e.Job.Items))
+	listed := e.Progress.listedItems(len(e.Job.Items))
 	for i := range e.Job.Items {
-		if !listed[i] && e.runner(i) == node {
+		if !listed[i] && e.nodeOf(i) == node {
 			items = append(items, i)
 		}
 	}
--- a/internal/jobs/spread_test.go
+++ b/internal/jobs/spread_test.go
@@ -112,15 +112,15 @@
 	}
 	eventually(t, func() bool { return len(nodes[0].View.Get("j").Progress.Listed) == 3 })
 	runners[1].mu.Lock()
-	runners[1].paused = true
+	runners[1].stopped = true
 	runners[1].mu.Unlock()
 	after := &someOwners{live: owners.live[:1]}
 	runners[0].Owners = after
-	runners[0].claimLost(t.Context())
+	runners[0].claimOrphaned(t.Context())
 	if results := readAll(t, nodes[0], "j"); len(results) != 6 {
 		t.Fatalf("%d results of 6", len(results))
 	}
-	if moved := nodes[0].View.Get("j").Progress.Moved; len(moved) != 3 {
+	if moved := nodes[0].View.Get("j").Progress.Reassigned; len(moved) != 3 {
 		t.Fatalf("moved items are %v, want 3", moved)
 	}
 }
@@ -170,7 +170,7 @@
 		t.Fatalf("an unchanged job was looked at again: %d tasks", count)
 	}
 	entry := node.View.Get("j")
-	if err := node.list(t.Context(), entry.Job, []*task{{index: 0, text: []byte("x")}}); err != nil {
+	if err := node.listResults(t.Context(), entry.Job, []*task{{index: 0, text: []byte("x")}}); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, func() bool {
--- a/internal/jobs/stale_test.go
+++ b/internal/jobs/staleread_test.go
@@ -59,8 +59,8 @@
 // listOne lists the next item of a job by a node.
 func listOne(t *testing.T, node *Service, id string, item int) {
 	t.Helper()
-	done := &task{work: &work{job: node.View.Get(id).Job}, index: item, text: []byte("text")}
-	if err := node.list(t.Context(), node.View.Get(id).Job, []*task{done}); err != nil {
+	done := &task{owned: &ownedJob{job: node.View.Get(id).Job}, index: item, text: []byte("text")}
+	if err := node.listResults(t.Context(), node.View.Get(id).Job, []*task{done}); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/jobs/silent_test.go
+++ b/internal/jobs/stall_test.go
@@ -114,7 +114,7 @@
 			return reading.Results
 		}
 	}
-	t.Fatalf("after %v items of job %s are not listed: %+v", within, job, s.runner.Waiting())
+	t.Fatalf("after %v items of job %s are not listed: %+v", within, job, s.runner.ItemWaits())
 	return nil
 }
 
@@ -151,7 +151,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		site := newSilentSite(t, silentAtFirst(1, events(1, 3)))
 		job := submission("j", 1)
-		job.Items[0].Once = true
+		job.Items[0].AtMostOnce = true
 		job.Completion = time.Hour
 		if err := site.node.Submit(t.Context(), job); err != nil {
 			t.Fatal(err)
@@ -172,7 +172,7 @@
 				site := newSilentSite(t, silentAtFirst(1, ""))
 				site.startReplica(1000)
 				job := submission("j", 1)
-				job.Items[0].Once = once
+				job.Items[0].AtMostOnce = once
 				if err := site.node.Submit(t.Context(), job); err != nil {
 					t.Fatal(err)
 				}
@@ -227,7 +227,7 @@
 	job := submission(id, items)
 	job.Completion, job.Retention = time.Hour, time.Hour
 	for i := range job.Items {
-		job.Items[i].Once = once
+		job.Items[i].AtMostOnce = once
 	}
 	if err := s.node.Submit(t.Context(), job); err != nil {
 		t.Fatal(err)
@@ -303,7 +303,7 @@
 			if site.sent(attempt.Request.ID) > 20 {
 				return answerOf(http.StatusOK, events(attempt.LastEventID+1, 5)), nil
 			}
-			time.Sleep(itemSilence + itemSilence/silenceLooks)
+			time.Sleep(maxReplicaSilence + maxReplicaSilence/silenceChecks)
 			return nil, io.ErrUnexpectedEOF
 		}))
 		site.submitLasting(t, "j", 20, false)
--- a/internal/jobs/expire.go
+++ b/internal/jobs/sweep.go
@@ -13,33 +13,33 @@
 	// sweepMargin is kept beyond what was promised, for estimates of the store's
 	// clock differ between nodes.
 	sweepMargin = 10 * time.Second
-	// sweepAtOnce bounds the jobs that one look removes.
-	sweepAtOnce = 20
+	// maxSweepJobs bounds the jobs that one look removes.
+	maxSweepJobs = 20
 )
 
 // RunSweeping removes jobs that nobody may ask for any more, until the context
 // ends: those that are done or ended, keep after their acceptance. Zero keeps
 // all. Each job is removed by the node that Owners prefers for it.
-func (r *Runner) RunSweeping(ctx context.Context, keep time.Duration) {
-	if keep <= 0 {
+func (r *Runner) RunSweeping(ctx context.Context, retention time.Duration) {
+	if retention <= 0 {
 		return
 	}
 	for retry.Sleep(ctx, sweepInterval) {
-		r.sweepOld(ctx, keep)
+		r.sweepExpired(ctx, retention)
 	}
 }
 
-func (r *Runner) sweepOld(ctx context.Context, keep time.Duration) {
+func (r *Runner) sweepExpired(ctx context.Context, retention time.Duration) {
 	session, err := r.Service.Session(ctx)
-	if err != nil || r.stopped() || !r.Service.View.Known() {
+	if err != nil || r.isStopped() || !r.Service.View.Loaded() {
 		return
 	}
-	outdated := r.outdated(keep)
-	if len(outdated) == 0 || !r.refreshed(ctx) {
+	expired := r.expiredJobs(retention)
+	if len(expired) == 0 || !r.refreshOwners(ctx) {
 		return
 	}
 	removed := 0
-	for _, entry := range outdated {
+	for _, entry := range expired {
 		if r.Owners.Preferred(entry.Job.ID) != session {
 			continue
 		}
@@ -48,29 +48,29 @@
 		cancel()
 		r.Service.Events.Removed(entry.Job, err)
 		removed++
-		if err != nil || removed == sweepAtOnce {
+		if err != nil || removed == maxSweepJobs {
 			return
 		}
 	}
 }
 
-// refreshed brings what is known of other nodes up to date. It reports whether that was
+// refreshOwners brings what is known of other nodes up to date. It reports whether that was
 // possible.
-func (r *Runner) refreshed(ctx context.Context) bool {
+func (r *Runner) refreshOwners(ctx context.Context) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return r.Owners.Refresh(callCtx) == nil
 }
 
-// outdated returns the jobs that are done and have been kept for as long as was
+// expiredJobs returns the jobs that are done and have been kept for as long as was
 // promised.
-func (r *Runner) outdated(keep time.Duration) []*Entry {
-	var outdated []*Entry
+func (r *Runner) expiredJobs(retention time.Duration) []*Entry {
+	var expired []*Entry
 	for _, entry := range r.Service.View.All() {
-		lost := r.Service.View.Lost(entry.Job.ID)
-		if !lost && !entry.open() && r.Service.View.until(entry.Job.Created+keep+sweepMargin) < 0 {
-			outdated = append(outdated, entry)
+		lost := r.Service.View.ProgressUnreadable(entry.Job.ID)
+		if !lost && !entry.isOpen() && r.Service.View.timeUntil(entry.Job.Created+retention+sweepMargin) < 0 {
+			expired = append(expired, entry)
 		}
 	}
-	return outdated
+	return expired
 }
--- a/internal/jobs/expire_test.go
+++ b/internal/jobs/sweep_test.go
@@ -24,7 +24,7 @@
 	}}
 	runner, _ := startRunner(t, node, backend)
 	large := submission("large", 2)
-	large.Items[0].Body = make([]byte, maxInline+1)
+	large.Items[0].Body = make([]byte, maxInlineContent+1)
 	for _, submitted := range []*Submission{submission("done", 2), large, submission("open", 1)} {
 		if err := node.Submit(t.Context(), submitted); err != nil {
 			t.Fatal(err)
@@ -32,12 +32,12 @@
 	}
 	readAll(t, node, "done")
 	readAll(t, node, "large")
-	runner.sweepOld(t.Context(), time.Hour)
+	runner.sweepExpired(t.Context(), time.Hour)
 	if node.View.Get("done") == nil {
 		t.Fatal("a job was removed before its time")
 	}
 	// By this promise all of them are outdated.
-	runner.sweepOld(t.Context(), -time.Hour)
+	runner.sweepExpired(t.Context(), -time.Hour)
 	if node.View.Get("done") != nil || node.View.Get("large") != nil {
 		t.Fatal("outdated jobs are still there")
 	}
--- a/internal/jobs/claim.go
+++ b/internal/jobs/takeover.go
@@ -11,73 +11,73 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// errOwned reports that another node was faster.
-var errOwned = errors.New("job has another owner")
+// errOtherOwner reports that another node was faster.
+var errOtherOwner = errors.New("job has another owner")
 
 // RunClaims takes over jobs whose owner is gone, until the context ends.
 func (r *Runner) RunClaims(ctx context.Context) {
 	for retry.Sleep(ctx, r.Owners.RefreshInterval()) {
-		r.claimLost(ctx)
+		r.claimOrphaned(ctx)
 	}
 }
 
-func (r *Runner) claimLost(ctx context.Context) {
+func (r *Runner) claimOrphaned(ctx context.Context) {
 	session, err := r.Service.Session(ctx)
-	if err != nil || r.stopped() || !r.Service.View.Known() || r.Service.Routes != nil && r.Service.Routes() == nil {
+	if err != nil || r.isStopped() || !r.Service.View.Loaded() || r.Service.Routes != nil && r.Service.Routes() == nil {
 		return
 	}
-	if !r.refreshed(ctx) {
+	if !r.refreshOwners(ctx) {
 		return
 	}
 	r.Replicas.Divide(lease.Node(session), r.Owners.Places())
 	live := r.Owners.Live()
-	var found nobodys
+	var orphans orphans
 	for _, entry := range r.Service.View.Open() {
-		r.claimEntry(ctx, entry, live, session, &found)
+		r.claimEntry(ctx, entry, live, session, &orphans)
 	}
-	r.noteNobodys(found)
+	r.setOrphans(orphans)
 }
 
 // claimEntry takes over what this node should of a job. Only nodes in its homes do, those
 // of the region where the items were first.
-func (r *Runner) claimEntry(ctx context.Context, entry *Entry, live []string, session string, found *nobodys) {
-	homes := r.Service.homes(entry.Job)
-	allowed := r.Service.allowed(live, homes)
-	if homes != nil && len(allowed) == 0 {
+func (r *Runner) claimEntry(ctx context.Context, entry *Entry, live []string, session string, orphans *orphans) {
+	regions := r.Service.allowedRegions(entry.Job)
+	candidates := r.Service.inRegions(live, regions)
+	if regions != nil && len(candidates) == 0 {
 		if lease.Preferred(live, entry.Job.ID) == session {
-			found.add(entry, entry.unlisted(), WaitHome)
-			r.awaitHome(ctx, entry, homes)
+			orphans.add(entry, entry.unlisted(), WaitRegion)
+			r.awaitRegion(ctx, entry, regions)
 		}
 		return
 	}
-	delete(r.homeless, entry.Job.ID)
+	delete(r.awaitingRegion, entry.Job.ID)
 	if len(entry.Job.Nodes) == 0 {
-		if entry.Progress.Owner != session && r.mayClaim(entry, homes, allowed, session) {
-			found.add(entry, entry.unlisted(), WaitOwner)
+		if entry.Progress.Owner != session && r.mayClaim(entry, regions, candidates, session) {
+			orphans.add(entry, entry.unlisted(), WaitOwner)
 			r.claim(ctx, entry, session)
 		}
 		return
 	}
-	for _, lost := range r.lostItems(entry, homes, session) {
-		if lease.Preferred(r.near(allowed, lost.region), entry.Job.ID+lost.node) == session {
-			found.add(entry, entry.itemsOf(lost.node), WaitOwner)
+	for _, lost := range r.lostItems(entry, regions, session) {
+		if lease.Preferred(r.preferRegion(candidates, lost.region), entry.Job.ID+lost.node) == session {
+			orphans.add(entry, entry.itemsOf(lost.node), WaitOwner)
 			r.claimItems(ctx, entry, lost, session)
 		}
 	}
 }
 
-// near returns those of some sessions whose nodes stand in a region, all if none does.
-func (r *Runner) near(sessions []string, region string) []string {
-	var near []string
+// preferRegion returns those of some sessions whose nodes stand in a region, all if none does.
+func (r *Runner) preferRegion(sessions []string, region string) []string {
+	var matching []string
 	for _, session := range sessions {
 		if region != "" && r.Owners.Region(lease.Node(session)) == region {
-			near = append(near, session)
+			matching = append(matching, session)
 		}
 	}
-	if len(near) == 0 {
+	if len(matching) == 0 {
 		return sessions
 	}
-	return near
+	return matching
 }
 
 // lostItems are the items of a job that a node cannot run any more, by the region where
@@ -87,16 +87,16 @@
 
 // lostItems returns what nodes have to run of a job that are gone, or stand outside its
 // homes.
-func (r *Runner) lostItems(entry *Entry, homes place.Regions, session string) []lostItems {
+func (r *Runner) lostItems(entry *Entry, regions place.Regions, session string) []lostItems {
 	var lost []lostItems
-	listed := entry.Progress.listed(len(entry.Job.Items))
+	listed := entry.Progress.listedItems(len(entry.Job.Items))
 	for i := range entry.Job.Items {
-		one := lostItems{node: entry.runner(i), region: entry.region(i)}
-		if listed[i] || one.node == lease.Node(session) || slices.Contains(lost, one) {
+		l := lostItems{node: entry.nodeOf(i), region: entry.regionOf(i)}
+		if listed[i] || l.node == lease.Node(session) || slices.Contains(lost, l) {
 			continue
 		}
-		if r.Owners.Gone(one.node) || r.displaced(one.node, homes) {
-			lost = append(lost, one)
+		if r.Owners.Gone(l.node) || r.outsideRegions(l.node, regions) {
+			lost = append(lost, l)
 		}
 	}
 	return lost
@@ -115,13 +115,13 @@
 		next := Entry{Job: entry.Job, Progress: progress}
 		changed := false
 		for _, item := range items {
-			if next.runner(item) != lost.node || entry.region(item) != lost.region || progress.has(item) {
+			if next.nodeOf(item) != lost.node || entry.regionOf(item) != lost.region || progress.isListed(item) {
 				continue
 			}
-			if progress.Moved == nil {
-				progress.Moved = map[int]string{}
+			if progress.Reassigned == nil {
+				progress.Reassigned = map[int]string{}
 			}
-			progress.Moved[item] = lease.Node(session)
+			progress.Reassigned[item] = lease.Node(session)
 			changed = true
 		}
 		return nil, changed
@@ -131,13 +131,13 @@
 
 // mayClaim reports whether this node should take a job over: its own from before a
 // restart at once, those of others once their owner is gone or outside the job's homes.
-func (r *Runner) mayClaim(entry *Entry, homes place.Regions, allowed []string, session string) bool {
+func (r *Runner) mayClaim(entry *Entry, regions place.Regions, candidates []string, session string) bool {
 	owner := entry.Progress.Owner
 	if owner != "" && lease.SameNode(owner, session) {
-		return r.Service.mayHold(entry.Job, session)
+		return r.Service.mayStore(entry.Job, session)
 	}
-	free := owner == "" || r.Owners.Expired(owner) || r.displaced(lease.Node(owner), homes)
-	return free && lease.Preferred(allowed, entry.Job.ID) == session
+	free := owner == "" || r.Owners.Expired(owner) || r.outsideRegions(lease.Node(owner), regions)
+	return free && lease.Preferred(candidates, entry.Job.ID) == session
 }
 
 // claim makes this node the owner, unless another one is by then.
@@ -155,13 +155,13 @@
 		return nil, true
 	})
 	if err == nil && lost {
-		err = errOwned
+		err = errOtherOwner
 	}
 	r.Service.Events.Claimed(entry, from, err)
 }
 
-func (r *Runner) stopped() bool {
+func (r *Runner) isStopped() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.paused
+	return r.stopped
 }
--- a/internal/jobs/leftover_test.go
+++ b/internal/jobs/unlisted_test.go
@@ -55,17 +55,17 @@
 				if err := node.Submit(t.Context(), submission("j", 4)); err != nil {
 					t.Fatal(err)
 				}
-				time.Sleep(time.Second + textPatience)
+				time.Sleep(time.Second + textPutTimeout)
 				if listed := len(node.View.Get("j").Progress.Listed); listed != 3 {
 					t.Fatalf("%d items are listed, want the three whose texts need no object", listed)
 				}
-				if waiting := runner.Waiting(); len(waiting) != 1 || waiting[0].For != WaitListing || waiting[0].Cause == nil {
+				if waiting := runner.ItemWaits(); len(waiting) != 1 || waiting[0].For != WaitListing || waiting[0].Cause == nil {
 					t.Fatalf("waiting are %+v, want one item for its listing, with the cause", waiting)
 				}
 				objects.put.Store(nil)
-				time.Sleep(textPatience)
+				time.Sleep(textPutTimeout)
 				if entry := node.View.Get("j"); !entry.Done() {
-					t.Fatalf("listed are %v: %+v", entry.Progress.Listed, runner.Waiting())
+					t.Fatalf("listed are %v: %+v", entry.Progress.Listed, runner.ItemWaits())
 				}
 			})
 		})
@@ -80,23 +80,23 @@
 		shared, objects := tabletest.New(), &objecttest.Store{}
 		accepting := startNode(t, shared, objects, "b#1")
 		job := submission("j", 3)
-		job.Items[0].Body = []byte(strings.Repeat("x", 2*maxInline))
+		job.Items[0].Body = []byte(strings.Repeat("x", 2*maxInlineContent))
 		job.Retention = 20 * time.Second
 		if err := accepting.Submit(t.Context(), job); err != nil {
 			t.Fatal(err)
 		}
-		if err := objects.Delete(t.Context(), contentKey("j")); err != nil {
+		if err := objects.Delete(t.Context(), contentObject("j")); err != nil {
 			t.Fatal(err)
 		}
 		node := startNode(t, shared, objects, "b#2")
 		runner, _ := startRunner(t, node, sendFunc(longAnswer))
 		takeOver(t, runner, "j", "b#2")
 		time.Sleep(5 * time.Second)
-		waiting := runner.Waiting()
+		waiting := runner.ItemWaits()
 		if len(waiting) != 3 || waiting[0].For != WaitContent || waiting[0].Cause == nil {
 			t.Fatalf("waiting are %+v, want three items for their content, with the cause", waiting)
 		}
-		if since := clock.Since(waiting[0].Since); since < 4*time.Second {
+		if since := clock.Since(waiting[0].LastProgress); since < 4*time.Second {
 			t.Fatalf("waits for %v, want since it was taken up", since)
 		}
 		time.Sleep(20 * time.Second)
--- a/internal/jobs/unreadable_test.go
+++ b/internal/jobs/unreadable_test.go
@@ -96,7 +96,7 @@
 		t.Errorf("reading is %+v, %v", reading, err)
 	}
 	overwrite(t, shared, progressKey("j"), before.Body)
-	eventually(t, func() bool { return !node.View.Lost("j") })
+	eventually(t, func() bool { return !node.View.ProgressUnreadable("j") })
 	if err := node.End(t.Context(), "j"); err != nil {
 		t.Errorf("end of a readable job: %v", err)
 	}
@@ -123,9 +123,9 @@
 	before := overwrite(t, shared, progressKey("spoilt"), damage)
 	close(damaged)
 	readAll(t, node, "sound")
-	time.Sleep(5 * tick)
+	time.Sleep(5 * dispatchInterval)
 	sent := backend.attempts()
-	time.Sleep(5 * tick)
+	time.Sleep(5 * dispatchInterval)
 	if backend.attempts() != sent {
 		t.Errorf("items of the damaged job are sent: %d, then %d", sent, backend.attempts())
 	}
@@ -206,7 +206,7 @@
 	if err := node.Submit(t.Context(), asked); err != nil {
 		t.Fatal(err)
 	}
-	node.forget("j")
+	node.dropContent("j")
 	overwrite(t, shared, chunkKey("j", 0), damage)
 	backend := &scriptedBackend{answer: func(*forward.Attempt, int) (*forward.Answer, error) {
 		return answerOf(http.StatusOK, events(1, 3)), nil
@@ -235,9 +235,9 @@
 	entry := node.View.Get("j")
 	var done []*task
 	for index := range 3 {
-		done = append(done, &task{work: &work{job: entry.Job}, index: index, text: []byte("text")})
+		done = append(done, &task{owned: &ownedJob{job: entry.Job}, index: index, text: []byte("text")})
 	}
-	if err := node.list(t.Context(), entry.Job, done); err != nil {
+	if err := node.listResults(t.Context(), entry.Job, done); err != nil {
 		t.Fatal(err)
 	}
 	overwrite(t, shared, resultKey("j", 1), damage)
@@ -298,7 +298,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	err := node.list(ctx, entry.Job, []*task{{work: &work{job: entry.Job}, text: []byte("other")}})
+	err := node.listResults(ctx, entry.Job, []*task{{owned: &ownedJob{job: entry.Job}, text: []byte("other")}})
 	if err == nil || commits.Load() > 20 || told.count(resultKey("j", 0)) != 1 {
 		t.Errorf("%v after %d commits, told %d times", err, commits.Load(), told.count(resultKey("j", 0)))
 	}
@@ -317,23 +317,23 @@
 	if err := node.Submit(t.Context(), submission("j", 2)); err != nil {
 		t.Fatal(err)
 	}
-	overwrite(t, shared, keptKey("j", 0), damage)
-	overwrite(t, shared, keptKey("j", 1), encode(storedResult{Text: "piece", After: 1}))
+	overwrite(t, shared, checkpointKey("j", 0), damage)
+	overwrite(t, shared, checkpointKey("j", 1), encode(storedResult{Text: "piece", LastEvent: 1}))
 	entry := node.View.Get("j")
 	for range 2 {
-		kept := node.keptTexts(t.Context(), entry)
-		if kept[0].Text != "" || kept[0].After != 0 || kept[0].version == 0 || kept[1].Text != "piece" {
+		kept := node.loadCheckpoints(t.Context(), entry)
+		if kept[0].Text != "" || kept[0].LastEvent != 0 || kept[0].version == 0 || kept[1].Text != "piece" {
 			t.Fatalf("kept are %+v", kept)
 		}
 	}
-	if told.count(keptKey("j", 0)) != 1 {
-		t.Errorf("told %d times", told.count(keptKey("j", 0)))
+	if told.count(checkpointKey("j", 0)) != 1 {
+		t.Errorf("told %d times", told.count(checkpointKey("j", 0)))
 	}
 	runner := NewRunner(RunnerOptions{Service: node.Service})
-	owned := &work{job: entry.Job}
-	version := node.keptTexts(t.Context(), entry)[0].version
-	owned.tasks = []*task{{work: owned, text: []byte("anew"), after: keepEvents, keptVersion: version}}
-	if !runner.keepTexts(t.Context(), owned, keepEvents) || node.keptTexts(t.Context(), entry)[0].Text != "anew" {
+	owned := &ownedJob{job: entry.Job}
+	version := node.loadCheckpoints(t.Context(), entry)[0].version
+	owned.tasks = []*task{{owned: owned, text: []byte("anew"), lastEvent: minCheckpointEvents, checkpointVersion: version}}
+	if !runner.checkpoint(t.Context(), owned, minCheckpointEvents) || node.loadCheckpoints(t.Context(), entry)[0].Text != "anew" {
 		t.Error("its next text is not kept")
 	}
 }
@@ -346,9 +346,9 @@
 		t.Fatal(err)
 	}
 	overwrite(t, shared, progressKey("j"), damage)
-	eventually(t, func() bool { return node.View.Lost("j") })
+	eventually(t, func() bool { return node.View.ProgressUnreadable("j") })
 	runner := NewRunner(RunnerOptions{Service: node.Service})
-	if !runner.release(t.Context(), &work{job: node.View.Get("j").Job}) {
+	if !runner.tryRelease(t.Context(), &ownedJob{job: node.View.Get("j").Job}) {
 		t.Error("it is to be handed back again")
 	}
 }
--- a/internal/jobs/unreadablefuzz_test.go
+++ b/internal/jobs/unreadablefuzz_test.go
@@ -10,7 +10,7 @@
 // FuzzView has any body of any row leave a view that can be used.
 func FuzzView(f *testing.F) {
 	job := &Job{ID: "j", Items: []ItemHead{{ID: "a", Tokens: 1}, {ID: "b", Tokens: 2, Node: 1}}, Nodes: []string{"n", "m"}, Regions: []string{"x", "y"}}
-	f.Add(encode(job), encode(Progress{Listed: []Listed{{Item: 1}}, Moved: map[int]string{0: "m"}}), encode(counter{Accepted: 3, Quota: 9}))
+	f.Add(encode(job), encode(Progress{Listed: []Listed{{Item: 1}}, Reassigned: map[int]string{0: "m"}}), encode(counter{Accepted: 3, Quota: 9}))
 	f.Add(encode(job), encode(Progress{Listed: []Listed{{Item: 7}}}), encode(counter{Accepted: -3}))
 	f.Add(encode(Job{ID: "j", Items: []ItemHead{{ID: "a", Node: 4}}}), []byte{}, []byte{0xff})
 	f.Fuzz(func(t *testing.T, job, progress, count []byte) {
@@ -22,12 +22,12 @@
 			{Row: table.Row{Key: progressKey("j"), Version: 3, Body: progress}},
 		}}, true)
 		for _, entry := range view.All() {
-			entry.runners()
-			entry.own("n#1")
-			entry.remaining()
+			entry.activeNodes()
+			entry.ownItems("n#1")
+			entry.unfinishedTokens()
 			entry.Progress.clone()
 			for item := range entry.Job.Items {
-				entry.region(item)
+				entry.regionOf(item)
 			}
 		}
 		if used := view.used(of); used < 0 {
--- a/internal/jobs/check.go
+++ b/internal/jobs/validate.go
@@ -13,34 +13,34 @@
 const maxChunks = 999
 
 var (
-	errOtherJob   = errors.New("the row names another job than its key")
-	errOtherPart  = errors.New("the row lies in another part than its job's")
-	errItems      = errors.New("no such number of items")
-	errItemHead   = errors.New("an item without an id, with negative tokens or of no node")
-	errChunks     = errors.New("no such number of chunks")
-	errRegions    = errors.New("not a region for each node")
-	errItemIndex  = errors.New("no such item")
-	errListedOnce = errors.New("an item is listed twice")
-	errNegative   = errors.New("a negative number")
+	errWrongJob       = errors.New("the row names another job than its key")
+	errWrongPartition = errors.New("the row lies in another part than its job's")
+	errItemCount      = errors.New("no such number of items")
+	errItemHead       = errors.New("an item without an id, with negative tokens or of no node")
+	errChunkCount     = errors.New("no such number of chunks")
+	errRegionCount    = errors.New("not a region for each node")
+	errItemIndex      = errors.New("no such item")
+	errListedTwice    = errors.New("an item is listed twice")
+	errNegative       = errors.New("a negative number")
 )
 
 // check reports what a job row cannot say under a job's key.
 func (j *Job) check(id string) error {
 	switch {
 	case j.ID != id:
-		return fmt.Errorf("%w: %q", errOtherJob, j.ID)
+		return fmt.Errorf("%w: %q", errWrongJob, j.ID)
 	case len(j.Items) == 0 || len(j.Items) > MaxItems:
-		return fmt.Errorf("%w: %d", errItems, len(j.Items))
+		return fmt.Errorf("%w: %d", errItemCount, len(j.Items))
 	case j.Chunks < 0 || j.Chunks > maxChunks:
-		return fmt.Errorf("%w: %d", errChunks, j.Chunks)
+		return fmt.Errorf("%w: %d", errChunkCount, j.Chunks)
 	case len(j.Regions) > 1 && len(j.Regions) != len(j.Nodes):
-		return fmt.Errorf("%w: %d regions of %d nodes", errRegions, len(j.Regions), len(j.Nodes))
+		return fmt.Errorf("%w: %d regions of %d nodes", errRegionCount, len(j.Regions), len(j.Nodes))
 	case j.Accepted < 0:
 		return fmt.Errorf("%w: %d tokens accepted", errNegative, j.Accepted)
 	}
 	for i, item := range j.Items {
-		ofNode := item.Node >= 0 && item.Node < max(1, len(j.Nodes))
-		if item.ID == "" || item.Tokens < 0 || !ofNode {
+		validNode := item.Node >= 0 && item.Node < max(1, len(j.Nodes))
+		if item.ID == "" || item.Tokens < 0 || !validNode {
 			return fmt.Errorf("%w: item %d", errItemHead, i)
 		}
 	}
@@ -50,26 +50,26 @@
 // check reports what a progress row cannot say of a job with so many items.
 func (p *Progress) check(items int) error {
 	listed := make([]bool, items)
-	for _, one := range p.Listed {
-		if one.Item < 0 || one.Item >= items {
-			return fmt.Errorf("%w: %d is listed", errItemIndex, one.Item)
+	for _, result := range p.Listed {
+		if result.Item < 0 || result.Item >= items {
+			return fmt.Errorf("%w: %d is listed", errItemIndex, result.Item)
 		}
-		if listed[one.Item] {
-			return fmt.Errorf("%w: %d", errListedOnce, one.Item)
+		if listed[result.Item] {
+			return fmt.Errorf("%w: %d", errListedTwice, result.Item)
 		}
-		listed[one.Item] = true
+		listed[result.Item] = true
 	}
-	named := slices.Clone(p.Started)
+	indexes := slices.Clone(p.Started)
 	for item, count := range p.Failures {
 		if count < 0 {
 			return fmt.Errorf("%w: %d failures", errNegative, count)
 		}
-		named = append(named, item)
+		indexes = append(indexes, item)
 	}
-	for item := range p.Moved {
-		named = append(named, item)
+	for item := range p.Reassigned {
+		indexes = append(indexes, item)
 	}
-	for _, item := range named {
+	for _, item := range indexes {
 		if item < 0 || item >= items {
 			return fmt.Errorf("%w: %d", errItemIndex, item)
 		}
--- a/internal/jobs/view.go
+++ b/internal/jobs/view.go
@@ -18,8 +18,8 @@
 	Version uint64
 }
 
-// remaining counts the tokens of items that hold room in the quota.
-func (e *Entry) remaining() int64 {
+// unfinishedTokens counts the tokens of items that hold room in the quota.
+func (e *Entry) unfinishedTokens() int64 {
 	if e.Progress.Ended {
 		return 0
 	}
@@ -33,8 +33,8 @@
 // Done reports whether all items are listed.
 func (e *Entry) Done() bool { return len(e.Progress.Listed) == len(e.Job.Items) }
 
-// open reports whether results are still to come.
-func (e *Entry) open() bool {
+// isOpen reports whether results are still to come.
+func (e *Entry) isOpen() bool {
 	return !e.Progress.Ended && len(e.Progress.Listed) < len(e.Job.Items)
 }
 
@@ -54,18 +54,18 @@
 	// asOf is when the source gave the newest answer of the feed.
 	asOf    time.Time
 	changed chan struct{}
-	// early holds progress rows whose job row has not come yet.
-	early map[string]table.Row
-	// lost holds the versions of progress rows that are newer than what is known of their
+	// earlyProgress holds progress rows whose job row has not come yet.
+	earlyProgress map[string]table.Row
+	// unreadable holds the versions of progress rows that are newer than what is known of their
 	// jobs and cannot be read.
-	lost map[string]uint64
+	unreadable map[string]uint64
 }
 
 // NewView returns a view that has seen nothing.
 func NewView() *View {
 	return &View{
 		jobs: map[string]*Job{}, progress: map[string]*Entry{}, counters: map[table.Key]knownCounter{},
-		changed: make(chan struct{}), early: map[string]table.Row{}, lost: map[string]uint64{},
+		changed: make(chan struct{}), earlyProgress: map[string]table.Row{}, unreadable: map[string]uint64{},
 	}
 }
 
@@ -79,16 +79,16 @@
 			continue
 		}
 		v.put(change.Row)
-		v.settle(change.Row)
+		v.settleCounter(change.Row)
 	}
 	for _, change := range changes.Changes {
-		v.rebuild(change)
+		v.resetCounter(change)
 	}
 	v.storeNow, v.readAt = changes.Now, clock.Now()
 	if !changes.More && changes.AsOf.After(v.asOf) {
 		v.asOf = changes.AsOf
 	}
-	v.wake()
+	v.notify()
 }
 
 // Put takes in rows that this node wrote or was shown.
@@ -98,7 +98,7 @@
 	for _, row := range rows {
 		v.put(row)
 	}
-	v.wake()
+	v.notify()
 }
 
 // put takes in a row. The caller holds mu.
@@ -107,19 +107,19 @@
 		v.putCounter(row)
 		return
 	}
-	if id, ok := strings.CutPrefix(row.Sort, prefixJob); ok && v.inPart(row, jobKey(id)) {
+	if id, ok := strings.CutPrefix(row.Sort, prefixJob); ok && v.checkKey(row, jobKey(id)) {
 		v.putJob(id, row)
 		return
 	}
-	if id, ok := strings.CutPrefix(row.Sort, prefixProgress); ok && v.inPart(row, progressKey(id)) {
+	if id, ok := strings.CutPrefix(row.Sort, prefixProgress); ok && v.checkKey(row, progressKey(id)) {
 		v.putProgress(id, row)
 	}
 }
 
-// inPart reports whether a row lies where its job's rows are. Another one is not the job's.
-func (v *View) inPart(row table.Row, own table.Key) bool {
-	if row.Key != own {
-		v.Unreadable.Report(row.AsUnreadable(table.Content, errOtherPart))
+// checkKey reports whether a row lies where its job's rows are. Another one is not the job's.
+func (v *View) checkKey(row table.Row, want table.Key) bool {
+	if row.Key != want {
+		v.Unreadable.Report(row.AsUnreadable(table.Content, errWrongPartition))
 		return false
 	}
 	return true
@@ -138,9 +138,9 @@
 	v.counters[row.Key] = known
 }
 
-// settle notes that the feed has come to a counter row: all jobs that are counted
+// settleCounter notes that the feed has come to a counter row: all jobs that are counted
 // in it have come too.
-func (v *View) settle(row table.Row) {
+func (v *View) settleCounter(row table.Row) {
 	if !strings.HasPrefix(row.Sort, prefixCounter) {
 		return
 	}
@@ -179,8 +179,8 @@
 	}
 	job.version = row.Version
 	v.jobs[id] = job
-	if early, ok := v.early[id]; ok {
-		delete(v.early, id)
+	if early, ok := v.earlyProgress[id]; ok {
+		delete(v.earlyProgress, id)
 		v.putProgress(id, early)
 	}
 }
@@ -188,8 +188,8 @@
 func (v *View) putProgress(id string, row table.Row) {
 	job := v.jobs[id]
 	if job == nil {
-		if row.Version > v.early[id].Version {
-			v.early[id] = row
+		if row.Version > v.earlyProgress[id].Version {
+			v.earlyProgress[id] = row
 		}
 		return
 	}
@@ -198,11 +198,11 @@
 	}
 	progress := &Progress{}
 	if !v.decode(row, progress, func() error { return progress.check(len(job.Items)) }) {
-		v.lost[id] = max(v.lost[id], row.Version)
+		v.unreadable[id] = max(v.unreadable[id], row.Version)
 		return
 	}
-	if row.Version > v.lost[id] {
-		delete(v.lost, id)
+	if row.Version > v.unreadable[id] {
+		delete(v.unreadable, id)
 	}
 	v.progress[id] = &Entry{Job: job, Progress: progress, Version: row.Version}
 }
@@ -211,13 +211,13 @@
 	if id, ok := strings.CutPrefix(key.Sort, prefixJob); ok && key == jobKey(id) {
 		delete(v.jobs, id)
 		delete(v.progress, id)
-		delete(v.early, id)
-		delete(v.lost, id)
+		delete(v.earlyProgress, id)
+		delete(v.unreadable, id)
 	}
 }
 
-// wake tells those that wait for a change. The caller holds mu.
-func (v *View) wake() {
+// notify tells those that wait for a change. The caller holds mu.
+func (v *View) notify() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
@@ -236,13 +236,13 @@
 	return v.progress[id]
 }
 
-// Lost reports whether what has become of a job cannot be read: it may have been ended, or
+// ProgressUnreadable reports whether what has become of a job cannot be read: it may have been ended, or
 // results listed that are not known here.
-func (v *View) Lost(id string) bool {
+func (v *View) ProgressUnreadable(id string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	_, lost := v.lost[id]
-	return lost
+	_, unreadable := v.unreadable[id]
+	return unreadable
 }
 
 // Open returns the jobs that have items to run. A job whose progress cannot be read rests: it
@@ -252,7 +252,7 @@
 	defer v.mu.Unlock()
 	var open []*Entry
 	for id, entry := range v.progress {
-		if _, lost := v.lost[id]; !lost && entry.open() {
+		if _, unreadable := v.unreadable[id]; !unreadable && entry.isOpen() {
 			open = append(open, entry)
 		}
 	}
@@ -277,9 +277,9 @@
 	return v.storeNow + clock.Since(v.readAt)
 }
 
-// Known reports whether the jobs have been looked at once. Before that neither
+// Loaded reports whether the jobs have been looked at once. Before that neither
 // the store's clock is known nor what has become of a job.
-func (v *View) Known() bool {
+func (v *View) Loaded() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return !v.readAt.IsZero()
@@ -294,12 +294,12 @@
 	return v.asOf
 }
 
-// until is the time left until a moment of the store's clock.
-func (v *View) until(moment time.Duration) time.Duration { return moment - v.Now() }
+// timeUntil is the time left timeUntil a moment of the store's clock.
+func (v *View) timeUntil(moment time.Duration) time.Duration { return moment - v.Now() }
 
-// await waits until the jobs have been looked at once: before that neither the
+// awaitLoaded waits until the jobs have been looked at once: before that neither the
 // store's clock nor the quota in use is known.
-func (v *View) await(ctx context.Context) error {
+func (v *View) awaitLoaded(ctx context.Context) error {
 	for {
 		v.mu.Lock()
 		reached, changed := !v.readAt.IsZero(), v.changed
--- a/internal/jobs/account_test.go
+++ b/internal/jobs/waits_test.go
@@ -60,16 +60,16 @@
 	if err := node.Submit(t.Context(), submission("j", 10)); err != nil {
 		t.Fatal(err)
 	}
-	counted := func(what Wait) int { return runner.Account(clock.Now())[what].Count }
-	for deadline := time.Now().Add(5 * time.Second); counted(WaitAnswer) < 8 || counted(WaitRoom) < 2; time.Sleep(5 * time.Millisecond) {
+	counted := func(what Wait) int { return runner.WaitCounts(clock.Now())[what].Count }
+	for deadline := time.Now().Add(5 * time.Second); counted(WaitAnswer) < 8 || counted(WaitSlot) < 2; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("account is %+v, want 8 items of 10 that run on 8 slots and 2 that wait for room", runner.Account(clock.Now()))
+			t.Fatalf("account is %+v, want 8 items of 10 that run on 8 slots and 2 that wait for room", runner.WaitCounts(clock.Now()))
 		}
 	}
 	if overdue := runner.Overdue(clock.Now()); len(overdue) > 0 {
 		t.Fatalf("%d items are overdue at once", len(overdue))
 	}
-	overdue := runner.Overdue(clock.Now().Add(overdueAfter))
+	overdue := runner.Overdue(clock.Now().Add(maxStall))
 	if len(overdue) != 10 || overdue[0].Job != "j" {
 		t.Fatalf("overdue are %+v, want all 10", overdue)
 	}
@@ -78,14 +78,14 @@
 // Each wait has a name of its own, and a bound unless it ends by what others declare.
 func TestWait_NamesAndBounds(t *testing.T) {
 	names := map[string]bool{}
-	for what := range waits {
+	for what := range waitKinds {
 		names[what.String()] = true
-		if bound := what.Bound(); bound <= 0 || bound > overdueAfter && bound != unbounded {
+		if bound := what.Bound(); bound <= 0 || bound > maxStall && bound != noBound {
 			t.Errorf("%s is bounded by %v", what, bound)
 		}
 	}
-	if len(names) != int(waits) || names["unknown"] {
-		t.Errorf("the names of %d waits are %v", waits, names)
+	if len(names) != int(waitKinds) || names["unknown"] {
+		t.Errorf("the names of %d waits are %v", waitKinds, names)
 	}
 }
 
@@ -103,10 +103,10 @@
 	if err := node.Submit(t.Context(), submission("j", 10)); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, func() bool { return runner.Account(clock.Now())[WaitRoom].Count > 0 })
-	for _, one := range runner.Waiting() {
+	eventually(t, func() bool { return runner.WaitCounts(clock.Now())[WaitSlot].Count > 0 })
+	for _, one := range runner.ItemWaits() {
 		var room replica.ItemRoom
-		if one.For == WaitRoom && (!errors.As(one.Cause, &room) || room.Share > 1) {
+		if one.For == WaitSlot && (!errors.As(one.Cause, &room) || room.Share > 1) {
 			t.Fatalf("item waits for room because of %v", one.Cause)
 		}
 	}
@@ -125,8 +125,8 @@
 	site.claim("n-1", "s-1")
 	told := 0
 	for _, node := range site.nodes {
-		told += node.runner.Account(clock.Now())[WaitHome].Count
-		if oldest := node.runner.Account(clock.Now())[WaitHome].Oldest; oldest > 0 && oldest < 20*time.Millisecond {
+		told += node.runner.WaitCounts(clock.Now())[WaitRegion].Count
+		if oldest := node.runner.WaitCounts(clock.Now())[WaitRegion].Oldest; oldest > 0 && oldest < 20*time.Millisecond {
 			t.Errorf("waits for %v, want since it was first found", oldest)
 		}
 	}
@@ -143,9 +143,9 @@
 	}
 	site.submit("n-1", "j", 4)
 	at := site.nodes["s-1"]
-	var waits []NodeWait
+	var waits []NodeWaitCount
 	eventually(t, func() bool {
-		waits = at.runner.Whereabouts(at.session, clock.Now(), func(job string) bool { return job == "j" })
+		waits = at.runner.WaitsByNode(at.session, clock.Now(), func(job string) bool { return job == "j" })
 		items := 0
 		for _, one := range waits {
 			items += one.Items
@@ -157,7 +157,7 @@
 			t.Fatalf("whereabouts are %+v", waits)
 		}
 	}
-	if other := at.runner.Whereabouts(at.session, clock.Now(), func(string) bool { return false }); len(other) > 0 {
+	if other := at.runner.WaitsByNode(at.session, clock.Now(), func(string) bool { return false }); len(other) > 0 {
 		t.Fatalf("whereabouts of no job are %+v", other)
 	}
 }
--- a/internal/jobs/whereabouts.go
+++ b/internal/jobs/waitsbynode.go
@@ -8,8 +8,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/lease"
 )
 
-// NodeWait counts the unlisted items of some jobs that wait for the same at one node.
-type NodeWait struct {
+// NodeWaitCount counts the unlisted items of some jobs that wait for the same at one node.
+type NodeWaitCount struct {
 	// Node is who runs them; empty if nobody does.
 	Node string
 	// For is what they wait for. Of other nodes than this one only the number is known.
@@ -20,43 +20,43 @@
 	Oldest time.Duration
 }
 
-// Whereabouts tells which nodes run the unlisted items of the jobs that concern the caller, and
+// WaitsByNode tells which nodes run the unlisted items of the jobs that concern the caller, and
 // what those of this node wait for. Whoever looks for the reason asks the node that runs them.
-func (r *Runner) Whereabouts(session string, now time.Time, concerns func(job string) bool) []NodeWait {
+func (r *Runner) WaitsByNode(session string, now time.Time, include func(job string) bool) []NodeWaitCount {
 	type key struct {
 		node  string
-		what  Wait
+		kind  Wait
 		known bool
 	}
-	counts := map[key]NodeWait{}
+	counts := map[key]NodeWaitCount{}
 	count := func(at key, waited time.Duration) {
-		one := counts[at]
-		one.Node, one.For, one.Known = at.node, at.what, at.known
-		one.Items++
-		one.Oldest = max(one.Oldest, waited)
-		counts[at] = one
+		wait := counts[at]
+		wait.Node, wait.For, wait.Known = at.node, at.kind, at.known
+		wait.Items++
+		wait.Oldest = max(wait.Oldest, waited)
+		counts[at] = wait
 	}
 	self := lease.Node(session)
-	for _, one := range r.Waiting() {
-		if concerns(one.Job) {
-			count(key{self, one.For, true}, now.Sub(one.Since))
+	for _, wait := range r.ItemWaits() {
+		if include(wait.Job) {
+			count(key{self, wait.For, true}, now.Sub(wait.LastProgress))
 		}
 	}
 	for _, entry := range r.Service.View.Open() {
-		if !concerns(entry.Job.ID) {
+		if !include(entry.Job.ID) {
 			continue
 		}
 		for _, item := range entry.unlisted() {
-			if node := entry.runner(item); node != self {
+			if node := entry.nodeOf(item); node != self {
 				count(key{node: node}, 0)
 			}
 		}
 	}
-	all := make([]NodeWait, 0, len(counts))
-	for _, one := range counts {
-		all = append(all, one)
+	all := make([]NodeWaitCount, 0, len(counts))
+	for _, wait := range counts {
+		all = append(all, wait)
 	}
-	slices.SortFunc(all, func(a, b NodeWait) int {
+	slices.SortFunc(all, func(a, b NodeWaitCount) int {
 		return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.For, b.For))
 	})
 	return all
