--- a/internal/node/batchwaits.go
+++ b/internal/node/batchwaits.go
@@ -56,7 +56,7 @@
 func (n *Node) batchWaits(id string) []v1.BatchWait {
 	var waits []v1.BatchWait
 	concerns := func(job string) bool { return batch.BatchOf(job) == id }
-	for _, one := range n.runner.Whereabouts(n.session.ID(), clock.Now(), concerns) {
+	for _, one := range n.runner.WaitsByNode(n.session.ID(), clock.Now(), concerns) {
 		wait := v1.BatchWait{Node: one.Node, Items: one.Items, OldestSeconds: one.Oldest.Seconds()}
 		if one.Known {
 			wait.Reason = one.For.String()
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -135,14 +135,14 @@
 	c.jobs = &jobs.Service{
 		Table: outside.table, Objects: outside.objects, View: view,
 		Events: &jobLog{log: log, sampled: c.sampled, metrics: metrics}, Session: c.ownSession,
-		Fleet: c.owners, Routes: c.routes.Load, Slots: c.replicas.RegionSlots, Awaited: c.jobWatch.Announce,
+		Fleet: c.owners, Routes: c.routes.Load, Slots: c.replicas.RegionSlots, RequestUpdate: c.jobWatch.Announce,
 	}
 	c.runner = jobs.NewRunner(jobs.RunnerOptions{
 		Service: c.jobs, Replicas: c.replicas, Backend: outside.backend, Routes: c.routes.Load, Owners: c.owners,
 		Weights: outside.weights, Zone: outside.zone, Region: outside.region, ViewAge: c.viewAge, CommitInterval: outside.commitInterval,
 		Quarantine: &c.harm.guard, EndQuarantined: outside.endQuarantined,
 	})
-	c.replicas.Pressed = c.runner.Yield
+	c.replicas.Pressed = c.runner.Preempt
 	return c
 }
 
@@ -173,7 +173,7 @@
 // jobPace returns the least time between two looks at the jobs' changes.
 func (c *core) jobPace() table.Pace {
 	spacing := max(jobSpacing, time.Duration(len(c.owners.Live()))*jobSpacingPerSession)
-	if c.jobs.Tell == nil || c.jobs.Waiting() > 0 {
+	if c.jobs.Notify == nil || c.jobs.Waiters() > 0 {
 		return table.Pace{AfterAnnouncement: spacing, Default: spacing}
 	}
 	return table.Pace{AfterAnnouncement: spacing, Default: max(jobSpacingUsual, spacing)}
@@ -227,7 +227,7 @@
 	c.spawn(func() { c.session.Run(ctx) })
 	c.spawn(func() { c.runner.Run(ctx) })
 	c.spawn(func() { c.runner.RunClaims(ctx) })
-	c.spawn(func() { c.runner.RunKeeping(ctx) })
+	c.spawn(func() { c.runner.RunCheckpoints(ctx) })
 	c.spawn(func() { c.harm.publisher.Run(ctx) })
 	c.spawn(func() { c.runWakeLog(ctx) })
 	c.spawn(func() { c.runWaitLog(ctx) })
@@ -235,7 +235,7 @@
 
 // handBackJobs gives this node's jobs to others before it stops.
 func (c *core) handBackJobs(ctx context.Context) {
-	c.runner.HandBack(ctx)
+	c.runner.Release(ctx)
 	if err := c.session.End(ctx); err != nil {
 		c.log.Warn().Err(err).Msg("session not ended, others wait for it to expire")
 	}
--- a/internal/node/gatewaydemand.go
+++ b/internal/node/gatewaydemand.go
@@ -47,10 +47,10 @@
 		for _, need := range g.replicas.Needs(clock.Now()) {
 			addNeed(told, g.near.region(), need)
 			if need.Excess > 0 {
-				g.runner.YieldPool(need.Pool, need.Excess, replica.Pressure{Fleet: need.Fleet})
+				g.runner.PreemptPool(need.Pool, need.Excess, replica.Pressure{Fleet: need.Fleet})
 			}
 			if need.BorrowedExcess > 0 {
-				g.runner.YieldBorrowed(need.Pool, need.BorrowedExcess, replica.Pressure{Fleet: need.Fleet})
+				g.runner.PreemptBorrowed(need.Pool, need.BorrowedExcess, replica.Pressure{Fleet: need.Fleet})
 			}
 		}
 		for region, words := range told {
--- a/internal/node/gatewaynews.go
+++ b/internal/node/gatewaynews.go
@@ -38,8 +38,8 @@
 
 // tellAllNews tells all nodes that one of them is gone.
 func (g *Gateway) tellAllNews() {
-	if g.jobs.Tell != nil && g.toldAll.Allow() {
-		g.jobs.Tell(g.roster.Nodes(), "")
+	if g.jobs.Notify != nil && g.toldAll.Allow() {
+		g.jobs.Notify(g.roster.Nodes(), "")
 	}
 }
 
--- a/internal/node/gatewaypeers.go
+++ b/internal/node/gatewaypeers.go
@@ -28,7 +28,7 @@
 	socket.Handle(peer.KindCrashReport, g.takeHarm)
 	g.harm.publisher.Broadcast, g.harm.guard.QueryPeers = g.tellHarm, g.askHarm
 	g.harm.publisher.OnWritten = g.tellAllNews
-	g.jobs.Tell = g.tellNews
+	g.jobs.Notify = g.tellNews
 	g.quota.Sender = socket
 	g.answerCold(socket)
 	g.metrics.registerPeers(socket)
--- a/internal/node/itemwaits.go
+++ b/internal/node/itemwaits.go
@@ -50,7 +50,7 @@
 // itemWaits is the account of this node's items as the status shows it.
 func (c *core) itemWaits() []server.ItemWait {
 	var waits []server.ItemWait
-	for _, one := range c.runner.Account(clock.Now()) {
+	for _, one := range c.runner.WaitCounts(clock.Now()) {
 		if one.Count > 0 {
 			waits = append(waits, server.ItemWait{Reason: one.For.String(), Items: one.Count, Oldest: one.Oldest.Seconds()})
 		}
@@ -64,7 +64,7 @@
 		overdue := c.runner.Overdue(clock.Now())
 		for _, one := range overdue[:min(len(overdue), waitLines)] {
 			c.log.Warn().Str("job", one.Job).Str("item", one.Item).Str("waits_for", one.For.String()).
-				Str("replica", one.Replica).Dur("for_ms", clock.Since(one.Begun)).Dur("still_ms", clock.Since(one.Since)).
+				Str("replica", one.Replica).Dur("for_ms", clock.Since(one.Start)).Dur("still_ms", clock.Since(one.LastProgress)).
 				Dur("bound_ms", one.For.Bound()).Int("overdue", len(overdue)).AnErr("cause", one.Cause).
 				Msg("item does not come on")
 		}
--- a/internal/node/joblog.go
+++ b/internal/node/joblog.go
@@ -44,8 +44,8 @@
 	l.log.Info().Str("job", entry.Job.ID).Str("from", from).Uint64("row_version", entry.Version).Err(err).Msg("job taken over")
 }
 
-// Asked implements jobs.Events.
-func (l *jobLog) Asked(job *jobs.Job, age time.Duration, err error) {
+// Refreshed implements jobs.Events.
+func (l *jobLog) Refreshed(job *jobs.Job, age time.Duration, err error) {
 	if err != nil {
 		l.metrics.jobs.WithLabelValues("unsure").Inc()
 		l.sampled.Warn().Str("job", job.ID).Dur("view_age_ms", age).Err(err).Msg("nobody is sure of a result, the table did not answer")
@@ -73,8 +73,8 @@
 	l.log.Warn().Str("job", job.ID).Str("item", item).Err(err).Msg("item quarantined")
 }
 
-// GaveWay implements jobs.Events.
-func (l *jobLog) GaveWay(job *jobs.Job, item, id string, after int, why replica.Pressure) {
+// ItemPreempted implements jobs.Events.
+func (l *jobLog) ItemPreempted(job *jobs.Job, item, id string, after int, why replica.Pressure) {
 	label := "arrival"
 	switch {
 	case why.Fleet > 0:
@@ -107,8 +107,8 @@
 	l.log.Info().Str("job", job.ID).Dur("accepted_at_ms", job.Created).Err(err).Msg("job removed")
 }
 
-// Homeless implements jobs.Events.
-func (l *jobLog) Homeless(job *jobs.Job, homes place.Regions) {
+// AwaitingRegion implements jobs.Events.
+func (l *jobLog) AwaitingRegion(job *jobs.Job, homes place.Regions) {
 	l.metrics.jobs.WithLabelValues("homeless").Inc()
 	l.log.Warn().Str("job", job.ID).Str("route", job.Route).Str("tenant", job.Tenant).Strs("homes", homes).
 		Msg("items wait, no node of an allowed region lives")
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -177,7 +177,7 @@
 // registerPools adds what is learned of a pool, once it serves, and what items wait for.
 func (m *coreMetrics) registerPools(c *core) {
 	m.registry.MustRegister(&poolCollector{replicas: c.replicas, now: clock.Now})
-	m.registry.MustRegister(&waitCollector{account: c.runner.Account, now: clock.Now})
+	m.registry.MustRegister(&waitCollector{account: c.runner.WaitCounts, now: clock.Now})
 }
 
 // registerAge adds the age of a watched source.
