--- a/internal/jobs/accept.go
+++ b/internal/jobs/accept.go
@@ -14,7 +14,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// Check reports what is wrong with a submission, as ErrInvalid.
+// Check returns ErrInvalid, with the reason, if the submission can never be accepted.
 func (s *Submission) Check() error {
 	if s.ID == "" {
 		return invalid("the job has no id")
@@ -54,8 +54,9 @@
 	return total
 }
 
-// Submit accepts a job for good, or says that it never runs (ErrQuota,
-// ErrNotAccepted), or that nobody can tell yet (ErrUndecided).
+// Submit accepts a job durably. ErrInvalid, ErrIDTaken, ErrQuota, ErrNotAccepted and ErrSuperseded
+// mean that the submission was not accepted and never runs, ErrUndecided that it may have been
+// accepted. Submitting an accepted job again succeeds.
 func (s *Service) Submit(ctx context.Context, submission *Submission) error {
 	start := clock.Now()
 	if err := submission.Check(); err != nil {
@@ -82,7 +83,7 @@
 		s.Events.Refused(submission.ID, 0, submission.tokens(), submission.Quota, err)
 		return Error.Wrap(errors.Join(ErrNotAccepted, err))
 	}
-	// The runner may take the job up before admit returns.
+	// The runner may start the job before admit returns.
 	s.cacheContent(submission.ID, submission.Items)
 	err := s.admit(ctx, submission, content, start)
 	if err != nil || !s.runsHere(ctx, submission.ID) {
@@ -91,7 +92,7 @@
 	return err
 }
 
-// acceptExisting answers a submission whose job is there: it is accepted, if it is the tenant's.
+// acceptExisting answers a submission whose job exists: it succeeds if the tenant is the same.
 func (s *Service) acceptExisting(submission *Submission, entry *Entry, start time.Time, resent bool) error {
 	if entry.Job.Tenant != submission.Tenant {
 		return Error.Wrap(ErrIDTaken)
@@ -100,10 +101,9 @@
 	return nil
 }
 
-// recheckRefusal answers a submission that is to be refused with an error by what is known here. Where
-// the view is old, the job may have been accepted elsewhere, and may fit: the table is asked for
-// it, and if it is not there the caller is told that it was not accepted, not that there is no
-// room.
+// recheckRefusal returns the error for a submission that does not fit by this node's view. If the
+// view is older than maxTrustedAge, the job may have been accepted elsewhere, or may fit by now, so
+// the table is read. If the job is not there, the error is ErrNotAccepted instead of ErrQuota.
 func (s *Service) recheckRefusal(ctx context.Context, submission *Submission, start time.Time, refusal error) error {
 	if asOf := s.View.AsOf(); asOf.IsZero() || clock.Since(asOf) <= s.maxTrustedAge() {
 		return refusal
@@ -119,8 +119,8 @@
 	}
 }
 
-// checkQuota reports ErrQuota if the job does not fit by what is known now. Before it does, it
-// asks for the newest news, for items may have been listed a moment ago.
+// checkQuota returns ErrQuota if the job does not fit the quota as known here. Before it refuses,
+// it requests an update of the view, since items may have been listed a moment ago.
 func (s *Service) checkQuota(ctx context.Context, submission *Submission) error {
 	if submission.Quota <= 0 {
 		return nil
@@ -136,7 +136,7 @@
 	return s.refuseQuota(submission, used)
 }
 
-// awaitUpdate asks for a look at the jobs and waits for it, for lookPatience at most.
+// awaitUpdate requests an update of the view and waits for it, for at most updateTimeout.
 func (s *Service) awaitUpdate(ctx context.Context) {
 	changed := s.View.Changed()
 	s.RequestUpdate()
@@ -148,34 +148,34 @@
 	}
 }
 
-// refuseQuota tells that a job does not fit beside what is used, and returns ErrQuota.
+// refuseQuota reports that a job does not fit beside the used tokens, and returns ErrQuota.
 func (s *Service) refuseQuota(submission *Submission, used int64) error {
 	err := Error.Wrap(ErrQuota)
 	s.Events.Refused(submission.ID, used, submission.tokens(), submission.Quota, err)
 	return err
 }
 
-// admission is the state of one try to get a job admitted.
+// admission is the state of the tries to admit one submission.
 type admission struct {
 	submission *Submission
 	// content holds the encoded items.
 	content   []byte
 	operation string
-	// pending is set while a write without an answer may still land; pendingOn is
-	// the version of the counter that it, the newest of them, is conditional on.
+	// pending is set while an unanswered write may still be applied. pendingVersion is the counter
+	// version that the latest such write is conditional on.
 	pending        bool
 	pendingVersion uint64
-	// failures counts the tries that had no answer or a refusal, conflicts those
-	// whose conditions did not hold.
+	// failures counts tries without an answer or with an error, conflicts those whose conditions
+	// did not hold.
 	failures  int
 	conflicts int
 }
 
 // admit writes the job's rows in one transaction.
 //
-// With a quota the transaction also moves the counter of the job's shard on. A
-// later version of that counter then proves that no earlier write of this job can
-// land any more: the version that it was conditional on is gone.
+// With a quota, the transaction also advances the counter of the job's shard. A later version of
+// that counter then proves that no earlier write of this job can be applied any more, since the
+// version that it was conditional on is gone.
 func (s *Service) admit(ctx context.Context, submission *Submission, content []byte, start time.Time) error {
 	adm := &admission{submission: submission, content: content, operation: table.NewOperation()}
 	delay := retryDelay
@@ -205,8 +205,8 @@
 	}
 }
 
-// conflictBackoff returns how long to wait after a conflict: not at all after the
-// first, which only shows what this node had not heard of.
+// conflictBackoff returns how long to wait after a conflict. The first conflict is retried at once,
+// since it only shows what this node's view lacked.
 func (a *admission) conflictBackoff() time.Duration {
 	a.conflicts++
 	if a.conflicts == 1 {
@@ -222,7 +222,7 @@
 	return s.refuseAdmission(adm, errors.Join(ErrNotAccepted, err))
 }
 
-// undecided says that the job may have been accepted.
+// undecided reports that the job may have been accepted.
 func (s *Service) undecided(adm *admission, err error) error {
 	return s.refuseAdmission(adm, errors.Join(ErrUndecided, err))
 }
@@ -267,7 +267,7 @@
 	return err
 }
 
-// putRows returns the rows that a commit has put.
+// putRows returns the rows that a commit has written.
 func putRows(writes []table.Write, versions []uint64) []table.Row {
 	var rows []table.Row
 	for i, write := range writes {
@@ -278,7 +278,8 @@
 	return rows
 }
 
-// refuseOrFence turns a job away that does not fit, once no write of it can land any more.
+// refuseOrFence refuses a job that does not fit, once no unanswered write of it can be applied any
+// more.
 func (s *Service) refuseOrFence(ctx context.Context, adm *admission, usages [shards]usage) error {
 	if adm.pending {
 		return s.fenceWrites(ctx, adm, usages)
@@ -286,8 +287,8 @@
 	return s.refuseQuota(adm.submission, totalUsed(usages))
 }
 
-// fenceWrites makes sure that no unanswered write of the job can land any more, by
-// moving the counter on under the condition that the job is not there.
+// fenceWrites makes sure that no unanswered write of the job can be applied any more: it advances
+// the counter on condition that the job's row does not exist.
 func (s *Service) fenceWrites(ctx context.Context, adm *admission, usages [shards]usage) error {
 	shard := shardNumber(adm.submission.ID)
 	own := usages[shard]
@@ -342,8 +343,8 @@
 	return writes, nil
 }
 
-// afterConflict takes in what a conflict shows: the job itself, accepted by an
-// earlier try or elsewhere, a guard that does not hold, or counters that have moved.
+// afterConflict applies the rows of a conflict: the job itself, accepted by an earlier try or at
+// another node, a guard that does not hold, or counters that have changed.
 func (s *Service) afterConflict(adm *admission, err error) error {
 	var conflict *table.ConflictError
 	if !errors.As(err, &conflict) {
@@ -363,8 +364,8 @@
 	return err
 }
 
-// existingJobError returns the error of a try that met the job's rows. If they cannot be read the
-// next try would meet them again: the job may have been accepted before, and nobody can tell.
+// existingJobError returns the error of a try that found the job's rows in the table. If they
+// cannot be read, the next try would find them again, and whether the job was accepted is unknown.
 func (s *Service) existingJobError(id string, err error) error {
 	if s.View.Get(id) == nil {
 		return Error.Wrap(outcome.Failed(ErrUnreadable))
--- a/internal/jobs/atmostonce.go
+++ b/internal/jobs/atmostonce.go
@@ -9,16 +9,15 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// atMostOncePollInterval is the pause between two looks at items that a stopping node alone
-// can finish.
+// atMostOncePollInterval is the time between two checks of at-most-once items, which only the
+// stopping node can finish.
 const atMostOncePollInterval = 50 * time.Millisecond
 
-// Items that may run only once are marked as started in the progress row before
-// they are sent. Whoever takes the job over does not send what is marked: it
-// may have run.
+// Items that may run only once are marked as started in the progress row before they are sent. A
+// node that takes the job over does not send marked items, since they may have run.
 
-// atMostOnceReason says what ends an item that may run only once after a failed
-// attempt; nothing if it provably did not run.
+// atMostOnceReason returns why a failed attempt ends an at-most-once item; empty if the item
+// provably did not run.
 func atMostOnceReason(t *task, err error) Reason {
 	switch {
 	case !t.atMostOnce || outcome.Of(err) == outcome.NotDone:
@@ -32,15 +31,15 @@
 	}
 }
 
-// needsStartMark reports whether an item may run only once and is not marked as started yet.
+// needsStartMark reports whether an at-most-once item is not marked as started yet.
 func (r *Runner) needsStartMark(t *task) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return t.atMostOnce && !t.startMarked
 }
 
-// markStarted marks the waiting items of a job that may run only once, all of
-// them in one write, in the background.
+// markStarted marks all waiting at-most-once items of a job as started, in one write in the
+// background.
 func (r *Runner) markStarted(owned *ownedJob) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,8 +56,8 @@
 	go r.writeStartMarks(owned, waiting)
 }
 
-// writeStartMarks marks items as started. Only the owner marks: what it finds marked is
-// then its own writeStartMarks, whose answer was lost.
+// writeStartMarks marks items as started. Only the owner writes marks, so a mark that it finds is
+// its own, from a write whose answer was lost.
 func (r *Runner) writeStartMarks(owned *ownedJob, waiting []*task) {
 	session, err := r.Service.Session(owned.ctx)
 	if err == nil {
@@ -93,7 +92,8 @@
 	}
 }
 
-// hasAtMostOnceInFlight reports whether a job has items under way that may run only once.
+// hasAtMostOnceInFlight reports whether a job has at-most-once items that run, are to be listed or
+// are being marked.
 func (r *Runner) hasAtMostOnceInFlight(owned *ownedJob) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +106,7 @@
 	return owned.marking
 }
 
-// markedUnsent returns the items that were marked and provably did not run.
+// markedUnsent returns the items that are marked as started and provably did not run.
 func (r *Runner) markedUnsent(owned *ownedJob) []int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,7 +119,7 @@
 	return indexes
 }
 
-// removeStarted takes items off the list of those started.
+// removeStarted removes the start marks of items.
 func (p *Progress) removeStarted(indexes []int) {
 	p.Started = slices.DeleteFunc(p.Started, func(index int) bool { return slices.Contains(indexes, index) })
 }
--- a/internal/jobs/attempt.go
+++ b/internal/jobs/attempt.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	// refusedBackoff is the pause after a replica had no room.
+	// refusedBackoff is the pause after a replica refused for lack of a free slot.
 	refusedBackoff = 60 * time.Millisecond
-	// interruptedBackoff is the pause after an answer broke off.
+	// interruptedBackoff is the pause after an answer was interrupted.
 	interruptedBackoff = 20 * time.Millisecond
 	// failedBackoff is the pause after a replica reported a failed run.
 	failedBackoff = 150 * time.Millisecond
-	// maxInvalidAnswers is the number of answers that an item can never be done
-	// after which it is dead.
+	// maxInvalidAnswers is the number of answers that reject an item for good after which it is
+	// dead.
 	maxInvalidAnswers = 1
 )
 
-// errItemFailed reports a run that the replica itself says failed.
+// errItemFailed reports a run that the replica itself reported as failed.
 var errItemFailed = errors.New("replica reported a failed run")
 
-// errItemInvalid reports an item that can never be done.
+// errItemInvalid reports an item that the replica rejects for good.
 var errItemInvalid = errors.New("replica says that the item can never be done")
 
 // runAttempt makes one attempt at an item.
 func (r *Runner) runAttempt(ctx context.Context, t *task, item *Item, target *route.Route, chosen replica.Info, use *replica.Use) {
 	defer t.cancel(nil)
 	r.Service.Events.ItemSent(t.owned.job, item.ID, chosen.ID, t.lastEvent)
-	start, firstEvent := clock.Now(), t.lastEvent
+	start, resumedAfter := clock.Now(), t.lastEvent
 	err := r.exchangeItem(ctx, t, item, chosen, use)
-	r.recordRun(t, firstEvent, clock.Since(start), err)
+	r.recordRun(t, resumedAfter, clock.Since(start), err)
 	use.End(replicaResult(t.owned.ctx, err), clock.Now())
-	r.reportToQuarantine(t.owned.ctx, t, item, chosen, start, firstEvent, err)
+	r.reportToQuarantine(t.owned.ctx, t, item, chosen, start, resumedAfter, err)
 	if err != nil && t.owned.ctx.Err() == nil && !errors.Is(err, errPreempted) {
 		r.Service.Events.ItemFailed(t.owned.job, item.ID, chosen.ID, err)
 	}
@@ -55,8 +55,8 @@
 	case err == nil, errors.Is(err, errItemInvalid), errors.Is(err, errItemFailed):
 		return replica.Succeeded
 	case ctx.Err() != nil, errors.Is(err, errPreempted), errors.Is(err, forward.ErrStalled):
-		// A replica that answers others is not at fault for one connection that died, or
-		// for a long queue.
+		// A replica that answers other requests is not at fault for one dead connection or a long
+		// queue.
 		return replica.Abandoned
 	case errors.Is(err, forward.ErrUnreachable), errors.Is(err, forward.ErrMoved):
 		return replica.Unreachable
@@ -67,7 +67,7 @@
 	}
 }
 
-// handleResult decides what becomes of an item after an attempt.
+// handleResult decides how an item continues after an attempt.
 func (r *Runner) handleResult(t *task, target *route.Route, chosen replica.Info, err error) {
 	if err == nil {
 		r.finish(t, "")
@@ -104,7 +104,7 @@
 	}
 }
 
-// deadReason says whether an item has failed for good. The caller holds the
+// deadReason returns why an item has failed for good; empty if it has not. The caller holds the
 // runner's lock.
 func (t *task) deadReason(maxAttempts int) Reason {
 	switch {
@@ -117,8 +117,8 @@
 	}
 }
 
-// exchangeItem sends an item and collects the data of its events. What has come
-// stays with the task, so that the next attempt goes on after it.
+// exchangeItem sends an item and collects the data of its events. The text received stays with the
+// task, so that the next attempt resumes after it.
 func (r *Runner) exchangeItem(ctx context.Context, t *task, item *Item, chosen replica.Info, use *replica.Use) error {
 	stop := r.watchSilence(t, use)
 	defer stop()
@@ -152,7 +152,8 @@
 	case answer.Status != http.StatusOK || !answer.EventStream:
 		return outcome.Undecided(fmt.Errorf("%w: status %d", forward.ErrBroken, answer.Status))
 	}
-	// A verdict on the item stands; only a run that goes on can give way.
+	// The reported load may preempt the run. It is applied only after the final answers above, so
+	// that none of them is lost.
 	if answer.ColdLeft > 0 {
 		use.Chill(answer.ColdLeft, clock.Now())
 	}
@@ -162,7 +163,7 @@
 	return r.collect(t, answer, use, sent)
 }
 
-// collect takes in the events of an answer to an attempt that was sent at a time.
+// collect reads the events of the answer to an attempt that was sent at a time.
 func (r *Runner) collect(t *task, answer *forward.Answer, use *replica.Use, sent time.Time) error {
 	reader := sse.NewReader(answer.Body)
 	gaps := eventGaps{last: sent}
@@ -215,15 +216,16 @@
 	}
 }
 
-// recordRun takes in a run that began after an event.
-func (r *Runner) recordRun(t *task, firstEvent int, elapsed time.Duration, err error) {
+// recordRun updates the estimates and the count of stalls with a run that resumed after event
+// resumedAfter.
+func (r *Runner) recordRun(t *task, resumedAfter int, elapsed time.Duration, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.estimate.recordPace(t.lastEvent-firstEvent, elapsed)
+	r.estimate.recordPace(t.lastEvent-resumedAfter, elapsed)
 	switch {
 	case err == nil:
 		r.estimate.recordEvents(t.lastEvent)
-	case t.lastEvent > firstEvent:
+	case t.lastEvent > resumedAfter:
 		t.stalls = 0
 	case errors.Is(err, forward.ErrStalled), errors.Is(err, forward.ErrSilent):
 		t.stalls++
--- a/internal/jobs/borrow.go
+++ b/internal/jobs/borrow.go
@@ -11,34 +11,33 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// An item that finds no room among its node's own slots for a while borrows one: a replica
-// that is believed to have a free slot sets it aside, and the item goes there. It stays with
-// its node, so nothing is written, nothing runs twice, and no other node has to be alive or
-// to know.
+// An item that finds no free slot in its node's own share for a while borrows one: a replica that
+// appears to have a free slot reserves it, and the item is sent there. The item stays assigned to
+// its node, so nothing is written, nothing runs twice, and no other node is involved.
 
 const (
-	// borrowTries is the number of replicas of the own region that are asked each time,
-	// borrowAway that of those of other regions after them.
+	// borrowTries is the number of replicas in the node's own region that are asked each time,
+	// borrowRemoteTries the number of those in other regions asked after them.
 	borrowTries       = 3
 	borrowRemoteTries = 2
-	// borrowBackoff is the pause at this node before replicas of a lane are asked again after
-	// all of them refused. It doubles with each time in a row, up to borrowPauseMax, and is
-	// spread by half to either side, so that nodes that were refused together come apart.
-	// A node asks 3 times a second and lane where all are full, 5 times in a fleet of regions.
+	// borrowBackoff is the pause before replicas of a lane are asked again after all of them
+	// refused. It doubles with each refusal in a row, up to borrowBackoffMax, with a jitter of half
+	// to either side so that nodes refused together spread out. If all replicas are full, a node
+	// asks 3 times a second and lane, or 5 times if there are several regions.
 	borrowBackoff    = 200 * time.Millisecond
 	borrowBackoffMax = time.Second
-	// borrowInterval is the pause after one had a slot. It bounds what a node takes on words
-	// of some 100 ms ago.
+	// borrowInterval is the pause after a slot was borrowed. It limits how much a node takes based
+	// on load reports that are about 100 ms old.
 	borrowInterval = 50 * time.Millisecond
-	// reserveTimeout bounds one question, a way there and back and a new connection.
+	// reserveTimeout bounds one reservation: a round trip and a new connection.
 	reserveTimeout = 250 * time.Millisecond
-	// reservationTTL is how long a slot is set aside: the item follows at once, but a node with a
-	// small share of a core may be held up for a few times 100 ms.
+	// reservationTTL is how long a slot stays reserved. The item follows at once, but a node with a
+	// small share of a core may be delayed by a few 100 ms.
 	reservationTTL = 400 * time.Millisecond
 )
 
-// tryBorrow has an item look for a slot of others in the background if it has found no room for
-// long enough.
+// tryBorrow looks for a slot outside this node's share, in the background, for an item that has
+// made no progress for long enough.
 func (r *Runner) tryBorrow(send pendingSend, pass *dispatchPass, now time.Time) {
 	if pass.borrowTried[send.lane] {
 		return
@@ -55,7 +54,7 @@
 	demand.Borrowed, demand.Exclude = true, map[string]bool{}
 	demand.Unheard = r.Replicas.AskUnheard(send.pool, now)
 	demand.Starved = waited >= replica.BorrowStarved
-	// Replicas that are as good as each other are asked by each node in another order.
+	// Each node asks equally good replicas in a different order.
 	demand.Affinity = rand.Uint64()
 	r.updateBorrowState(send.lane, func(state *borrowState) { state.inProgress = true })
 	go func() {
@@ -64,16 +63,16 @@
 	}()
 }
 
-// borrowState is the state of the questions for slots of a lane.
+// borrowState is the state of borrowing slots in one lane.
 type borrowState struct {
 	// inProgress is set while replicas are asked, for one item at a time.
 	inProgress bool
-	// notBefore is when they may be asked again, refused how often in a row all refused.
+	// notBefore is when replicas may be asked again, refusals how many times in a row all refused.
 	notBefore time.Time
 	refusals  int
 }
 
-// record takes in what came of a question.
+// record updates the state with the result of a try.
 func (b *borrowState) record(sent bool, now time.Time) {
 	b.inProgress = false
 	if sent {
@@ -85,8 +84,8 @@
 	b.notBefore = now.Add(pause/2 + rand.N(pause))
 }
 
-// borrowDue returns how long an item has not come on, and reports whether it is time to ask
-// replicas for slots of others.
+// borrowDue returns how long an item has made no progress, and reports whether replicas may be
+// asked now.
 func (r *Runner) borrowDue(send pendingSend, now time.Time) (waited time.Duration, due bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,7 +93,7 @@
 	return now.Sub(send.task.lastProgress), !state.inProgress && !now.Before(state.notBefore)
 }
 
-// updateBorrowState changes the state of a lane.
+// updateBorrowState changes the state of a lane under the lock.
 func (r *Runner) updateBorrowState(key lane, change func(*borrowState)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,19 +102,19 @@
 	r.borrowStates[key] = state
 }
 
-// borrowSlot asks a few replicas, one after the other, for a slot. It reports whether the
-// item was sent.
+// borrowSlot asks a few replicas, one after the other, for a slot. It reports whether the item was
+// sent.
 func (r *Runner) borrowSlot(send pendingSend, demand *replica.Demand) bool {
 	return r.borrowFrom(send, demand, borrowTries, false) || r.borrowFrom(send, demand, borrowRemoteTries, true)
 }
 
-// borrowFrom asks up to so many replicas, of other regions if away is set.
+// borrowFrom asks up to tries replicas, those in other regions if remote is set.
 func (r *Runner) borrowFrom(send pendingSend, demand *replica.Demand, tries int, remote bool) bool {
 	for range tries {
 		now := clock.Now()
 		chosen, err := replica.PickIdle(r.Replicas.SnapshotFor(send.pool, demand, now), demand, r.Weights, remote)
 		if err != nil || r.Reserver == nil && chosen.Free() < 1 {
-			// The next look tries again.
+			// The next dispatch tries again.
 			return false
 		}
 		reservation, err := r.reserveAt(send.task.owned.ctx, chosen, send.item())
@@ -129,8 +128,8 @@
 	return false
 }
 
-// reserveAt asks a replica for a slot. Where replicas set none aside, the item is sent as it
-// is, and a full replica refuses it.
+// reserveAt reserves a slot at a replica. Without a Reserver the item is sent without a
+// reservation, and a full replica refuses it.
 func (r *Runner) reserveAt(ctx context.Context, chosen *replica.Candidate, item *Item) (string, error) {
 	if r.Reserver == nil {
 		return "", nil
--- a/internal/jobs/checkpoint.go
+++ b/internal/jobs/checkpoint.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// checkpointInterval is the time between two writes of a job's unfinished texts,
-	// and so the most that a crash costs of each item.
+	// checkpointInterval is the time between two checkpoints of a job's unfinished texts, and so
+	// the most that a crash costs of each item.
 	checkpointInterval = 2 * time.Second
 	// minCheckpointEvents is the least progress of an item that is worth a write.
 	minCheckpointEvents = 20
@@ -19,15 +19,15 @@
 	maxCheckpointRows = 20
 )
 
-// RunCheckpoints writes the texts of unfinished items now and then, until the
-// context ends, so that a crash does not make them begin anew.
+// RunCheckpoints saves the texts of unfinished items periodically, until the context ends, so that
+// they do not start over after a crash.
 func (r *Runner) RunCheckpoints(ctx context.Context) {
 	for retry.Sleep(ctx, checkpointInterval) {
 		for _, owned := range r.ownedJobs() {
 			if ctx.Err() != nil || r.isStopped() {
 				return
 			}
-			// A failed write is made up for by the next one.
+			// The next checkpoint makes up for a failed one.
 			r.checkpoint(ctx, owned, minCheckpointEvents)
 		}
 	}
@@ -43,8 +43,8 @@
 	return owned
 }
 
-// checkpoint writes the texts of unfinished items that have come on by some
-// events since they were last written.
+// checkpoint saves the texts of unfinished items that have at least minEvents new events. It
+// reports whether that succeeded.
 func (r *Runner) checkpoint(ctx context.Context, owned *ownedJob, minEvents int) bool {
 	writes, saved, reached := r.checkpointWrites(owned, minEvents)
 	if len(writes) == 0 {
@@ -65,8 +65,8 @@
 	return true
 }
 
-// updateVersions takes the versions of the rows from a conflict: a write without an
-// answer may have landed. The caller holds the runner's lock.
+// updateVersions takes the versions of the rows from a conflict, because an unanswered write may
+// have been applied. The caller holds the runner's lock.
 func updateVersions(err error, writes []table.Write, saved []*task) {
 	var conflict *table.ConflictError
 	if !errors.As(err, &conflict) {
@@ -78,8 +78,7 @@
 	}
 }
 
-// checkpointWrites returns the writes, the tasks they are about and the event that
-// each of them reaches.
+// checkpointWrites returns the writes, their tasks, and the last event that each of them contains.
 func (r *Runner) checkpointWrites(owned *ownedJob, minEvents int) ([]table.Write, []*task, []int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/jobs/commit.go
+++ b/internal/jobs/commit.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// maxCommitRows and commitBytes bound the results of one transaction.
+	// maxCommitRows and maxCommitBytes bound the results of one transaction.
 	maxCommitRows  = 60
 	maxCommitBytes = 300 << 10
-	// commitRetryDelay is the pause before results are tried again that could not be listed.
+	// commitRetryDelay is the pause before results that could not be listed are tried again.
 	commitRetryDelay = 250 * time.Millisecond
-	// textPutTimeout bounds the tries to write the text of one result as an object, in which
-	// those of its job that finish meanwhile wait to be listed.
+	// textPutTimeout bounds the tries to write the text of one result as an object. Results of the
+	// same job that finish meanwhile wait for it.
 	textPutTimeout = 2 * objectTimeout
 )
 
-// finish notes an item's outcome, without a reason if it has its answer, and has
-// it listed.
+// finish records an item's outcome and has it listed. The reason is empty if the item has its
+// answer.
 func (r *Runner) finish(t *task, reason Reason) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,8 +50,8 @@
 	}
 }
 
-// commitLoop lists finished items until there are none. What finishes during a
-// commit goes together into the next one.
+// commitLoop lists finished items until there are none. Items that finish during a commit go into
+// the next one together.
 func (r *Runner) commitLoop(owned *ownedJob) {
 	for {
 		r.awaitBatch(owned)
@@ -64,22 +64,22 @@
 		}
 		r.mu.Unlock()
 		if left := r.commit(owned, batch); left > 0 && !retry.Sleep(owned.ctx, commitRetryDelay) {
-			// Another node has the job by now, or it ended.
+			// The job has ended or belongs to another node by now.
 			r.discardFinished(owned)
 			return
 		}
 	}
 }
 
-// discardFinished forgets the results of a job that could not be listed.
+// discardFinished discards the results of a job that could not be listed.
 func (r *Runner) discardFinished(owned *ownedJob) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	owned.finished, owned.committing = nil, false
 }
 
-// awaitBatch waits for more results to commit together, if that is wanted and more
-// are to come.
+// awaitBatch waits for more results to commit together, if CommitInterval is set and more are to
+// come.
 func (r *Runner) awaitBatch(owned *ownedJob) {
 	r.mu.Lock()
 	more := !r.stopped && owned.hasUnfinished()
@@ -89,8 +89,7 @@
 	}
 }
 
-// hasUnfinished reports whether items have no outcome yet. The caller holds the
-// runner's lock.
+// hasUnfinished reports whether any item has no outcome yet. The caller holds the runner's lock.
 func (w *ownedJob) hasUnfinished() bool {
 	for _, t := range w.tasks {
 		if t.state == taskWaiting || t.state == taskRunning {
@@ -100,10 +99,10 @@
 	return false
 }
 
-// takeFinished takes the finished items that go into one transaction. Texts that need an object
-// of their own go behind the others and not with them: one that cannot be written takes
-// textPatience, which the others of its job would wait for at each try. The caller holds the
-// runner's lock.
+// takeFinished removes and returns the finished items for the next transaction. Texts that need an
+// object of their own come after the others and in a transaction of their own: one that cannot be
+// written takes textPutTimeout, which the other items would wait for at each try. The caller holds
+// the runner's lock.
 func (w *ownedJob) takeFinished() []*task {
 	slices.SortStableFunc(w.finished, func(a, b *task) int {
 		return cmp.Compare(a.objectCount(), b.objectCount())
@@ -120,7 +119,7 @@
 	return batch
 }
 
-// objectCount is the number of objectCount that the result of an item needs beside its row.
+// objectCount returns the number of objects that the item's result needs beside its row.
 func (t *task) objectCount() int {
 	if t.reason != "" || len(t.text) <= maxRowText {
 		return 0
@@ -128,8 +127,8 @@
 	return 1
 }
 
-// batchSize is the number of finished items that go into one transaction. The
-// caller holds the runner's lock.
+// batchSize returns the number of finished items that fit into one transaction. The caller holds
+// the runner's lock.
 func (w *ownedJob) batchSize() int {
 	size := 0
 	for i, t := range w.finished {
@@ -141,9 +140,9 @@
 	return len(w.finished)
 }
 
-// commit lists results, and returns the number of those that are to be tried again.
+// commit lists results, and returns the number of those to be tried again.
 func (r *Runner) commit(owned *ownedJob, batch []*task) (remaining int) {
-	// The results outlive the ownership: who has them may list them.
+	// Results may be listed by a node that no longer owns the job.
 	failed, err := r.Service.listWritable(context.WithoutCancel(owned.ctx), owned.job, batch)
 	if err != nil {
 		r.Service.Events.ItemFailed(owned.job, "", "", err)
@@ -151,7 +150,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if errors.Is(err, ErrUnreadable) {
-		// Nothing can be listed. When the job can be read again, its items are loaded anew.
+		// Nothing can be listed. Once the job can be read again, its items are loaded anew.
 		r.drop(owned)
 		return
 	}
@@ -174,14 +173,14 @@
 	}
 }
 
-// listResults gives items their positions and texts in one transaction.
+// listResults lists items with their results in one transaction.
 func (s *Service) listResults(ctx context.Context, job *Job, batch []*task) error {
 	_, err := s.listWritable(ctx, job, batch)
 	return err
 }
 
-// listWritable gives items their positions and texts in one transaction, but for those whose text
-// cannot be written. It returns the items that are not listed, with why.
+// listWritable lists items with their results in one transaction, except those whose text cannot be
+// written. It returns the items that are not listed, and an error that tells why.
 func (s *Service) listWritable(ctx context.Context, job *Job, batch []*task) (failed []*task, err error) {
 	rows := make(map[*task][]byte, len(batch))
 	for _, t := range batch {
@@ -214,7 +213,7 @@
 	case updateErr == nil:
 		s.reportListed(job, batch)
 	case errors.Is(updateErr, ErrNotFound):
-		// The job was removed, so nothing is to be listed any more.
+		// The job was removed, so there is nothing left to list.
 		return nil, nil
 	default:
 		return batch, updateErr
@@ -238,7 +237,7 @@
 	}
 }
 
-// resultRow encodes a result, with a long text in an object of its own.
+// resultRow encodes a result. A long text is written to an object of its own.
 func (s *Service) resultRow(ctx context.Context, job *Job, t *task) ([]byte, error) {
 	if t.reason != "" {
 		return encode(storedResult{Reason: t.reason}), nil
@@ -255,8 +254,8 @@
 	return encode(storedResult{Object: name}), nil
 }
 
-// loadCheckpoints returns the texts that an earlier owner kept of unfinished items.
-// Without them items only begin anew.
+// loadCheckpoints returns the partial texts that an earlier owner saved for unfinished items, by
+// index. Items without one start over.
 func (s *Service) loadCheckpoints(ctx context.Context, entry *Entry) map[int]storedResult {
 	checkpoints := map[int]storedResult{}
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -278,7 +277,7 @@
 		}
 		var checkpoint storedResult
 		if err := row.Decode(&checkpoint); err != nil {
-			// The item begins anew, and its next text is written over this one.
+			// The item starts over, and its next checkpoint overwrites this one.
 			s.View.Unreadable.Report(err)
 			checkpoint = storedResult{}
 		}
--- a/internal/jobs/content.go
+++ b/internal/jobs/content.go
@@ -13,15 +13,16 @@
 const (
 	// chunkBytes bounds the content in one row.
 	chunkBytes = 40 << 10
-	// maxInlineContent bounds the content that goes into the rows of the acceptance
-	// itself; it keeps the transaction below 1 MB with its encoding. Larger
-	// contents become an object, which is a call more, and a slower one.
+	// maxInlineContent bounds the content that is stored in rows by the acceptance itself; it keeps
+	// the encoded transaction below 1 MB. A larger content becomes an object, which costs one more
+	// and slower call.
 	maxInlineContent = 600 << 10
 	// maxCachedContents bounds the jobs whose items are kept in memory.
 	maxCachedContents = 64
 )
 
-// contentChunks cuts a content into the bodies of rows; none if it is too large.
+// contentChunks splits a content into the bodies of rows. It returns none if the content is too
+// large for rows.
 func contentChunks(content []byte) [][]byte {
 	if len(content) > maxInlineContent {
 		return nil
@@ -41,9 +42,8 @@
 	return table.Key{Partition: resultPartition(job), Sort: fmt.Sprintf("%s%03d", chunkPrefix(job), number)}
 }
 
-// putContent stores a content that is too large for rows, before the rows that
-// make it a job's. The object is only ever written with this content, so it may
-// be written twice.
+// putContent stores a content that is too large for rows as an object, before the rows that refer
+// to it. The object is only ever written with this content, so writing it twice is harmless.
 func (s *Service) putContent(ctx context.Context, id string, content []byte) error {
 	if len(content) <= maxInlineContent {
 		return nil
@@ -73,8 +73,8 @@
 	return items, s.reportUnreadable(err)
 }
 
-// reportUnreadable reports what cannot be read, and marks it for callers: the store answers, but
-// asking again will not help.
+// reportUnreadable reports a row or object that cannot be read, and marks the error for callers:
+// the store is available, but a retry will not help.
 func (s *Service) reportUnreadable(err error) error {
 	if found := (*table.UnreadableError)(nil); !errors.As(err, &found) {
 		return err
@@ -83,7 +83,7 @@
 	return Error.Wrap(errors.Join(ErrUnavailable, ErrUnreadable, err))
 }
 
-// decodeContent reads the items of a job. They are the ones that its row names.
+// decodeContent decodes the items of a job and checks that they are those named in its row.
 func decodeContent(job *Job, content *table.Row) ([]Item, error) {
 	var items []Item
 	if err := content.Decode(&items); err != nil {
@@ -96,7 +96,7 @@
 	return items, nil
 }
 
-// objectReportPartition stands for the partition of what is not in a row, in reports.
+// objectReportPartition is the partition given in reports of objects that cannot be read.
 const objectReportPartition = "objects"
 
 var (
@@ -123,7 +123,7 @@
 	return joinChunks(job, rows)
 }
 
-// joinChunks joins the rows of a content into one, which has the key and version of the last.
+// joinChunks joins the rows of a content into one row with the key and version of the last.
 func joinChunks(job *Job, rows []table.Row) (*table.Row, error) {
 	content := &table.Row{Key: chunkKey(job.ID, 0)}
 	for number := range job.Chunks {
@@ -140,7 +140,7 @@
 	return content, nil
 }
 
-// cacheContent keeps the items of a job that this node runs.
+// cacheContent keeps the items of a job that this node runs in memory.
 func (s *Service) cacheContent(id string, items []Item) {
 	s.contentMu.Lock()
 	defer s.contentMu.Unlock()
@@ -152,15 +152,15 @@
 	}
 }
 
-// dropContent drops the items of a job that is done.
+// dropContent drops the items of a job from memory.
 func (s *Service) dropContent(id string) {
 	s.contentMu.Lock()
 	defer s.contentMu.Unlock()
 	delete(s.contents, id)
 }
 
-// readNamedObject reads an object that a row names, as the body of a row. It is there as long as
-// that row is, so a missing one is lost.
+// readNamedObject reads an object that a row refers to, as the body of a row. The object exists as
+// long as that row, so a missing one is lost and reported as unreadable.
 func (s *Service) readNamedObject(ctx context.Context, name string) (*table.Row, error) {
 	row := &table.Row{Key: table.Key{Partition: objectReportPartition, Sort: name}}
 	body, err := s.getObject(ctx, name)
--- a/internal/jobs/foreignrows.go
+++ b/internal/jobs/foreignrows.go
@@ -6,17 +6,17 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// errForeignRow reports a row that stands where none of the job's has been written.
-var errForeignRow = errors.New("a row of another writer stands in its place")
+// errForeignRow reports a row of another writer where a new row of a job was to be written.
+var errForeignRow = errors.New("row of another writer in place of a new one")
 
-// foreignRows are the versions of rows that stand where a job's progress says that nothing
-// has been written yet, and that cannot be read. They are not the job's, for each of its
-// results is written in the transaction that lists it; so they may be written over. One that
-// can be read may be a result that callers have seen, if somebody has put the progress back:
-// it stays, and the write is tried on until the progress tells of it.
+// foreignRows holds the versions of unreadable rows found where a job's progress says that nothing
+// has been written yet. They are not the job's, because its results are only written by the
+// transaction that lists them, so they may be overwritten. A readable row may be a result that
+// callers have seen, if the progress row was reset to an earlier state: it is kept, and the write
+// is retried until the progress row includes it.
 type foreignRows map[table.Key]uint64
 
-// record takes in the rows that a conflict shows in the place of new ones, and reports them.
+// record records and reports the rows that a conflict shows in the place of new ones.
 func (s foreignRows) record(err error, writes []table.Write, unreadable *table.Unreadable) {
 	var conflict *table.ConflictError
 	if !errors.As(err, &conflict) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// expectExisting has writes of new rows take the place of those that stand there.
+// expectExisting makes writes of new rows overwrite the recorded ones.
 func (s foreignRows) expectExisting(writes []table.Write) {
 	for i := range writes {
 		if version, ok := s[writes[i].Key]; ok {
--- a/internal/jobs/freshness.go
+++ b/internal/jobs/freshness.go
@@ -13,40 +13,40 @@
 )
 
 const (
-	// DefaultMaxStaleness is how long after a result was read anywhere all nodes show it, where the
-	// settings say nothing else.
+	// DefaultMaxStaleness is how long after a result was read at any node all nodes show it, unless
+	// the settings say otherwise.
 	DefaultMaxStaleness = time.Second
-	// trustedShare is the part of that for which the view is believed; the rest is for the
-	// way of the answers. A feed on which nothing changes is heard of each 1.5 s, so with a
-	// smaller part readers of idle jobs would ask more often.
+	// trustedShare is the part of the staleness for which the view is trusted; the rest is left for
+	// the round trip. A feed without changes is answered every 1.5 s, so with a smaller share
+	// readers of idle jobs would read the table more often.
 	trustedShare = 0.75
-	// refreshTimeout bounds one try to ask the table for a job, and askPatience all of them: a
-	// caller who has waited a second for a result is to be answered within another 1.5 s.
-	refreshTimeout  = 600 * time.Millisecond
-	refreshDeadline = 1200 * time.Millisecond
-	// stalledFeedAge is the age from which a view's feed surely stands still: one that is heard
-	// of is answered within 2.4 s. A reader then asks before it waits for news as well.
+	// refreshTimeout bounds one attempt to read a job from the table, refreshTotalTimeout all of
+	// them: a caller who has waited a second for a result should be answered within another 1.5 s.
+	refreshTimeout      = 600 * time.Millisecond
+	refreshTotalTimeout = 1200 * time.Millisecond
+	// stalledFeedAge is the age of a view from which its feed has certainly stalled, since a
+	// working feed is answered within 2.4 s. Readers then also refresh the job before they wait for
+	// changes.
 	stalledFeedAge = 3 * time.Second
-	// fleetRefreshRate bounds the questions of all nodes together, a second. After the table has
-	// dropped its history all nodes read it whole, and readers of thousands of jobs would
-	// crowd out the reads that they wait for; those beyond it are told that nobody is sure.
+	// fleetRefreshRate bounds the refreshes of all nodes together, per second. After the table has
+	// dropped its history, all nodes read it in full, and readers of thousands of jobs would crowd
+	// out these reads. Readers beyond the rate get ErrUnavailable.
 	fleetRefreshRate = 600
-	// minRefreshRate is a node's part in a large fleet.
+	// minRefreshRate is a node's share of that rate in a large fleet.
 	minRefreshRate = 5
 )
 
-// errRefreshLimit reports that a question was not asked for there were too many.
+// errRefreshLimit reports that a job was not read because the rate was exceeded.
 var errRefreshLimit = errors.New("too many questions about jobs")
 
-// ensureFresh returns a job of which it is known whether it has a result at a position. A view that
-// lacks one is believed while it is young; beyond that the table is asked, and where it does not
-// answer either the error is ErrUnavailable. Without this a node whose feed stood still, for
-// 7 s after the table had lost answers and its history, told callers that there were no
-// results which others had read. It costs a call a read at most, and none while the feed
-// brings changes.
+// ensureFresh returns a job of which it is certain whether it has a result at a position. A view
+// that lacks the result is trusted while it is recent; after that the job is read from the table,
+// and if the table does not answer, the error is ErrUnavailable. This prevents a node whose feed
+// has stalled from denying results that were read elsewhere. It costs one call a read at most, and
+// none while the feed brings changes.
 func (s *Service) ensureFresh(ctx context.Context, entry *Entry, position int) (*Entry, error) {
-	// The age is taken ahead of what it is the age of: news that comes between makes what is
-	// known younger than it is said to be, never older.
+	// The age is taken before the entry: changes in between make the entry newer than its age says,
+	// never older.
 	asOf := s.View.AsOf()
 	entry = s.latest(entry)
 	if !s.mayBeStale(entry, position, asOf) {
@@ -60,21 +60,21 @@
 	return s.latest(entry), nil
 }
 
-// freshenBeforeWait returns a job as a reader begins to wait for its results: where the feed that would
-// bring them stands still, it is asked for.
+// freshenBeforeWait returns a job for a reader that begins to wait for its results. If the feed
+// that would bring them has stalled, the job is refreshed.
 func (s *Service) freshenBeforeWait(ctx context.Context, entry *Entry, position int) *Entry {
 	if clock.Since(s.View.AsOf()) < stalledFeedAge {
 		return entry
 	}
 	known, err := s.ensureFresh(ctx, entry, position)
 	if err != nil {
-		// It is told to Events; the reader has its wait for the table to answer again.
+		// Events has the error, and the table may answer while the reader waits.
 		return entry
 	}
 	return known
 }
 
-// latest returns what is known now of the job of an entry.
+// latest returns the latest known state of an entry's job.
 func (s *Service) latest(entry *Entry) *Entry {
 	if known := s.View.Get(entry.Job.ID); known != nil {
 		return known
@@ -82,8 +82,8 @@
 	return entry
 }
 
-// mayBeStale reports whether a job may have a result at a position that was not known as of a
-// moment. What is listed stays, and a job that is done or ended gets no more.
+// mayBeStale reports whether a job may have a result at a position that was not known at a time.
+// Listed results stay, and a job that is done or ended gets no more.
 func (s *Service) mayBeStale(entry *Entry, position int, asOf time.Time) bool {
 	if position < len(entry.Progress.Listed) || !entry.isOpen() {
 		return false
@@ -91,7 +91,7 @@
 	return clock.Since(asOf) > s.maxTrustedAge()
 }
 
-// maxTrustedAge is the age up to which the view is maxTrustedAge.
+// maxTrustedAge returns the age up to which the view is trusted.
 func (s *Service) maxTrustedAge() time.Duration {
 	settle := s.MaxStaleness
 	if settle <= 0 {
@@ -100,9 +100,8 @@
 	return time.Duration(float64(settle) * trustedShare)
 }
 
-// refreshSince brings a job in the view to what the table held at a moment, or later. Callers share a
-// question that is under way; one that began before that moment may bring less, and is
-// followed by another.
+// refreshSince updates the view of a job to what the table held at a time or later. Callers share a
+// read in progress; one that began before that time may return less, and is followed by another.
 func (s *Service) refreshSince(ctx context.Context, id string, since time.Time) error {
 	for {
 		call := s.refreshes.DoChan(id, func() (any, error) {
@@ -120,13 +119,13 @@
 	}
 }
 
-// refreshProgress reads what has become of a job into the view, for all that ask: it goes on when the
-// first of them has left. A table that has too many calls is not asked again.
+// refreshProgress reads the progress of a job into the view for all waiting callers, so it
+// continues when the first of them has left. A table that throttles calls is not read again.
 func (s *Service) refreshProgress(ctx context.Context, id string) error {
 	if !s.allowRefresh() {
 		return Error.Wrap(errors.Join(ErrUnavailable, errRefreshLimit))
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), refreshDeadline)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), refreshTotalTimeout)
 	defer cancel()
 	var row table.Row
 	err := retryCall(ctx, refreshTimeout, func(callCtx context.Context) (err error) {
@@ -141,13 +140,13 @@
 	}
 	s.View.Put(row)
 	if s.View.ProgressUnreadable(id) {
-		// Versions that could be read may have come and gone while the view was old.
+		// Readable versions may have been written and overwritten while the view was old.
 		return Error.Wrap(errors.Join(ErrUnavailable, ErrUnreadable))
 	}
 	return nil
 }
 
-// allowRefresh takes one question from this node's part of fleetAsks.
+// allowRefresh takes one refresh from this node's share of fleetRefreshRate.
 func (s *Service) allowRefresh() bool {
 	perSecond := fleetRefreshRate
 	if s.Fleet != nil {
@@ -156,8 +155,8 @@
 	return s.refreshLimit.allow(perSecond)
 }
 
-// refreshLimiter bounds questions to a number a second, which moves with the fleet. The zero value
-// has let none through.
+// refreshLimiter limits refreshes to a rate that changes with the size of the fleet. The zero value
+// is ready to use.
 type refreshLimiter struct {
 	mu      sync.Mutex
 	limiter *rate.Limiter
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -1,13 +1,11 @@
-// Package jobs runs batch jobs of opaque items and keeps their results by
-// position.
+// Package jobs runs batch jobs of opaque items and stores their results by position.
 //
-// A job is two rows of one group that every node follows: a job row, written
-// once when the job is accepted, and a progress row, changed by every commit
-// of results, take-over and end. A result is given its position in the very
-// write that lists it, under the condition that the progress row is as the
-// writer knows it; so an item has one position for good, whoever ran it and
-// however often. Acceptance over a quota is serialized by counter rows of the
-// route, one a shard of jobs, which arrive in the same feed as the jobs.
+// A job is two rows of a table group that every node follows: a job row, written once when the job
+// is accepted, and a progress row, changed by every commit of results, takeover and end. A result
+// is listed, that is given its position, by the same write that stores it, on condition that the
+// progress row still has the version known to the writer. So an item has one position for good,
+// whichever node ran it and however often. Acceptances under a quota are serialized by counter
+// rows, one for each account and shard, which arrive in the same feed as the jobs.
 package jobs
 
 import (
@@ -31,22 +29,22 @@
 var (
 	// ErrNotFound reports that there is no such job, item or content.
 	ErrNotFound = errors.New("job not found")
-	// ErrQuota reports that a job does not fit; it did not run and never will.
+	// ErrQuota reports that a job does not fit its quota; it did not run and never will.
 	ErrQuota = errors.New("job does not fit the quota")
 	// ErrNotAccepted reports that a job was not accepted; it never runs.
 	ErrNotAccepted = errors.New("store unavailable, job not accepted")
-	// ErrUndecided reports that a job may have been accepted. Sending it again
-	// is safe: it meets the same job.
+	// ErrUndecided reports that a job may have been accepted. Submitting it again with the same id
+	// is safe.
 	ErrUndecided = errors.New("job acceptance undecided, send it again")
 	// ErrSuperseded reports that a guard of the submission does not hold; the job
 	// did not run and never will.
 	ErrSuperseded = errors.New("job superseded")
-	// ErrIDTaken reports that another tenant has a job with the id.
+	// ErrIDTaken reports that another tenant has a job with the same id.
 	ErrIDTaken = errors.New("another tenant has a job with this id")
 	// ErrUnavailable reports that the store did not answer in time.
 	ErrUnavailable = errors.New("store unavailable")
-	// ErrUnreadable reports that what the store holds of a job cannot be read. It stays
-	// as it is until a row comes that can be read.
+	// ErrUnreadable reports that the stored state of a job cannot be read. It stays unreadable
+	// until a readable row replaces it.
 	ErrUnreadable = errors.New("what is stored of the job cannot be read")
 	// ErrInvalid reports a submission that can never be accepted.
 	ErrInvalid = errors.New("invalid job")
@@ -55,13 +53,14 @@
 const (
 	// Group is the table group that holds jobs, progress and counter rows.
 	Group = "work"
-	// groupResults holds results and kept texts. Nobody follows it.
+	// groupResults holds results and checkpoints. No node follows it.
 	groupResults = "results"
-	// shards spreads jobs, for a part of the table takes a limited rate of writes.
+	// shards is the number of partitions that jobs are spread over, because the write rate of a
+	// partition is limited.
 	shards = 4
 	// MaxItems bounds the items of a job.
 	MaxItems = 200
-	// maxRowText bounds the text in a result row; longer ones become objects.
+	// maxRowText bounds the text in a result row, in bytes; longer texts become objects.
 	maxRowText = 40 << 10
 )
 
@@ -71,36 +70,36 @@
 	Path   string            `cbor:"2,keyasint"`
 	Header map[string]string `cbor:"3,keyasint"`
 	Body   []byte            `cbor:"4,keyasint"`
-	// Tokens counts the prompt and the most of the answer.
+	// Tokens counts the prompt and the maximum length of the answer.
 	Tokens int64 `cbor:"5,keyasint"`
 	// AtMostOnce items are never sent again once they may have run.
 	AtMostOnce bool `cbor:"6,keyasint,omitempty"`
-	// Label is the submitter's own, kept with the item.
+	// Label is set by the submitter and kept with the item.
 	Label string `cbor:"7,keyasint,omitempty"`
 }
 
-// Submission is a job as it is handed in.
+// Submission is a job to be accepted.
 type Submission struct {
 	ID    string
 	Route string
 	Host  string
-	// Tenant names who submits the job; empty where callers are not told apart.
+	// Tenant names who submits the job; empty if tenants are not distinguished.
 	Tenant string
 	Items  []Item
-	// Quota bounds the tokens of the tenant's unfinished items on the route; 0 means none.
+	// Quota bounds the tokens of the tenant's unfinished items on the route; 0 means no quota.
 	Quota      int64
 	Completion time.Duration
 	Retention  time.Duration
-	// FIFO says that jobs take turns in the order of their acceptance, not of
-	// their due times; Advance lets this one go so much before its turn.
+	// FIFO orders jobs by their acceptance instead of their due times; HeadStart puts this one
+	// ahead by so much.
 	FIFO      bool
 	HeadStart time.Duration
-	// Guards are conditions on other rows: should one of them not hold, the job
-	// is not accepted (ErrSuperseded).
+	// Guards are conditions on other rows. If one does not hold, the job is not accepted
+	// (ErrSuperseded).
 	Guards []table.Write
 }
 
-// ItemHead is what is always known of an item.
+// ItemHead is the part of an item that its job row holds.
 type ItemHead struct {
 	ID     string `cbor:"1,keyasint"`
 	Tokens int64  `cbor:"2,keyasint"`
@@ -108,41 +107,42 @@
 	Node int `cbor:"3,keyasint,omitempty"`
 }
 
-// Job is the job row. Times are of the store's steady clock.
+// Job is the job row. Times are those of the store's steady clock.
 type Job struct {
 	ID      string        `cbor:"1,keyasint"`
 	Route   string        `cbor:"2,keyasint"`
 	Host    string        `cbor:"3,keyasint"`
 	Items   []ItemHead    `cbor:"4,keyasint"`
 	Created time.Duration `cbor:"5,keyasint"`
-	// Due is when all results are due, Expires when items may be given up.
+	// Due is when all results are due, Expires when unfinished items expire.
 	Due time.Duration `cbor:"6,keyasint"`
-	// Rank is the job's place among others that can be in time, the least first.
+	// Rank orders jobs that can still be in time, the lowest first.
 	Rank    time.Duration `cbor:"9,keyasint,omitempty"`
 	Expires time.Duration `cbor:"7,keyasint"`
 	// Chunks is the number of rows with the content; 0 means an object holds it.
 	Chunks int `cbor:"8,keyasint,omitempty"`
-	// Nodes are the nodes that run the items between them; without any, the owner
-	// named in the progress row runs all.
+	// Nodes are the nodes that the items are spread over. If there are none, the owner named in the
+	// progress row runs all items.
 	Nodes []string `cbor:"10,keyasint,omitempty"`
-	// Accepted is the sum of tokens that the job's counter came to with it; 0 on a
-	// route without a quota.
+	// Accepted is the value of the job's counter after its acceptance, in tokens; 0 on a route
+	// without a quota.
 	Accepted int64 `cbor:"11,keyasint,omitempty"`
-	// Tenant names who submitted the job; empty where callers are not told apart.
+	// Tenant names who submitted the job; empty if tenants are not distinguished.
 	Tenant string `cbor:"12,keyasint,omitempty"`
-	// Regions are those of Nodes, one if all stand in the same, none if they do not tell.
+	// Regions are the regions of Nodes: only one if it is the same for all, none if they are
+	// unknown.
 	Regions []string `cbor:"13,keyasint,omitempty"`
-	// OtherRoutes are the routes beside Route that items belong to.
+	// OtherRoutes are the routes besides Route that items belong to.
 	OtherRoutes []string `cbor:"14,keyasint,omitempty"`
 	// AllowedRegions are the regions where the job might run when it was accepted, none for
-	// anywhere; those declared since take precedence.
+	// anywhere. Regions declared since take precedence.
 	AllowedRegions place.Regions `cbor:"15,keyasint,omitempty"`
 
-	// version is that of the row this was read from.
+	// version is the version of the row this was read from.
 	version uint64
 }
 
-// tokens counts the tokens of all items.
+// tokens returns the tokens of all items together.
 func (j *Job) tokens() int64 {
 	var total int64
 	for _, item := range j.Items {
@@ -151,7 +151,7 @@
 	return total
 }
 
-// rank returns the job's place among others, the least first.
+// rank returns the job's place among others, the lowest first.
 func (j *Job) rank() time.Duration {
 	if j.Rank != 0 {
 		return j.Rank
@@ -159,7 +159,7 @@
 	return j.Due
 }
 
-// Listed is a result's place in the list of a job.
+// Listed is an entry in the result list of a job.
 type Listed struct {
 	Item int  `cbor:"1,keyasint"`
 	Dead bool `cbor:"2,keyasint,omitempty"`
@@ -169,15 +169,15 @@
 type Progress struct {
 	// Owner is the session of the node that runs the items.
 	Owner string `cbor:"1,keyasint,omitempty"`
-	// Ended jobs take no more results.
+	// Ended jobs accept no more results.
 	Ended bool `cbor:"2,keyasint,omitempty"`
-	// Listed results by position. The list only grows.
+	// Listed holds the listed items by position. The list only grows.
 	Listed []Listed `cbor:"3,keyasint,omitempty"`
-	// Failures counts failed runs of items, as of the last hand-over.
+	// Failures counts failed runs of items, as of the last release.
 	Failures map[int]int `cbor:"4,keyasint,omitempty"`
-	// Started items may run only once and were about to be sent.
+	// Started holds the at-most-once items that were about to be sent.
 	Started []int `cbor:"5,keyasint,omitempty"`
-	// Reassigned names the nodes that took items over from lost ones.
+	// Reassigned names the nodes that took items over from lost nodes.
 	Reassigned map[int]string `cbor:"6,keyasint,omitempty"`
 }
 
@@ -203,19 +203,19 @@
 	return &copied
 }
 
-// Reason says why an item has no answer.
+// Reason is why a dead item has no answer.
 type Reason string
 
 const (
-	// Expired items were not done before they could be given up.
+	// Expired items did not complete before they expired.
 	Expired Reason = "expired"
-	// Invalid items can never be done.
+	// Invalid items were rejected for good by a replica.
 	Invalid Reason = "invalid"
-	// Failed items failed at each run that they could have.
+	// Failed items failed in each run that they were allowed.
 	Failed Reason = "failed"
 	// Undecided items may run only once and may have run.
 	Undecided Reason = "undecided"
-	// Quarantined items ended the replicas that ran them.
+	// Quarantined items crashed the replicas that ran them.
 	Quarantined Reason = "quarantined"
 )
 
@@ -224,21 +224,21 @@
 	Item string
 	Dead bool
 	Text string
-	// Reason says why a dead item has no answer.
+	// Reason is why a dead item has no answer.
 	Reason Reason
 }
 
-// storedResult is a result row, or the text kept of an unfinished item.
+// storedResult is a result row, or the checkpoint of an unfinished item.
 type storedResult struct {
 	Text string `cbor:"1,keyasint,omitempty"`
 	// Object names the object that holds a text too long for a row.
 	Object string `cbor:"2,keyasint,omitempty"`
-	// LastEvent is the last event of a kept text.
+	// LastEvent is the id of the last event of a checkpoint.
 	LastEvent int `cbor:"3,keyasint,omitempty"`
-	// Reason says why a dead item has no answer.
+	// Reason is why a dead item has no answer.
 	Reason Reason `cbor:"4,keyasint,omitempty"`
 
-	// version is that of the row this was read from.
+	// version is the version of the row this was read from.
 	version uint64
 }
 
@@ -252,12 +252,11 @@
 
 func shardOf(job string) string { return shardName(shardNumber(job)) }
 
-// memberShard holds the rows of the nodes that are there. It is read first, so that a
-// job is never known without the nodes that it names, and is apart from the shards,
-// whose rate of writes the jobs need.
+// memberShard holds the rows of the live nodes. It is read first, so that the nodes named by a job
+// are known before the job, and is separate from the shards of jobs, which need their write rate.
 const memberShard = "members"
 
-// Shards lists the parts of Group in the order in which they must be read.
+// Shards lists the shards of Group in the order in which they must be read.
 func Shards() []string {
 	all := []string{memberShard, quarantineShard}
 	for shard := range shards {
@@ -266,17 +265,17 @@
 	return all
 }
 
-// quarantineShard holds the rows of replicas that ended and of the work that ran there.
+// quarantineShard holds the rows about crashed replicas and the work that ran there.
 const quarantineShard = "quarantine"
 
-// QuarantinePartition is the partition of the rows of replicas that ended and of the work
-// that ran there. Nodes follow it with the jobs, which costs them no calls of its own.
+// QuarantinePartition returns the partition of the rows about crashed replicas and the work that
+// ran there. Nodes follow it together with the jobs, so it costs no extra calls.
 func QuarantinePartition() string { return Group + "/" + quarantineShard }
 
-// MemberPartition is the partition of the rows of the nodes that are there.
+// MemberPartition returns the partition of the rows of the live nodes.
 func MemberPartition() string { return Group + "/" + memberShard }
 
-// Prefixes of the rows of a part. Counters come first, see counterKey.
+// Prefixes of the keys of rows in a shard. Counters sort first, see counterKey.
 const (
 	prefixCounter  = "counter/"
 	prefixJob      = "job/"
--- a/internal/jobs/launch.go
+++ b/internal/jobs/launch.go
@@ -10,7 +10,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// pendingSend is an item to be sent, with where it may go.
+// pendingSend is an item to be sent, with the constraints on where it may go.
 type pendingSend struct {
 	lane
 	task    *task
@@ -21,21 +21,21 @@
 // item returns the content of the item.
 func (s *pendingSend) item() *Item { return &s.task.owned.items[s.task.index] }
 
-// sendResult is what came of a try to send an item.
+// sendResult is the result of a try to send an item.
 type sendResult int
 
 const (
 	itemStarted sendResult = iota
 	// notReady items must wait for something of their own.
 	notReady
-	// noReplica tells that no replica takes an item.
+	// noReplica means that no replica accepts the item.
 	noReplica
-	// allExcluded tells that all replicas where this node has slots refused an item, or failed
-	// it: others may hold these slots for good.
+	// allExcluded means that all replicas where this node has slots refused or failed the item.
+	// Other nodes may occupy these slots for good.
 	allExcluded
 )
 
-// trySend sends one task if a replica has room. The error says why there is none.
+// trySend sends one task if a replica has a free slot. The error says why none has.
 func (r *Runner) trySend(send pendingSend, now time.Time) (sendResult, error) {
 	if !r.readyToSend(send, now) {
 		return notReady, nil
@@ -55,7 +55,7 @@
 	return itemStarted, nil
 }
 
-// readyToSend reports whether nothing of its own keeps an item from being sent.
+// readyToSend reports whether nothing about the item itself prevents it from being sent.
 func (r *Runner) readyToSend(send pendingSend, now time.Time) bool {
 	t := send.task
 	if r.holdQuarantined(t, send.item(), now) {
@@ -69,7 +69,7 @@
 	return true
 }
 
-// demand is what an item asks of a replica.
+// demand returns what an item requires of a replica.
 func (r *Runner) demand(send pendingSend) *replica.Demand {
 	return &replica.Demand{
 		Zone: r.Zone, Region: r.Region, Ask: replica.Ask{Tokens: int(send.item().Tokens), Batch: true},
@@ -77,8 +77,8 @@
 	}
 }
 
-// startRun sends an item to a replica, into the slot set aside there if a reservation names
-// one. It reports whether the item was sent.
+// startRun sends an item to a replica, into the slot reserved there if reservation names one. It
+// reports whether the item was sent.
 func (r *Runner) startRun(send pendingSend, demand *replica.Demand, chosen *replica.Candidate, reservation string) bool {
 	t, now := send.task, clock.Now()
 	r.mu.Lock()
@@ -88,8 +88,7 @@
 	}
 	use := r.Replicas.BeginAt(chosen.Info, demand.Ask, now)
 	if use == nil {
-		// The replica is cold and others have used its rate up meanwhile, or it has
-		// started again since.
+		// The replica is cold and its rate was used up meanwhile, or it has restarted.
 		t.setWait(WaitReplica, nil)
 		return false
 	}
--- a/internal/jobs/orphans.go
+++ b/internal/jobs/orphans.go
@@ -6,18 +6,18 @@
 	"github.com/wheelhoist/wheelhoist/internal/clock"
 )
 
-// orphans are items that no live node runs and that this node sees to, with what they wait
-// for. They have no tasks.
+// orphans are items that no live node runs and that this node should handle. They have no tasks.
 type orphans []ItemWait
 
-// add notes items of a job; those that were known before keep the time since when they wait.
+// add adds items of a job.
 func (n *orphans) add(entry *Entry, items []int, kind Wait) {
 	for _, item := range items {
 		*n = append(*n, ItemWait{Job: entry.Job.ID, Item: entry.Job.Items[item].ID, For: kind})
 	}
 }
 
-// setStart dates items: from when they were first found, or from a moment.
+// setStart sets since when the items wait: those that were in previous keep their time, others get
+// now.
 func (n orphans) setStart(previous orphans, now time.Time) {
 	type item struct {
 		job, item string
@@ -36,10 +36,10 @@
 	}
 }
 
-// setOrphans takes in what a look at lost owners found.
-func (r *Runner) setOrphans(found orphans) {
+// setOrphans replaces the orphans with those found by a round of claims.
+func (r *Runner) setOrphans(current orphans) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	found.setStart(r.orphans, clock.Now())
-	r.orphans = found
+	current.setStart(r.orphans, clock.Now())
+	r.orphans = current
 }
--- a/internal/jobs/ownedjob.go
+++ b/internal/jobs/ownedjob.go
@@ -11,27 +11,27 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// loadRetryDelay is the pause before content is read again that could not be: one that is not there
-// costs a call to the store each time.
+// loadRetryDelay is the pause before a failed read of content is tried again; each try for missing
+// content costs a call to the store.
 const loadRetryDelay = time.Second
 
-// ownedJob is an owned job. The runner's lock guards it.
+// ownedJob is a job of which this node runs items. The runner's lock guards it.
 type ownedJob struct {
 	job        *Job
 	items      []Item
 	tasks      []*task
 	finished   []*task
 	committing bool
-	// loading is set while items are read from the store. After they could not be read for
-	// loadErr they are tried again at loadAt.
+	// loading is set while items are read from the store. If that fails with loadErr, they are read
+	// again at loadAt.
 	loading bool
 	loadErr error
 	loadAt  time.Time
-	// unloaded are the items of this node that have no task yet, since when.
+	// unloaded are the items of this node that have no task yet, unloadedSince is since when.
 	unloaded      []int
 	unloadedSince time.Time
-	// version is that of the progress that the tasks are made of; complete is set
-	// once each item of this node has one.
+	// version is the version of the progress that the tasks are based on; complete is set once each
+	// item of this node has a task.
 	version  uint64
 	complete bool
 	// marking is set while items are being marked as started.
@@ -41,8 +41,8 @@
 	ctx    context.Context
 }
 
-// unreadableRetryDelay is the pause between two looks at a content that cannot be read. It is put
-// right by hand, if at all.
+// unreadableRetryDelay is the pause before unreadable content is read again. Only a manual repair
+// can make it readable.
 const unreadableRetryDelay = 5 * time.Second
 
 type taskState int
@@ -60,54 +60,54 @@
 	owned *ownedJob
 	index int
 	state taskState
-	// text and after are what earlier runs have brought.
+	// text is the answer received in earlier runs, lastEvent the id of its last event.
 	text      []byte
 	lastEvent int
-	// reason says why a finished item has no answer; empty if it has one.
+	// reason is why a finished item has no answer; empty if it has one.
 	reason Reason
-	// atMostOnce items may run only atMostOnce; marked ones are marked as started.
+	// atMostOnce items may run only once; startMarked is set once they are marked as started.
 	atMostOnce  bool
 	startMarked bool
 	// failures counts runs that the replica itself reported as failed.
 	failures int
-	// invalid counts answers that the item can never be done.
+	// invalid counts answers that rejected the item for good.
 	invalid   int
 	notBefore time.Time
 	excluded  map[string]bool
 	firstSent time.Time
-	// replica, pool and cancel belong to the run under way.
+	// replica, pool and cancel belong to the current run.
 	replica string
 	pool    string
 	cancel  context.CancelCauseFunc
 	use     *replica.Use
-	// reservation names the slot set aside for the run, borrowed is set if it is not one of
-	// this node's, starved if it is kept though online requests want it.
+	// reservation names the slot reserved for the run. borrowed is set if the slot is outside this
+	// node's share, starved if the run keeps it even when online requests need it.
 	reservation string
 	borrowed    bool
 	starved     bool
-	// stalls counts the attempts in a row that stalled and brought no new event.
+	// stalls counts the attempts in a row that stalled without a new event.
 	stalls int
-	// preempted is set once the run was told to give way.
+	// preempted is set once the run has been preempted.
 	preempted bool
-	// checkpointVersion is the version of the row with the item's kept text.
+	// checkpointVersion is the version of the item's checkpoint row.
 	checkpointVersion uint64
-	// checkpointEvent is the last event of that text.
+	// checkpointEvent is the id of the last event in that checkpoint.
 	checkpointEvent int
-	// workID tells the item from others by its content; nil until it is asked for.
+	// workID is the quarantine identity of the item; nil until it is needed.
 	workID *quarantine.Work
 	// quarantined is set while the item is known to be quarantined.
 	quarantined bool
-	// wait is what the item waits for, waitCause what decided it, waitBegun since when.
+	// wait is what the item waits for, waitCause the error behind it, waitStart since when.
 	wait      Wait
 	waitCause error
 	waitStart time.Time
-	// lastProgress is when the item last came on: it was taken up, its answer brought an event, or
+	// lastProgress is when the item was assigned to this node, its answer last brought an event, or
 	// it got its outcome.
 	lastProgress time.Time
 }
 
-// reconcile takes up the items that the view says are this node's, and drops
-// those that are not any more, or whose homes the node is not in any more.
+// reconcile loads the items that the view assigns to this node, and drops jobs that have none any
+// more or that this node may no longer store.
 func (r *Runner) reconcile(ctx context.Context) {
 	session, err := r.Service.Session(ctx)
 	if err != nil {
@@ -131,7 +131,7 @@
 	}
 }
 
-// ensureLoaded loads items, and the texts kept of them, in the background.
+// ensureLoaded loads items, and their checkpoints, in the background.
 func (r *Runner) ensureLoaded(ctx context.Context, entry *Entry, own []int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,8 +140,8 @@
 	}
 	owned := r.owned[entry.Job.ID]
 	if owned == nil {
-		workCtx, cancel := context.WithCancel(ctx)
-		owned = &ownedJob{job: entry.Job, ctx: workCtx, cancel: cancel}
+		jobCtx, cancel := context.WithCancel(ctx)
+		owned = &ownedJob{job: entry.Job, ctx: jobCtx, cancel: cancel}
 		r.owned[entry.Job.ID] = owned
 	}
 	if owned.version == entry.Version && owned.complete {
@@ -162,7 +162,7 @@
 	}
 }
 
-// setUnloaded notes the items that have no task yet. The caller holds the runner's lock.
+// setUnloaded records the items that have no task yet. The caller holds the runner's lock.
 func (w *ownedJob) setUnloaded(indexes []int, now time.Time) {
 	if len(w.unloaded) == 0 {
 		w.unloadedSince = now
@@ -170,7 +170,7 @@
 	w.unloaded = indexes
 }
 
-// expireUnloaded ends items that were not read in time, for which no content is needed. The
+// expireUnloaded ends items that expired before they were loaded, which needs no content. The
 // caller holds the runner's lock.
 func (r *Runner) expireUnloaded(owned *ownedJob, now time.Time) {
 	for _, index := range owned.unloaded {
@@ -207,7 +207,7 @@
 	return missing
 }
 
-// load reads items and makes tasks of them.
+// load reads items and creates their tasks.
 func (r *Runner) load(owned *ownedJob, entry *Entry, indexes []int) {
 	items, err := r.Service.content(owned.ctx, entry.Job)
 	if err == nil && len(items) != len(entry.Job.Items) {
@@ -229,7 +229,7 @@
 	}
 	for _, index := range indexes {
 		if !slices.Contains(owned.unloaded, index) {
-			// It has expired, or is another node's by now.
+			// The item has expired or was reassigned meanwhile.
 			continue
 		}
 		t := &task{owned: owned, index: index, atMostOnce: items[index].AtMostOnce, failures: entry.Progress.Failures[index], excluded: map[string]bool{}, lastProgress: clock.Now()}
@@ -239,7 +239,7 @@
 		}
 		owned.tasks = append(owned.tasks, t)
 		if slices.Contains(entry.Progress.Started, index) {
-			// An owner before this one may have sent it.
+			// An earlier owner may have sent it.
 			r.finishLocked(t, Undecided)
 		}
 	}
@@ -247,7 +247,7 @@
 	r.wake()
 }
 
-// loadFailed has items be read again after a pause.
+// loadFailed schedules another load after a pause.
 func (r *Runner) loadFailed(owned *ownedJob, err error) {
 	r.mu.Lock()
 	first := owned.loadErr == nil && owned.ctx.Err() == nil
--- a/internal/jobs/placement.go
+++ b/internal/jobs/placement.go
@@ -10,16 +10,15 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// Items run in the region whose node accepted their job, for their bodies are read and
-// their results written from there, unless its slots are taken by items while others'
-// are free.
+// Items run in the region whose node accepted their job, because their bodies are read and their
+// results written there, unless its slots are taken by items while others' are free.
 
-// placement decides which nodes run items. Where all nodes tell the same region, or none,
-// there is one region and nothing to decide but the node.
+// placement chooses the nodes that run items. If all nodes are in one region, or their regions are
+// unknown, only the node has to be chosen.
 type placement struct {
-	// nodes are those that may run the items, by region, in the order of preference.
+	// nodes are the nodes that may run the items, by region, in the order of preference.
 	nodes map[string][]string
-	// slots are those of the replicas that may run the items, by region.
+	// slots counts the slots of the replicas that may run the items, by region.
 	slots map[string]int
 	// load counts the unlisted items of each node, regionLoad those of each region.
 	load, regionLoad map[string]int
@@ -27,7 +26,7 @@
 	ownRegion string
 }
 
-// newPlacement returns what decides where items of a job go; nil if no node may run any.
+// newPlacement returns the placement of a job's items; nil if no node may run any.
 func (s *Service) newPlacement(job *Job, regions place.Regions, self string) *placement {
 	p := &placement{nodes: map[string][]string{}, load: s.View.load(), regionLoad: map[string]int{}, ownRegion: s.region(self)}
 	for _, node := range sortByPreference(s.Fleet.Nodes(), job.ID) {
@@ -44,7 +43,7 @@
 		p.slots = s.regionSlots(job)
 	}
 	if !p.hasSlots() {
-		// Without knowledge of replicas each node counts for as much.
+		// Without knowledge of replicas, all nodes count the same.
 		p.slots = map[string]int{}
 		for region, nodes := range p.nodes {
 			p.slots[region] = len(nodes)
@@ -63,7 +62,7 @@
 	return false
 }
 
-// sortByPreference sorts nodes by their preference for a piece of work.
+// sortByPreference sorts nodes in place by their preference for a piece of work.
 func sortByPreference(nodes []string, work string) []string {
 	slices.SortFunc(nodes, func(a, b string) int {
 		if lease.Preferred([]string{a, b}, work) == a {
@@ -74,7 +73,7 @@
 	return nodes
 }
 
-// regionSlots returns the slots by region of the replicas that may run a job's items.
+// regionSlots returns the slots of the replicas that may run a job's items, by region.
 func (s *Service) regionSlots(job *Job) map[string]int {
 	slots := map[string]int{}
 	if s.Routes == nil || s.Routes() == nil || s.Slots == nil {
@@ -92,8 +91,8 @@
 	return slots
 }
 
-// next returns the node that runs the next item, the one with the fewest in the region
-// chosen, and that region.
+// next returns the node for the next item, the one with the fewest items in the chosen region, and
+// that region.
 func (p *placement) next() (node, region string) {
 	region = p.chooseRegion()
 	node = slices.MinFunc(p.nodes[region], func(a, b string) int { return p.load[a] - p.load[b] })
@@ -102,8 +101,8 @@
 	return node, region
 }
 
-// chooseRegion chooses the chooseRegion of the next item: the own one unless its slots are taken and
-// another's are not, else the one with the fewest items for its slots.
+// chooseRegion returns the region of the next item: the own region unless its slots are taken and
+// another region has free ones, else the region with the fewest items per slot.
 func (p *placement) chooseRegion() string {
 	regions := slices.Sorted(maps.Keys(p.nodes))
 	best := slices.MinFunc(regions, func(a, b string) int { return cmp.Compare(p.slotLoad(a), p.slotLoad(b)) })
@@ -116,7 +115,7 @@
 	return p.ownRegion
 }
 
-// slotLoad is the number of items for each slot of a region.
+// slotLoad returns the number of items per slot of a region.
 func (p *placement) slotLoad(region string) float64 {
 	if p.slots[region] == 0 {
 		return math.Inf(1)
--- a/internal/jobs/priority.go
+++ b/internal/jobs/priority.go
@@ -3,20 +3,21 @@
 import "time"
 
 const (
-	// paceFirstEvents and paceFirstEvent stand in until it is learned how many
-	// events an item has and how long each takes.
+	// initialEventCount and initialEventTime are assumed until the number of events of an item and
+	// the time of each have been observed.
 	initialEventCount = 100
 	initialEventTime  = 30 * time.Millisecond
 	estimateWeight    = 0.05
 )
 
-// itemEstimate is what items are like, learned. The zero value knows nothing yet.
+// itemEstimate estimates the number of events of items and the time of each. The zero value has no
+// observations.
 type itemEstimate struct {
 	events    float64
 	eventTime time.Duration
 }
 
-// recordEvents takes in a recordEvents of an item that brought its last event.
+// recordEvents updates the number of events with a completed item.
 func (u *itemEstimate) recordEvents(events int) {
 	if u.events == 0 {
 		u.events = float64(events)
@@ -24,7 +25,7 @@
 	u.events += estimateWeight * (float64(events) - u.events)
 }
 
-// recordPace takes in how long a run took for so many events.
+// recordPace updates the time of an event with a run that brought so many events.
 func (u *itemEstimate) recordPace(events int, elapsed time.Duration) {
 	if events <= 0 {
 		return
@@ -36,7 +37,7 @@
 	u.eventTime += time.Duration(estimateWeight * float64(each-u.eventTime))
 }
 
-// remaining estimates how long an item still has to run after an event.
+// remaining estimates how long an item will still run after an event.
 func (u *itemEstimate) remaining(after int) time.Duration {
 	events, eventTime := u.events, u.eventTime
 	if events == 0 {
@@ -50,14 +51,15 @@
 
 // priority is an item's place among those that wait.
 type priority struct {
-	// late is set if the item cannot be in time any more.
+	// late is set if the item can no longer be in time.
 	late bool
 	rank time.Duration
 	job  string
 	item int
 }
 
-// before orders items: those that can be in time first, then by rank.
+// before reports whether an item is sent before another: those that can be in time first, then by
+// rank.
 func (t priority) before(other priority) bool {
 	switch {
 	case t.late != other.late:
--- a/internal/jobs/quarantine.go
+++ b/internal/jobs/quarantine.go
@@ -10,11 +10,11 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// quarantineRecheckDelay is the time between two looks whether an item still is quarantined.
+// quarantineRecheckDelay is the time until a quarantined item is checked again.
 const quarantineRecheckDelay = time.Second
 
-// workIdentity returns the workIdentity of a task's item, which is computed once. The caller does not
-// hold the runner's lock.
+// workIdentity returns the quarantine identity of a task's item, which is computed once. The caller
+// must not hold the runner's lock.
 func (r *Runner) workIdentity(t *task, item *Item) quarantine.Work {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -25,15 +25,15 @@
 	return *t.workID
 }
 
-// holdQuarantined reports whether an item must not be sent to any replica. It has then been put
-// off, or ended.
+// holdQuarantined reports whether an item must not be sent to any replica. Such an item is delayed,
+// or ended if EndQuarantined is set.
 func (r *Runner) holdQuarantined(t *task, item *Item, now time.Time) bool {
 	if r.Quarantine == nil {
 		return false
 	}
 	err := r.Quarantine.Refuse(func() quarantine.Work { return r.workIdentity(t, item) })
 	if refused := (*quarantine.RefusedError)(nil); errors.As(err, &refused) && refused.TrialDue(now) {
-		// One node has the item, so it is tried at one replica at a time.
+		// Only one node runs the item, so its trial takes place at one replica at a time.
 		err = nil
 	}
 	r.mu.Lock()
@@ -56,10 +56,11 @@
 	return true
 }
 
-// reportToQuarantine tells how an attempt at an item ended that was sent at a time, after an event. Runs that
-// brought new events do not speak against it: items run for long, so many of them are there
-// when a replica ends, and those that go on after what they have come to an end.
-func (r *Runner) reportToQuarantine(ctx context.Context, t *task, item *Item, chosen replica.Info, start time.Time, firstEvent int, err error) {
+// reportToQuarantine reports how an attempt at an item ended that was sent at start and resumed
+// after event resumedAfter. An interrupted run that brought new events does not count against the
+// item: items run for long, so many of them are running when a replica crashes, and those that make
+// progress will complete.
+func (r *Runner) reportToQuarantine(ctx context.Context, t *task, item *Item, chosen replica.Info, start time.Time, resumedAfter int, err error) {
 	if r.Quarantine == nil {
 		return
 	}
@@ -67,7 +68,7 @@
 		r.Quarantine.RecordSuccess(r.workIdentity(t, item))
 		return
 	}
-	if t.lastEvent > firstEvent || !forward.LooksLikeCrash(err, 0) {
+	if t.lastEvent > resumedAfter || !forward.LooksLikeCrash(err, 0) {
 		return
 	}
 	r.Quarantine.RecordInterruption(ctx, quarantine.Replica{ID: chosen.ID, StartTime: chosen.Born, Address: chosen.Address}, quarantine.Run{Work: r.workIdentity(t, item), SentAt: start})
--- a/internal/jobs/quota.go
+++ b/internal/jobs/quota.go
@@ -6,30 +6,28 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// The quota of an account, which is a tenant on a route, is kept over all nodes
-// without a row that every acceptance would have to change. Each shard of jobs has a
-// counter row an account and an equal part of the quota (an escrow, O'Neil, 1986). An acceptance is conditional on the
-// counter of its job's shard alone while that shard stays within its part. Beyond
-// it, an acceptance is conditional on the counters of all shards and moves all of
-// them on, and so does every later one until each shard is within its part again.
+// The quota of an account, which is a tenant on a route, is enforced across all nodes without a row
+// that every acceptance would have to change. Each shard of jobs has a counter row for the account
+// and an equal part of the quota (an escrow, O'Neil, 1986). While a shard stays within its part, an
+// acceptance is conditional only on the counter of its job's shard. Beyond that, an acceptance is
+// conditional on the counters of all shards and advances all of them, as does every later one until
+// each shard is within its part again.
 //
-// By induction the jobs accepted never exceed the quota: counters of all shards
-// agree on the quota and on whether acceptances are joint, for only a write of all
-// of them changes either; and between two such writes a shard only grows up to
-// its part.
+// By induction, the accepted jobs never exceed the quota: the counters of all shards agree on the
+// quota and on whether acceptances are joint, because only a write of all of them changes either;
+// and between two such writes a shard grows only up to its part.
 //
-// A counter also holds the sum of the tokens ever accepted in its shard, and each
-// job the sum that it led to. So a writer whose condition failed learns from the
-// counter in the answer how many tokens were accepted that it has not heard of, and
-// tries again at once instead of waiting for the feed.
+// A counter also holds the sum of the tokens ever accepted in its shard, and each job the sum that
+// it led to. So a writer whose condition failed learns from the counter in the conflict how many
+// accepted tokens its view lacks, and retries at once instead of waiting for the feed.
 
-// account says whose unfinished items are counted together.
+// account identifies whose unfinished items are counted together.
 type account struct{ route, tenant string }
 
-// accountSeparator parts the two names in keys; no name holds it.
+// accountSeparator separates the two names in keys; no name contains it.
 const accountSeparator = "\x1f"
 
-// String returns the name of the account in keys. Without a tenant it is the route's.
+// String returns the name of the account in keys. Without a tenant it is the name of the route.
 func (a account) String() string {
 	if a.tenant == "" {
 		return a.route
@@ -47,13 +45,13 @@
 	Accepted int64 `cbor:"1,keyasint"`
 	// Quota is the account's quota as of the last write of all shards' counters.
 	Quota int64 `cbor:"2,keyasint"`
-	// Joint says that a shard was beyond its part of the quota then.
+	// Joint is set if a shard was beyond its part of the quota at that write.
 	Joint bool `cbor:"3,keyasint,omitempty"`
 }
 
-// counterKey names the counter row of an account and a shard. It lies in the partition
-// of the shard's jobs, so that one transaction of one partition accepts a job, and
-// before the jobs, so that a whole read never shows a counter without its jobs.
+// counterKey returns the key of the counter row of an account and a shard. The row is in the
+// partition of the shard's jobs, so that one transaction of one partition accepts a job, and sorts
+// before the jobs, so that a full read never shows a counter without its jobs.
 func counterKey(acct account, shard string) table.Key {
 	return table.Key{Partition: Group + "/" + shard, Sort: prefixCounter + acct.String()}
 }
@@ -62,16 +60,16 @@
 type knownCounter struct {
 	counter
 	version uint64
-	// settled is Accepted as of the newest row that came by the feed: all jobs
-	// accepted up to there have come as well.
+	// settled is Accepted as of the newest row that arrived by the feed. All jobs accepted up to it
+	// have arrived as well.
 	settled int64
 }
 
-// resetCounter takes in that the feed has come to a counter row that cannot be read. All jobs that
-// were accepted under earlier versions have come too, so the tokens in use are known from
-// them, and the next acceptance writes the counter anew over that version. It changes the
-// counters of all shards, for nobody can tell what this one said of the quota. Not by a
-// conflict: one may show the row before the feed brings the jobs. The caller holds mu.
+// resetCounter handles a counter row from the feed that cannot be read. All jobs accepted under
+// earlier versions have arrived by then, so the tokens in use are known from them, and the next
+// acceptance overwrites the counter at that version. It changes the counters of all shards, because
+// the quota in the unreadable row is unknown. Conflicts do not reset a counter: they may show the
+// row before the feed brings the jobs. The caller holds mu.
 func (v *View) resetCounter(change table.Change) {
 	known := v.counters[change.Key]
 	if change.Removed || !strings.HasPrefix(change.Sort, prefixCounter) || change.Version <= known.version {
@@ -88,15 +86,15 @@
 	v.counters[change.Key] = known
 }
 
-// usage is what a node knows of the quota in use in one shard.
+// usage is what a node knows of the quota used in one shard.
 type usage struct {
 	counter
 	version uint64
-	// used is the number of tokens of unfinished items. It can only be too high.
+	// used is the number of tokens of unfinished items. It may be too high, but never too low.
 	used int64
 }
 
-// usages returns the quota that an account uses, by shard.
+// usages returns the usage of an account in each shard.
 func (v *View) usages(acct account) [shards]usage {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -130,17 +128,17 @@
 	return sum
 }
 
-// shardQuota is what a shard may hold of a quota by itself.
+// shardQuota returns the part of a quota that a shard may use by itself.
 func shardQuota(quota int64) int64 { return quota / shards }
 
-// fitsShard reports whether a job of so many tokens may be accepted on the condition of
-// its own shard's counter only.
+// fitsShard reports whether a job of so many tokens may be accepted on condition of the counter of
+// its own shard only.
 func (u *usage) fitsShard(quota, tokens int64) bool {
 	return u.version != table.Absent && u.Quota == quota && !u.Joint && u.used+tokens <= shardQuota(quota)
 }
 
-// reserveQuota returns the changes of counters that accept a job, and the sum that its
-// shard's counter comes to. ok is false if the job does not fit.
+// reserveQuota returns the counter writes that accept a job, and the resulting sum in its shard's
+// counter. ok is false if the job does not fit.
 func reserveQuota(all [shards]usage, id string, acct account, quota, tokens int64) (writes []table.Write, accepted int64, ok bool) {
 	own := shardNumber(id)
 	accepted = all[own].Accepted + tokens
@@ -166,7 +164,7 @@
 	return writes, accepted, true
 }
 
-// counterWrite is the change of a counter on the condition that it is as known.
+// counterWrite returns a write of a counter on condition that it has the known version.
 func (u *usage) counterWrite(acct account, shard int, next counter) table.Write {
 	return table.Write{Key: counterKey(acct, shardName(shard)), Expect: u.version, Body: encode(next)}
 }
--- a/internal/jobs/read.go
+++ b/internal/jobs/read.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// maxReadText bounds the texts of one read.
+	// maxReadText bounds the texts of one read, in bytes.
 	maxReadText = 900 << 10
-	// maxCachedText bounds the texts kept in memory.
+	// maxCachedText bounds the texts kept in memory, in bytes.
 	maxCachedText = 16 << 20
 )
 
-// ReadResult is an answer to a read of a job's results.
+// ReadResult is the answer to a read of a job's results.
 type ReadResult struct {
 	Total   int
 	Results []Result
@@ -23,7 +23,8 @@
 	Next int
 }
 
-// Read returns the results from a position on. It waits for one, up to patience.
+// Read returns the results from a position on. If there is none, it waits for one, for at most
+// wait.
 func (s *Service) Read(ctx context.Context, id string, position int, wait time.Duration) (*ReadResult, error) {
 	entry, err := s.find(ctx, id)
 	if err != nil {
@@ -39,7 +40,7 @@
 	result := &ReadResult{Total: len(entry.Job.Items), Next: position}
 	cache := &s.cache
 	if !s.mayStoreHere(ctx, entry.Job) {
-		// The texts pass through to the caller; nothing of them stays here.
+		// The texts are passed on to the caller and not cached at this node.
 		cache = &textCache{}
 	}
 	texts, err := s.texts(ctx, cache, entry, position)
@@ -56,8 +57,8 @@
 	return result, nil
 }
 
-// awaitResult waits until the job has a result at a position, cannot get one
-// any more, or patience ends.
+// awaitResult waits until the job has a result at a position or can no longer get one, for at most
+// wait.
 func (s *Service) awaitResult(ctx context.Context, entry *Entry, position int, wait time.Duration) *Entry {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
@@ -86,7 +87,7 @@
 	}
 }
 
-// texts returns the texts from a position on, as many as fit an answer.
+// texts returns the texts from a position on, as many as fit into one read.
 func (s *Service) texts(ctx context.Context, cache *textCache, entry *Entry, position int) ([]resultText, error) {
 	var texts []resultText
 	size := 0
@@ -109,7 +110,7 @@
 	return texts, nil
 }
 
-// ignoreIfPartial lets a read answer with what it has.
+// ignoreIfPartial drops the error if there are texts to answer with.
 func ignoreIfPartial(texts []resultText, err error) error {
 	if len(texts) > 0 {
 		return nil
@@ -140,7 +141,7 @@
 		}
 		err := s.cacheRow(ctx, cache, id, position+i, row)
 		if err != nil && i > 0 {
-			// The results before it can be read.
+			// The results before this one can be returned.
 			return nil
 		}
 		if err != nil {
@@ -166,8 +167,8 @@
 	return nil
 }
 
-// Body returns the content of an item. It may be read at any node: this one is the
-// machine that the caller has come to, and keeps nothing of it.
+// Body returns the content of an item. Any node may answer it, since it keeps nothing of the
+// content.
 func (s *Service) Body(ctx context.Context, id, item string) ([]byte, error) {
 	entry, err := s.find(ctx, id)
 	if err != nil {
@@ -190,13 +191,13 @@
 	position int
 }
 
-// resultText is what a listed result says.
+// resultText is the text of a listed result, or the reason why it has none.
 type resultText struct {
 	text   string
 	reason Reason
 }
 
-// textCache keeps texts of listed results, which never change.
+// textCache caches the texts of listed results, which never change. It drops the oldest first.
 type textCache struct {
 	mu    sync.Mutex
 	texts map[textKey]resultText
--- a/internal/jobs/regions.go
+++ b/internal/jobs/regions.go
@@ -11,26 +11,25 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// Homes: where a route or a tenant has regions of its own, the items of its jobs run
-// only at replicas there, and only nodes that stand there hold their bodies and texts.
-// The node that a caller has come to is the exception: it takes a job in and answers
-// looks at it, and keeps nothing. The homes in force when something is decided bind, so a
-// change moves what waits.
-
-// ErrNoRegion reports a job whose route and tenant have no region in common: it may be
-// kept nowhere, so it is not accepted.
+// If a route or a tenant restricts its regions, the items of its jobs run only at replicas there,
+// and only nodes there store their bodies and texts. Any node may accept such a job and answer
+// reads of it, but keeps nothing. The regions in force when something is decided apply, so a change
+// also moves waiting items.
+
+// ErrNoRegion reports a job whose route and tenant have no region in common. It may be stored
+// nowhere, so it is not accepted.
 var ErrNoRegion = errors.New("no region may keep the job")
 
-// Fleet tells which nodes there are and where they stand.
+// Fleet provides the live nodes and their regions.
 type Fleet interface {
 	// Nodes returns the live nodes.
 	Nodes() []string
-	// Region returns the region of a live node; empty if it has not told.
+	// Region returns the region of a live node; empty if it is unknown.
 	Region(node string) string
 }
 
-// allowedRegions returns the regions where a job may run and its bodies may lie: nil is anywhere,
-// an empty set nowhere. While no configuration is known it is nowhere.
+// allowedRegions returns the regions where a job may run and its bodies may be stored: nil means
+// anywhere, an empty set nowhere. Before the first configuration it is nowhere.
 func (s *Service) allowedRegions(job *Job) place.Regions {
 	if s.Routes == nil {
 		return nil
@@ -46,8 +45,8 @@
 	return regions
 }
 
-// routeRegions returns the homes of a job's items on a route. For a route or a tenant that is
-// not declared any more those that it had when the job was accepted bind.
+// routeRegions returns the allowed regions of a job's items on a route. If the route or the tenant
+// is no longer declared, the regions recorded at the job's acceptance apply.
 func routeRegions(routes *route.Table, job *Job, target *route.Route) place.Regions {
 	tenant := routes.Tenant(job.Tenant)
 	var regions place.Regions
@@ -63,7 +62,7 @@
 	return regions
 }
 
-// setRouting notes in a job what its homes depend on.
+// setRouting records in a job what its allowed regions depend on.
 func (s *Service) setRouting(job *Job, submission *Submission) {
 	job.Route, job.Host, job.Tenant = submission.Route, submission.Host, submission.Tenant
 	if s.Routes == nil || s.Routes() == nil {
@@ -79,7 +78,7 @@
 	job.AllowedRegions = s.allowedRegions(job)
 }
 
-// inRegions returns those of some sessions whose nodes stand in a home.
+// inRegions returns the sessions whose nodes are in one of the regions.
 func (s *Service) inRegions(sessions []string, regions place.Regions) []string {
 	if regions == nil {
 		return sessions
@@ -93,7 +92,7 @@
 	return matching
 }
 
-// region returns the region of a node; empty if it is not known.
+// region returns the region of a node; empty if it is unknown.
 func (s *Service) region(node string) string {
 	if s.Fleet == nil {
 		return ""
@@ -101,13 +100,13 @@
 	return s.Fleet.Region(node)
 }
 
-// mayStore reports whether a session's node may hold the bodies and texts of a job.
+// mayStore reports whether a session's node may store the bodies and texts of a job.
 func (s *Service) mayStore(job *Job, session string) bool {
 	return s.allowedRegions(job).Allows(s.region(lease.Node(session)))
 }
 
-// mayStoreHere reports whether this node may hold the bodies and texts of a job; if it
-// cannot say who it is, it holds none that have homes.
+// mayStoreHere reports whether this node may store the bodies and texts of a job. If the node's
+// session is unknown, it may store none of a job with restricted regions.
 func (s *Service) mayStoreHere(ctx context.Context, job *Job) bool {
 	if s.allowedRegions(job) == nil {
 		return true
@@ -123,15 +122,14 @@
 	return err == nil && entry != nil && len(entry.ownItems(session)) > 0 && s.mayStore(entry.Job, session)
 }
 
-// outsideRegions reports whether a live node has been told or found to stand outside the homes
-// of what it was to run.
+// outsideRegions reports whether a live node is outside the allowed regions of items assigned to
+// it.
 func (r *Runner) outsideRegions(node string, regions place.Regions) bool {
 	return regions != nil && slices.Contains(r.Owners.Nodes(), node) && !regions.Allows(r.Owners.Region(node))
 }
 
-// awaitRegion looks after a job that no live node may run, at one node of the fleet. Its items
-// wait, listed as not done, until they may be given up. The node says so and, in the end,
-// lists them as dead, for which it needs no body.
+// awaitRegion handles a job that no live node may run; one node of the fleet calls it. The items
+// stay unlisted until they expire. Then the node lists them as dead, which needs no body.
 func (r *Runner) awaitRegion(ctx context.Context, entry *Entry, regions place.Regions) {
 	if !r.awaitingRegion[entry.Job.ID] {
 		r.awaitingRegion[entry.Job.ID] = true
@@ -142,7 +140,7 @@
 	}
 }
 
-// expireItems lists the items of a job that are not done as expired.
+// expireItems lists the unlisted items of a job as expired, up to maxCommitRows of them.
 func (r *Runner) expireItems(ctx context.Context, entry *Entry) {
 	callCtx, cancel := context.WithTimeout(ctx, slowCallTimeout)
 	defer cancel()
@@ -154,7 +152,7 @@
 		}
 	}
 	if err := r.Service.listResults(callCtx, entry.Job, batch); err != nil {
-		// The next look tries again.
+		// The next round of claims tries again.
 		r.Service.Events.ItemFailed(entry.Job, "", "", err)
 	}
 }
--- a/internal/jobs/release.go
+++ b/internal/jobs/release.go
@@ -9,14 +9,12 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// releaseRetryDelay is the pause before a job that could not be handed back is
-// tried again.
+// releaseRetryDelay is the pause before a failed release is tried again.
 const releaseRetryDelay = 300 * time.Millisecond
 
-// Release gives this node's jobs free for others, with the texts that their
-// items have brought so far. Until a job is handed back its running items go
-// on, so nothing is lost while the store does not answer. It returns when all
-// jobs are handed back, or when the context ends.
+// Release releases this node's jobs to other nodes, with checkpoints of their unfinished items. The
+// items of a job run on until it is released, so nothing is lost while the store is unavailable.
+// Release returns when all jobs are released or the context ends.
 func (r *Runner) Release(ctx context.Context) {
 	r.mu.Lock()
 	r.stopped = true
@@ -49,7 +47,8 @@
 	}
 }
 
-// tryRelease gives a job free, with the failures counted so far.
+// tryRelease writes that a job has no owner, with the failures counted so far. It reports whether
+// the job needs no further try.
 func (r *Runner) tryRelease(ctx context.Context, owned *ownedJob) bool {
 	failures := map[int]int{}
 	unsent := r.markedUnsent(owned)
@@ -73,6 +72,6 @@
 		}
 		return nil, true
 	})
-	// A job whose progress cannot be read is nobody's to hand back.
+	// No node can release a job whose progress cannot be read.
 	return err == nil || errors.Is(err, ErrUnreadable)
 }
--- a/internal/jobs/remove.go
+++ b/internal/jobs/remove.go
@@ -10,9 +10,9 @@
 // maxRemoveRows bounds the rows that one write removes.
 const maxRemoveRows = 50
 
-// Remove takes a job whose results are kept elsewhere off the table, in one
-// transaction with further writes, whose conditions guard it. What the job row
-// leads to is removed afterwards; what stays when that fails is never read.
+// Remove deletes a job from the table in one transaction with extra writes, whose conditions guard
+// it. The other rows and objects of the job are deleted afterwards; those that remain after an
+// error are never read.
 func (s *Service) Remove(ctx context.Context, entry *Entry, extra ...table.Write) error {
 	writes := append([]table.Write{
 		{Key: jobKey(entry.Job.ID), Kind: table.Delete, Expect: entry.Job.version},
@@ -30,12 +30,12 @@
 	return nil
 }
 
-// deleteObject removes an object that no row names any more. One that stays is
-// only a waste.
+// deleteObject deletes an object that no row refers to any more. One that remains only wastes
+// space.
 func (s *Service) deleteObject(ctx context.Context, key string) { _ = s.Objects.Delete(ctx, key) }
 
-// deleteRows removes the rows of a job's contents, results and kept texts, and the
-// objects that results name.
+// deleteRows deletes the rows of a job's content, results and checkpoints, and the objects that
+// results refer to.
 func (s *Service) deleteRows(ctx context.Context, job *Job) {
 	prefix := job.ID + "/"
 	for {
@@ -63,7 +63,7 @@
 	}
 }
 
-// Drop forgets a job that was removed.
+// Drop removes a deleted job from the view.
 func (v *View) Drop(id string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/jobs/retrycall.go
+++ b/internal/jobs/retrycall.go
@@ -10,9 +10,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// retryCall makes a call that may be made any number of times until it succeeds,
-// finds nothing, or the context ends. limit bounds one try, so that a hung
-// connection is left. It returns the last error.
+// retryCall makes an idempotent call until it succeeds, finds nothing, or the context ends, and
+// returns the last error. timeout bounds one attempt, so that a hung connection is abandoned.
 func retryCall(ctx context.Context, timeout time.Duration, call func(context.Context) error) error {
 	delay := retryDelay
 	for {
@@ -30,7 +29,7 @@
 	return errors.Is(err, table.ErrNotFound) || errors.Is(err, object.ErrNotFound)
 }
 
-// readError tells what is not there from a store that does not answer.
+// readError wraps the error of a read as ErrNotFound if nothing is there, else as ErrUnavailable.
 func readError(err error) error {
 	switch {
 	case err == nil:
--- a/internal/jobs/runner.go
+++ b/internal/jobs/runner.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// dispatchInterval bounds the time between two looks at what can be run.
+	// dispatchInterval bounds the time between two dispatches.
 	dispatchInterval = 100 * time.Millisecond
-	// maxViewAge is the age of the view beyond which no new items are sent: an
-	// end of a job would not be noticed.
+	// maxViewAge is the age of the view beyond which no new items are sent, because the end of a
+	// job would be missed.
 	maxViewAge = 8 * time.Second
 )
 
-// Owners tells which sessions are gone. The lease watcher implements it.
+// Owners reports which sessions are live. The lease watcher implements it.
 type Owners interface {
 	Refresh(ctx context.Context) error
 	// RefreshInterval is the time to leave between two calls of Refresh.
@@ -30,41 +30,40 @@
 	Expired(session string) bool
 	Live() []string
 	Fleet
-	// Preferred returns the live session that should do a piece of work that any
-	// could do.
+	// Preferred returns the live session that should do a piece of work that any of them could do.
 	Preferred(work string) string
-	// Places returns the nodes of the live sessions with where they are.
+	// Places returns the nodes of the live sessions with their places.
 	Places() []place.Node
 	// Gone reports whether a node has no live session.
 	Gone(node string) bool
 }
 
-// RunnerOptions are what a runner needs.
+// RunnerOptions configures a runner.
 type RunnerOptions struct {
 	Service  *Service
 	Replicas *replica.Set
 	Backend  forward.Backend
-	// Reserver, if set, sets slots of other nodes aside for items that borrow one.
+	// Reserver, if set, reserves slots outside this node's share for items that borrow one.
 	Reserver forward.Reserver
 	Routes   func() *route.Table
 	Owners   Owners
 	Weights  replica.Weights
 	Zone     string
 	Region   string
-	// CommitInterval is the time for which finished items wait for others to be
-	// listed together; zero lists them at once.
+	// CommitInterval is how long finished items wait for others to be listed together; zero lists
+	// them at once.
 	CommitInterval time.Duration
-	// ViewAge is the time since the view's source last answered.
+	// ViewAge returns the time since the view's source last answered.
 	ViewAge func() time.Duration
-	// Quarantine, if set, keeps items from replicas that ended others.
+	// Quarantine, if set, prevents items that crashed replicas from being sent to others.
 	Quarantine forward.Quarantine
-	// EndQuarantined has such items end; others wait until they expire, for callers who
-	// were promised that items end for no other reasons.
+	// EndQuarantined ends such items. Otherwise they wait until they expire, for callers who were
+	// promised that items end for no other reason.
 	EndQuarantined bool
 }
 
-// Runner runs the items of the jobs that this node owns. It is safe for
-// concurrent use.
+// Runner runs the items of the jobs that this node owns. It is safe for concurrent
+// use.
 type Runner struct {
 	RunnerOptions
 
@@ -72,18 +71,19 @@
 	owned   map[string]*ownedJob
 	stopped bool
 	wakeups chan struct{}
-	// estimate is what items are like, pauses how their answers come.
+	// estimate is the expected length of items, gaps the expected gaps between the events of
+	// answers.
 	estimate itemEstimate
 	gaps     gapEstimates
-	// awaitingRegion are the jobs that no live node may run; RunClaims alone uses it.
+	// awaitingRegion holds the jobs that no live node may run. Only RunClaims uses it.
 	awaitingRegion map[string]bool
-	// orphans are the items that no live node runs, as of the last look at lost owners.
+	// orphans are the items that no live node runs, as of the last round of claims.
 	orphans orphans
-	// borrowStates are the lanes where items asked for slots of others.
+	// borrowStates holds the state of borrowing slots by lane.
 	borrowStates map[lane]borrowState
 }
 
-// NewRunner returns a runner that owns nothing yet.
+// NewRunner returns a runner that owns no jobs.
 func NewRunner(options RunnerOptions) *Runner {
 	return &Runner{
 		RunnerOptions: options, owned: map[string]*ownedJob{}, wakeups: make(chan struct{}, 1), awaitingRegion: map[string]bool{},
@@ -108,7 +108,7 @@
 	}
 }
 
-// wake makes Run look again at once.
+// wake makes Run dispatch again at once.
 func (r *Runner) wake() {
 	select {
 	case r.wakeups <- struct{}{}:
@@ -116,7 +116,7 @@
 	}
 }
 
-// dispatch sends what can be sent, the earliest due first.
+// dispatch sends the items that can be sent, in the order of their priority.
 func (r *Runner) dispatch(now time.Time) {
 	if !r.Service.View.Loaded() || r.ViewAge() > maxViewAge {
 		r.recordWaitAll(WaitView)
@@ -143,25 +143,26 @@
 	}
 }
 
-// lane is a part of a pool that items may be served in: the regions, those with an adapter,
-// without the replicas that are left to online requests.
+// lane is the part of a pool that some items may use: replicas in their allowed regions that have
+// their adapter, without the share reserved for online requests.
 type lane struct {
 	pool, regions, adapter string
 	reserve                float64
 }
 
-// dispatchPass is where items found room in one look at those that wait.
+// dispatchPass is the state of one pass over the waiting items.
 type dispatchPass struct {
-	// freeSlots is the room that this node has left in each pool, none what decided it.
+	// freeSlots is the number of free slots that this node has left in each pool, slotCause what
+	// limits it.
 	freeSlots map[string]int
 	slotCause map[string]error
-	// fullLanes are the lanes where no replica takes an item, with why.
+	// fullLanes are the lanes where no replica accepts an item, with the reason.
 	fullLanes map[lane]error
 	// borrowTried are the lanes where an item has tried to borrow a slot.
 	borrowTried map[lane]bool
 }
 
-// tryDispatch sends an item if there is room for it where it may be served.
+// tryDispatch sends an item if a slot that it may use is free, and tries to borrow one if not.
 func (r *Runner) tryDispatch(t *task, target *route.Route, regions place.Regions, pass *dispatchPass, now time.Time) {
 	key := lane{pool: target.Pool(), regions: strings.Join(regions, ","), adapter: target.Adapter, reserve: target.Reserve}
 	if _, ok := pass.freeSlots[key.pool]; !ok {
@@ -192,7 +193,7 @@
 	}
 }
 
-// recordWait notes what an item waits for that is not sent.
+// recordWait records what an item that is not sent waits for.
 func (r *Runner) recordWait(t *task, kind Wait, cause error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -201,7 +202,7 @@
 	}
 }
 
-// recordWaitAll notes that all items which are not under way wait for the same.
+// recordWaitAll records that all items which are not sent wait for the same reason.
 func (r *Runner) recordWaitAll(kind Wait) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -214,7 +215,7 @@
 	}
 }
 
-// readyTasks returns the tasks that could be sent, in the order of their turns.
+// readyTasks returns the tasks that could be sent, in the order of their priority.
 func (r *Runner) readyTasks(now time.Time) []readyTask {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -239,13 +240,13 @@
 	return ready
 }
 
-// readyTask is a task that could be sent, with its turn.
+// readyTask is a task that could be sent, with its priority.
 type readyTask struct {
 	*task
 	priority priority
 }
 
-// priorityOf returns an item's place among others. The caller holds mu.
+// priorityOf returns an item's priority. The caller holds mu.
 func (r *Runner) priorityOf(t *task, storeNow time.Duration) priority {
 	job := t.owned.job
 	return priority{
--- a/internal/jobs/service.go
+++ b/internal/jobs/service.go
@@ -20,26 +20,26 @@
 
 // Timing of calls to the store.
 const (
-	// callTimeout bounds one call, so that a hung connection is left.
+	// callTimeout bounds one call, so that a hung connection is abandoned.
 	callTimeout = 1200 * time.Millisecond
-	// slowCallTimeout bounds a call that was given up for slowness before.
+	// slowCallTimeout bounds calls that take long, and writes that timed out before.
 	slowCallTimeout = 3 * time.Second
 	retryDelay      = 20 * time.Millisecond
 	retryDelayMax   = 250 * time.Millisecond
-	// conflictDelay bounds the pause after the second conflict of one acceptance;
-	// it grows with each further one up to conflictPauseMax. Two transactions of 3 ms
-	// and their way, as the platform states them, fit into it.
+	// conflictDelay bounds the pause after the second conflict of one acceptance; it grows with
+	// each further conflict up to conflictDelayMax. Two transactions of 3 ms and their round trips,
+	// as the platform states them, fit into it.
 	conflictDelay    = 10 * time.Millisecond
 	conflictDelayMax = 60 * time.Millisecond
-	// objectTimeout bounds one call that moves an object.
+	// objectTimeout bounds one call that reads or writes an object.
 	objectTimeout = 4 * time.Second
-	// updateTimeout bounds the wait for a look at the jobs before one is refused for its
-	// size: the rest between two looks that are asked for is 120 ms in a fleet of up to
-	// 80 nodes, and a caller is to have its answer within some 600 ms.
+	// updateTimeout bounds the wait for an update of the view before a job is refused for its size.
+	// Requested updates are 120 ms apart in a fleet of up to 80 nodes, and a caller should have its
+	// answer within about 600 ms.
 	updateTimeout = 150 * time.Millisecond
 )
 
-// Events is told of what happens to jobs, for logs and metrics.
+// Events receives what happens to jobs, for logs and metrics.
 type Events interface {
 	Accepted(job *Job, took time.Duration, resent bool)
 	Refused(id string, used, asked, quota int64, err error)
@@ -47,18 +47,18 @@
 	Claimed(entry *Entry, from string, err error)
 	ItemSent(job *Job, item string, replica string, after int)
 	ItemFailed(job *Job, item string, replica string, err error)
-	// ItemQuarantined tells of an item that is not sent, for it ended replicas.
+	// ItemQuarantined reports an item that is not sent because it crashed replicas.
 	ItemQuarantined(job *Job, item string, err error)
-	// ItemPreempted tells of an item that makes room for online requests, and why.
+	// ItemPreempted reports an item that leaves its slot to online requests, and why.
 	ItemPreempted(job *Job, item string, replica string, after int, why replica.Pressure)
 	ItemListed(job *Job, item string, position int, dead Reason, took time.Duration)
 	Resolved(operation string, attempts int, err error)
 	Removed(job *Job, err error)
-	// Refreshed tells that a job was asked of the table for a reader, for the view was of an age
-	// at which it may lack a result. With an error nobody is sure, and the reader is told so
-	// unless it waits on.
+	// Refreshed reports that a job was read from the table for a reader, because the view was old
+	// enough to lack a result. With an error the current state is unknown, and the reader gets the
+	// error unless it waits further.
 	Refreshed(job *Job, age time.Duration, err error)
-	// AwaitingRegion tells of a job whose items wait because no node of its homes lives.
+	// AwaitingRegion reports a job whose items wait because no node in its allowed regions is live.
 	AwaitingRegion(job *Job, regions place.Regions)
 }
 
@@ -68,43 +68,44 @@
 	Objects object.Store
 	View    *View
 	Events  Events
-	// Session is the id under which this node owns jobs; it must be renewed
-	// before it is named in a row.
+	// Session returns the session under which this node owns jobs. It must be renewed before a row
+	// names it.
 	Session func(ctx context.Context) (string, error)
-	// Fleet, if set, tells the nodes that items are spread over.
+	// Fleet, if set, provides the nodes that items are spread over.
 	Fleet Fleet
-	// Routes, if set, returns the routes in force, whose homes bind; nil before the first.
+	// Routes, if set, returns the routes in force, which restrict the regions of jobs; nil before
+	// the first configuration.
 	Routes func() *route.Table
 	// Slots, if set, returns the slots of a pool's replicas by region.
 	Slots func(pool string) map[string]int
-	// Notify, if set, tells nodes that there is news of a job for them. The word may be
-	// lost: the feed brings the news all the same.
+	// Notify, if set, notifies nodes that a job of theirs has changed. Notifications may be lost,
+	// since the feed brings the change as well.
 	Notify func(nodes []string, job string)
-	// RequestUpdate, if set, is told that a caller waits for news of a job.
+	// RequestUpdate, if set, requests an update of the view for a caller that waits for it.
 	RequestUpdate func()
 
-	// waiters counts the callers that wait for news.
+	// waiters counts the callers that wait for changes.
 	waiters atomic.Int64
 
-	// MaxStaleness is how long after a result was read at any node this one has to show it; zero is
-	// DefaultSettle.
+	// MaxStaleness is how long after a result was read at any node this one must show it; zero
+	// means DefaultMaxStaleness.
 	MaxStaleness time.Duration
 
 	cache        textCache
 	writeLatency writeLatency
-	// refreshes are the questions to the table about jobs that are under way, one a job.
+	// refreshes are the reads of jobs from the table in progress, one a job.
 	refreshes singleflight.Group
-	// refreshLimit bounds them.
+	// refreshLimit bounds their rate.
 	refreshLimit refreshLimiter
-	// contents are the items of jobs that this node accepted lately.
+	// contents holds the items of jobs that this node accepted recently.
 	contentMu sync.Mutex
 	contents  map[string][]Item
 }
 
-// update changes a job's progress row until the change is in or not needed any
-// more. change returns the further writes that belong to it, or false if there
-// is nothing to do; it is called again whenever the row has moved on, so it
-// also finds out that an unanswered write of its own has landed.
+// update changes a job's progress row until the change is stored or no longer needed. change
+// returns further writes for the same transaction, or false if there is nothing to do. It is called
+// again whenever the row has a new version, so it also detects that an unanswered write of its own
+// was applied.
 func (s *Service) update(ctx context.Context, id string, change func(*Progress) ([]table.Write, bool)) error {
 	delay := retryDelay
 	attempts := 0
@@ -116,7 +117,7 @@
 			return Error.Wrap(ErrNotFound)
 		}
 		if s.View.ProgressUnreadable(id) {
-			// No version of the row is known that a change could follow on.
+			// No version of the row is known that a change could be based on.
 			return Error.Wrap(outcome.Failed(ErrUnreadable))
 		}
 		next := entry.Progress.clone()
@@ -162,14 +163,14 @@
 	return nil
 }
 
-// hasChanged reports whether something else is known of a job than an entry says. If not, the
-// same change would meet the same conflict at once.
+// hasChanged reports whether the view has another state of a job than an entry. If not, the same
+// change would meet the same conflict at once.
 func (s *Service) hasChanged(entry *Entry) bool {
 	known := s.View.Get(entry.Job.ID)
 	return known == nil || known.Version != entry.Version || s.View.ProgressUnreadable(entry.Job.ID)
 }
 
-// applyConflict takes in the rows of a conflict. It reports whether there were any.
+// applyConflict applies the rows of a conflict to the view. It reports whether there were any.
 func (s *Service) applyConflict(err error) bool {
 	var conflict *table.ConflictError
 	if !errors.As(err, &conflict) {
@@ -185,8 +186,8 @@
 	return applied
 }
 
-// Tenant returns the name of the tenant that a job is of; empty if callers were not
-// told apart when it was accepted.
+// Tenant returns the name of a job's tenant; empty if tenants were not distinguished when the job
+// was accepted.
 func (s *Service) Tenant(ctx context.Context, id string) (string, error) {
 	entry, err := s.find(ctx, id)
 	if err != nil {
@@ -195,7 +196,7 @@
 	return entry.Job.Tenant, nil
 }
 
-// End ends a job. A nil error means that no more results are listed from now on.
+// End ends a job. A nil error means that no more results will be listed.
 func (s *Service) End(ctx context.Context, id string) error {
 	if _, err := s.find(ctx, id); err != nil {
 		return err
@@ -215,19 +216,19 @@
 	return err
 }
 
-// notify tells nodes that there is news of a job for them.
+// notify notifies nodes that a job of theirs has changed.
 func (s *Service) notify(nodes []string, job string) {
 	if s.Notify != nil && len(nodes) > 0 {
 		s.Notify(nodes, job)
 	}
 }
 
-// Waiters returns the number of callers that wait for news of a job.
+// Waiters returns the number of callers that wait for changes of jobs.
 func (s *Service) Waiters() int { return int(s.waiters.Load()) }
 
-// find returns a job from the view or else from the store, so that a job that
-// was accepted a moment ago elsewhere is known here too. Before all jobs have been
-// read once no news of a job comes by the feed, so it is read from the store each time.
+// find returns a job from the view or else from the store, so that a job accepted elsewhere a
+// moment ago is found. Until all jobs have been read once, the feed brings no changes, so the job
+// is read from the store each time.
 func (s *Service) find(ctx context.Context, id string) (*Entry, error) {
 	if entry := s.View.Get(id); entry != nil && s.View.Loaded() {
 		return entry, nil
@@ -239,7 +240,7 @@
 	s.View.Put(row)
 	row, err = s.getRow(ctx, progressKey(id))
 	if errors.Is(err, ErrNotFound) {
-		// One transaction writes both, so half of the job is lost.
+		// One transaction writes both rows, so half of the job is lost.
 		return nil, Error.Wrap(errors.Join(ErrUnavailable, ErrUnreadable))
 	}
 	if err != nil {
@@ -249,7 +250,7 @@
 	if entry := s.View.Get(id); entry != nil {
 		return entry, nil
 	}
-	// A row that is there cannot be read: nobody can be sure of the job.
+	// A row exists but cannot be read, so the state of the job is unknown.
 	return nil, Error.Wrap(errors.Join(ErrUnavailable, ErrUnreadable))
 }
 
--- a/internal/jobs/spread.go
+++ b/internal/jobs/spread.go
@@ -6,12 +6,12 @@
 	"github.com/wheelhoist/wheelhoist/internal/lease"
 )
 
-// Items of a job are spread over all nodes, so that every node has some that
-// can give way to its own online requests, and no node has many to lose.
+// Items of a job are spread over all nodes, so that every node has some that its own online
+// requests can preempt, and the loss of a node affects few of them.
 
-// spread names the nodes that run the items of a job: each item goes to the node of its
-// region that has the fewest to run. Items that may run only once stay with the owner,
-// for only an owner may mark them.
+// spread assigns the items of a job to nodes: each goes to the node with the fewest items in the
+// chosen region. At-most-once items stay with the owner, because only an owner may mark them as
+// started.
 func (s *Service) spread(job *Job, submission *Submission, self string) {
 	if s.Fleet == nil || slices.ContainsFunc(submission.Items, func(item Item) bool { return item.AtMostOnce }) {
 		return
@@ -33,7 +33,7 @@
 	job.Regions = compactRegions(job.Regions)
 }
 
-// compactRegions returns the regions of nodes as a job row holds them.
+// compactRegions returns the regions of nodes as a job row stores them.
 func compactRegions(regions []string) []string {
 	if len(slices.Compact(slices.Clone(regions))) > 1 {
 		return regions
@@ -58,7 +58,7 @@
 	return load
 }
 
-// listedItems tells of each item whether it is listedItems.
+// listedItems reports for each item whether it is listed.
 func (p *Progress) listedItems(items int) []bool {
 	listed := make([]bool, items)
 	for _, result := range p.Listed {
@@ -90,8 +90,8 @@
 	return nodes
 }
 
-// regionOf returns the regionOf where an item was to run when its job was accepted; empty if
-// it is not known.
+// regionOf returns the region where an item was to run when its job was accepted; empty if it is
+// unknown.
 func (e *Entry) regionOf(item int) string {
 	switch len(e.Job.Regions) {
 	case 0:
@@ -103,7 +103,7 @@
 	}
 }
 
-// ownItems returns the unlisted items that a session is to run.
+// ownItems returns the unlisted items that a session has to run.
 func (e *Entry) ownItems(session string) []int {
 	if len(e.Job.Nodes) == 0 && e.Progress.Owner != session {
 		return nil
@@ -122,7 +122,7 @@
 	return items
 }
 
-// itemsOf returns the unlisted items that a node is to run.
+// itemsOf returns the unlisted items that a node has to run.
 func (e *Entry) itemsOf(node string) []int {
 	var items []int
 	listed := e.Progress.listedItems(len(e.Job.Items))
--- a/internal/jobs/stall.go
+++ b/internal/jobs/stall.go
@@ -8,47 +8,47 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// An attempt at an item ends in a silence of two kinds. Where nothing comes from the replica at
-// all, to any request of this node, it is gone or cut off, and 2 s are enough to tell. Where it
-// answers others, it may only be busy: the item waits for a slot there, or its run is slow. But
-// its connection may also have died without a reset, and then nothing will ever come. So each
-// attempt has a limit of its own, from how answers have come of late; one that is left too
-// early is only sent again, after its text so far, on a new connection, and has twice the time
-// then. So every attempt ends, and an answer that comes within silentMost comes to its end.
+// An attempt at an item is abandoned after two kinds of silence. If a replica sends nothing to any
+// request of this node, it is gone or unreachable, and 2 s are enough to tell. If it answers other
+// requests, it may only be busy: the item is queued there, or its run is slow. But its connection
+// may also have died without a reset, and then nothing will ever arrive. So each attempt has a
+// timeout of its own, learned from recent answers. An attempt that is abandoned too early is sent
+// again on a new connection, resumes after its text so far, and has twice the timeout. So every
+// attempt ends, and an answer that arrives within maxSilence completes.
 
 const (
-	// maxReplicaSilence is how long a replica may say nothing to any request before an item is
-	// taken elsewhere.
+	// maxReplicaSilence is how long a replica may send nothing to any request before an item is
+	// sent elsewhere.
 	maxReplicaSilence = 2 * time.Second
-	// minFirstEventTimeout is the least time that an answer has to its first event while its
-	// replica answers others, stalledNextLeast the least time between two events: an item
-	// waits for a slot before the first, and has one after it.
+	// minFirstEventTimeout is the least timeout for the first event of an answer while its replica
+	// answers other requests, minNextEventTimeout the least between two events. An item waits for a
+	// slot before its first event, and has one afterwards.
 	minFirstEventTimeout = 4 * time.Second
 	minNextEventTimeout  = 2 * time.Second
-	// maxLearnedTimeout bounds what is learned, so that a few answers which took very long to begin do
-	// not make each dead connection cost as much.
+	// maxLearnedTimeout bounds the learned timeouts, so that a few answers that were slow to begin
+	// do not make each dead connection cost as much.
 	maxLearnedTimeout = 10 * time.Second
 	// maxSilence bounds any silence. An answer that takes longer to its first event never
-	// comes to its end; one that takes up to it is sent six times at the most.
+	// completes; one that takes up to it is sent six times at most.
 	maxSilence = time.Minute
 	// restartedTimeout is how long an answer may be silent once its replica is known to have
-	// started again: the list tells late, so the attempt may have been sent to the new start,
-	// whose events come several times in this time once it has begun.
+	// restarted. The list of replicas is updated late, so the attempt may have been sent to the new
+	// process, which sends several events in this time once it has begun.
 	restartedTimeout = 500 * time.Millisecond
-	// atMostOnceEventTimeout is how long an item may be silent between two events that may run only once:
-	// leaving it ends it, as one of which nobody knows whether it ran. Before the first it may
-	// stand in a long queue, and has silentMost.
+	// atMostOnceEventTimeout is how long an at-most-once item may be silent between two events.
+	// Abandoning it ends it as undecided. Before its first event it may be in a long queue, and has
+	// maxSilence.
 	atMostOnceEventTimeout = 30 * time.Second
-	// silenceChecks is how often a silence is looked at in itemSilence.
+	// silenceChecks is the number of checks in maxReplicaSilence.
 	silenceChecks = 8
-	// maxTimeoutShift bounds the doubling for what can be counted in a time.
+	// maxTimeoutShift bounds the doubling of a timeout against overflow.
 	maxTimeoutShift = 16
 )
 
-// watchSilence gives an attempt up that has been silent for too long.
+// watchSilence cancels an attempt that has been silent for too long.
 func (r *Runner) watchSilence(t *task, use *replica.Use) (stop func()) {
 	done := make(chan struct{})
-	// The next attempt has a cancel of its own, which a late look must not call.
+	// The next attempt has its own cancel function, which a late check must not call.
 	cancel := t.cancel
 	go func() {
 		ticker := time.NewTicker(maxReplicaSilence / silenceChecks)
@@ -68,34 +68,34 @@
 	return func() { close(done) }
 }
 
-// silenceError returns why an attempt is to be given up now, nil if it is not.
+// silenceError returns why an attempt must be abandoned now; nil if it need not be.
 func (r *Runner) silenceError(t *task, use *replica.Use, now time.Time) error {
-	own, begun := use.OwnSilence(now)
+	own, started := use.OwnSilence(now)
 	switch {
 	case restarted(use) && own > restartedTimeout:
 		return forward.ErrRestarted
-	case t.atMostOnce && own > atMostOnceTimeout(begun):
+	case t.atMostOnce && own > atMostOnceTimeout(started):
 		return forward.ErrStalled
 	case t.atMostOnce:
 		return nil
 	case use.Silence(now) > r.backedOff(t, maxReplicaSilence):
 		return forward.ErrSilent
-	case own > r.stallTimeout(t, begun):
+	case own > r.stallTimeout(t, started):
 		return forward.ErrStalled
 	default:
 		return nil
 	}
 }
 
-// atMostOnceTimeout is how long an item may be silent that may run only once.
-func atMostOnceTimeout(begun bool) time.Duration {
-	if begun {
+// atMostOnceTimeout returns how long an at-most-once item may be silent.
+func atMostOnceTimeout(started bool) time.Duration {
+	if started {
 		return atMostOnceEventTimeout
 	}
 	return maxSilence
 }
 
-// restarted reports whether the replica of an attempt is known to have started again since.
+// restarted reports whether the replica of an attempt is known to have restarted since.
 func restarted(use *replica.Use) bool {
 	select {
 	case <-use.Reborn():
@@ -105,48 +105,48 @@
 	}
 }
 
-// stallTimeout is how long an attempt may be silent whose replica answers others, before its
-// first event or after it.
-func (r *Runner) stallTimeout(t *task, begun bool) time.Duration {
+// stallTimeout returns how long an attempt may be silent while its replica answers other requests,
+// before its first event or after it.
+func (r *Runner) stallTimeout(t *task, started bool) time.Duration {
 	r.mu.Lock()
 	limit := max(minFirstEventTimeout, r.gaps.first.upperBound())
-	if begun {
+	if started {
 		limit = max(minNextEventTimeout, r.gaps.next.upperBound())
 	}
 	r.mu.Unlock()
 	return r.backedOff(t, min(limit, maxLearnedTimeout))
 }
 
-// backedOff is a time for an attempt, backedOff for each one in a row that was given up before it
-// brought anything, up to silentMost.
+// backedOff returns a timeout doubled for each attempt in a row that was abandoned before it
+// brought anything, up to maxSilence.
 func (r *Runner) backedOff(t *task, limit time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return min(limit<<min(t.stalls, maxTimeoutShift), maxSilence)
 }
 
-// eventGaps are the pauses of one answer. The zero value, with last set to when the attempt was
-// sent, has none.
+// eventGaps are the gaps before the events of one answer. The initial value has last set to when
+// the attempt was sent.
 type eventGaps struct {
 	last        time.Time
-	begun       bool
+	started     bool
 	first, next time.Duration
 }
 
-// record takes in an event.
+// record records the gap before an event.
 func (p *eventGaps) record(now time.Time) {
 	gap := now.Sub(p.last)
 	p.last = now
-	if !p.begun {
-		p.begun, p.first = true, gap
+	if !p.started {
+		p.started, p.first = true, gap
 		return
 	}
 	p.next = max(p.next, gap)
 }
 
-// recordGaps takes in how an answer came as far as it did.
+// recordGaps updates the estimates with the gaps of an answer, complete or not.
 func (r *Runner) recordGaps(run eventGaps) {
-	if !run.begun {
+	if !run.started {
 		return
 	}
 	r.mu.Lock()
@@ -155,12 +155,12 @@
 	r.gaps.next.add(run.next)
 }
 
-// gapEstimates is what is learned of how answers to items come: the time to their first events, and
-// the longest pause after it. The zero value knows nothing.
+// gapEstimates estimates the time to the first event of an answer and the longest gap after it. The
+// zero value has no observations.
 type gapEstimates struct{ first, next gapEstimate }
 
-// gapEstimate estimates the longest of some times. It is the estimate by which a sender takes a
-// segment for lost (Jacobson, 1988; RFC 6298): the mean and four mean deviations.
+// gapEstimate estimates an upper bound of some times, as senders do to take a segment for lost
+// (Jacobson, 1988; RFC 6298): the mean and four mean deviations.
 type gapEstimate struct{ mean, deviation time.Duration }
 
 const (
@@ -170,7 +170,7 @@
 	deviationFactor = 4
 )
 
-// add takes in one time.
+// add adds one observation.
 func (p *gapEstimate) add(seen time.Duration) {
 	if p.mean == 0 {
 		p.mean, p.deviation = seen, seen/2
@@ -180,5 +180,5 @@
 	p.mean += time.Duration(meanWeight * float64(seen-p.mean))
 }
 
-// upperBound is the upperBound time that is to be expected; 0 if nothing is learned.
+// upperBound returns the longest time to be expected; 0 without observations.
 func (p *gapEstimate) upperBound() time.Duration { return p.mean + deviationFactor*p.deviation }
--- a/internal/jobs/sweep.go
+++ b/internal/jobs/sweep.go
@@ -8,18 +8,17 @@
 )
 
 const (
-	// sweepInterval is the time between two looks for jobs to be removed.
+	// sweepInterval is the time between two sweeps.
 	sweepInterval = 5 * time.Second
-	// sweepMargin is kept beyond what was promised, for estimates of the store's
-	// clock differ between nodes.
+	// sweepMargin is added to the retention, because nodes' estimates of the store's clock differ.
 	sweepMargin = 10 * time.Second
-	// maxSweepJobs bounds the jobs that one look removes.
+	// maxSweepJobs bounds the jobs that one sweep removes.
 	maxSweepJobs = 20
 )
 
-// RunSweeping removes jobs that nobody may ask for any more, until the context
-// ends: those that are done or ended, keep after their acceptance. Zero keeps
-// all. Each job is removed by the node that Owners prefers for it.
+// RunSweeping removes jobs that are done or ended once the retention since their acceptance is
+// over, until the context ends. A retention of zero keeps all jobs. Each job is removed by the node
+// that Owners prefers for it.
 func (r *Runner) RunSweeping(ctx context.Context, retention time.Duration) {
 	if retention <= 0 {
 		return
@@ -54,16 +53,14 @@
 	}
 }
 
-// refreshOwners brings what is known of other nodes up to date. It reports whether that was
-// possible.
+// refreshOwners updates what is known of other nodes. It reports whether that succeeded.
 func (r *Runner) refreshOwners(ctx context.Context) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return r.Owners.Refresh(callCtx) == nil
 }
 
-// expiredJobs returns the jobs that are done and have been kept for as long as was
-// promised.
+// expiredJobs returns the jobs that are done or ended and whose retention is over.
 func (r *Runner) expiredJobs(retention time.Duration) []*Entry {
 	var expired []*Entry
 	for _, entry := range r.Service.View.All() {
--- a/internal/jobs/takeover.go
+++ b/internal/jobs/takeover.go
@@ -11,10 +11,10 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// errOtherOwner reports that another node was faster.
+// errOtherOwner reports that another node has taken the job over first.
 var errOtherOwner = errors.New("job has another owner")
 
-// RunClaims takes over jobs whose owner is gone, until the context ends.
+// RunClaims takes over jobs and items whose node is gone, until the context ends.
 func (r *Runner) RunClaims(ctx context.Context) {
 	for retry.Sleep(ctx, r.Owners.RefreshInterval()) {
 		r.claimOrphaned(ctx)
@@ -38,8 +38,8 @@
 	r.setOrphans(orphans)
 }
 
-// claimEntry takes over what this node should of a job. Only nodes in its homes do, those
-// of the region where the items were first.
+// claimEntry takes over those items of a job that this node should run. Only nodes in the job's
+// allowed regions take over, those in the region where the items were first assigned before others.
 func (r *Runner) claimEntry(ctx context.Context, entry *Entry, live []string, session string, orphans *orphans) {
 	regions := r.Service.allowedRegions(entry.Job)
 	candidates := r.Service.inRegions(live, regions)
@@ -66,7 +66,7 @@
 	}
 }
 
-// preferRegion returns those of some sessions whose nodes stand in a region, all if none does.
+// preferRegion returns the sessions whose nodes are in a region, or all of them if none is.
 func (r *Runner) preferRegion(sessions []string, region string) []string {
 	var matching []string
 	for _, session := range sessions {
@@ -80,13 +80,12 @@
 	return matching
 }
 
-// lostItems are the items of a job that a node cannot run any more, by the region where
-// they were to run when the job was accepted: all nodes know that one alike, and a lost
-// node tells none.
+// lostItems identifies the items of a job that a node can no longer run, and the region where they
+// were to run when the job was accepted. All nodes know that region, while the region of a node
+// that is gone is unknown.
 type lostItems struct{ node, region string }
 
-// lostItems returns what nodes have to run of a job that are gone, or stand outside its
-// homes.
+// lostItems returns the unlisted items whose nodes are gone or outside the allowed regions.
 func (r *Runner) lostItems(entry *Entry, regions place.Regions, session string) []lostItems {
 	var lost []lostItems
 	listed := entry.Progress.listedItems(len(entry.Job.Items))
@@ -102,8 +101,8 @@
 	return lost
 }
 
-// claimItems makes this node run what a lost one had to, unless another one does
-// by then.
+// claimItems reassigns the items of a lost node to this node, except those that another node has
+// taken over by then.
 func (r *Runner) claimItems(ctx context.Context, entry *Entry, lost lostItems, session string) {
 	callCtx, cancel := context.WithTimeout(ctx, slowCallTimeout)
 	defer cancel()
@@ -129,8 +128,8 @@
 	r.Service.Events.Claimed(entry, lost.node, err)
 }
 
-// mayClaim reports whether this node should take a job over: its own from before a
-// restart at once, those of others once their owner is gone or outside the job's homes.
+// mayClaim reports whether this node should take a job over: its own from before a restart at once,
+// others once their owner is gone or outside the allowed regions.
 func (r *Runner) mayClaim(entry *Entry, regions place.Regions, candidates []string, session string) bool {
 	owner := entry.Progress.Owner
 	if owner != "" && lease.SameNode(owner, session) {
@@ -140,7 +139,7 @@
 	return free && lease.Preferred(candidates, entry.Job.ID) == session
 }
 
-// claim makes this node the owner, unless another one is by then.
+// claim makes this node the owner of a job, unless another node has become the owner.
 func (r *Runner) claim(ctx context.Context, entry *Entry, session string) {
 	callCtx, cancel := context.WithTimeout(ctx, slowCallTimeout)
 	defer cancel()
--- a/internal/jobs/validate.go
+++ b/internal/jobs/validate.go
@@ -6,25 +6,25 @@
 	"slices"
 )
 
-// A row that decodes may still say what cannot be, when somebody else has written it or it
-// was damaged. What is indexed by such a row is checked here once, when it is read.
+// A row that decodes may still hold invalid values, if it was damaged or written by something else.
+// Values that are used as indexes are checked once, when the row is read.
 
 // maxChunks bounds the rows of a content; their keys have three digits.
 const maxChunks = 999
 
 var (
 	errWrongJob       = errors.New("the row names another job than its key")
-	errWrongPartition = errors.New("the row lies in another part than its job's")
-	errItemCount      = errors.New("no such number of items")
-	errItemHead       = errors.New("an item without an id, with negative tokens or of no node")
-	errChunkCount     = errors.New("no such number of chunks")
-	errRegionCount    = errors.New("not a region for each node")
-	errItemIndex      = errors.New("no such item")
-	errListedTwice    = errors.New("an item is listed twice")
-	errNegative       = errors.New("a negative number")
+	errWrongPartition = errors.New("the row is in another partition than its job")
+	errItemCount      = errors.New("invalid number of items")
+	errItemHead       = errors.New("item without id, with negative tokens or with an unknown node")
+	errChunkCount     = errors.New("invalid number of chunks")
+	errRegionCount    = errors.New("number of regions differs from number of nodes")
+	errItemIndex      = errors.New("item index out of range")
+	errListedTwice    = errors.New("item listed twice")
+	errNegative       = errors.New("negative number")
 )
 
-// check reports what a job row cannot say under a job's key.
+// check returns an error if a job row holds values that are invalid for the job with this id.
 func (j *Job) check(id string) error {
 	switch {
 	case j.ID != id:
@@ -47,7 +47,8 @@
 	return nil
 }
 
-// check reports what a progress row cannot say of a job with so many items.
+// check returns an error if a progress row holds values that are invalid for a job with so many
+// items.
 func (p *Progress) check(items int) error {
 	listed := make([]bool, items)
 	for _, result := range p.Listed {
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// check reports what a counter row cannot say.
+// check returns an error if a counter row holds invalid values.
 func (c *counter) check() error {
 	if c.Accepted < 0 || c.Quota < 0 {
 		return fmt.Errorf("%w: %d accepted of %d", errNegative, c.Accepted, c.Quota)
--- a/internal/jobs/view.go
+++ b/internal/jobs/view.go
@@ -18,7 +18,7 @@
 	Version uint64
 }
 
-// unfinishedTokens counts the tokens of items that hold room in the quota.
+// unfinishedTokens returns the tokens of the items that use up quota.
 func (e *Entry) unfinishedTokens() int64 {
 	if e.Progress.Ended {
 		return 0
@@ -38,30 +38,30 @@
 	return !e.Progress.Ended && len(e.Progress.Listed) < len(e.Job.Items)
 }
 
-// View is a node's picture of all jobs, fed by the table's feed and by this
-// node's own writes. It never steps back. It is safe for concurrent use.
+// View is a node's state of all jobs, fed by the table's feed and the node's own writes. It never
+// returns to an older version. It is safe for concurrent use.
 type View struct {
-	// Unreadable, if set, is told of rows that cannot be read; they are passed over.
+	// Unreadable, if set, receives rows that cannot be read; they are skipped.
 	Unreadable *table.Unreadable
 
 	mu       sync.Mutex
 	jobs     map[string]*Job
 	progress map[string]*Entry
 	counters map[table.Key]knownCounter
-	// storeNow is the store's clock as of readAt.
+	// storeNow is the store's clock at readAt.
 	storeNow time.Duration
 	readAt   time.Time
-	// asOf is when the source gave the newest answer of the feed.
+	// asOf is when the source produced the newest complete answer of the feed.
 	asOf    time.Time
 	changed chan struct{}
-	// earlyProgress holds progress rows whose job row has not come yet.
+	// earlyProgress holds progress rows whose job row has not arrived yet.
 	earlyProgress map[string]table.Row
-	// unreadable holds the versions of progress rows that are newer than what is known of their
-	// jobs and cannot be read.
+	// unreadable holds the versions of progress rows that cannot be read and are newer than the
+	// known state of their jobs.
 	unreadable map[string]uint64
 }
 
-// NewView returns a view that has seen nothing.
+// NewView returns an empty view.
 func NewView() *View {
 	return &View{
 		jobs: map[string]*Job{}, progress: map[string]*Entry{}, counters: map[table.Key]knownCounter{},
@@ -69,7 +69,7 @@
 	}
 }
 
-// Apply takes in changes of Group.
+// Apply applies changes of Group from the feed.
 func (v *View) Apply(changes table.Changes, _ bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -91,7 +91,7 @@
 	v.notify()
 }
 
-// Put takes in rows that this node wrote or was shown.
+// Put applies rows that this node wrote or read.
 func (v *View) Put(rows ...table.Row) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -101,7 +101,7 @@
 	v.notify()
 }
 
-// put takes in a row. The caller holds mu.
+// put applies a row. The caller holds mu.
 func (v *View) put(row table.Row) {
 	if strings.HasPrefix(row.Sort, prefixCounter) {
 		v.putCounter(row)
@@ -116,7 +116,8 @@
 	}
 }
 
-// checkKey reports whether a row lies where its job's rows are. Another one is not the job's.
+// checkKey reports whether a row has the key of its job's row. Other rows are reported as
+// unreadable.
 func (v *View) checkKey(row table.Row, want table.Key) bool {
 	if row.Key != want {
 		v.Unreadable.Report(row.AsUnreadable(table.Content, errWrongPartition))
@@ -125,7 +126,7 @@
 	return true
 }
 
-// putCounter takes in a counter row.
+// putCounter applies a counter row.
 func (v *View) putCounter(row table.Row) {
 	var next counter
 	if !v.decode(row, &next, func() error { return next.check() }) {
@@ -138,8 +139,8 @@
 	v.counters[row.Key] = known
 }
 
-// settleCounter notes that the feed has come to a counter row: all jobs that are counted
-// in it have come too.
+// settleCounter records that a counter row arrived by the feed: all jobs counted in it have arrived
+// too.
 func (v *View) settleCounter(row table.Row) {
 	if !strings.HasPrefix(row.Sort, prefixCounter) {
 		return
@@ -149,13 +150,12 @@
 		return
 	}
 	known := v.counters[row.Key]
-	// One that was written anew after it could not be read may be lower than before.
+	// A counter that was overwritten after it could not be read may be lower than before.
 	known.settled = reached.Accepted
 	v.counters[row.Key] = known
 }
 
-// decode reads the body of a row and checks what it says. It reports whether that is
-// possible.
+// decode decodes the body of a row and checks its values. It reports whether the row is readable.
 func (v *View) decode(row table.Row, record any, check func() error) bool {
 	err := row.Decode(record)
 	if err != nil {
@@ -216,7 +216,7 @@
 	}
 }
 
-// notify tells those that wait for a change. The caller holds mu.
+// notify wakes those that wait for a change. The caller holds mu.
 func (v *View) notify() {
 	close(v.changed)
 	v.changed = make(chan struct{})
@@ -236,8 +236,8 @@
 	return v.progress[id]
 }
 
-// ProgressUnreadable reports whether what has become of a job cannot be read: it may have been ended, or
-// results listed that are not known here.
+// ProgressUnreadable reports whether the current progress of a job cannot be read: the job may have
+// been ended, or have results that are not known here.
 func (v *View) ProgressUnreadable(id string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -245,8 +245,8 @@
 	return unreadable
 }
 
-// Open returns the jobs that have items to run. A job whose progress cannot be read rests: it
-// may have been ended, and nothing of it can be listed.
+// Open returns the jobs that have items to run. Jobs whose progress cannot be read are left out:
+// they may have been ended, and none of their results can be listed.
 func (v *View) Open() []*Entry {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -270,35 +270,35 @@
 	return all
 }
 
-// Now estimates the store's clock.
+// Now returns an estimate of the store's clock.
 func (v *View) Now() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.storeNow + clock.Since(v.readAt)
 }
 
-// Loaded reports whether the jobs have been looked at once. Before that neither
-// the store's clock is known nor what has become of a job.
+// Loaded reports whether all jobs have been read once. Before that, neither the store's clock nor
+// the state of a job is known.
 func (v *View) Loaded() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return !v.readAt.IsZero()
 }
 
-// AsOf returns the moment up to which the view is complete: of what was written later it may
-// lack anything. It is when the feed's source gave its answer, not when the feed was last
-// tried. Zero is never.
+// AsOf returns the time up to which the view is complete; it may lack anything written later. This
+// is when the feed's source produced its answer, not when the feed was last polled. Zero means
+// never.
 func (v *View) AsOf() time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.asOf
 }
 
-// timeUntil is the time left timeUntil a moment of the store's clock.
+// timeUntil returns the time left until a moment of the store's clock.
 func (v *View) timeUntil(moment time.Duration) time.Duration { return moment - v.Now() }
 
-// awaitLoaded waits until the jobs have been looked at once: before that neither the
-// store's clock nor the quota in use is known.
+// awaitLoaded waits until all jobs have been read once: before that, neither the store's clock nor
+// the quota in use is known.
 func (v *View) awaitLoaded(ctx context.Context) error {
 	for {
 		v.mu.Lock()
--- a/internal/jobs/waits.go
+++ b/internal/jobs/waits.go
@@ -8,41 +8,42 @@
 	"github.com/wheelhoist/wheelhoist/internal/clock"
 )
 
-// Wait says what an item that is not listed waits for. Each has an end that is bound to
-// come, see Bound.
+// Wait is the reason why an item is not listed yet. Bound returns how long it should last.
 type Wait uint8
 
 const (
-	// WaitDispatch items have not been looked at since they came to this node, or since they
-	// last could be sent.
+	// WaitDispatch items have not been considered for dispatch since they were assigned to this
+	// node or became ready.
 	WaitDispatch Wait = iota
-	// WaitBackoff items rest after an attempt that did not bring them to their end.
+	// WaitBackoff items are in the pause after an attempt that did not complete them.
 	WaitBackoff
-	// WaitView items wait for news of the jobs: ends of jobs would not be noticed.
+	// WaitView items wait for a current view of the jobs; with an old one, ends of jobs would be
+	// missed.
 	WaitView
-	// WaitRoutes items wait for the first routes.
+	// WaitRoutes items wait for the first configuration of routes.
 	WaitRoutes
-	// WaitRoute items wait for a route that takes items of their kind.
+	// WaitRoute items wait for a route that accepts batch items.
 	WaitRoute
 	// WaitSlot items wait for one of this node's own slots.
 	WaitSlot
-	// WaitReplica items wait for a replica that takes them.
+	// WaitReplica items wait for a replica that accepts them.
 	WaitReplica
-	// WaitQuarantine items ended replicas and wait for their trial, or to expire.
+	// WaitQuarantine items crashed replicas, and wait for a trial or until they expire.
 	WaitQuarantine
-	// WaitStartMark items may run only once and wait to be marked as started.
+	// WaitStartMark items may run only once, and wait to be marked as started.
 	WaitStartMark
-	// WaitRelease items wait for this node to give them free for others.
+	// WaitRelease items wait for this node to release their job.
 	WaitRelease
-	// WaitAnswer items run; they wait for the next event of their answer.
+	// WaitAnswer items run, and wait for the next event of their answer.
 	WaitAnswer
-	// WaitListing items have their outcome and wait for it to be listed.
+	// WaitListing items have an outcome that is not listed yet.
 	WaitListing
-	// WaitContent items wait for their content to be read.
+	// WaitContent items wait for their content to be read from the store.
 	WaitContent
-	// WaitOwner items wait to be taken over from a node that is gone, or outside their homes.
+	// WaitOwner items wait to be taken over from a node that is gone or outside their allowed
+	// regions.
 	WaitOwner
-	// WaitRegion items wait for a node of their homes.
+	// WaitRegion items wait for a live node in their allowed regions.
 	WaitRegion
 	waitKinds
 )
@@ -59,30 +60,30 @@
 	return names[w]
 }
 
-// ItemWait is what one item waits for, and how long it has not come on.
+// ItemWait describes what one unlisted item waits for.
 type ItemWait struct {
 	Job, Item string
 	For       Wait
-	// LastProgress is when the item last came on, by package clock: it was taken up, its answer
-	// brought an event, or it got its outcome.
+	// LastProgress is when the item last made progress, by package clock: when it was assigned to
+	// this node, its answer last brought an event, or it got its outcome.
 	LastProgress time.Time
-	// Start is since when it waits for this, all the time.
+	// Start is since when the item has waited for this reason without a break.
 	Start time.Time
-	// Replica is where a running item is.
+	// Replica is the replica that runs the item, if one does.
 	Replica string
-	// Cause is what decided it; nil if the wait says all.
+	// Cause is the error behind the wait; nil if For says it all.
 	Cause error
 }
 
-// WaitCount counts the items of this node that wait for the same.
+// WaitCount counts the items of this node that wait for the same reason.
 type WaitCount struct {
 	For   Wait
 	Count int
-	// Oldest is the longest time for which one of them has not come on.
+	// Oldest is the longest time since one of them made progress.
 	Oldest time.Duration
 }
 
-// setWait notes what the task setWait for from now on. The caller holds the runner's lock.
+// setWait records what the task waits for from now on. The caller holds the runner's lock.
 func (t *task) setWait(kind Wait, cause error) {
 	if t.wait != kind || t.waitStart.IsZero() {
 		t.waitStart = clock.Now()
@@ -90,8 +91,8 @@
 	t.wait, t.waitCause = kind, cause
 }
 
-// ItemWaits returns what each unlisted item of this node waits for, and those that this node
-// should take over, that which came on longest ago first.
+// ItemWaits returns what each unlisted item of this node, and each orphan that it should take over,
+// waits for, the least recent progress first.
 func (r *Runner) ItemWaits() []ItemWait {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -129,8 +130,8 @@
 	return wait
 }
 
-// WaitCounts counts the unlisted items of this node by what they wait for, in the order of
-// Wait; what no item waits for is there with a count of 0.
+// WaitCounts counts the unlisted items of this node by reason, in the order of Wait. Reasons
+// without items are included with a count of 0.
 func (r *Runner) WaitCounts(now time.Time) []WaitCount {
 	counts := make([]WaitCount, waitKinds)
 	for i := range counts {
@@ -144,17 +145,16 @@
 	return counts
 }
 
-// maxStall is how long an item may go without progress at most before it is worth a log
-// line, whatever it waits for, by turns.
+// maxStall is how long an item may go without progress before it is overdue, even if the reasons
+// for its wait alternate.
 const maxStall = 10 * time.Second
 
-// noBound waits end by what operators or callers do, or when the item expires. What begins
-// them is logged once.
+// noBound is the bound of waits that end by an action of operators or callers, or when the item
+// expires. Their start is logged once.
 const noBound = time.Duration(math.MaxInt64)
 
-// Bound is how long an item usually waits for the same at most, while nodes, replicas and the
-// store are there. Design 0018 tells what ends each wait and who sees to it if that does not
-// come.
+// Bound returns the longest time that an item usually waits for this reason while nodes, replicas
+// and the store are available. Design 0018 describes what ends each wait.
 func (w Wait) Bound() time.Duration {
 	switch w {
 	case WaitDispatch, WaitBackoff:
@@ -174,8 +174,8 @@
 	return bound != noBound && (now.Sub(w.Start) >= bound || now.Sub(w.LastProgress) >= maxStall)
 }
 
-// Overdue returns the items that have waited for longer than they should, that which came on
-// longest ago first.
+// Overdue returns the items that have waited for longer than they should, the least recent progress
+// first.
 func (r *Runner) Overdue(now time.Time) []ItemWait {
 	return slices.DeleteFunc(r.ItemWaits(), func(wait ItemWait) bool { return !wait.isOverdue(now) })
 }
--- a/internal/jobs/waitsbynode.go
+++ b/internal/jobs/waitsbynode.go
@@ -8,20 +8,20 @@
 	"github.com/wheelhoist/wheelhoist/internal/lease"
 )
 
-// NodeWaitCount counts the unlisted items of some jobs that wait for the same at one node.
+// NodeWaitCount counts the unlisted items of some jobs that wait at one node for the same reason.
 type NodeWaitCount struct {
-	// Node is who runs them; empty if nobody does.
+	// Node is the node that runs them; empty if none does.
 	Node string
-	// For is what they wait for. Of other nodes than this one only the number is known.
+	// For is what they wait for. Known is set only for items of the reporting node.
 	For   Wait
 	Known bool
 	Items int
-	// Oldest is the longest time for which one of them has not come on, if it is known.
+	// Oldest is the longest time since one of them made progress, if it is known.
 	Oldest time.Duration
 }
 
-// WaitsByNode tells which nodes run the unlisted items of the jobs that concern the caller, and
-// what those of this node wait for. Whoever looks for the reason asks the node that runs them.
+// WaitsByNode returns which nodes run the unlisted items of the included jobs, and what those of
+// this node wait for. The reasons of other nodes' items are known only there.
 func (r *Runner) WaitsByNode(session string, now time.Time, include func(job string) bool) []NodeWaitCount {
 	type key struct {
 		node  string
--- a/internal/jobs/writelatency.go
+++ b/internal/jobs/writelatency.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// writeTimeoutFactor is how many usual times a write may take before its answer
-	// counts as lost. Sending a conditional write again is harmless, and
-	// waiting for a lost answer is not.
+	// writeTimeoutFactor is the multiple of the mean latency after which the answer to a write
+	// counts as lost. Repeating a conditional write is harmless, while waiting for a lost answer
+	// costs time.
 	writeTimeoutFactor = 6
 	minWriteTimeout    = 100 * time.Millisecond
-	// initialWriteLatency stands in until a write has been answered.
+	// initialWriteLatency is assumed until a write has been answered.
 	initialWriteLatency = 25 * time.Millisecond
 	latencyGain         = 0.3
 )
 
-// writeLatency learns how long writes to the store take. It is safe for concurrent use.
+// writeLatency estimates how long writes to the store take. It is safe for concurrent use.
 type writeLatency struct {
 	mu   sync.Mutex
 	mean time.Duration
 }
 
-// timeout returns how long to wait for the answer of a try, from 0 on. It doubles
-// with each try, for the store may have become slow.
+// timeout returns how long to wait for the answer to an attempt, numbered from 0. It doubles with
+// each attempt, because the store may have become slow.
 func (p *writeLatency) timeout(attempt int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,7 +38,7 @@
 	return min(timeout<<min(attempt, 8), slowCallTimeout)
 }
 
-// observe takes in how long an answer took, or how long one was waited for in vain.
+// observe updates the mean with the time a write took, or the time after which it was given up.
 func (p *writeLatency) observe(elapsed time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,7 +48,7 @@
 	p.mean += time.Duration(latencyGain * float64(elapsed-p.mean))
 }
 
-// call makes one try of a write with the time that it may take.
+// call makes one attempt at a write within its timeout.
 func (p *writeLatency) call(ctx context.Context, attempt int, write func(context.Context) error) error {
 	callCtx, cancel := context.WithTimeout(ctx, p.timeout(attempt))
 	defer cancel()
