--- a/internal/jobs/accept_test.go
+++ b/internal/jobs/accept_test.go
@@ -26,9 +26,9 @@
 		"no path":         func(s *Submission) { s.Items[0].Path = "" },
 		"wrong tokens":    func(s *Submission) { s.Items[0].Tokens = -1 },
 	}
-	for name, spoil := range cases {
+	for name, mutate := range cases {
 		submitted := valid()
-		spoil(submitted)
+		mutate(submitted)
 		if err := submitted.Check(); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: %v, want ErrInvalid", name, err)
 		}
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestSubmit_ResentJobIsTakenOnce(t *testing.T) {
+func TestSubmit_ResentJobIsAcceptedOnce(t *testing.T) {
 	shared := tabletest.New()
 	objects := &objecttest.Store{}
 	first, second := startNode(t, shared, objects, "a#1"), startNode(t, shared, objects, "b#1")
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestSubmit_LostAnswerIsFoundOut(t *testing.T) {
+func TestSubmit_LostAnswerIsResolved(t *testing.T) {
 	shared := tabletest.New()
 	faults := []tabletest.Fault{tabletest.Lost}
 	shared.CommitFault = func([]table.Write) tabletest.Fault {
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestSubmit_NeverRefusedWhileAWriteMayStillLand(t *testing.T) {
+func TestSubmit_NotRefusedWhileAWriteMayStillBeApplied(t *testing.T) {
 	shared := tabletest.New()
 	shared.CommitFault = func([]table.Write) tabletest.Fault { return tabletest.Late }
 	node := startNode(t, shared, &objecttest.Store{}, "a#1")
@@ -111,10 +111,10 @@
 	}
 }
 
-// TestSubmit_QuotaHoldsUnderAnyFaults lets two nodes accept jobs at the same
+// TestSubmit_QuotaHoldsUnderFaults lets two nodes accept jobs at the same
 // time while commits are refused, lost or late, and checks afterwards that what
 // was accepted never exceeds the quota, and that a refused job is not there.
-func TestSubmit_QuotaHoldsUnderAnyFaults(t *testing.T) {
+func TestSubmit_QuotaHoldsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const quota, jobsPerNode = 1000, 4
 		script := rapid.SliceOfN(rapid.SampledFrom([]tabletest.Fault{
@@ -126,16 +126,16 @@
 			next++
 			return script[next%len(script)]
 		}
-		refused := submitAtOnce(t, shared, quota, jobsPerNode)
+		refused := submitConcurrently(t, shared, quota, jobsPerNode)
 		shared.CommitFault = nil
 		shared.ApplyLate()
 		checkAccepted(rt, shared, quota, refused)
 	})
 }
 
-// submitAtOnce submits jobs at two nodes and returns those that were refused
+// submitConcurrently submits jobs at two nodes and returns those that were refused
 // with the promise that they never run.
-func submitAtOnce(t *testing.T, shared *tabletest.Table, quota int64, count int) map[string]bool {
+func submitConcurrently(t *testing.T, shared *tabletest.Table, quota int64, count int) map[string]bool {
 	refused := map[string]bool{}
 	var mu sync.Mutex
 	var done sync.WaitGroup
--- a/internal/jobs/atmostonce_test.go
+++ b/internal/jobs/atmostonce_test.go
@@ -14,8 +14,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// onceSubmission is a job whose items may run only once.
-func onceSubmission(id string, items int) *Submission {
+// atMostOnceSubmission is a job whose items may run only once.
+func atMostOnceSubmission(id string, items int) *Submission {
 	submitted := submission(id, items)
 	for i := range submitted.Items {
 		submitted.Items[i].AtMostOnce = true
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestRunner_OnceItemIsMarkedBeforeItIsSent(t *testing.T) {
+func TestRunner_AtMostOnceItemIsMarkedBeforeItIsSent(t *testing.T) {
 	shared := tabletest.New()
 	node := startNode(t, shared, &objecttest.Store{}, "node#1")
 	var unmarked []int
@@ -46,7 +46,7 @@
 		return answerOf(http.StatusOK, events(1, 2)), nil
 	}}
 	startRunner(t, node, backend)
-	if err := node.Submit(t.Context(), onceSubmission("job", 3)); err != nil {
+	if err := node.Submit(t.Context(), atMostOnceSubmission("job", 3)); err != nil {
 		t.Fatal(err)
 	}
 	results := readAll(t, node, "job")
@@ -60,13 +60,13 @@
 	}
 }
 
-func TestRunner_OnceItemOfUnknownFateIsNotSentAgain(t *testing.T) {
+func TestRunner_AtMostOnceItemOfUnknownOutcomeIsNotSentAgain(t *testing.T) {
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "node#1")
 	backend := &scriptedBackend{answer: func(*forward.Attempt, int) (*forward.Answer, error) {
 		return nil, outcome.Undecided(forward.ErrBroken)
 	}}
 	startRunner(t, node, backend)
-	if err := node.Submit(t.Context(), onceSubmission("job", 1)); err != nil {
+	if err := node.Submit(t.Context(), atMostOnceSubmission("job", 1)); err != nil {
 		t.Fatal(err)
 	}
 	results := readAll(t, node, "job")
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestRunner_OnceItemOfALostOwnerIsNotSentAgain(t *testing.T) {
+func TestRunner_AtMostOnceItemOfALostOwnerIsNotSentAgain(t *testing.T) {
 	shared := tabletest.New()
 	lost := startNode(t, shared, &objecttest.Store{}, "node#1")
 	released := make(chan struct{})
@@ -85,7 +85,7 @@
 	}}
 	runner, _ := startRunner(t, lost, hanging)
 	t.Cleanup(func() { close(released) })
-	if err := lost.Submit(t.Context(), onceSubmission("job", 1)); err != nil {
+	if err := lost.Submit(t.Context(), atMostOnceSubmission("job", 1)); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, func() bool { return hanging.attempts() == 1 })
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestService_GuardKeepsAJobOut(t *testing.T) {
+func TestService_FailedGuardRefusesAJob(t *testing.T) {
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "node#1")
 	submitted := submission("job", 1)
 	submitted.Guards = []table.Write{{Key: jobKey("other"), Expect: 7}}
@@ -142,27 +142,27 @@
 // A finding (lab batch-kill-after-ack, seed 52): an owner that had lost the job
 // found its item marked by the next owner, took the mark for its own, and both
 // sent it.
-func TestMark_OnlyTheOwnerMarks(t *testing.T) {
+func TestWriteStartMarks_OnlyTheOwnerMarks(t *testing.T) {
 	shared := tabletest.New()
 	first, next := startNode(t, shared, &objecttest.Store{}, "a#1"), startNode(t, shared, &objecttest.Store{}, "b#1")
-	if err := first.Submit(t.Context(), onceSubmission("job", 1)); err != nil {
+	if err := first.Submit(t.Context(), atMostOnceSubmission("job", 1)); err != nil {
 		t.Fatal(err)
 	}
 	entry, err := next.find(t.Context(), "job")
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken := entry.Progress.clone()
-	taken.Owner, taken.Started = "b#1", []int{0}
-	if err := next.commitProgress(t.Context(), "job", entry.Version, taken, table.NewOperation(), nil); err != nil {
+	takenOver := entry.Progress.clone()
+	takenOver.Owner, takenOver.Started = "b#1", []int{0}
+	if err := next.commitProgress(t.Context(), "job", entry.Version, takenOver, table.NewOperation(), nil); err != nil {
 		t.Fatal(err)
 	}
 	runner := NewRunner(RunnerOptions{Service: first.Service, Owners: noOwners{}})
 	owned := &ownedJob{job: entry.Job, ctx: t.Context(), cancel: func() {}}
-	one := &task{owned: owned, atMostOnce: true}
-	owned.tasks = []*task{one}
+	item := &task{owned: owned, atMostOnce: true}
+	owned.tasks = []*task{item}
 	runner.writeStartMarks(owned, owned.tasks)
-	if one.startMarked {
+	if item.startMarked {
 		t.Fatal("an item that the next owner has marked counts as marked by this one")
 	}
 }
--- a/internal/jobs/checkpoint_test.go
+++ b/internal/jobs/checkpoint_test.go
@@ -9,18 +9,18 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-func runningTask(t *testing.T, node *testNode, runner *Runner) *task {
+func addRunningTask(t *testing.T, node *testNode, runner *Runner) *task {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	owned := &ownedJob{job: node.View.Get("j").Job, ctx: ctx, cancel: cancel}
-	one := &task{owned: owned, state: taskRunning, text: []byte("so far"), lastEvent: minCheckpointEvents}
-	owned.tasks = []*task{one}
+	running := &task{owned: owned, state: taskRunning, text: []byte("so far"), lastEvent: minCheckpointEvents}
+	owned.tasks = []*task{running}
 	runner.owned["j"] = owned
-	return one
+	return running
 }
 
-func TestKeepTexts_CrashCostsOnlyWhatCameSince(t *testing.T) {
+func TestCheckpoint_CrashCostsOnlyLaterEvents(t *testing.T) {
 	shared := tabletest.New()
 	objects := &objecttest.Store{}
 	first, second := startNode(t, shared, objects, "a#1"), startNode(t, shared, objects, "b#1")
@@ -28,36 +28,36 @@
 		t.Fatal(err)
 	}
 	runner := NewRunner(RunnerOptions{Service: first.Service})
-	one := runningTask(t, first, runner)
-	if !runner.checkpoint(t.Context(), one.owned, minCheckpointEvents) {
+	running := addRunningTask(t, first, runner)
+	if !runner.checkpoint(t.Context(), running.owned, minCheckpointEvents) {
 		t.Fatal("the text was not written")
 	}
 	entry, err := second.find(t.Context(), "j")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if kept := second.loadCheckpoints(t.Context(), entry); kept[0].Text != "so far" || kept[0].LastEvent != minCheckpointEvents {
-		t.Fatalf("kept texts are %+v", kept)
+	if checkpoints := second.loadCheckpoints(t.Context(), entry); checkpoints[0].Text != "so far" || checkpoints[0].LastEvent != minCheckpointEvents {
+		t.Fatalf("kept texts are %+v", checkpoints)
 	}
 }
 
-func TestKeepTexts_LostAnswerDoesNotStopLaterOnes(t *testing.T) {
+func TestCheckpoint_LostAnswerDoesNotBlockLaterOnes(t *testing.T) {
 	shared := tabletest.New()
 	node := startNode(t, shared, &objecttest.Store{}, "a#1")
 	if err := node.Submit(t.Context(), submission("j", 1)); err != nil {
 		t.Fatal(err)
 	}
 	runner := NewRunner(RunnerOptions{Service: node.Service})
-	one := runningTask(t, node, runner)
+	running := addRunningTask(t, node, runner)
 	shared.CommitFault = func([]table.Write) tabletest.Fault { return tabletest.Lost }
-	runner.checkpoint(t.Context(), one.owned, minCheckpointEvents)
+	runner.checkpoint(t.Context(), running.owned, minCheckpointEvents)
 	shared.CommitFault = nil
-	one.text, one.lastEvent = []byte("further"), 2*minCheckpointEvents
+	running.text, running.lastEvent = []byte("further"), 2*minCheckpointEvents
 	for range 2 {
-		runner.checkpoint(t.Context(), one.owned, minCheckpointEvents)
+		runner.checkpoint(t.Context(), running.owned, minCheckpointEvents)
 	}
 	entry := node.View.Get("j")
-	if kept := node.loadCheckpoints(t.Context(), entry); kept[0].Text != "further" {
-		t.Fatalf("kept texts are %+v", kept)
+	if checkpoints := node.loadCheckpoints(t.Context(), entry); checkpoints[0].Text != "further" {
+		t.Fatalf("kept texts are %+v", checkpoints)
 	}
 }
--- a/internal/jobs/commit_test.go
+++ b/internal/jobs/commit_test.go
@@ -14,10 +14,10 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestList_OnePositionForGood lets two owners list the results of one job at
+// TestListResults_PositionsAreStable lets two owners list the results of one job at
 // the same time, under any faults, and checks that each item is listed once,
 // that what was read stays, and that nothing is listed after the end.
-func TestList_OnePositionForGood(t *testing.T) {
+func TestListResults_PositionsAreStable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const items = 6
 		shared := tabletest.New()
@@ -35,7 +35,7 @@
 			next++
 			return script[next%len(script)]
 		}
-		listAtOnce(rt, nodes, items, endAfter)
+		listConcurrently(rt, nodes, items, endAfter)
 		shared.CommitFault = nil
 		before := listedAt(rt, nodes[0])
 		shared.ApplyLate()
@@ -44,7 +44,7 @@
 	})
 }
 
-func listAtOnce(rt *rapid.T, nodes []*testNode, items, endAfter int) {
+func listConcurrently(rt *rapid.T, nodes []*testNode, items, endAfter int) {
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	var done sync.WaitGroup
@@ -61,8 +61,8 @@
 				if number == 1 {
 					index = items - 1 - step
 				}
-				one := &task{index: index, text: []byte(fmt.Sprintf("text of %d by %d", index, number))}
-				_ = node.listResults(ctx, entry.Job, []*task{one})
+				finished := &task{index: index, text: []byte(fmt.Sprintf("text of %d by %d", index, number))}
+				_ = node.listResults(ctx, entry.Job, []*task{finished})
 				if number == 0 && step == endAfter {
 					_ = node.End(ctx, "j")
 				}
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestHandBack_NextOwnerGoesOnAfterTheText(t *testing.T) {
+func TestRelease_NextOwnerResumesAfterTheText(t *testing.T) {
 	shared := tabletest.New()
 	objects := &objecttest.Store{}
 	first, second := startNode(t, shared, objects, "a#1"), startNode(t, shared, objects, "b#1")
@@ -146,13 +146,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept := second.loadCheckpoints(t.Context(), entry)
-	if kept[0].Text != "so far" || kept[0].LastEvent != 7 {
-		t.Fatalf("kept texts are %+v", kept)
+	checkpoints := second.loadCheckpoints(t.Context(), entry)
+	if checkpoints[0].Text != "so far" || checkpoints[0].LastEvent != 7 {
+		t.Fatalf("kept texts are %+v", checkpoints)
 	}
 }
 
-func TestHandBack_RunningItemsGoOnWhileTheStoreIsDown(t *testing.T) {
+func TestRelease_ItemsRunOnWhileTheStoreIsDown(t *testing.T) {
 	shared := tabletest.New()
 	node := startNode(t, shared, &objecttest.Store{}, "a#1")
 	if err := node.Submit(t.Context(), submission("j", 1)); err != nil {
@@ -160,13 +160,13 @@
 	}
 	shared.CommitFault = func([]table.Write) tabletest.Fault { return tabletest.Down }
 	runner := NewRunner(RunnerOptions{Service: node.Service})
-	workCtx, cancelWork := context.WithCancel(context.Background())
-	owned := &ownedJob{job: node.View.Get("j").Job, ctx: workCtx, cancel: cancelWork}
+	jobCtx, cancelJob := context.WithCancel(context.Background())
+	owned := &ownedJob{job: node.View.Get("j").Job, ctx: jobCtx, cancel: cancelJob}
 	runner.owned["j"] = owned
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	time.AfterFunc(100*time.Millisecond, func() {
-		if workCtx.Err() != nil {
+		if jobCtx.Err() != nil {
 			t.Error("items were broken off before their job was handed back")
 		}
 	})
--- a/internal/jobs/freshness_test.go
+++ b/internal/jobs/freshness_test.go
@@ -13,34 +13,34 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestRead_CannotBeSureWhenNobodyAnswers guards that an old view is not taken for the truth
+// TestRead_UnavailableIfTheTableDoesNotAnswer guards that an old view is not taken for the truth
 // where the table does not answer either: then nobody knows whether there is a result.
-func TestRead_CannotBeSureWhenNobodyAnswers(t *testing.T) {
-	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, lister *Service, reader *readingNode) {
+func TestRead_UnavailableIfTheTableDoesNotAnswer(t *testing.T) {
+	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, lister *Service, reader *readerNode) {
 		listOne(t, lister, "job", 1)
-		time.Sleep(settleTime)
+		time.Sleep(maxStaleness)
 		shared.ReadFault = func() error { return outcome.Undecided(table.ErrUnavailable) }
-		ctx, cancel := context.WithTimeout(t.Context(), 2*settleTime)
+		ctx, cancel := context.WithTimeout(t.Context(), 2*maxStaleness)
 		defer cancel()
 		reading, err := reader.Read(ctx, "job", 1, 0)
 		if !errors.Is(err, ErrUnavailable) {
-			t.Fatalf("a view that is %v old answers %+v, %v", settleTime, reading, err)
+			t.Fatalf("a view that is %v old answers %+v, %v", maxStaleness, reading, err)
 		}
 	})
 }
 
-// TestRead_WholeReadIsAsOldAsItsFirstPage guards the age of a view that was read in pages:
+// TestRead_FullReadIsAsOldAsItsFirstPage guards the age of a view that was read in pages:
 // what was listed after the first page, and before the last, is not in it.
-func TestRead_WholeReadIsAsOldAsItsFirstPage(t *testing.T) {
-	withStaleReader(t, func(t *testing.T, _ *tabletest.Table, lister *Service, reader *readingNode) {
+func TestRead_FullReadIsAsOldAsItsFirstPage(t *testing.T) {
+	withStaleReader(t, func(t *testing.T, _ *tabletest.Table, lister *Service, reader *readerNode) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		slow := &slowPages{Feed: reader.feed.Feed, page: 3 * settleTime}
+		slow := &slowPages{Feed: reader.feed.Feed, page: 3 * maxStaleness}
 		view := NewView()
 		go table.NewWatcher(slow, view.Apply).Run(ctx)
-		time.Sleep(settleTime)
+		time.Sleep(maxStaleness)
 		listOne(t, lister, "job", 1)
-		time.Sleep(2*settleTime + settleTime/2)
+		time.Sleep(2*maxStaleness + maxStaleness/2)
 		reader.View = view
 		reading, err := reader.Read(t.Context(), "job", 1, 0)
 		if err != nil || len(reading.Results) != 1 {
@@ -72,20 +72,20 @@
 	return table.Changes{}, outcome.Undecided(ctx.Err())
 }
 
-// TestRead_AnswerThatWasLongOnItsWayIsOld guards that the age of a view counts from when the
+// TestRead_DelayedAnswerIsOld guards that the age of a view counts from when the
 // source knew it, not from when its answer came: a slow connection brings old news.
-func TestRead_AnswerThatWasLongOnItsWayIsOld(t *testing.T) {
-	withStaleReader(t, func(t *testing.T, _ *tabletest.Table, lister *Service, reader *readingNode) {
+func TestRead_DelayedAnswerIsOld(t *testing.T) {
+	withStaleReader(t, func(t *testing.T, _ *tabletest.Table, lister *Service, reader *readerNode) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		late := &lateFeed{Feed: reader.feed.Feed}
+		delayed := &delayedFeed{Feed: reader.feed.Feed}
 		view := NewView()
-		go table.NewWatcher(late, view.Apply).Run(ctx)
-		time.Sleep(settleTime)
-		late.delay.Store(int64(2 * settleTime))
-		time.Sleep(3 * settleTime)
+		go table.NewWatcher(delayed, view.Apply).Run(ctx)
+		time.Sleep(maxStaleness)
+		delayed.delay.Store(int64(2 * maxStaleness))
+		time.Sleep(3 * maxStaleness)
 		listOne(t, lister, "job", 1)
-		time.Sleep(settleTime + settleTime/4)
+		time.Sleep(maxStaleness + maxStaleness/4)
 		reader.View = view
 		reading, err := reader.Read(t.Context(), "job", 1, 0)
 		if err != nil || len(reading.Results) != 1 {
@@ -94,13 +94,13 @@
 	})
 }
 
-// lateFeed brings each answer a while after it was given.
-type lateFeed struct {
+// delayedFeed brings each answer a while after it was given.
+type delayedFeed struct {
 	table.Feed
 	delay atomic.Int64
 }
 
-func (f *lateFeed) After(ctx context.Context, revision uint64, wait time.Duration) (table.Changes, error) {
+func (f *delayedFeed) After(ctx context.Context, revision uint64, wait time.Duration) (table.Changes, error) {
 	changes, err := f.Feed.After(ctx, revision, min(wait, 100*time.Millisecond))
 	select {
 	case <-ctx.Done():
@@ -110,13 +110,13 @@
 	}
 }
 
-// laggingTable answers what it held when it was asked, a while later.
-type laggingTable struct {
+// delayedTable answers what it held when it was asked, a while later.
+type delayedTable struct {
 	table.Service
 	delay time.Duration
 }
 
-func (s *laggingTable) Get(ctx context.Context, key table.Key) (table.Row, error) {
+func (s *delayedTable) Get(ctx context.Context, key table.Key) (table.Row, error) {
 	row, err := s.Service.Get(ctx, key)
 	select {
 	case <-ctx.Done():
@@ -126,13 +126,13 @@
 	}
 }
 
-// TestRead_AnswerToAnEarlierQuestionIsNotHandedOn guards readers that share a question: one
+// TestRead_EarlierRefreshIsNotReused guards readers that share a question: one
 // who came later than the table looked, and than results may be missing for, asks again.
-func TestRead_AnswerToAnEarlierQuestionIsNotHandedOn(t *testing.T) {
-	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, lister *Service, reader *readingNode) {
-		reader.Table = &laggingTable{Service: shared, delay: refreshTimeout - time.Millisecond}
-		reader.MaxStaleness = settleTime / 4
-		time.Sleep(settleTime)
+func TestRead_EarlierRefreshIsNotReused(t *testing.T) {
+	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, lister *Service, reader *readerNode) {
+		reader.Table = &delayedTable{Service: shared, delay: refreshTimeout - time.Millisecond}
+		reader.MaxStaleness = maxStaleness / 4
+		time.Sleep(maxStaleness)
 		first := make(chan *ReadResult)
 		go func() {
 			reading, _ := reader.Read(t.Context(), "job", 1, 0)
--- a/internal/jobs/notify_test.go
+++ b/internal/jobs/notify_test.go
@@ -12,52 +12,52 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// toldNodes records whom a service tells of news.
-type toldNodes struct {
+// notifiedNodes records whom a service tells of news.
+type notifiedNodes struct {
 	mu    sync.Mutex
 	nodes []string
 }
 
-func (n *toldNodes) tell(nodes []string, _ string) {
+func (n *notifiedNodes) notify(nodes []string, _ string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.nodes = append(n.nodes, nodes...)
 }
 
-func (n *toldNodes) take() []string {
+func (n *notifiedNodes) take() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	told := slices.Sorted(slices.Values(n.nodes))
+	sorted := slices.Sorted(slices.Values(n.nodes))
 	n.nodes = nil
-	return told
+	return sorted
 }
 
-// TestService_TellsThoseWhoRunItems has a node accept and end a job: those who are to
+// TestService_NotifiesNodesThatRunItems has a node accept and end a job: those who are to
 // run its items, or to stop them, need not wait for their next look.
-func TestService_TellsThoseWhoRunItems(t *testing.T) {
+func TestService_NotifiesNodesThatRunItems(t *testing.T) {
 	shared := tabletest.New()
 	node := detachedNode(t, shared, shared.Feed(Group), "a#1")
-	node.Fleet = &someOwners{live: []string{"a#1", "b#1", "c#1", "d#1"}}
-	var told toldNodes
-	node.Notify = told.tell
+	node.Fleet = &liveOwners{live: []string{"a#1", "b#1", "c#1", "d#1"}}
+	var notified notifiedNodes
+	node.Notify = notified.notify
 	if err := node.Submit(t.Context(), submission("j", 3)); err != nil {
 		t.Fatal(err)
 	}
 	runners := node.View.Get("j").activeNodes()
-	if got := told.take(); len(got) != 3 || !slices.Equal(got, slices.Sorted(slices.Values(runners))) {
+	if got := notified.take(); len(got) != 3 || !slices.Equal(got, slices.Sorted(slices.Values(runners))) {
 		t.Errorf("told %v of a job that %v run", got, runners)
 	}
 	if err := node.End(t.Context(), "j"); err != nil {
 		t.Fatal(err)
 	}
-	if got := told.take(); len(got) != 3 {
+	if got := notified.take(); len(got) != 3 {
 		t.Errorf("told %v of the end of a job with three unlisted items", got)
 	}
 }
 
-// TestRead_WaitingIsAnnounced has a caller wait for a result: a look is asked for, and
+// TestRead_WaitRequestsAnUpdate has a caller wait for a result: a look is asked for, and
 // the caller is counted until it has its answer.
-func TestRead_WaitingIsAnnounced(t *testing.T) {
+func TestRead_WaitRequestsAnUpdate(t *testing.T) {
 	shared := tabletest.New()
 	node := detachedNode(t, shared, shared.Feed(Group), "a#1")
 	if err := node.Submit(t.Context(), submission("j", 1)); err != nil {
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestSubmit_LooksBeforeAJobIsRefusedForItsSize has the room that a job needs become
+// TestSubmit_UpdatesTheViewBeforeRefusingForTheQuota has the room that a job needs become
 // free where the node has not looked yet.
-func TestSubmit_LooksBeforeAJobIsRefusedForItsSize(t *testing.T) {
+func TestSubmit_UpdatesTheViewBeforeRefusingForTheQuota(t *testing.T) {
 	shared := tabletest.New()
 	feed := shared.Feed(Group)
 	const quota = 300
@@ -86,17 +86,17 @@
 	if err := node.Submit(t.Context(), limited("first", 2, quota)); err != nil {
 		t.Fatal(err)
 	}
-	look := func() {
+	update := func() {
 		all, _, err := feed.Page(context.Background(), table.Cursor{})
 		if err != nil {
 			t.Error(err)
 		}
 		node.View.Apply(all, true)
 	}
-	looked := 0
-	node.RequestUpdate = func() { looked++; look() }
-	if err := node.Submit(t.Context(), limited("full", 2, quota)); !errors.Is(err, ErrQuota) || looked != 1 {
-		t.Fatalf("a job beyond the quota: %v after %d looks, want ErrQuota after 1", err, looked)
+	updates := 0
+	node.RequestUpdate = func() { updates++; update() }
+	if err := node.Submit(t.Context(), limited("full", 2, quota)); !errors.Is(err, ErrQuota) || updates != 1 {
+		t.Fatalf("a job beyond the quota: %v after %d looks, want ErrQuota after 1", err, updates)
 	}
 	if _, err := other.find(t.Context(), "first"); err != nil {
 		t.Fatal(err)
--- a/internal/jobs/placement_test.go
+++ b/internal/jobs/placement_test.go
@@ -12,13 +12,13 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-func TestPlacing_Region(t *testing.T) {
+func TestPlacement_Region(t *testing.T) {
 	both := map[string][]string{"n": {"n-1"}, "s": {"s-1"}}
-	for _, one := range []struct {
+	for _, tc := range []struct {
 		name        string
 		nodes       map[string][]string
 		own         string
-		busy, slots map[string]int
+		load, slots map[string]int
 		want        string
 	}{
 		{"own has room", both, "n", map[string]int{"n": 3}, map[string]int{"n": 4, "s": 9}, "n"},
@@ -29,23 +29,23 @@
 		{"unknown own region", both, "", map[string]int{"n": 1}, map[string]int{"n": 4, "s": 4}, "s"},
 		{"one region that tells nothing", map[string][]string{"": {"x-1"}}, "", map[string]int{"": 9}, map[string]int{"": 1}, ""},
 	} {
-		placing := &placement{nodes: one.nodes, ownRegion: one.own, regionLoad: one.busy, slots: one.slots}
-		if got := placing.chooseRegion(); got != one.want {
-			t.Errorf("%s: %q, want %q", one.name, got, one.want)
+		p := &placement{nodes: tc.nodes, ownRegion: tc.own, regionLoad: tc.load, slots: tc.slots}
+		if got := p.chooseRegion(); got != tc.want {
+			t.Errorf("%s: %q, want %q", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestPlacing_OneRegionAsBefore compares with the rule of before regions were known: each
+// TestPlacement_OneRegionBalancesNodes compares with the rule of before regions were known: each
 // item goes to the node of the fleet with the fewest, ties by preference.
-func TestPlacing_OneRegionAsBefore(t *testing.T) {
+func TestPlacement_OneRegionBalancesNodes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		prefix := rapid.SampledFrom([]string{"x-", "n-"}).Draw(rt, "region")
 		var names []string
 		for i := range rapid.IntRange(1, 6).Draw(rt, "nodes") {
 			names = append(names, fmt.Sprint(prefix, i))
 		}
-		site := newHomeSite(t, nil, nil)
+		site := newRegionSite(t, nil, nil)
 		for _, name := range names {
 			site.fleet.set(append(site.fleet.Live(), name+"#1")...)
 		}
@@ -69,18 +69,18 @@
 }
 
 func TestSpread_ItemsStayInTheRegionOfTheirAcceptance(t *testing.T) {
-	site := newHomeSite(t, nil, nil, "n-1", "n-2", "s-1")
+	site := newRegionSite(t, nil, nil, "n-1", "n-2", "s-1")
 	site.submit("n-2", "j", 6)
 	readAll(t, site.nodes["s-1"].testNode, "j")
-	if away := site.nodes["s-1"]; len(away.sentTo()) != 0 || away.rows.reads.Load() != 0 {
-		t.Fatalf("the node of another region ran %v", away.sentTo())
+	if other := site.nodes["s-1"]; len(other.sentTo()) != 0 || other.rows.reads.Load() != 0 {
+		t.Fatalf("the node of another region ran %v", other.sentTo())
 	}
 }
 
 // TestSpread_ItemsBeyondTheSlotsOfARegionGoElsewhere submits more items than the region
 // has slots, 8.
 func TestSpread_ItemsBeyondTheSlotsOfARegionGoElsewhere(t *testing.T) {
-	site := newHomeSite(t, nil, nil, "n-1", "s-1")
+	site := newRegionSite(t, nil, nil, "n-1", "s-1")
 	for _, node := range site.nodes {
 		node.refuse.Store(true)
 	}
@@ -98,7 +98,7 @@
 
 // TestClaim_WithinTheRegionFirst takes nodes away one after the other.
 func TestClaim_WithinTheRegionFirst(t *testing.T) {
-	site := newHomeSite(t, nil, nil, "n-1", "n-2", "s-1", "s-2", "s-3")
+	site := newRegionSite(t, nil, nil, "n-1", "n-2", "s-1", "s-2", "s-3")
 	for _, node := range site.nodes {
 		node.refuse.Store(true)
 	}
@@ -131,7 +131,7 @@
 // TestClaim_ItemsOfALostNodeGoBackToTheirRegions loses a node that had taken over items of
 // another region.
 func TestClaim_ItemsOfALostNodeGoBackToTheirRegions(t *testing.T) {
-	site := newHomeSite(t, nil, nil, "n-1", "s-1", "n-2", "s-2")
+	site := newRegionSite(t, nil, nil, "n-1", "s-1", "n-2", "s-2")
 	site.fleet.set("n-1#1", "s-1#1")
 	for _, node := range site.nodes {
 		node.refuse.Store(true)
@@ -153,25 +153,25 @@
 	}
 }
 
-// TestClaim_ANodeWithoutARegionIsNoNeighbour has a node whose member row tells nothing
+// TestClaim_NodeOfUnknownRegionIsNotPreferred has a node whose member row tells nothing
 // beside one of the region.
-func TestClaim_ANodeWithoutARegionIsNoNeighbour(t *testing.T) {
+func TestClaim_NodeOfUnknownRegionIsNotPreferred(t *testing.T) {
 	runner := NewRunner(RunnerOptions{
-		Service: &Service{Fleet: &homeFleet{}}, Owners: &homeFleet{live: []string{"x-1#1", "n-1#1"}},
+		Service: &Service{Fleet: &regionFleet{}}, Owners: &regionFleet{live: []string{"x-1#1", "n-1#1"}},
 	})
 	live := runner.Owners.Live()
-	if near := runner.preferRegion(live, "n"); len(near) != 1 || lease.Node(near[0]) != "n-1" {
-		t.Errorf("near n: %v", near)
+	if preferred := runner.preferRegion(live, "n"); len(preferred) != 1 || lease.Node(preferred[0]) != "n-1" {
+		t.Errorf("near n: %v", preferred)
 	}
 	for _, region := range []string{"", "s"} {
-		if near := runner.preferRegion(live, region); len(near) != len(live) {
-			t.Errorf("near %q: %v", region, near)
+		if preferred := runner.preferRegion(live, region); len(preferred) != len(live) {
+			t.Errorf("near %q: %v", region, preferred)
 		}
 	}
 }
 
-func TestSubmit_ContentsStayOnlyWhereItemsRun(t *testing.T) {
-	owners := &someOwners{live: []string{"b#1"}}
+func TestSubmit_ContentsAreCachedOnlyWhereItemsRun(t *testing.T) {
+	owners := &liveOwners{live: []string{"b#1"}}
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "a#1")
 	node.Fleet = owners
 	if err := node.Submit(t.Context(), submission("j", 2)); err != nil {
--- a/internal/jobs/preempt_test.go
+++ b/internal/jobs/preempt_test.go
@@ -12,7 +12,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-func TestYieldPool_ItemsInAnEvacuatedZoneRunOn(t *testing.T) {
+func TestPreemptPool_ItemsInAnEvacuatedZoneRunOn(t *testing.T) {
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "a#1")
 	if err := node.Submit(t.Context(), submission("j", 1)); err != nil {
 		t.Fatal(err)
@@ -20,10 +20,10 @@
 	set := replica.NewSet()
 	set.Put(replica.Info{ID: "r", Pool: testPool, Zone: "a", Slots: 4})
 	runner := NewRunner(RunnerOptions{Service: node.Service, Replicas: set})
-	one := runningTask(t, node, runner)
+	running := addRunningTask(t, node, runner)
 	ctx, cancel := context.WithCancelCause(t.Context())
-	one.replica, one.pool, one.cancel = "r", testPool, cancel
-	one.use = set.Begin("r", replica.Ask{Batch: true}, time.Now())
+	running.replica, running.pool, running.cancel = "r", testPool, cancel
+	running.use = set.Begin("r", replica.Ask{Batch: true}, time.Now())
 	set.Evacuate(map[string]bool{"a": true})
 	runner.PreemptPool(testPool, 1, replica.Pressure{})
 	if ctx.Err() != nil {
@@ -39,19 +39,19 @@
 // Found by the property (seed 228): online requests of its own node broke an item off before
 // its first event each time, for 57 s, while slots elsewhere were free. An item whose sending
 // it delayed for long keeps its slot; one that came on lately gives way.
-func TestYield_AStarvedItemKeepsItsSlot(t *testing.T) {
+func TestPreempt_StarvedItemKeepsItsSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		site := newRoomSite(t, 1, names("n", 1), servers("n", 1, 1))
+		site := newSlotSite(t, 1, nodeNames("n", 1), serverSlots("n", 1, 1))
 		site.itemSize = 50
 		site.run()
 		site.submitAt(0, "j", 1)
-		site.load(func(ctx context.Context) {
+		site.runLoad(func(ctx context.Context) {
 			for retry.Sleep(ctx, 10*time.Millisecond) {
 				site.nodes[0].runner.Preempt("n-s0", 1, replica.Pressure{Queued: 1})
 			}
 		})
 		site.awaitDone("j", replica.BorrowStarved+5*time.Second)
-		if len(site.overlap) > 0 {
+		if len(site.duplicates) > 0 {
 			t.Fatal("the item ran twice at a time")
 		}
 	})
--- a/internal/jobs/quarantine_test.go
+++ b/internal/jobs/quarantine_test.go
@@ -16,9 +16,9 @@
 
 // countingQuarantine refuses work after three broken answers.
 type countingQuarantine struct {
-	mu     sync.Mutex
-	broken map[quarantine.Work]int
-	well   int
+	mu          sync.Mutex
+	interrupted map[quarantine.Work]int
+	successes   int
 	// trial has refused work be due for a trial.
 	trial bool
 }
@@ -27,7 +27,7 @@
 	identity := work()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.broken[identity] < 3 {
+	if q.interrupted[identity] < 3 {
 		return nil
 	}
 	refused := &quarantine.RefusedError{}
@@ -45,26 +45,26 @@
 func (q *countingQuarantine) RecordSuccess(quarantine.Work) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.well++
+	q.successes++
 }
 
 func (q *countingQuarantine) RecordInterruption(_ context.Context, _ quarantine.Replica, run quarantine.Run) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.broken == nil {
-		q.broken = map[quarantine.Work]int{}
+	if q.interrupted == nil {
+		q.interrupted = map[quarantine.Work]int{}
 	}
-	q.broken[run.Work]++
+	q.interrupted[run.Work]++
 }
 
-var errReplicaEnded = outcome.Undecided(errors.Join(forward.ErrBroken, errors.New("EOF")))
+var errReplicaCrashed = outcome.Undecided(errors.Join(forward.ErrBroken, errors.New("EOF")))
 
-// harmfulJob runs a job whose first item breaks each answer off, after as many new events as
+// startCrashingJob runs a job whose first item breaks each answer off, after as many new events as
 // told, and returns what was sent of it.
-func harmfulJob(t *testing.T, end bool, eventsEach int) (*testNode, *harmfulBackend, *countingQuarantine) {
+func startCrashingJob(t *testing.T, end bool, eventsEach int) (*testNode, *crashingBackend, *countingQuarantine) {
 	t.Helper()
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "a#1")
-	backend := &harmfulBackend{eventsEach: eventsEach}
+	backend := &crashingBackend{eventsEach: eventsEach}
 	runner, _ := startRunner(t, node, backend)
 	guard := &countingQuarantine{}
 	runner.mu.Lock()
@@ -77,14 +77,14 @@
 	return node, backend, guard
 }
 
-// harmfulBackend breaks off what is sent of the item "bad".
-type harmfulBackend struct {
+// crashingBackend breaks off what is sent of the item "bad".
+type crashingBackend struct {
 	eventsEach int
 	mu         sync.Mutex
 	sent       int
 }
 
-func (b *harmfulBackend) Send(_ context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
+func (b *crashingBackend) Send(_ context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
 	if attempt.Request.ID != "bad" {
 		return answerOf(200, events(attempt.LastEventID+1, 3)), nil
 	}
@@ -92,7 +92,7 @@
 	b.sent++
 	b.mu.Unlock()
 	if b.eventsEach == 0 {
-		return nil, errReplicaEnded
+		return nil, errReplicaCrashed
 	}
 	last := attempt.LastEventID + b.eventsEach
 	if last >= 40 {
@@ -101,7 +101,7 @@
 	return answerOf(200, events(attempt.LastEventID+1, last)+"id: "), nil
 }
 
-func (b *harmfulBackend) sends() int {
+func (b *crashingBackend) sends() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.sent
@@ -115,8 +115,8 @@
 	return 0
 }
 
-func TestRunner_AQuarantinedItemIsSentNoMoreAndOthersGoOn(t *testing.T) {
-	node, backend, _ := harmfulJob(t, false, 0)
+func TestRunner_QuarantinedItemIsNoLongerSent(t *testing.T) {
+	node, backend, _ := startCrashingJob(t, false, 0)
 	eventually(t, func() bool { return listedItems(node, "j") == 1 })
 	eventually(t, func() bool { return backend.sends() == 3 })
 	time.Sleep(1500 * time.Millisecond)
@@ -125,8 +125,8 @@
 	}
 }
 
-func TestRunner_AQuarantinedItemEndsWithItsReason(t *testing.T) {
-	node, backend, _ := harmfulJob(t, true, 0)
+func TestRunner_QuarantinedItemEndsWithItsReason(t *testing.T) {
+	node, backend, _ := startCrashingJob(t, true, 0)
 	eventually(t, func() bool { return listedItems(node, "j") == 2 })
 	reading, err := node.Read(t.Context(), "j", 0, 0)
 	if err != nil {
@@ -142,8 +142,8 @@
 	}
 }
 
-func TestRunner_AQuarantinedItemIsTriedAgainWhenATrialIsDue(t *testing.T) {
-	_, backend, guard := harmfulJob(t, false, 0)
+func TestRunner_QuarantinedItemIsRetriedWhenATrialIsDue(t *testing.T) {
+	_, backend, guard := startCrashingJob(t, false, 0)
 	eventually(t, func() bool { return backend.sends() == 3 })
 	guard.mu.Lock()
 	guard.trial = true
@@ -151,12 +151,12 @@
 	eventually(t, func() bool { return backend.sends() == 4 })
 }
 
-func TestRunner_RunsThatBringEventsDoNotSpeakAgainstAnItem(t *testing.T) {
-	node, backend, guard := harmfulJob(t, true, 4)
+func TestRunner_RunsWithNewEventsDoNotCountAgainstAnItem(t *testing.T) {
+	node, backend, guard := startCrashingJob(t, true, 4)
 	eventually(t, func() bool { return listedItems(node, "j") == 2 })
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
-	if len(guard.broken) != 0 || backend.sends() < 9 {
-		t.Fatalf("%d works suspected after %d sends", len(guard.broken), backend.sends())
+	if len(guard.interrupted) != 0 || backend.sends() < 9 {
+		t.Fatalf("%d works suspected after %d sends", len(guard.interrupted), backend.sends())
 	}
 }
--- a/internal/jobs/quota_test.go
+++ b/internal/jobs/quota_test.go
@@ -26,7 +26,7 @@
 	}
 	view.Apply(all, true)
 	service := &Service{
-		Table: shared, Objects: &objecttest.Store{}, View: view, Events: quietEvents{},
+		Table: shared, Objects: &objecttest.Store{}, View: view, Events: noEvents{},
 		Session: func(context.Context) (string, error) { return session, nil },
 	}
 	return &testNode{Service: service, session: session}
@@ -38,10 +38,10 @@
 	return submitted
 }
 
-// TestSubmit_NeedsNoNewsOfOtherAcceptances lets nodes that hear nothing of each
+// TestSubmit_NeedsNoFeedOfOtherAcceptances lets nodes that hear nothing of each
 // other accept jobs in turn: a conflict tells a writer all that it needs. With a
 // wait for the feed after each conflict nobody but the first node got one in.
-func TestSubmit_NeedsNoNewsOfOtherAcceptances(t *testing.T) {
+func TestSubmit_NeedsNoFeedOfOtherAcceptances(t *testing.T) {
 	const quota, count = 6000, 30
 	shared := tabletest.New()
 	nodes := []*testNode{
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestSubmit_ALoweredQuotaHoldsInAllShards lowers the quota below what one shard
+// TestSubmit_LoweredQuotaHoldsInAllShards lowers the quota below what one shard
 // holds: nothing is accepted in the others that would exceed it in sum.
-func TestSubmit_ALoweredQuotaHoldsInAllShards(t *testing.T) {
+func TestSubmit_LoweredQuotaHoldsInAllShards(t *testing.T) {
 	shared := tabletest.New()
 	node := detachedNode(t, shared, shared.Feed(Group), "a#1")
 	other := detachedNode(t, shared, shared.Feed(Group), "b#1")
@@ -110,10 +110,10 @@
 	}
 }
 
-// TestSubmit_QuotaHoldsWithQuotasThatDiffer lets nodes accept at the same time
+// TestSubmit_QuotaHoldsWhileNodesDisagree lets nodes accept at the same time
 // under two quotas, as while a configuration is on its way, and under faults: what
 // is accepted never exceeds the larger one.
-func TestSubmit_QuotaHoldsWithQuotasThatDiffer(t *testing.T) {
+func TestSubmit_QuotaHoldsWhileNodesDisagree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.SampledFrom([]tabletest.Fault{
 			tabletest.None, tabletest.None, tabletest.None, tabletest.Down, tabletest.Lost, tabletest.Late,
@@ -155,48 +155,48 @@
 // slowTable answers after the time that the platform's store takes.
 type slowTable struct {
 	table.Service
-	answer time.Duration
+	latency time.Duration
 }
 
 func (s slowTable) Commit(ctx context.Context, operation string, writes ...table.Write) ([]uint64, error) {
-	time.Sleep(s.answer / 2)
+	time.Sleep(s.latency / 2)
 	versions, err := s.Service.Commit(ctx, operation, writes...)
-	time.Sleep(s.answer / 2)
+	time.Sleep(s.latency / 2)
 	return versions, err
 }
 
-// BenchmarkSubmit_Heap has many nodes accept a job each at the same time, with a
+// BenchmarkSubmit_Burst has many nodes accept a job each at the same time, with a
 // feed that is half a second behind, and reports the quantiles of the time taken.
-func BenchmarkSubmit_Heap(b *testing.B) {
-	const heap, answer = 30, 8 * time.Millisecond
+func BenchmarkSubmit_Burst(b *testing.B) {
+	const burst, latency = 30, 8 * time.Millisecond
 	for _, count := range []int{30, 100, 300} {
 		b.Run(fmt.Sprintf("nodes=%d", count), func(b *testing.B) {
 			shared := tabletest.New()
 			nodes := make([]*testNode, count)
 			for i := range nodes {
-				nodes[i] = detachedNode(b, slowTable{shared, answer}, shared.Feed(Group), fmt.Sprintf("n%d#1", i))
+				nodes[i] = detachedNode(b, slowTable{shared, latency}, shared.Feed(Group), fmt.Sprintf("n%d#1", i))
 			}
 			var mu sync.Mutex
-			var took []time.Duration
+			var elapsed []time.Duration
 			for round := range b.N {
 				var done sync.WaitGroup
-				for i := range heap {
+				for i := range burst {
 					done.Go(func() {
-						node := nodes[(round*heap+i)%count]
-						began := time.Now()
+						node := nodes[(round*burst+i)%count]
+						start := time.Now()
 						if err := node.Submit(context.Background(), limited(fmt.Sprintf("j%d-%d", round, i), 10, 1<<40)); err != nil {
 							b.Error(err)
 						}
 						mu.Lock()
-						took = append(took, time.Since(began))
+						elapsed = append(elapsed, time.Since(start))
 						mu.Unlock()
 					})
 				}
 				done.Wait()
 			}
-			slices.Sort(took)
+			slices.Sort(elapsed)
 			for _, share := range []float64{0.5, 0.99} {
-				at := took[int(share*float64(len(took)-1))]
+				at := elapsed[int(share*float64(len(elapsed)-1))]
 				b.ReportMetric(float64(at.Microseconds())/1000, fmt.Sprintf("p%.0f-ms", 100*share))
 			}
 		})
--- a/internal/jobs/refresh_test.go
+++ b/internal/jobs/refresh_test.go
@@ -14,16 +14,16 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// askedTable counts the rows that are asked for, and answers after delay with fail, if set.
-type askedTable struct {
+// countingTable counts the rows that are asked for, and answers after delay with fail, if set.
+type countingTable struct {
 	table.Service
 	delay time.Duration
 	fail  error
-	asked atomic.Int64
+	reads atomic.Int64
 }
 
-func (a *askedTable) Get(ctx context.Context, key table.Key) (table.Row, error) {
-	a.asked.Add(1)
+func (a *countingTable) Get(ctx context.Context, key table.Key) (table.Row, error) {
+	a.reads.Add(1)
 	select {
 	case <-ctx.Done():
 		return table.Row{}, outcome.Undecided(ctx.Err())
@@ -35,16 +35,16 @@
 	return a.Service.Get(ctx, key)
 }
 
-// TestSure_NewsBetweenTheWaitAndTheAnswer has the feed come back just when a reader's wait is
+// TestEnsureFresh_ChangeBetweenWaitAndAnswer has the feed come back just when a reader's wait is
 // over: its view is young again, and the job must not be answered as it was before. It was for
 // 162 of 300 readers.
-func TestSure_NewsBetweenTheWaitAndTheAnswer(t *testing.T) {
-	withStaleReader(t, func(t *testing.T, _ *tabletest.Table, lister *Service, reader *readingNode) {
+func TestEnsureFresh_ChangeBetweenWaitAndAnswer(t *testing.T) {
+	withStaleReader(t, func(t *testing.T, _ *tabletest.Table, lister *Service, reader *readerNode) {
 		listOne(t, lister, "job", 1)
-		time.Sleep(5 * settleTime)
+		time.Sleep(5 * maxStaleness)
 		before := reader.View.Get("job")
-		reader.feed.silent.Store(false)
-		time.Sleep(3 * settleTime)
+		reader.feed.stalled.Store(false)
+		time.Sleep(3 * maxStaleness)
 		entry, err := reader.ensureFresh(t.Context(), before, 1)
 		if err != nil || len(entry.Progress.Listed) != 2 {
 			t.Fatalf("%d listed, %v; the view has %d", len(entry.Progress.Listed), err, len(reader.View.Get("job").Progress.Listed))
@@ -52,11 +52,11 @@
 	})
 }
 
-func TestSure_ReadersShareAQuestion(t *testing.T) {
-	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, _ *Service, reader *readingNode) {
-		asked := &askedTable{Service: shared, delay: 100 * time.Millisecond}
-		reader.Table = asked
-		time.Sleep(2 * settleTime)
+func TestEnsureFresh_ReadersShareARefresh(t *testing.T) {
+	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, _ *Service, reader *readerNode) {
+		counting := &countingTable{Service: shared, delay: 100 * time.Millisecond}
+		reader.Table = counting
+		time.Sleep(2 * maxStaleness)
 		answers := make(chan error)
 		for range 20 {
 			go func() {
@@ -69,18 +69,18 @@
 				t.Error(err)
 			}
 		}
-		if count := asked.asked.Load(); count != 1 {
+		if count := counting.reads.Load(); count != 1 {
 			t.Errorf("the table was asked %d times for 20 readers of a job", count)
 		}
 	})
 }
 
-// TestSure_QuestionOutlivesWhoAskedFirst has the first reader leave: the others have their answer.
-func TestSure_QuestionOutlivesWhoAskedFirst(t *testing.T) {
-	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, _ *Service, reader *readingNode) {
-		asked := &askedTable{Service: shared, delay: 300 * time.Millisecond}
-		reader.Table = asked
-		time.Sleep(2 * settleTime)
+// TestEnsureFresh_RefreshOutlivesTheFirstReader has the first reader leave: the others have their answer.
+func TestEnsureFresh_RefreshOutlivesTheFirstReader(t *testing.T) {
+	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, _ *Service, reader *readerNode) {
+		counting := &countingTable{Service: shared, delay: 300 * time.Millisecond}
+		reader.Table = counting
+		time.Sleep(2 * maxStaleness)
 		ctx, leave := context.WithCancel(t.Context())
 		go func() { _, _ = reader.Read(ctx, "job", 1, 0) }()
 		synctest.Wait()
@@ -91,35 +91,35 @@
 		}()
 		synctest.Wait()
 		leave()
-		if err := <-second; err != nil || asked.asked.Load() != 1 {
-			t.Errorf("%v, asked %d times", err, asked.asked.Load())
+		if err := <-second; err != nil || counting.reads.Load() != 1 {
+			t.Errorf("%v, asked %d times", err, counting.reads.Load())
 		}
 	})
 }
 
-// TestSure_AJobThatEndedIsNotAskedFor guards the calls: it gets no more results.
-func TestSure_AJobThatEndedIsNotAskedFor(t *testing.T) {
-	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, _ *Service, reader *readingNode) {
+// TestEnsureFresh_EndedJobIsNotRefreshed guards the calls: it gets no more results.
+func TestEnsureFresh_EndedJobIsNotRefreshed(t *testing.T) {
+	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, _ *Service, reader *readerNode) {
 		if err := reader.End(t.Context(), "job"); err != nil {
 			t.Fatal(err)
 		}
-		asked := &askedTable{Service: shared}
-		reader.Table = asked
-		time.Sleep(2 * settleTime)
+		counting := &countingTable{Service: shared}
+		reader.Table = counting
+		time.Sleep(2 * maxStaleness)
 		reading, err := reader.Read(t.Context(), "job", 1, 0)
-		if err != nil || len(reading.Results) != 0 || asked.asked.Load() != 0 {
-			t.Errorf("%+v, %v, asked %d times", reading, err, asked.asked.Load())
+		if err != nil || len(reading.Results) != 0 || counting.reads.Load() != 0 {
+			t.Errorf("%+v, %v, asked %d times", reading, err, counting.reads.Load())
 		}
 	})
 }
 
-// TestSure_ARowThatCannotBeRead guards that nobody is sure where the answer of the table cannot be
+// TestEnsureFresh_UnreadableRow guards that nobody is sure where the answer of the table cannot be
 // read: versions that could be may have come and gone while the view was old.
-func TestSure_ARowThatCannotBeRead(t *testing.T) {
-	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, lister *Service, reader *readingNode) {
+func TestEnsureFresh_UnreadableRow(t *testing.T) {
+	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, lister *Service, reader *readerNode) {
 		listOne(t, lister, "job", 1)
 		overwrite(t, shared, progressKey("job"), damage)
-		time.Sleep(settleTime)
+		time.Sleep(maxStaleness)
 		reading, err := reader.Read(t.Context(), "job", 1, 0)
 		if !errors.Is(err, ErrUnavailable) || !errors.Is(err, ErrUnreadable) {
 			t.Errorf("%+v, %v", reading, err)
@@ -127,9 +127,9 @@
 	})
 }
 
-// TestView_IsAsOfTheNewestWholeAnswer guards the age of a view: answers that come out of order, or
+// TestView_AsOfTheNewestCompleteAnswer guards the age of a view: answers that come out of order, or
 // that are not all of the news, make it no younger and no older.
-func TestView_IsAsOfTheNewestWholeAnswer(t *testing.T) {
+func TestView_AsOfTheNewestCompleteAnswer(t *testing.T) {
 	now := time.Now()
 	view := NewView()
 	for _, answer := range []struct {
@@ -150,30 +150,30 @@
 	}
 }
 
-// TestSure_AskedBeforeAWaitIfTheFeedStandsStill guards that a reader does not wait a second
+// TestEnsureFresh_BeforeAWaitIfTheFeedIsStalled guards that a reader does not wait a second
 // for news that cannot come by the feed.
-func TestSure_AskedBeforeAWaitIfTheFeedStandsStill(t *testing.T) {
-	withStaleReader(t, func(t *testing.T, _ *tabletest.Table, lister *Service, reader *readingNode) {
+func TestEnsureFresh_BeforeAWaitIfTheFeedIsStalled(t *testing.T) {
+	withStaleReader(t, func(t *testing.T, _ *tabletest.Table, lister *Service, reader *readerNode) {
 		listOne(t, lister, "job", 1)
 		time.Sleep(stalledFeedAge)
-		began := time.Now()
-		reading, err := reader.Read(t.Context(), "job", 1, settleTime)
-		if err != nil || len(reading.Results) != 1 || time.Since(began) > 0 {
-			t.Errorf("%+v, %v after %v", reading, err, time.Since(began))
+		start := time.Now()
+		reading, err := reader.Read(t.Context(), "job", 1, maxStaleness)
+		if err != nil || len(reading.Results) != 1 || time.Since(start) > 0 {
+			t.Errorf("%+v, %v after %v", reading, err, time.Since(start))
 		}
 	})
 }
 
-// TestSure_QuestionsAreBounded has readers of 2,000 jobs come twice a second to a node whose feed
+// TestEnsureFresh_RateIsLimited has readers of 2,000 jobs come twice a second to a node whose feed
 // stands still. Without a bound a table that refuses was asked 960 times a second for 200.
-func TestSure_QuestionsAreBounded(t *testing.T) {
+func TestEnsureFresh_RateIsLimited(t *testing.T) {
 	const jobCount, seconds = 2000, 5
 	for name, fail := range map[string]error{"answers": nil, "refuses": outcome.Failed(table.ErrThrottled)} {
 		t.Run(name, func(t *testing.T) {
-			withStaleReader(t, func(t *testing.T, shared *tabletest.Table, _ *Service, reader *readingNode) {
-				asked := &askedTable{Service: shared, delay: 5 * time.Millisecond, fail: fail}
-				reader.Table = asked
-				time.Sleep(2 * settleTime)
+			withStaleReader(t, func(t *testing.T, shared *tabletest.Table, _ *Service, reader *readerNode) {
+				counting := &countingTable{Service: shared, delay: 5 * time.Millisecond, fail: fail}
+				reader.Table = counting
+				time.Sleep(2 * maxStaleness)
 				job := reader.View.Get("job").Job
 				for i := range jobCount {
 					id := fmt.Sprint("job", i)
@@ -188,7 +188,7 @@
 					}()
 				}
 				time.Sleep(seconds * time.Second)
-				if count := asked.asked.Load(); count > fleetRefreshRate*(seconds+1) || count < fleetRefreshRate*seconds/2 {
+				if count := counting.reads.Load(); count > fleetRefreshRate*(seconds+1) || count < fleetRefreshRate*seconds/2 {
 					t.Errorf("the table was asked %d times in %d s", count, seconds)
 				}
 				time.Sleep(10 * time.Second)
@@ -197,30 +197,30 @@
 	}
 }
 
-// TestSubmit_ResentAtAnOldView has a job come again at a node whose view is old and full: it was
+// TestSubmit_ResentToANodeWithAnOldView has a job come again at a node whose view is old and full: it was
 // accepted elsewhere, and items have been listed since. It must not be refused as one that never
 // runs, nor another as one for which there is no room.
-func TestSubmit_ResentAtAnOldView(t *testing.T) {
+func TestSubmit_ResentToANodeWithAnOldView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer cancel()
 		shared := tabletest.New()
-		lister, reader := startReadingNode(ctx, shared), startReadingNode(ctx, shared)
+		lister, reader := startReaderNode(ctx, shared), startReaderNode(ctx, shared)
 		synctest.Wait()
 		if err := lister.Submit(ctx, limited("old", 4, 500)); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(2 * settleTime)
-		reader.feed.silent.Store(true)
-		time.Sleep(2 * settleTime)
+		time.Sleep(2 * maxStaleness)
+		reader.feed.stalled.Store(true)
+		time.Sleep(2 * maxStaleness)
 		for item := range 4 {
 			listOne(t, lister.Service, "old", item)
 		}
 		if err := lister.Submit(ctx, limited("again", 2, 500)); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(settleTime)
+		time.Sleep(maxStaleness)
 		if err := reader.Submit(ctx, limited("again", 2, 500)); err != nil {
 			t.Errorf("a job that was accepted elsewhere: %v", err)
 		}
@@ -229,7 +229,7 @@
 			t.Errorf("a job that fits by what has been listed since: %v", err)
 		}
 		shared.ReadFault = func() error { return outcome.Undecided(table.ErrUnavailable) }
-		callCtx, end := context.WithTimeout(ctx, 2*settleTime)
+		callCtx, end := context.WithTimeout(ctx, 2*maxStaleness)
 		defer end()
 		if err := reader.Submit(callCtx, limited("unheard", 2, 500)); !errors.Is(err, ErrUndecided) {
 			t.Errorf("a job of which nobody can tell: %v", err)
--- a/internal/jobs/regions_test.go
+++ b/internal/jobs/regions_test.go
@@ -11,25 +11,25 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-func TestHomes_ItemsRunAtHomeThoughAcceptedElsewhere(t *testing.T) {
-	for name, homes := range map[string][2]place.Regions{
+func TestRegions_ItemsRunInsideThoughAcceptedElsewhere(t *testing.T) {
+	for name, regions := range map[string][2]place.Regions{
 		"of the route":  {{"n"}, nil},
 		"of the tenant": {nil, {"n"}},
 		"of both":       {{"n", "m"}, {"s", "n"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			site := newHomeSite(t, homes[0], homes[1], "n-1", "n-2", "s-1")
+			site := newRegionSite(t, regions[0], regions[1], "n-1", "n-2", "s-1")
 			site.submit("s-1", "j", 9)
 			readAll(t, site.nodes["s-1"].testNode, "j")
 			site.checkSent("n")
-			site.checkUntouched("s-1")
+			site.checkStoresNothing("s-1")
 		})
 	}
 }
 
-func TestHomes_OwnersStandAtHome(t *testing.T) {
-	site := newHomeSite(t, place.Regions{"n"}, nil, "n-1", "s-1")
-	submitted := onceSubmission("j", 3)
+func TestRegions_OwnersAreInside(t *testing.T) {
+	site := newRegionSite(t, place.Regions{"n"}, nil, "n-1", "s-1")
+	submitted := atMostOnceSubmission("j", 3)
 	if err := site.nodes["s-1"].Submit(t.Context(), submitted); err != nil {
 		t.Fatal(err)
 	}
@@ -40,38 +40,38 @@
 	site.claim("s-1", "n-1")
 	readAll(t, site.nodes["n-1"].testNode, "j")
 	site.checkSent("n")
-	site.checkUntouched("s-1")
+	site.checkStoresNothing("s-1")
 }
 
-// TestHomes_AChangeMovesOwners changes the homes of items that may run only once while no
+// TestRegions_ChangeMovesOwners changes the homes of items that may run only once while no
 // replica takes them.
-func TestHomes_AChangeMovesOwners(t *testing.T) {
-	site := newHomeSite(t, place.Regions{"n"}, nil, "n-1", "s-1")
+func TestRegions_ChangeMovesOwners(t *testing.T) {
+	site := newRegionSite(t, place.Regions{"n"}, nil, "n-1", "s-1")
 	site.nodes["n-1"].runner.Replicas.Remove("n-r", time.Now())
-	if err := site.nodes["n-1"].Submit(t.Context(), onceSubmission("j", 2)); err != nil {
+	if err := site.nodes["n-1"].Submit(t.Context(), atMostOnceSubmission("j", 2)); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, func() bool { return site.nodes["s-1"].View.Get("j") != nil })
-	site.declare(place.Regions{"s"}, nil)
+	site.setRegions(place.Regions{"s"}, nil)
 	site.claim("n-1", "s-1")
 	if owner := site.nodes["s-1"].View.Get("j").Progress.Owner; owner != "s-1#1" {
 		t.Fatalf("owner is %q", owner)
 	}
 }
 
-func TestHomes_NobodyIsSaidToWaitBeforeAConfigurationIsKnown(t *testing.T) {
-	site := newHomeSite(t, nil, nil, "n-1")
+func TestRegions_NoReportBeforeTheFirstConfiguration(t *testing.T) {
+	site := newRegionSite(t, nil, nil, "n-1")
 	site.submit("n-1", "j", 1)
 	site.routes.Store(nil)
 	site.claim("n-1")
-	if site.nodes["n-1"].events.homeless.Load() != 0 {
+	if site.nodes["n-1"].events.awaiting.Load() != 0 {
 		t.Fatal("a job waits for homes that nobody has told")
 	}
 }
 
-// TestHomes_ARegionThatDiesIsWaitedFor kills all nodes at home and brings one back.
-func TestHomes_ARegionThatDiesIsWaitedFor(t *testing.T) {
-	site := newHomeSite(t, place.Regions{"n"}, nil, "n-1", "n-2", "s-1", "s-2")
+// TestRegions_ItemsWaitForADeadRegion kills all nodes at home and brings one back.
+func TestRegions_ItemsWaitForADeadRegion(t *testing.T) {
+	site := newRegionSite(t, place.Regions{"n"}, nil, "n-1", "n-2", "s-1", "s-2")
 	site.nodes["n-1"].refuse.Store(true)
 	site.nodes["n-2"].refuse.Store(true)
 	site.submit("s-1", "j", 6)
@@ -84,8 +84,8 @@
 	if len(entry.Progress.Reassigned) != 0 || len(entry.Progress.Listed) != 0 {
 		t.Fatalf("progress is %+v while nobody at home lives", entry.Progress)
 	}
-	if said := site.nodes["s-1"].events.homeless.Load() + site.nodes["s-2"].events.homeless.Load(); said != 1 {
-		t.Errorf("%d lines say that items wait, want 1", said)
+	if reports := site.nodes["s-1"].events.awaiting.Load() + site.nodes["s-2"].events.awaiting.Load(); reports != 1 {
+		t.Errorf("%d lines say that items wait, want 1", reports)
 	}
 	site.start("n-3", &objecttest.Store{})
 	site.fleet.set("n-3#1", "s-1#1", "s-2#1")
@@ -93,12 +93,12 @@
 	site.claim("s-1", "s-2", "n-3")
 	readAll(t, site.nodes["s-1"].testNode, "j")
 	site.checkSent("n")
-	site.checkUntouched("s-1")
-	site.checkUntouched("s-2")
+	site.checkStoresNothing("s-1")
+	site.checkStoresNothing("s-2")
 }
 
-func TestHomes_ItemsThatNobodyMayRunAreGivenUpInTheEnd(t *testing.T) {
-	site := newHomeSite(t, place.Regions{"n"}, nil, "s-1", "s-2")
+func TestRegions_ItemsThatNoNodeMayRunExpire(t *testing.T) {
+	site := newRegionSite(t, place.Regions{"n"}, nil, "s-1", "s-2")
 	submitted := submission("j", MaxItems)
 	submitted.Retention = 50 * time.Millisecond
 	if err := site.nodes["s-1"].Submit(t.Context(), submitted); err != nil {
@@ -113,17 +113,17 @@
 			t.Fatalf("result is %+v", result)
 		}
 	}
-	site.checkUntouched("s-1")
-	site.checkUntouched("s-2")
+	site.checkStoresNothing("s-1")
+	site.checkStoresNothing("s-2")
 }
 
-// TestHomes_AChangeMovesWhatWaits changes the homes while no replica takes the items.
-func TestHomes_AChangeMovesWhatWaits(t *testing.T) {
-	site := newHomeSite(t, place.Regions{"n"}, nil, "n-1", "s-1")
+// TestRegions_ChangeMovesWaitingItems changes the homes while no replica takes the items.
+func TestRegions_ChangeMovesWaitingItems(t *testing.T) {
+	site := newRegionSite(t, place.Regions{"n"}, nil, "n-1", "s-1")
 	site.nodes["n-1"].refuse.Store(true)
 	site.submit("n-1", "j", 4)
 	eventually(t, func() bool { return site.nodes["n-1"].owned() == 1 })
-	site.declare(place.Regions{"s"}, nil)
+	site.setRegions(place.Regions{"s"}, nil)
 	eventually(t, func() bool { return site.nodes["n-1"].owned() == 0 })
 	site.nodes["n-1"].refuse.Store(false)
 	eventually(t, func() bool { return site.nodes["s-1"].View.Get("j") != nil })
@@ -132,18 +132,18 @@
 	site.checkSent("s")
 }
 
-func TestHomes_UnknownRegionsAreNoHomes(t *testing.T) {
-	site := newHomeSite(t, place.Regions{"n"}, nil, "x-1", "n-1")
+func TestRegions_UnknownRegionIsNotAllowed(t *testing.T) {
+	site := newRegionSite(t, place.Regions{"n"}, nil, "x-1", "n-1")
 	site.submit("x-1", "j", 6)
 	readAll(t, site.nodes["x-1"].testNode, "j")
 	site.checkSent("n")
-	site.checkUntouched("x-1")
+	site.checkStoresNothing("x-1")
 }
 
-func TestHomes_EmptyIntersectionIsNotAccepted(t *testing.T) {
-	site := newHomeSite(t, place.Regions{"n"}, place.Regions{"s"}, "n-1", "s-1")
+func TestRegions_EmptyIntersectionIsNotAccepted(t *testing.T) {
+	site := newRegionSite(t, place.Regions{"n"}, place.Regions{"s"}, "n-1", "s-1")
 	submitted := submission("j", 1)
-	submitted.Tenant = homeTenant
+	submitted.Tenant = testTenant
 	err := site.nodes["n-1"].Submit(t.Context(), submitted)
 	if !errors.Is(err, ErrNotAccepted) || !errors.Is(err, ErrNoRegion) {
 		t.Fatalf("submission: %v", err)
@@ -153,41 +153,41 @@
 	}
 }
 
-// TestHomes_OutliveTheirRoute takes the route away while items wait.
-func TestHomes_OutliveTheirRoute(t *testing.T) {
-	site := newHomeSite(t, place.Regions{"n"}, nil, "n-1", "s-1")
+// TestRegions_OutliveTheirRoute takes the route away while items wait.
+func TestRegions_OutliveTheirRoute(t *testing.T) {
+	site := newRegionSite(t, place.Regions{"n"}, nil, "n-1", "s-1")
 	site.nodes["n-1"].refuse.Store(true)
 	site.submit("s-1", "j", 2)
 	site.routes.Store(route.NewTable(&route.Config{}))
 	site.stop("n-1")
 	site.claim("s-1")
-	if moved := site.nodes["s-1"].View.Get("j").Progress.Reassigned; len(moved) != 0 {
-		t.Fatalf("items moved to %v", moved)
+	if reassigned := site.nodes["s-1"].View.Get("j").Progress.Reassigned; len(reassigned) != 0 {
+		t.Fatalf("items moved to %v", reassigned)
 	}
-	site.checkUntouched("s-1")
+	site.checkStoresNothing("s-1")
 }
 
-func TestHomes_UnknownConfigurationIsNowhere(t *testing.T) {
-	site := newHomeSite(t, nil, nil, "n-1")
+func TestRegions_NowhereWithoutConfiguration(t *testing.T) {
+	site := newRegionSite(t, nil, nil, "n-1")
 	site.routes.Store(nil)
-	if homes := site.nodes["n-1"].allowedRegions(&Job{Route: "batch"}); homes == nil || len(homes) != 0 {
-		t.Fatalf("homes are %#v", homes)
+	if regions := site.nodes["n-1"].allowedRegions(&Job{Route: "batch"}); regions == nil || len(regions) != 0 {
+		t.Fatalf("homes are %#v", regions)
 	}
 }
 
-// TestHomes_CallersElsewhereAreAnswered asks a node elsewhere for a body and results.
-func TestHomes_CallersElsewhereAreAnswered(t *testing.T) {
-	site := newHomeSite(t, place.Regions{"n"}, nil, "n-1", "s-1")
+// TestRegions_NodesOutsideAnswerReads asks a node elsewhere for a body and results.
+func TestRegions_NodesOutsideAnswerReads(t *testing.T) {
+	site := newRegionSite(t, place.Regions{"n"}, nil, "n-1", "s-1")
 	site.nodes["n-1"].refuse.Store(true)
 	site.submit("n-1", "j", 2)
-	away := site.nodes["s-1"]
-	if body, err := away.Body(t.Context(), "j", "j-1"); err != nil || string(body) != "prompt" {
+	outside := site.nodes["s-1"]
+	if body, err := outside.Body(t.Context(), "j", "j-1"); err != nil || string(body) != "prompt" {
 		t.Fatalf("body is %q, %v", body, err)
 	}
 	site.nodes["n-1"].refuse.Store(false)
-	readAll(t, away.testNode, "j")
-	if len(away.contents) != 0 || away.cache.size != 0 {
-		t.Fatalf("%d contents and %d bytes of texts stay at a node elsewhere", len(away.contents), away.cache.size)
+	readAll(t, outside.testNode, "j")
+	if len(outside.contents) != 0 || outside.cache.size != 0 {
+		t.Fatalf("%d contents and %d bytes of texts stay at a node elsewhere", len(outside.contents), outside.cache.size)
 	}
 	readAll(t, site.nodes["n-1"].testNode, "j")
 	if site.nodes["n-1"].cache.size == 0 {
@@ -195,9 +195,9 @@
 	}
 }
 
-// TestHomes_ItemsWithoutRoomAtHomeHoldUpNoOthers fills the only replica at home.
-func TestHomes_ItemsWithoutRoomAtHomeHoldUpNoOthers(t *testing.T) {
-	site := newHomeSite(t, place.Regions{"n"}, nil, "n-1")
+// TestRegions_ItemsWithoutReplicaDoNotBlockOthers fills the only replica at home.
+func TestRegions_ItemsWithoutReplicaDoNotBlockOthers(t *testing.T) {
+	site := newRegionSite(t, place.Regions{"n"}, nil, "n-1")
 	site.nodes["n-1"].runner.Replicas.Remove("n-r", time.Now())
 	site.submit("n-1", "a", 2)
 	free := submission("b", 2)
@@ -214,23 +214,23 @@
 	}
 }
 
-// TestHomes_OfEveryRouteOfAJobBind submits items of two routes.
-func TestHomes_OfEveryRouteOfAJobBind(t *testing.T) {
-	site := newHomeSite(t, place.Regions{"n"}, nil, "n-1", "s-1")
+// TestRegions_OfAllRoutesOfAJobApply submits items of two routes.
+func TestRegions_OfAllRoutesOfAJobApply(t *testing.T) {
+	site := newRegionSite(t, place.Regions{"n"}, nil, "n-1", "s-1")
 	mixed := submission("j", 2)
 	mixed.Route, mixed.Items[0].Path = "free", "/free/x"
 	if err := site.nodes["s-1"].Submit(t.Context(), mixed); err != nil {
 		t.Fatal(err)
 	}
 	readAll(t, site.nodes["s-1"].testNode, "j")
-	site.checkUntouched("s-1")
+	site.checkStoresNothing("s-1")
 	if sent := site.nodes["s-1"].sentTo(); len(sent) != 0 {
 		t.Fatalf("the node elsewhere sent items to %v", sent)
 	}
 }
 
-// TestJob_RowsOfBeforeAreRead reads a row without regions and homes.
-func TestJob_RowsOfBeforeAreRead(t *testing.T) {
+// TestJob_ReadsRowsWithoutRegions reads a row without regions and homes.
+func TestJob_ReadsRowsWithoutRegions(t *testing.T) {
 	var job Job
 	if err := decode(encode(map[int]any{1: "j", 2: "batch", 10: []string{"a"}}), &job); err != nil {
 		t.Fatal(err)
@@ -239,7 +239,7 @@
 	if job.AllowedRegions != nil || entry.regionOf(0) != "" {
 		t.Fatalf("job is %+v", job)
 	}
-	if homes := (&Service{Routes: newHomeSite(t, place.Regions{"n"}, nil).routes.Load}).allowedRegions(&job); fmt.Sprint(homes) != "[n]" {
-		t.Fatalf("homes are %v", homes)
+	if regions := (&Service{Routes: newRegionSite(t, place.Regions{"n"}, nil).routes.Load}).allowedRegions(&job); fmt.Sprint(regions) != "[n]" {
+		t.Fatalf("homes are %v", regions)
 	}
 }
--- a/internal/jobs/regionsite_test.go
+++ b/internal/jobs/regionsite_test.go
@@ -22,27 +22,27 @@
 	"github.com/wheelhoist/wheelhoist/internal/tenant"
 )
 
-// homeFleet are nodes that come and go. A node's region is the part of its name before
+// regionFleet are nodes that come and go. A node's region is the part of its name before
 // the dash; "x-" tells none.
-type homeFleet struct {
+type regionFleet struct {
 	noOwners
 	mu   sync.Mutex
 	live []string
 }
 
-func (f *homeFleet) set(sessions ...string) {
+func (f *regionFleet) set(sessions ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.live = sessions
 }
 
-func (f *homeFleet) Live() []string {
+func (f *regionFleet) Live() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.live)
 }
 
-func (f *homeFleet) Nodes() []string {
+func (f *regionFleet) Nodes() []string {
 	nodes := f.Live()
 	for i := range nodes {
 		nodes[i] = lease.Node(nodes[i])
@@ -50,16 +50,16 @@
 	return nodes
 }
 
-func (f *homeFleet) Region(node string) string {
+func (f *regionFleet) Region(node string) string {
 	if !slices.Contains(f.Nodes(), node) {
 		return ""
 	}
 	return regionOf(node)
 }
 
-func (f *homeFleet) Gone(node string) bool { return !slices.Contains(f.Nodes(), node) }
+func (f *regionFleet) Gone(node string) bool { return !slices.Contains(f.Nodes(), node) }
 
-func (f *homeFleet) Expired(session string) bool { return !slices.Contains(f.Live(), session) }
+func (f *regionFleet) Expired(session string) bool { return !slices.Contains(f.Live(), session) }
 
 func regionOf(name string) string {
 	region, _, _ := strings.Cut(name, "-")
@@ -82,30 +82,30 @@
 	return c.Service.List(ctx, partition, after, limit)
 }
 
-// homeEvents counts the jobs that wait for their homes.
-type homeEvents struct {
-	quietEvents
-	homeless atomic.Int64
+// regionEvents counts the jobs that wait for their homes.
+type regionEvents struct {
+	noEvents
+	awaiting atomic.Int64
 }
 
-func (e *homeEvents) AwaitingRegion(*Job, place.Regions) { e.homeless.Add(1) }
+func (e *regionEvents) AwaitingRegion(*Job, place.Regions) { e.awaiting.Add(1) }
 
-// homeNode is a node of a homeFleet.
-type homeNode struct {
+// regionNode is a node of a homeFleet.
+type regionNode struct {
 	*testNode
 	runner *Runner
 	rows   *contentTable
-	events *homeEvents
+	events *regionEvents
 	mu     sync.Mutex
 	// sent are the replicas that items went to.
 	sent []string
-	// looks counts the runner's looks at the routes, one at the begin of each dispatch.
-	looks atomic.Int64
+	// dispatches counts the runner's dispatches at the routes, one at the begin of each dispatch.
+	dispatches atomic.Int64
 	// refuse makes replicas refuse.
 	refuse atomic.Bool
 }
 
-func (n *homeNode) Send(_ context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
+func (n *regionNode) Send(_ context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
 	if n.refuse.Load() {
 		return nil, outcome.Failed(forward.ErrRefused)
 	}
@@ -115,18 +115,18 @@
 	return answerOf(http.StatusOK, events(attempt.LastEventID+1, 5)), nil
 }
 
-func (n *homeNode) countedRoutes() *route.Table {
-	n.looks.Add(1)
+func (n *regionNode) countedRoutes() *route.Table {
+	n.dispatches.Add(1)
 	return n.Routes()
 }
 
 // settled waits until nothing is under way that was chosen by routes of before.
-func (n *homeNode) settled(t *testing.T) {
+func (n *regionNode) settled(t *testing.T) {
 	for range 2 {
-		seen := n.looks.Load()
+		seen := n.dispatches.Load()
 		eventually(t, func() bool {
 			n.runner.wake()
-			return n.looks.Load() > seen
+			return n.dispatches.Load() > seen
 		})
 	}
 	eventually(t, func() bool {
@@ -137,31 +137,31 @@
 }
 
 // owned counts the jobs that a node has items of.
-func (n *homeNode) owned() int {
+func (n *regionNode) owned() int {
 	n.runner.mu.Lock()
 	defer n.runner.mu.Unlock()
 	return len(n.runner.owned)
 }
 
-func (n *homeNode) sentTo() []string {
+func (n *regionNode) sentTo() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.sent)
 }
 
-// homeSite is a fleet with replicas in regions n and s, and one of an unknown region.
-type homeSite struct {
+// regionSite is a fleet with replicas in regions n and s, and one of an unknown region.
+type regionSite struct {
 	t      *testing.T
 	shared *tabletest.Table
-	fleet  *homeFleet
+	fleet  *regionFleet
 	routes atomic.Pointer[route.Table]
-	nodes  map[string]*homeNode
+	nodes  map[string]*regionNode
 }
 
-const homeTenant = "miller"
+const testTenant = "miller"
 
-// declare puts homes of the route and of the tenant in force.
-func (s *homeSite) declare(ofRoute, ofTenant place.Regions) {
+// setRegions puts homes of the route and of the tenant in force.
+func (s *regionSite) setRegions(ofRoute, ofTenant place.Regions) {
 	s.routes.Store(route.NewTable(&route.Config{Routes: []*route.Route{
 		{
 			Name: "batch", Host: testHost, Prefix: "/batch/", Kind: route.Batch, MaxAttempts: 3,
@@ -171,13 +171,13 @@
 			Name: "free", Host: testHost, Prefix: "/free/", Kind: route.Batch, MaxAttempts: 3,
 			Shares: []route.Share{{Pool: testPool, Weight: 1}},
 		},
-	}, Tenants: []*tenant.Tenant{{Name: homeTenant, Regions: ofTenant}}}))
+	}, Tenants: []*tenant.Tenant{{Name: testTenant, Regions: ofTenant}}}))
 }
 
-func newHomeSite(t *testing.T, ofRoute, ofTenant place.Regions, names ...string) *homeSite {
+func newRegionSite(t *testing.T, ofRoute, ofTenant place.Regions, names ...string) *regionSite {
 	t.Helper()
-	site := &homeSite{t: t, shared: tabletest.New(), fleet: &homeFleet{}, nodes: map[string]*homeNode{}}
-	site.declare(ofRoute, ofTenant)
+	site := &regionSite{t: t, shared: tabletest.New(), fleet: &regionFleet{}, nodes: map[string]*regionNode{}}
+	site.setRegions(ofRoute, ofTenant)
 	var live []string
 	for _, name := range names {
 		live = append(live, name+"#1")
@@ -190,10 +190,10 @@
 	return site
 }
 
-func (s *homeSite) start(name string, objects *objecttest.Store) {
-	node := &homeNode{
+func (s *regionSite) start(name string, objects *objecttest.Store) {
+	node := &regionNode{
 		testNode: startNode(s.t, s.shared, objects, name+"#1"),
-		rows:     &contentTable{Service: s.shared}, events: &homeEvents{},
+		rows:     &contentTable{Service: s.shared}, events: &regionEvents{},
 	}
 	replicas := replica.NewSet()
 	for _, id := range []string{"n-r", "s-r", "x-r"} {
@@ -220,7 +220,7 @@
 }
 
 // stop makes a node run nothing any more and leave the fleet.
-func (s *homeSite) stop(name string) {
+func (s *regionSite) stop(name string) {
 	node := s.nodes[name]
 	node.runner.mu.Lock()
 	node.runner.stopped = true
@@ -230,23 +230,23 @@
 }
 
 // claim lets live nodes look for what they should take over.
-func (s *homeSite) claim(names ...string) {
+func (s *regionSite) claim(names ...string) {
 	for _, name := range names {
 		s.nodes[name].runner.claimOrphaned(s.t.Context())
 	}
 }
 
-func (s *homeSite) submit(name, id string, items int) {
+func (s *regionSite) submit(name, id string, items int) {
 	s.t.Helper()
 	submitted := submission(id, items)
-	submitted.Tenant = homeTenant
+	submitted.Tenant = testTenant
 	if err := s.nodes[name].Submit(s.t.Context(), submitted); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
 // checkSent fails if a node sent anything to a replica of another region than one.
-func (s *homeSite) checkSent(region string) {
+func (s *regionSite) checkSent(region string) {
 	s.t.Helper()
 	for name, node := range s.nodes {
 		for _, id := range node.sentTo() {
@@ -257,8 +257,8 @@
 	}
 }
 
-// checkUntouched fails if a node has read or keeps bodies.
-func (s *homeSite) checkUntouched(name string) {
+// checkStoresNothing fails if a node has read or keeps bodies.
+func (s *regionSite) checkStoresNothing(name string) {
 	s.t.Helper()
 	node := s.nodes[name]
 	node.contentMu.Lock()
--- a/internal/jobs/regionsprop_test.go
+++ b/internal/jobs/regionsprop_test.go
@@ -14,37 +14,37 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// homeWatch notes items that reach a replica outside the homes in force. While homes
+// regionWatch notes items that reach a replica outside the homes in force. While homes
 // change those of before and those to come count.
-type homeWatch struct {
-	mu      sync.Mutex
-	inForce []place.Regions
-	broken  string
+type regionWatch struct {
+	mu        sync.Mutex
+	allowed   []place.Regions
+	violation string
 }
 
-func (w *homeWatch) set(homes ...place.Regions) {
+func (w *regionWatch) set(regions ...place.Regions) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.inForce = homes
+	w.allowed = regions
 }
 
-func (w *homeWatch) sent(id string) {
+func (w *regionWatch) sent(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !slices.ContainsFunc(w.inForce, func(homes place.Regions) bool { return homes.Allows(regionOf(id)) }) {
-		w.broken = fmt.Sprintf("an item reached %s, homes are %v", id, w.inForce)
+	if !slices.ContainsFunc(w.allowed, func(regions place.Regions) bool { return regions.Allows(regionOf(id)) }) {
+		w.violation = fmt.Sprintf("an item reached %s, homes are %v", id, w.allowed)
 	}
 }
 
-// strictBackend tells a watch where items go.
-type strictBackend struct {
-	*homeNode
-	watch *homeWatch
+// watchedBackend tells a watch where items go.
+type watchedBackend struct {
+	*regionNode
+	watch *regionWatch
 }
 
-func (b *strictBackend) Send(ctx context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
+func (b *watchedBackend) Send(ctx context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
 	b.watch.sent(attempt.Replica.ID)
-	return b.homeNode.Send(ctx, attempt)
+	return b.regionNode.Send(ctx, attempt)
 }
 
 // TestHomes_ExactlyOnceUnderChanges changes homes and takes nodes away and brings them
@@ -53,20 +53,20 @@
 func TestHomes_ExactlyOnceUnderChanges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"n-1", "n-2", "s-1", "x-1"}
-		site := newHomeSite(t, nil, nil, names...)
-		watch := &homeWatch{inForce: []place.Regions{nil}}
-		declare := func(homes place.Regions) {
+		site := newRegionSite(t, nil, nil, names...)
+		watch := &regionWatch{allowed: []place.Regions{nil}}
+		declare := func(regions place.Regions) {
 			before := site.routes.Load().ByName("batch").Regions
-			watch.set(before, homes)
-			site.declare(homes, nil)
+			watch.set(before, regions)
+			site.setRegions(regions, nil)
 			for _, name := range names {
 				site.nodes[name].settled(t)
 			}
-			watch.set(homes)
+			watch.set(regions)
 		}
 		for _, name := range names {
 			site.nodes[name].runner.mu.Lock()
-			site.nodes[name].runner.Backend = &strictBackend{homeNode: site.nodes[name], watch: watch}
+			site.nodes[name].runner.Backend = &watchedBackend{regionNode: site.nodes[name], watch: watch}
 			site.nodes[name].runner.mu.Unlock()
 		}
 		var jobs []string
@@ -90,7 +90,7 @@
 			case "claim":
 				site.claim(names...)
 			}
-			checkSteady(rt, node.testNode, jobs, seen)
+			checkStable(rt, node.testNode, jobs, seen)
 		}
 		declare(nil)
 		site.fleet.set("n-1#1", "n-2#1", "s-1#1", "x-1#1")
@@ -101,18 +101,18 @@
 				return entry != nil && entry.Done()
 			})
 		}
-		checkSteady(rt, site.nodes["x-1"].testNode, jobs, seen)
-		checkWhole(rt, site.nodes["n-1"].testNode, jobs)
+		checkStable(rt, site.nodes["x-1"].testNode, jobs, seen)
+		checkComplete(rt, site.nodes["n-1"].testNode, jobs)
 		watch.mu.Lock()
 		defer watch.mu.Unlock()
-		if watch.broken != "" {
-			rt.Fatal(watch.broken)
+		if watch.violation != "" {
+			rt.Fatal(watch.violation)
 		}
 	})
 }
 
-// checkSteady reads jobs and fails if a position holds something else than before.
-func checkSteady(rt *rapid.T, node *testNode, jobs []string, seen map[string][]Result) {
+// checkStable reads jobs and fails if a position holds something else than before.
+func checkStable(rt *rapid.T, node *testNode, jobs []string, seen map[string][]Result) {
 	for _, id := range jobs {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		reading, err := node.Read(ctx, id, 0, 0)
@@ -120,19 +120,19 @@
 		if err != nil {
 			rt.Fatalf("job %s: %v", id, err)
 		}
-		known := seen[id]
-		shared := min(len(known), len(reading.Results))
-		if !slices.Equal(known[:shared], reading.Results[:shared]) {
-			rt.Fatalf("job %s listed %v and lists %v", id, known, reading.Results)
+		previous := seen[id]
+		shared := min(len(previous), len(reading.Results))
+		if !slices.Equal(previous[:shared], reading.Results[:shared]) {
+			rt.Fatalf("job %s listed %v and lists %v", id, previous, reading.Results)
 		}
-		if len(reading.Results) > len(known) {
+		if len(reading.Results) > len(previous) {
 			seen[id] = reading.Results
 		}
 	}
 }
 
-// checkWhole fails if an item is not listed exactly once, or not done.
-func checkWhole(rt *rapid.T, node *testNode, jobs []string) {
+// checkComplete fails if an item is not listed exactly once, or not done.
+func checkComplete(rt *rapid.T, node *testNode, jobs []string) {
 	for _, id := range jobs {
 		eventuallyDone(rt, node, id)
 		reading, err := node.Read(context.Background(), id, 0, 0)
--- a/internal/jobs/restart_test.go
+++ b/internal/jobs/restart_test.go
@@ -13,14 +13,14 @@
 // A finding (urnik hunt-f317-7): a node that had just been restarted was asked
 // for a job before it had read the jobs once. It took the job over, and by a
 // clock that was not set yet the item had expired.
-func TestRunner_NothingExpiresBeforeTheFirstLook(t *testing.T) {
+func TestRunner_NothingExpiresBeforeJobsAreLoaded(t *testing.T) {
 	shared := tabletest.New()
 	first := startNode(t, shared, &objecttest.Store{}, "node#1")
 	if err := first.Submit(t.Context(), submission("job", 1)); err != nil {
 		t.Fatal(err)
 	}
 	restarted := &testNode{session: "node#2", Service: &Service{
-		Table: shared, Objects: &objecttest.Store{}, View: NewView(), Events: quietEvents{},
+		Table: shared, Objects: &objecttest.Store{}, View: NewView(), Events: noEvents{},
 		Session: first.Session,
 	}}
 	if _, err := restarted.find(t.Context(), "job"); err != nil {
@@ -41,14 +41,14 @@
 // A finding (aspsc-dakar trouble-2): a node that had just been restarted read a job from
 // the store for a caller, and answered later reads from that picture while its first look
 // at all jobs hung: results that others had shown were missing.
-func TestRead_BeforeTheFirstLookComesFromTheStore(t *testing.T) {
+func TestRead_UsesTheStoreBeforeJobsAreLoaded(t *testing.T) {
 	shared := tabletest.New()
 	first := startNode(t, shared, &objecttest.Store{}, "node#1")
 	if err := first.Submit(t.Context(), submission("job", 2)); err != nil {
 		t.Fatal(err)
 	}
 	restarted := &testNode{session: "other#2", Service: &Service{
-		Table: shared, Objects: &objecttest.Store{}, View: NewView(), Events: quietEvents{},
+		Table: shared, Objects: &objecttest.Store{}, View: NewView(), Events: noEvents{},
 		Session: first.Session,
 	}}
 	if reading, err := restarted.Read(t.Context(), "job", 0, 0); err != nil || len(reading.Results) != 0 {
--- a/internal/jobs/runner_test.go
+++ b/internal/jobs/runner_test.go
@@ -22,20 +22,20 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// script answers the attempts of an item, by its number.
-type script func(attempt *forward.Attempt, number int) (*forward.Answer, error)
+// answerFunc answers the attempts of an item, by its number.
+type answerFunc func(attempt *forward.Attempt, number int) (*forward.Answer, error)
 
 // scriptedBackend answers as told and records what it was sent.
 type scriptedBackend struct {
-	mu     sync.Mutex
-	answer script
-	after  []int
+	mu           sync.Mutex
+	answer       answerFunc
+	resumedAfter []int
 }
 
 func (b *scriptedBackend) Send(_ context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
 	b.mu.Lock()
-	b.after = append(b.after, attempt.LastEventID)
-	number := len(b.after)
+	b.resumedAfter = append(b.resumedAfter, attempt.LastEventID)
+	number := len(b.resumedAfter)
 	b.mu.Unlock()
 	return b.answer(attempt, number)
 }
@@ -43,7 +43,7 @@
 func (b *scriptedBackend) attempts() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.after)
+	return len(b.resumedAfter)
 }
 
 func answerOf(status int, body string) *forward.Answer {
@@ -61,22 +61,22 @@
 	return text.String()
 }
 
-// quietEvents takes notices and keeps none.
-type quietEvents struct{}
+// noEvents takes notices and keeps none.
+type noEvents struct{}
 
-func (quietEvents) Accepted(*Job, time.Duration, bool)                        {}
-func (quietEvents) Refused(string, int64, int64, int64, error)                {}
-func (quietEvents) Ended(string, error)                                       {}
-func (quietEvents) Claimed(*Entry, string, error)                             {}
-func (quietEvents) ItemSent(*Job, string, string, int)                        {}
-func (quietEvents) ItemFailed(*Job, string, string, error)                    {}
-func (quietEvents) ItemQuarantined(*Job, string, error)                       {}
-func (quietEvents) ItemPreempted(*Job, string, string, int, replica.Pressure) {}
-func (quietEvents) ItemListed(*Job, string, int, Reason, time.Duration)       {}
-func (quietEvents) Removed(*Job, error)                                       {}
-func (quietEvents) Refreshed(*Job, time.Duration, error)                      {}
-func (quietEvents) AwaitingRegion(*Job, place.Regions)                        {}
-func (quietEvents) Resolved(operation string, attempts int, err error)        {}
+func (noEvents) Accepted(*Job, time.Duration, bool)                        {}
+func (noEvents) Refused(string, int64, int64, int64, error)                {}
+func (noEvents) Ended(string, error)                                       {}
+func (noEvents) Claimed(*Entry, string, error)                             {}
+func (noEvents) ItemSent(*Job, string, string, int)                        {}
+func (noEvents) ItemFailed(*Job, string, string, error)                    {}
+func (noEvents) ItemQuarantined(*Job, string, error)                       {}
+func (noEvents) ItemPreempted(*Job, string, string, int, replica.Pressure) {}
+func (noEvents) ItemListed(*Job, string, int, Reason, time.Duration)       {}
+func (noEvents) Removed(*Job, error)                                       {}
+func (noEvents) Refreshed(*Job, time.Duration, error)                      {}
+func (noEvents) AwaitingRegion(*Job, place.Regions)                        {}
+func (noEvents) Resolved(operation string, attempts int, err error)        {}
 
 // testNode is a service with a view that follows a shared table.
 type testNode struct {
@@ -89,7 +89,7 @@
 	view := NewView()
 	watcher := table.NewWatcher(shared.Feed(Group), view.Apply)
 	service := &Service{
-		Table: shared, Objects: objects, View: view, Events: quietEvents{},
+		Table: shared, Objects: objects, View: view, Events: noEvents{},
 		Session: func(context.Context) (string, error) { return session, nil },
 	}
 	tabletest.Follow(t, watcher)
@@ -172,7 +172,7 @@
 	return nil
 }
 
-func TestRunner_InvalidItemIsDeadThoughItsReplicaIsPressed(t *testing.T) {
+func TestRunner_InvalidItemIsDeadThoughItsReplicaIsOverloaded(t *testing.T) {
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "a#1")
 	backend := &scriptedBackend{answer: func(*forward.Attempt, int) (*forward.Answer, error) {
 		answer := answerOf(http.StatusUnprocessableEntity, "never")
@@ -192,7 +192,7 @@
 	}
 }
 
-func TestRunner_BrokenItemGoesOnAfterItsText(t *testing.T) {
+func TestRunner_InterruptedItemResumesAfterItsText(t *testing.T) {
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "a#1")
 	backend := &scriptedBackend{answer: func(attempt *forward.Attempt, number int) (*forward.Answer, error) {
 		if number == 1 {
@@ -209,8 +209,8 @@
 	if results[0].Text != want || results[0].Dead {
 		t.Fatalf("text is %q, want %q", results[0].Text, want)
 	}
-	if backend.after[1] != 3 {
-		t.Fatalf("second attempt went on after event %d, want 3", backend.after[1])
+	if backend.resumedAfter[1] != 3 {
+		t.Fatalf("second attempt went on after event %d, want 3", backend.resumedAfter[1])
 	}
 }
 
@@ -231,7 +231,7 @@
 	}
 }
 
-func TestRunner_RefusedItemIsNoFailure(t *testing.T) {
+func TestRunner_RefusalIsNoFailure(t *testing.T) {
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "a#1")
 	backend := &scriptedBackend{answer: func(_ *forward.Attempt, number int) (*forward.Answer, error) {
 		if number <= 6 {
--- a/internal/jobs/slots_test.go
+++ b/internal/jobs/slots_test.go
@@ -27,18 +27,18 @@
 // nodes whose share is 0 while slots are free.
 
 const (
-	// roomWithin is the time within which an item is run that finds no room at its own node
+	// slotBound is the time within which an item is run that finds no room at its own node
 	// while a slot that it may use is free: 3 s until it asks replicas for one, 5 s until it
 	// is its turn among those of its node.
-	roomWithin = 8 * time.Second
-	// backlogWithin is the same where a node runs items all the time and hears nothing of
+	slotBound = 8 * time.Second
+	// backlogBound is the same where a node runs items all the time and hears nothing of
 	// idle room elsewhere.
-	backlogWithin = 20 * time.Second
-	// crowdedWithin is the same where online requests need more than half of the slots.
-	crowdedWithin = 50 * time.Second
+	backlogBound = 20 * time.Second
+	// crowdedBound is the same where online requests need more than half of the slots.
+	crowdedBound = 50 * time.Second
 )
 
-func names(region string, count int) []string {
+func nodeNames(region string, count int) []string {
 	var all []string
 	for i := range count {
 		all = append(all, fmt.Sprintf("%s-%02d", region, i))
@@ -46,7 +46,7 @@
 	return all
 }
 
-func servers(region string, count, slots int) map[string]int {
+func serverSlots(region string, count, slots int) map[string]int {
 	all := map[string]int{}
 	for i := range count {
 		all[fmt.Sprintf("%s-s%d", region, i)] = slots
@@ -55,7 +55,7 @@
 }
 
 // submitAt hands a job in at a node.
-func (s *roomSite) submitAt(node int, id string, items int) {
+func (s *slotSite) submitAt(node int, id string, items int) {
 	s.t.Helper()
 	job := submission(id, items)
 	job.Completion, job.Retention = time.Hour, time.Hour
@@ -66,18 +66,18 @@
 
 // awaitDone waits until a job is listed whole, and fails with what its items wait for if it
 // is not within a time.
-func (s *roomSite) awaitDone(id string, within time.Duration) {
+func (s *slotSite) awaitDone(id string, bound time.Duration) {
 	s.t.Helper()
-	for deadline := clock.Now().Add(within); clock.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
+	for deadline := clock.Now().Add(bound); clock.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		if entry := s.nodes[0].View.Get(id); entry != nil && entry.Done() {
 			return
 		}
 	}
-	s.t.Fatalf("after %v job %s is not done, %d slots are free: %s", within, id, s.free(), s.account())
+	s.t.Fatalf("after %v job %s is not done, %d slots are free: %s", bound, id, s.free(), s.describeWaits())
 }
 
-// account tells what the items of each live node wait for.
-func (s *roomSite) account() string {
+// describeWaits tells what the items of each live node wait for.
+func (s *slotSite) describeWaits() string {
 	text := ""
 	for _, node := range s.nodes {
 		if waiting := node.runner.ItemWaits(); !node.dead.Load() && len(waiting) > 0 {
@@ -90,28 +90,28 @@
 
 func TestRunner_ItemsOfNodesWithoutSlotsRun(t *testing.T) {
 	cases := map[string]struct {
-		nodes   []string
-		servers map[string]int
-		lost    float64
-		within  time.Duration
+		nodes       []string
+		servers     map[string]int
+		messageLoss float64
+		within      time.Duration
 	}{
-		"more nodes than slots":                  {names("n", 20), servers("n", 4, 2), 0, roomWithin},
-		"more nodes than slots, words lost":      {names("n", 20), servers("n", 4, 2), 1, roomWithin},
-		"many more nodes than slots":             {names("n", 24), servers("n", 2, 1), 0.3, 2 * roomWithin},
-		"a region without slots":                 {append(names("n", 6), names("s", 6)...), servers("n", 2, 2), 0, roomWithin},
-		"a region without slots, words are lost": {append(names("n", 6), names("s", 6)...), servers("n", 2, 2), 1, roomWithin},
+		"more nodes than slots":                  {nodeNames("n", 20), serverSlots("n", 4, 2), 0, slotBound},
+		"more nodes than slots, words lost":      {nodeNames("n", 20), serverSlots("n", 4, 2), 1, slotBound},
+		"many more nodes than slots":             {nodeNames("n", 24), serverSlots("n", 2, 1), 0.3, 2 * slotBound},
+		"a region without slots":                 {append(nodeNames("n", 6), nodeNames("s", 6)...), serverSlots("n", 2, 2), 0, slotBound},
+		"a region without slots, words are lost": {append(nodeNames("n", 6), nodeNames("s", 6)...), serverSlots("n", 2, 2), 1, slotBound},
 	}
-	for name, one := range cases {
+	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				site := newRoomSite(t, 1, one.nodes, one.servers)
-				site.lostWords = one.lost
+				site := newSlotSite(t, 1, tc.nodes, tc.servers)
+				site.messageLoss = tc.messageLoss
 				site.run()
 				time.Sleep(time.Second)
-				site.submitAt(0, "j", len(one.nodes))
-				site.awaitDone("j", one.within)
-				if len(site.overlap) > 0 {
-					t.Fatalf("items ran twice at a time: %v", site.overlap)
+				site.submitAt(0, "j", len(tc.nodes))
+				site.awaitDone("j", tc.within)
+				if len(site.duplicates) > 0 {
+					t.Fatalf("items ran twice at a time: %v", site.duplicates)
 				}
 			})
 		})
@@ -120,23 +120,23 @@
 
 // Online requests that need most slots for good leave some for items: each node's own part
 // rounds down to nothing at most nodes.
-func TestRunner_ItemsRunBesideDemandThatNeverEnds(t *testing.T) {
+func TestRunner_ItemsRunBesideConstantOnlineDemand(t *testing.T) {
 	for name, online := range map[string]int{"half": 8, "three quarters": 12, "nine tenths": 14} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				site := newRoomSite(t, 1, names("n", 8), servers("n", 4, 4))
+				site := newSlotSite(t, 1, nodeNames("n", 8), serverSlots("n", 4, 4))
 				site.run()
 				for i := range online {
 					node, server := site.nodes[i%len(site.nodes)], site.servers[fmt.Sprintf("n-s%d", i%4)]
-					site.load(func(ctx context.Context) {
+					site.runLoad(func(ctx context.Context) {
 						for retry.Sleep(ctx, time.Millisecond) {
-							node.online(server, 300*time.Millisecond)
+							node.runOnline(server, 300*time.Millisecond)
 						}
 					})
 				}
 				time.Sleep(2 * time.Second)
 				site.submitAt(0, "j", 8)
-				site.awaitDone("j", crowdedWithin)
+				site.awaitDone("j", crowdedBound)
 			})
 		})
 	}
@@ -153,9 +153,9 @@
 
 // Items that no replica takes for what they ask keep none behind them from the room that
 // there is: a look at the items that wait closed the whole pool.
-func TestRunner_ItemsThatNoReplicaTakesHoldUpNoOthers(t *testing.T) {
+func TestRunner_ItemsThatNoReplicaAcceptsDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		site := newRoomSite(t, 1, names("n", 1), servers("n", 1, 4))
+		site := newSlotSite(t, 1, nodeNames("n", 1), serverSlots("n", 1, 4))
 		site.nodes[0].runner.Routes = adapterTable
 		site.run()
 		for i := range 6 {
@@ -167,26 +167,26 @@
 		}
 		time.Sleep(time.Second)
 		site.submitAt(0, "j", 8)
-		site.awaitDone("j", roomWithin)
+		site.awaitDone("j", slotBound)
 	})
 }
 
 // Items that may run only once stay with their owner, which may have no slot at all.
-func TestRunner_OnceItemsOfANodeWithoutSlotsRun(t *testing.T) {
+func TestRunner_AtMostOnceItemsOfANodeWithoutSlotsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		site := newRoomSite(t, 1, names("n", 20), servers("n", 2, 2))
+		site := newSlotSite(t, 1, nodeNames("n", 20), serverSlots("n", 2, 2))
 		site.run()
 		time.Sleep(time.Second)
 		for i := range site.nodes {
-			if err := site.nodes[i].Submit(t.Context(), onceSubmission(fmt.Sprintf("once-%d", i), 2)); err != nil {
+			if err := site.nodes[i].Submit(t.Context(), atMostOnceSubmission(fmt.Sprintf("once-%d", i), 2)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for i := range site.nodes {
-			site.awaitDone(fmt.Sprintf("once-%d", i), 2*roomWithin)
+			site.awaitDone(fmt.Sprintf("once-%d", i), 2*slotBound)
 		}
-		if len(site.overlap) > 0 {
-			t.Fatalf("items ran twice: %v", site.overlap)
+		if len(site.duplicates) > 0 {
+			t.Fatalf("items ran twice: %v", site.duplicates)
 		}
 	})
 }
--- a/internal/jobs/slotsserver_test.go
+++ b/internal/jobs/slotserver_test.go
@@ -10,37 +10,37 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// roomServer is a replica that takes no more than its slots and sets free ones aside.
-type roomServer struct {
+// slotServer is a replica that takes no more than its slots and sets free ones aside.
+type slotServer struct {
 	name  string
 	slots int
 
-	mu      sync.Mutex
-	running int
-	holds   map[string]time.Time
-	asked   int
-	listed  bool
+	mu           sync.Mutex
+	running      int
+	reservations map[string]time.Time
+	requests     int
+	listed       bool
 }
 
 // Reserve sets a slot aside.
-func (s *roomServer) reserve(hold time.Duration) (string, error) {
+func (s *slotServer) reserve(hold time.Duration) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked++
+	s.requests++
 	if s.taken() >= s.slots {
 		return "", forward.ErrRefused
 	}
-	id := fmt.Sprintf("%s-%d", s.name, s.asked)
-	s.holds[id] = clock.Now().Add(hold)
+	id := fmt.Sprintf("%s-%d", s.name, s.requests)
+	s.reservations[id] = clock.Now().Add(hold)
 	return id, nil
 }
 
 // taken counts the slots that are held or set aside. The caller holds mu.
-func (s *roomServer) taken() int {
+func (s *slotServer) taken() int {
 	taken := s.running
-	for id, until := range s.holds {
+	for id, until := range s.reservations {
 		if clock.Now().After(until) {
-			delete(s.holds, id)
+			delete(s.reservations, id)
 			continue
 		}
 		taken++
@@ -48,13 +48,13 @@
 	return taken
 }
 
-// take takes a slot, one set aside if the reservation names it.
-func (s *roomServer) take(reservation string) bool {
+// acquire takes a slot, one set aside if the reservation names it.
+func (s *slotServer) acquire(reservation string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	free := s.taken() < s.slots
-	if _, ok := s.holds[reservation]; ok {
-		delete(s.holds, reservation)
+	if _, ok := s.reservations[reservation]; ok {
+		delete(s.reservations, reservation)
 		free = true
 	}
 	if free {
@@ -63,13 +63,13 @@
 	return free
 }
 
-func (s *roomServer) leave() {
+func (s *slotServer) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
 }
 
-func (s *roomServer) free() int {
+func (s *slotServer) free() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.listed {
@@ -78,6 +78,6 @@
 	return s.slots - s.taken()
 }
 
-func (s *roomServer) info() replica.Info {
+func (s *slotServer) info() replica.Info {
 	return replica.Info{ID: s.name, Pool: testPool, Address: s.name, Slots: s.slots, Region: regionOf(s.name)}
 }
--- a/internal/jobs/slotssite_test.go
+++ b/internal/jobs/slotsite_test.go
@@ -20,15 +20,15 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// roomOwners are the live nodes of a roomSite.
-type roomOwners struct {
-	homeFleet
-	look time.Duration
+// slotOwners are the live nodes of a roomSite.
+type slotOwners struct {
+	regionFleet
+	refreshInterval time.Duration
 }
 
-func (o *roomOwners) RefreshInterval() time.Duration { return o.look }
+func (o *slotOwners) RefreshInterval() time.Duration { return o.refreshInterval }
 
-func (o *roomOwners) Places() []place.Node {
+func (o *slotOwners) Places() []place.Node {
 	var nodes []place.Node
 	for _, node := range o.Nodes() {
 		nodes = append(nodes, place.Node{ID: node, Place: place.Place{Region: regionOf(node)}})
@@ -36,10 +36,10 @@
 	return nodes
 }
 
-// roomNode is a node of a roomSite.
-type roomNode struct {
+// slotNode is a node of a roomSite.
+type slotNode struct {
 	*testNode
-	site   *roomSite
+	site   *slotSite
 	name   string
 	set    *replica.Set
 	runner *Runner
@@ -47,44 +47,44 @@
 	dead   atomic.Bool
 }
 
-// roomSite is a fleet before replicas, with all parts real but the replicas, the table and
+// slotSite is a fleet before replicas, with all parts real but the replicas, the table and
 // the way of the words between nodes.
-type roomSite struct {
+type slotSite struct {
 	t *testing.T
 	// ctx ends with the test, later is what is under way by itself.
-	ctx     context.Context
-	later   sync.WaitGroup
-	shared  *tabletest.Table
-	owners  *roomOwners
-	nodes   []*roomNode
-	servers map[string]*roomServer
-	// lostWords is the part of the words between nodes that are lost, lateWords how late
+	ctx        context.Context
+	background sync.WaitGroup
+	shared     *tabletest.Table
+	owners     *slotOwners
+	nodes      []*slotNode
+	servers    map[string]*slotServer
+	// messageLoss is the part of the words between nodes that are lost, lateWords how late
 	// the others come at most.
-	lostWords float64
-	lateWords time.Duration
-	eventTime time.Duration
-	itemSize  int
+	messageLoss     float64
+	maxMessageDelay time.Duration
+	eventTime       time.Duration
+	itemSize        int
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	open    map[string]int
-	overlap []string
+	mu         sync.Mutex
+	rng        *rand.Rand
+	running    map[string]int
+	duplicates []string
 }
 
-func newRoomSite(t *testing.T, seed uint64, nodes []string, servers map[string]int) *roomSite {
+func newSlotSite(t *testing.T, seed uint64, nodes []string, servers map[string]int) *slotSite {
 	t.Helper()
-	s := &roomSite{
-		t: t, shared: tabletest.New(), owners: &roomOwners{look: 500 * time.Millisecond}, servers: map[string]*roomServer{},
-		eventTime: 20 * time.Millisecond, itemSize: 10, rng: rand.New(rand.NewPCG(seed, seed)), open: map[string]int{},
+	s := &slotSite{
+		t: t, shared: tabletest.New(), owners: &slotOwners{refreshInterval: 500 * time.Millisecond}, servers: map[string]*slotServer{},
+		eventTime: 20 * time.Millisecond, itemSize: 10, rng: rand.New(rand.NewPCG(seed, seed)), running: map[string]int{},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.ctx = ctx
 	t.Cleanup(func() {
 		cancel()
-		s.later.Wait()
+		s.background.Wait()
 	})
 	for name, slots := range servers {
-		s.servers[name] = &roomServer{name: name, slots: slots, holds: map[string]time.Time{}, listed: true}
+		s.servers[name] = &slotServer{name: name, slots: slots, reservations: map[string]time.Time{}, listed: true}
 	}
 	var live []string
 	for _, name := range nodes {
@@ -99,14 +99,14 @@
 }
 
 // run starts the nodes. What is set of the site is set before.
-func (s *roomSite) run() {
+func (s *slotSite) run() {
 	for _, node := range s.nodes {
 		node.start()
 	}
 }
 
-func (s *roomSite) add(name string, objects *objecttest.Store) {
-	node := &roomNode{testNode: startNode(s.t, s.shared, objects, name+"#1"), site: s, name: name, set: replica.NewSet()}
+func (s *slotSite) add(name string, objects *objecttest.Store) {
+	node := &slotNode{testNode: startNode(s.t, s.shared, objects, name+"#1"), site: s, name: name, set: replica.NewSet()}
 	for _, server := range s.servers {
 		node.set.Put(server.info())
 	}
@@ -120,21 +120,21 @@
 	s.nodes = append(s.nodes, node)
 }
 
-func (n *roomNode) start() {
+func (n *slotNode) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
-	var running sync.WaitGroup
-	running.Go(func() { n.runner.Run(ctx) })
-	running.Go(func() { n.runner.RunClaims(ctx) })
-	running.Go(func() { n.tell(ctx) })
+	var loops sync.WaitGroup
+	loops.Go(func() { n.runner.Run(ctx) })
+	loops.Go(func() { n.runner.RunClaims(ctx) })
+	loops.Go(func() { n.publishNeeds(ctx) })
 	n.site.t.Cleanup(func() {
 		cancel()
-		running.Wait()
+		loops.Wait()
 	})
 }
 
-// tell does what a gateway does with its needs.
-func (n *roomNode) tell(ctx context.Context) {
+// publishNeeds does what a gateway does with its needs.
+func (n *slotNode) publishNeeds(ctx context.Context) {
 	for retry.Sleep(ctx, 100*time.Millisecond) {
 		for _, need := range n.set.Needs(clock.Now()) {
 			why := replica.Pressure{Fleet: need.Fleet}
@@ -144,129 +144,129 @@
 			if need.BorrowedExcess > 0 {
 				n.runner.PreemptBorrowed(need.Pool, need.BorrowedExcess, why)
 			}
-			for _, other := range n.site.someOthers(n, 3) {
-				if late := n.site.late(); late >= 0 {
-					n.site.after(ctx, late, func() { other.hear(need) })
+			for _, other := range n.site.randomPeers(n, 3) {
+				if delay := n.site.messageDelay(); delay >= 0 {
+					n.site.afterDelay(ctx, delay, func() { other.receiveNeed(need) })
 				}
 			}
 		}
 	}
 }
 
-// hear takes in a word of another node.
-func (n *roomNode) hear(need replica.Need) {
+// receiveNeed takes in a word of another node.
+func (n *slotNode) receiveNeed(need replica.Need) {
 	n.set.Told(need.Pool, need.Level, need.Share, clock.Now())
 	n.set.ToldIdle(need.Pool, float64(need.Idle), clock.Now())
 }
 
-// after does something later. Timers that run functions of their own end the runtime with the
+// afterDelay does something later. Timers that run functions of their own end the runtime with the
 // race detector in a bubble of made-up time, so it waits in a goroutine.
-func (s *roomSite) after(ctx context.Context, delay time.Duration, do func()) {
+func (s *slotSite) afterDelay(ctx context.Context, delay time.Duration, f func()) {
 	if delay == 0 {
-		do()
+		f()
 		return
 	}
-	s.later.Go(func() {
+	s.background.Go(func() {
 		if retry.Sleep(ctx, delay) {
-			do()
+			f()
 		}
 	})
 }
 
-// late is how late a word comes; negative if it is lost.
-func (s *roomSite) late() time.Duration {
+// messageDelay is how messageDelay a word comes; negative if it is lost.
+func (s *slotSite) messageDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.rng.Float64() < s.lostWords {
+	if s.rng.Float64() < s.messageLoss {
 		return -1
 	}
-	return time.Duration(s.rng.Float64() * float64(s.lateWords))
+	return time.Duration(s.rng.Float64() * float64(s.maxMessageDelay))
 }
 
-// someOthers returns random other nodes of the same region.
-func (s *roomSite) someOthers(self *roomNode, count int) []*roomNode {
+// randomPeers returns random other nodes of the same region.
+func (s *slotSite) randomPeers(self *slotNode, count int) []*slotNode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var others []*roomNode
+	var others []*slotNode
 	for _, at := range s.rng.Perm(len(s.nodes)) {
-		one := s.nodes[at]
-		if one != self && regionOf(one.name) == regionOf(self.name) && len(others) < count {
-			others = append(others, one)
+		peer := s.nodes[at]
+		if peer != self && regionOf(peer.name) == regionOf(self.name) && len(others) < count {
+			others = append(others, peer)
 		}
 	}
 	return others
 }
 
 // Reserve implements forward.Reserver.
-func (n *roomNode) Reserve(ctx context.Context, chosen replica.Info, _ int, hold time.Duration) (string, error) {
+func (n *slotNode) Reserve(ctx context.Context, chosen replica.Info, _ int, hold time.Duration) (string, error) {
 	retry.Sleep(ctx, time.Millisecond)
 	return n.site.servers[chosen.ID].reserve(hold)
 }
 
 // Send implements forward.Backend.
-func (n *roomNode) Send(ctx context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
+func (n *slotNode) Send(ctx context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
 	retry.Sleep(ctx, time.Millisecond)
 	server := n.site.servers[attempt.Replica.ID]
-	if !server.take(attempt.Reservation) {
+	if !server.acquire(attempt.Reservation) {
 		return nil, outcome.Failed(forward.ErrRefused)
 	}
-	n.site.began(attempt.Request.ID)
-	body := &roomBody{ctx: ctx, node: n, server: server, item: attempt.Request.ID, next: attempt.LastEventID + 1}
+	n.site.runStarted(attempt.Request.ID)
+	body := &pacedBody{ctx: ctx, node: n, server: server, item: attempt.Request.ID, next: attempt.LastEventID + 1}
 	return &forward.Answer{Status: http.StatusOK, Header: http.Header{}, EventStream: true, Body: body}, nil
 }
 
-func (s *roomSite) began(item string) {
+func (s *slotSite) runStarted(item string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open[item]++
-	if s.open[item] > 1 {
-		s.overlap = append(s.overlap, item)
+	s.running[item]++
+	if s.running[item] > 1 {
+		s.duplicates = append(s.duplicates, item)
 	}
 }
 
-func (s *roomSite) ended(item string) {
+func (s *slotSite) runEnded(item string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open[item]--
+	s.running[item]--
 }
 
-// roomBody is an answer whose events come one by one.
-type roomBody struct {
-	ctx    context.Context
-	node   *roomNode
-	server *roomServer
-	item   string
-	next   int
-	left   []byte
-	once   sync.Once
+// pacedBody is an answer whose events come one by one.
+type pacedBody struct {
+	ctx      context.Context
+	node     *slotNode
+	server   *slotServer
+	item     string
+	next     int
+	buffered []byte
+	once     sync.Once
 }
 
-func (b *roomBody) Read(into []byte) (int, error) {
-	if len(b.left) == 0 {
+func (b *pacedBody) Read(into []byte) (int, error) {
+	if len(b.buffered) == 0 {
 		if b.next > b.node.site.itemSize {
 			return 0, io.EOF
 		}
 		if !retry.Sleep(b.ctx, b.node.site.eventTime) {
 			return 0, context.Cause(b.ctx)
 		}
-		b.left = []byte(events(b.next, b.next))
+		b.buffered = []byte(events(b.next, b.next))
 		b.next++
 	}
-	count := copy(into, b.left)
-	b.left = b.left[count:]
+	count := copy(into, b.buffered)
+	b.buffered = b.buffered[count:]
 	return count, nil
 }
 
-func (b *roomBody) Close() error {
+func (b *pacedBody) Close() error {
 	b.once.Do(func() {
-		b.server.leave()
-		b.node.site.ended(b.item)
+		b.server.release()
+		b.node.site.runEnded(b.item)
 	})
 	return nil
 }
 
-// load runs a part of the load until the test ends.
-func (s *roomSite) load(run func(ctx context.Context)) {
+// runLoad runs a part of the runLoad until the test ends.
+func (s *slotSite) runLoad(run func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -280,10 +280,10 @@
 }
 
 // kill ends a node's processes; the others learn of it when its session has run out.
-func (s *roomSite) kill(node *roomNode) {
+func (s *slotSite) kill(node *slotNode) {
 	node.dead.Store(true)
 	node.cancel()
-	s.after(s.ctx, 3*time.Second, func() {
+	s.afterDelay(s.ctx, 3*time.Second, func() {
 		var live []string
 		for _, session := range s.owners.Live() {
 			if session != node.session {
@@ -294,8 +294,8 @@
 	})
 }
 
-// list lists a server, or takes it off the list.
-func (s *roomSite) list(server *roomServer, listed bool) {
+// setListed lists a server, or takes it off the setListed.
+func (s *slotSite) setListed(server *slotServer, listed bool) {
 	server.mu.Lock()
 	server.listed = listed
 	server.mu.Unlock()
@@ -308,7 +308,7 @@
 	}
 }
 
-func (s *roomSite) free() int {
+func (s *slotSite) free() int {
 	free := 0
 	for _, server := range s.servers {
 		free += server.free()
@@ -316,18 +316,18 @@
 	return free
 }
 
-// online holds a slot of a server for a request of a node, if one is free.
-func (n *roomNode) online(server *roomServer, hold time.Duration) {
+// runOnline holds a slot of a server for a request of a node, if one is free.
+func (n *slotNode) runOnline(server *slotServer, hold time.Duration) {
 	now := clock.Now()
 	use := n.set.Begin(server.name, replica.Ask{Tokens: 10, Objective: time.Second}, now)
 	if use == nil {
 		return
 	}
 	result := replica.Refused
-	if server.take("") {
+	if server.acquire("") {
 		use.First(clock.Now())
 		time.Sleep(hold)
-		server.leave()
+		server.release()
 		result = replica.Succeeded
 	}
 	use.End(result, clock.Now())
--- a/internal/jobs/spread_test.go
+++ b/internal/jobs/spread_test.go
@@ -13,31 +13,31 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// someOwners tells which nodes live.
-type someOwners struct {
+// liveOwners tells which nodes live.
+type liveOwners struct {
 	noOwners
 	live []string
 	// regions are those of nodes; a node that is not among them tells none.
 	regions map[string]string
 }
 
-func (o *someOwners) Region(node string) string { return o.regions[node] }
-func (o *someOwners) Live() []string            { return o.live }
-func (o *someOwners) Nodes() []string {
+func (o *liveOwners) Region(node string) string { return o.regions[node] }
+func (o *liveOwners) Live() []string            { return o.live }
+func (o *liveOwners) Nodes() []string {
 	var nodes []string
 	for _, session := range o.live {
 		nodes = append(nodes, lease.Node(session))
 	}
 	return nodes
 }
-func (o *someOwners) Places() []place.Node {
+func (o *liveOwners) Places() []place.Node {
 	var nodes []place.Node
 	for _, node := range o.Nodes() {
 		nodes = append(nodes, place.Node{ID: node})
 	}
 	return nodes
 }
-func (o *someOwners) Gone(node string) bool {
+func (o *liveOwners) Gone(node string) bool {
 	for _, session := range o.live {
 		if lease.Node(session) == node {
 			return false
@@ -46,18 +46,18 @@
 	return true
 }
 
-func wholeAnswers(attempt *forward.Attempt, _ int) (*forward.Answer, error) {
+func completeAnswers(attempt *forward.Attempt, _ int) (*forward.Answer, error) {
 	return answerOf(http.StatusOK, events(attempt.LastEventID+1, 5)), nil
 }
 
 // spreadNodes starts nodes that run jobs between them.
-func spreadNodes(t *testing.T, shared *tabletest.Table, owners *someOwners) (nodes []*testNode, runners []*Runner, backends []*scriptedBackend) {
+func spreadNodes(t *testing.T, shared *tabletest.Table, owners *liveOwners) (nodes []*testNode, runners []*Runner, backends []*scriptedBackend) {
 	t.Helper()
 	objects := &objecttest.Store{}
 	for _, session := range owners.live {
 		node := startNode(t, shared, objects, session)
 		node.Fleet = owners
-		backend := &scriptedBackend{answer: wholeAnswers}
+		backend := &scriptedBackend{answer: completeAnswers}
 		runner, _ := startRunner(t, node, backend)
 		runner.Owners = owners
 		nodes, runners, backends = append(nodes, node), append(runners, runner), append(backends, backend)
@@ -66,7 +66,7 @@
 }
 
 func TestSpread_AllNodesRunItemsOfOneJob(t *testing.T) {
-	owners := &someOwners{live: []string{"a#1", "b#1", "c#1"}}
+	owners := &liveOwners{live: []string{"a#1", "b#1", "c#1"}}
 	nodes, _, backends := spreadNodes(t, tabletest.New(), owners)
 	if err := nodes[0].Submit(t.Context(), submission("j", 9)); err != nil {
 		t.Fatal(err)
@@ -85,10 +85,10 @@
 	}
 }
 
-func TestSpread_ItemsThatMayRunOnceStayWithTheirOwner(t *testing.T) {
-	owners := &someOwners{live: []string{"a#1", "b#1"}}
+func TestSpread_AtMostOnceItemsStayWithTheirOwner(t *testing.T) {
+	owners := &liveOwners{live: []string{"a#1", "b#1"}}
 	nodes, _, backends := spreadNodes(t, tabletest.New(), owners)
-	if err := nodes[0].Submit(t.Context(), onceSubmission("j", 4)); err != nil {
+	if err := nodes[0].Submit(t.Context(), atMostOnceSubmission("j", 4)); err != nil {
 		t.Fatal(err)
 	}
 	readAll(t, nodes[0], "j")
@@ -97,9 +97,9 @@
 	}
 }
 
-func TestSpread_AnotherNodeRunsWhatALostOneHad(t *testing.T) {
+func TestSpread_ItemsOfALostNodeAreTakenOver(t *testing.T) {
 	shared := tabletest.New()
-	owners := &someOwners{live: []string{"a#1", "b#1"}}
+	owners := &liveOwners{live: []string{"a#1", "b#1"}}
 	nodes, runners, _ := spreadNodes(t, shared, owners)
 	hanging := make(chan struct{})
 	t.Cleanup(func() { close(hanging) })
@@ -114,20 +114,20 @@
 	runners[1].mu.Lock()
 	runners[1].stopped = true
 	runners[1].mu.Unlock()
-	after := &someOwners{live: owners.live[:1]}
-	runners[0].Owners = after
+	remaining := &liveOwners{live: owners.live[:1]}
+	runners[0].Owners = remaining
 	runners[0].claimOrphaned(t.Context())
 	if results := readAll(t, nodes[0], "j"); len(results) != 6 {
 		t.Fatalf("%d results of 6", len(results))
 	}
-	if moved := nodes[0].View.Get("j").Progress.Reassigned; len(moved) != 3 {
-		t.Fatalf("moved items are %v, want 3", moved)
+	if reassigned := nodes[0].View.Get("j").Progress.Reassigned; len(reassigned) != 3 {
+		t.Fatalf("moved items are %v, want 3", reassigned)
 	}
 }
 
 func TestLoad_NewItemsGoToTheNodeWithTheFewest(t *testing.T) {
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "a#1")
-	node.Fleet = &someOwners{live: []string{"a#1", "b#1", "c#1", "d#1"}}
+	node.Fleet = &liveOwners{live: []string{"a#1", "b#1", "c#1", "d#1"}}
 	for i := range 5 {
 		if err := node.Submit(context.Background(), submission(fmt.Sprint("j", i), 3)); err != nil {
 			t.Fatal(err)
@@ -143,7 +143,7 @@
 // A finding (lab yield, p99 of the first token 10 s instead of 0.14 s): each look
 // compared all items of all jobs with all tasks, some 640,000 steps with the lock held,
 // hundreds of times a second. A job that has not changed is left alone.
-func TestTakeUp_LooksAtAJobOnlyWhenItHasChanged(t *testing.T) {
+func TestEnsureLoaded_SkipsUnchangedJobs(t *testing.T) {
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "a#1")
 	if err := node.Submit(t.Context(), submission("j", 3)); err != nil {
 		t.Fatal(err)
--- a/internal/jobs/staleread_test.go
+++ b/internal/jobs/staleread_test.go
@@ -13,44 +13,44 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// settleTime is how long after a result was read anywhere every node has to show it.
-const settleTime = time.Second
+// maxStaleness is how long after a result was read anywhere every node has to show it.
+const maxStaleness = time.Second
 
-// silentFeed hangs while it is silent, as on a connection on which an answer was lost.
-type silentFeed struct {
+// stallingFeed hangs while it is silent, as on a connection on which an answer was lost.
+type stallingFeed struct {
 	table.Feed
-	silent atomic.Bool
+	stalled atomic.Bool
 }
 
-func (f *silentFeed) After(ctx context.Context, revision uint64, wait time.Duration) (table.Changes, error) {
+func (f *stallingFeed) After(ctx context.Context, revision uint64, wait time.Duration) (table.Changes, error) {
 	changes, err := f.Feed.After(ctx, revision, wait)
-	if f.silent.Load() {
+	if f.stalled.Load() {
 		<-ctx.Done()
 		return table.Changes{}, outcome.Undecided(ctx.Err())
 	}
 	return changes, err
 }
 
-func (f *silentFeed) Page(ctx context.Context, cursor table.Cursor) (table.Changes, table.Cursor, error) {
-	if f.silent.Load() {
+func (f *stallingFeed) Page(ctx context.Context, cursor table.Cursor) (table.Changes, table.Cursor, error) {
+	if f.stalled.Load() {
 		<-ctx.Done()
 		return table.Changes{}, cursor, outcome.Undecided(ctx.Err())
 	}
 	return f.Feed.Page(ctx, cursor)
 }
 
-// readingNode is a node whose view follows a feed that can go silent.
-type readingNode struct {
+// readerNode is a node whose view follows a feed that can go silent.
+type readerNode struct {
 	*Service
-	feed *silentFeed
+	feed *stallingFeed
 }
 
-func startReadingNode(ctx context.Context, shared *tabletest.Table) *readingNode {
-	node := &readingNode{feed: &silentFeed{Feed: shared.Feed(Group)}}
+func startReaderNode(ctx context.Context, shared *tabletest.Table) *readerNode {
+	node := &readerNode{feed: &stallingFeed{Feed: shared.Feed(Group)}}
 	view := NewView()
 	go table.NewWatcher(node.feed, view.Apply).Run(ctx)
 	node.Service = &Service{
-		Table: shared, Objects: &objecttest.Store{}, View: view, Events: quietEvents{},
+		Table: shared, Objects: &objecttest.Store{}, View: view, Events: noEvents{},
 		Session: func(context.Context) (string, error) { return "reader#1", nil },
 	}
 	return node
@@ -67,21 +67,21 @@
 
 // withStaleReader has a job of three items of which one is listed known at two nodes, and
 // then the feed of one of them go silent.
-func withStaleReader(t *testing.T, test func(t *testing.T, shared *tabletest.Table, lister *Service, reader *readingNode)) {
+func withStaleReader(t *testing.T, test func(t *testing.T, shared *tabletest.Table, lister *Service, reader *readerNode)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer cancel()
 		shared := tabletest.New()
-		lister, reader := startReadingNode(ctx, shared), startReadingNode(ctx, shared)
+		lister, reader := startReaderNode(ctx, shared), startReaderNode(ctx, shared)
 		synctest.Wait()
 		if err := lister.Submit(ctx, submission("job", 3)); err != nil {
 			t.Fatal(err)
 		}
 		listOne(t, lister.Service, "job", 0)
 		synctest.Wait()
-		reader.feed.silent.Store(true)
+		reader.feed.stalled.Store(true)
 		test(t, shared, lister.Service, reader)
 	})
 }
@@ -93,15 +93,15 @@
 // they answered from the view that they had, for nothing asked how old it was. Proved by
 // this test: a node whose feed stands still shows nothing at a position that was listed
 // seconds ago, though the table answers its reads.
-func TestRead_ResultIsShownThoughTheFeedStandsStill(t *testing.T) {
-	for name, patience := range map[string]time.Duration{"without waiting": 0, "waiting": settleTime} {
+func TestRead_ResultIsShownThoughTheFeedIsStalled(t *testing.T) {
+	for name, wait := range map[string]time.Duration{"without waiting": 0, "waiting": maxStaleness} {
 		t.Run(name, func(t *testing.T) {
-			withStaleReader(t, func(t *testing.T, _ *tabletest.Table, lister *Service, reader *readingNode) {
+			withStaleReader(t, func(t *testing.T, _ *tabletest.Table, lister *Service, reader *readerNode) {
 				listOne(t, lister, "job", 1)
-				time.Sleep(settleTime)
-				reading, err := reader.Read(t.Context(), "job", 1, patience)
+				time.Sleep(maxStaleness)
+				reading, err := reader.Read(t.Context(), "job", 1, wait)
 				if err != nil || len(reading.Results) != 1 {
-					t.Fatalf("a result listed %v ago: %+v, %v", settleTime, reading, err)
+					t.Fatalf("a result listed %v ago: %+v, %v", maxStaleness, reading, err)
 				}
 			})
 		})
--- a/internal/jobs/stall_test.go
+++ b/internal/jobs/stall_test.go
@@ -33,22 +33,22 @@
 // Proved by: the account of the items in the first test, which shows the item waiting for its
 // answer for as long as it is looked at, with the replica heard from all the time.
 
-// silentWithin is the time within which an item must come on whose answer went silent.
-const silentWithin = 15 * time.Second
+// stallBound is the time within which an item must come on whose answer went silent.
+const stallBound = 15 * time.Second
 
-// silentSite is a runner before one replica that answers others all the time.
-type silentSite struct {
+// stallSite is a runner before one replica that answers others all the time.
+type stallSite struct {
 	node   *testNode
 	runner *Runner
 	mu     sync.Mutex
 	sends  map[string]int
 }
 
-// newSilentSite starts one. Attempts at an item are answered by their number, from 1 on.
-func newSilentSite(t *testing.T, answer func(ctx context.Context, attempt *forward.Attempt, number int) (*forward.Answer, error)) *silentSite {
-	site := &silentSite{node: startNode(t, tabletest.New(), &objecttest.Store{}, "a#1"), sends: map[string]int{}}
+// newStallSite starts one. Attempts at an item are answered by their number, from 1 on.
+func newStallSite(t *testing.T, answer func(ctx context.Context, attempt *forward.Attempt, number int) (*forward.Answer, error)) *stallSite {
+	site := &stallSite{node: startNode(t, tabletest.New(), &objecttest.Store{}, "a#1"), sends: map[string]int{}}
 	runner, replicas := startRunner(t, site.node, sendFunc(func(ctx context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
-		return answer(ctx, attempt, site.sent(attempt.Request.ID))
+		return answer(ctx, attempt, site.countSend(attempt.Request.ID))
 	}))
 	site.runner = runner
 	replicas.Remove("r1", clock.Now())
@@ -58,14 +58,14 @@
 }
 
 // startReplica lists the replica as started at a time.
-func (s *silentSite) startReplica(born int64) {
+func (s *stallSite) startReplica(startTime int64) {
 	known, _ := s.runner.Replicas.Get("r0")
-	known.Born = born
+	known.Born = startTime
 	s.runner.Replicas.Put(known)
 }
 
-// silentAtFirst goes silent after a text on the first attempts, and answers whole later.
-func silentAtFirst(silent int, before string) func(context.Context, *forward.Attempt, int) (*forward.Answer, error) {
+// firstSilent goes silent after a text on the first attempts, and answers whole later.
+func firstSilent(silent int, before string) func(context.Context, *forward.Attempt, int) (*forward.Answer, error) {
 	return func(ctx context.Context, attempt *forward.Attempt, number int) (*forward.Answer, error) {
 		if number <= silent {
 			return hangingAnswer(ctx, before), nil
@@ -74,8 +74,8 @@
 	}
 }
 
-// sent counts an attempt at an item and returns its number.
-func (s *silentSite) sent(item string) int {
+// countSend counts an attempt at an item and returns its number.
+func (s *stallSite) countSend(item string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sends[item]++
@@ -106,7 +106,7 @@
 
 // awaitDone waits until all items of a job are listed, and fails with what they wait for if
 // they are not within a time.
-func (s *silentSite) awaitDone(t *testing.T, job string, within time.Duration) []Result {
+func (s *stallSite) awaitDone(t *testing.T, job string, within time.Duration) []Result {
 	t.Helper()
 	for deadline := clock.Now().Add(within); clock.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		reading, err := s.node.Read(t.Context(), job, 0, 0)
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func TestRunner_AnswerThatWentSilentIsLeftThoughItsReplicaAnswersOthers(t *testing.T) {
+func TestRunner_SilentAnswerIsAbandonedThoughItsReplicaAnswersOthers(t *testing.T) {
 	cases := map[string]struct {
 		silent int
 		before string
@@ -128,14 +128,14 @@
 		"before the first event":       {1, ""},
 		"again on the next connection": {2, events(1, 3)},
 	}
-	for name, one := range cases {
+	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				site := newSilentSite(t, silentAtFirst(one.silent, one.before))
+				site := newStallSite(t, firstSilent(tc.silent, tc.before))
 				if err := site.node.Submit(t.Context(), submission("j", 3)); err != nil {
 					t.Fatal(err)
 				}
-				for _, result := range site.awaitDone(t, "j", time.Duration(one.silent)*silentWithin) {
+				for _, result := range site.awaitDone(t, "j", time.Duration(tc.silent)*stallBound) {
 					if want := "piece 1\npiece 2\npiece 3\npiece 4\npiece 5"; result.Dead || result.Text != want {
 						t.Fatalf("result is %+v, want the text %q", result, want)
 					}
@@ -147,9 +147,9 @@
 
 // An item that may run only once is not sent again: it ends as one of which nobody knows
 // whether it ran.
-func TestRunner_OnceItemWhoseAnswerWentSilentEnds(t *testing.T) {
+func TestRunner_AtMostOnceItemWithASilentAnswerEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		site := newSilentSite(t, silentAtFirst(1, events(1, 3)))
+		site := newStallSite(t, firstSilent(1, events(1, 3)))
 		job := submission("j", 1)
 		job.Items[0].AtMostOnce = true
 		job.Completion = time.Hour
@@ -165,11 +165,11 @@
 
 // What was sent to the start before is left as soon as the list tells of the new one, long
 // before the silence of the attempt itself would show it.
-func TestRunner_ItemAtTheStartBeforeIsLeftAtOnce(t *testing.T) {
+func TestRunner_ItemAtARestartedReplicaIsAbandonedAtOnce(t *testing.T) {
 	for name, once := range map[string]bool{"item that may run again": false, "item that may run once": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				site := newSilentSite(t, silentAtFirst(1, ""))
+				site := newStallSite(t, firstSilent(1, ""))
 				site.startReplica(1000)
 				job := submission("j", 1)
 				job.Items[0].AtMostOnce = once
@@ -189,10 +189,10 @@
 
 // A replica that is only slow to begin is not left again and again: what falls silent must not
 // keep an item from its end either.
-func TestRunner_SlowAnswersComeToTheirEnd(t *testing.T) {
+func TestRunner_SlowAnswersComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const slow = 40 * time.Second
-		site := newSilentSite(t, slowBy(slow))
+		const delay = 40 * time.Second
+		site := newStallSite(t, delayedAnswer(delay))
 		job := submission("j", 3)
 		job.Completion, job.Retention = time.Hour, time.Hour
 		if err := site.node.Submit(t.Context(), job); err != nil {
@@ -209,20 +209,20 @@
 	})
 }
 
-// slowBy answers whole after a time.
-func slowBy(slow time.Duration) func(context.Context, *forward.Attempt, int) (*forward.Answer, error) {
+// delayedAnswer answers whole after a time.
+func delayedAnswer(delay time.Duration) func(context.Context, *forward.Attempt, int) (*forward.Answer, error) {
 	return func(ctx context.Context, attempt *forward.Attempt, _ int) (*forward.Answer, error) {
 		select {
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
-		case <-time.After(slow):
+		case <-time.After(delay):
 			return answerOf(http.StatusOK, events(attempt.LastEventID+1, 5)), nil
 		}
 	}
 }
 
 // submitLasting hands a job in whose items do not expire while a test runs.
-func (s *silentSite) submitLasting(t *testing.T, id string, items int, once bool) {
+func (s *stallSite) submitLasting(t *testing.T, id string, items int, once bool) {
 	t.Helper()
 	job := submission(id, items)
 	job.Completion, job.Retention = time.Hour, time.Hour
@@ -236,12 +236,12 @@
 
 // Replicas that need longer to begin than a silent one is waited for, and that this node has
 // nothing else at, are not left each time.
-func TestRunner_SlowAnswersOfReplicasWithoutOtherRequestsComeToTheirEnd(t *testing.T) {
+func TestRunner_SlowAnswersOfReplicasWithoutOtherRequestsComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		answer := slowBy(3 * time.Second)
-		site := &silentSite{node: startNode(t, tabletest.New(), &objecttest.Store{}, "a#1"), sends: map[string]int{}}
+		answer := delayedAnswer(3 * time.Second)
+		site := &stallSite{node: startNode(t, tabletest.New(), &objecttest.Store{}, "a#1"), sends: map[string]int{}}
 		site.runner, _ = startRunner(t, site.node, sendFunc(func(ctx context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
-			return answer(ctx, attempt, site.sent(attempt.Request.ID))
+			return answer(ctx, attempt, site.countSend(attempt.Request.ID))
 		}))
 		site.submitLasting(t, "j", 3, false)
 		site.awaitDone(t, "j", 10*time.Second)
@@ -249,9 +249,9 @@
 }
 
 // An item that may run only once may wait in the queue of a replica that answers others.
-func TestRunner_OnceItemInALongQueueIsNotGivenUp(t *testing.T) {
+func TestRunner_AtMostOnceItemInALongQueueIsNotAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		site := newSilentSite(t, slowBy(40*time.Second))
+		site := newStallSite(t, delayedAnswer(40*time.Second))
 		site.submitLasting(t, "j", 1, true)
 		if result := site.awaitDone(t, "j", time.Minute)[0]; result.Dead {
 			t.Fatalf("result is %+v", result)
@@ -262,7 +262,7 @@
 // A replica that answers others is not left out for attempts that waited long there.
 func TestRunner_StalledAttemptsDoNotEjectTheirReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		site := newSilentSite(t, slowBy(10*time.Second))
+		site := newStallSite(t, delayedAnswer(10*time.Second))
 		ejected := 0
 		site.runner.Replicas.Ejected = func(replica.Info, replica.Result) { ejected++ }
 		site.submitLasting(t, "j", 3, false)
@@ -279,11 +279,11 @@
 	for silent, within := range map[int]time.Duration{1: 11 * time.Second, 2: 32 * time.Second, 3: 73 * time.Second, 4: 134 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			slow := true
-			site := newSilentSite(t, func(ctx context.Context, attempt *forward.Attempt, number int) (*forward.Answer, error) {
+			site := newStallSite(t, func(ctx context.Context, attempt *forward.Attempt, number int) (*forward.Answer, error) {
 				if slow {
-					return slowBy(9*time.Second)(ctx, attempt, number)
+					return delayedAnswer(9*time.Second)(ctx, attempt, number)
 				}
-				return silentAtFirst(silent, "")(ctx, attempt, number)
+				return firstSilent(silent, "")(ctx, attempt, number)
 			})
 			site.submitLasting(t, "slow", 3, false)
 			site.awaitDone(t, "slow", time.Minute)
@@ -296,11 +296,11 @@
 
 // An attempt that ends by itself when its silence is looked at leaves the next one alone; the
 // race detector sees the two.
-func TestRunner_AnAttemptThatEndsAtALookLeavesTheNextAlone(t *testing.T) {
+func TestRunner_LateSilenceCheckDoesNotCancelTheNextAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		site := &silentSite{node: startNode(t, tabletest.New(), &objecttest.Store{}, "a#1"), sends: map[string]int{}}
+		site := &stallSite{node: startNode(t, tabletest.New(), &objecttest.Store{}, "a#1"), sends: map[string]int{}}
 		site.runner, _ = startRunner(t, site.node, sendFunc(func(_ context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
-			if site.sent(attempt.Request.ID) > 20 {
+			if site.countSend(attempt.Request.ID) > 20 {
 				return answerOf(http.StatusOK, events(attempt.LastEventID+1, 5)), nil
 			}
 			time.Sleep(maxReplicaSilence + maxReplicaSilence/silenceChecks)
--- a/internal/jobs/suspend_test.go
+++ b/internal/jobs/suspend_test.go
@@ -8,9 +8,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// TestView_TheStoresClockGoesOnInASuspension guards that due and expired items are known to
+// TestView_StoreClockAdvancesDuringASuspension guards that due and expired items are known to
 // be so by a node that slept.
-func TestView_TheStoresClockGoesOnInASuspension(t *testing.T) {
+func TestView_StoreClockAdvancesDuringASuspension(t *testing.T) {
 	machine := clocktest.New(t)
 	view := NewView()
 	view.Apply(table.Changes{Now: time.Hour}, true)
--- a/internal/jobs/sweep_test.go
+++ b/internal/jobs/sweep_test.go
@@ -12,7 +12,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-func TestSweepOld_RemovesWhatIsDoneAndOldOnly(t *testing.T) {
+func TestSweepExpired_RemovesOnlyFinishedOldJobs(t *testing.T) {
 	shared := tabletest.New()
 	objects := &objecttest.Store{}
 	node := startNode(t, shared, objects, "a#1")
@@ -53,7 +53,7 @@
 }
 
 // A long text's object goes with its job, also at a node that never read it.
-func TestRemove_LongTextsGoWithoutHavingBeenRead(t *testing.T) {
+func TestRemove_DeletesLongTextsThatWereNeverRead(t *testing.T) {
 	shared, objects := tabletest.New(), &objecttest.Store{}
 	first, other := startNode(t, shared, objects, "a#1"), startNode(t, shared, objects, "b#1")
 	long := "id: 1\ndata: " + strings.Repeat("x", maxRowText+1) + "\n\n"
--- a/internal/jobs/unreadable_test.go
+++ b/internal/jobs/unreadable_test.go
@@ -15,40 +15,40 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// toldRows counts the reports of rows that cannot be read.
-type toldRows struct {
-	mu   sync.Mutex
-	told map[table.Key]int
+// unreadableReports counts the reports of rows that cannot be read.
+type unreadableReports struct {
+	mu     sync.Mutex
+	counts map[table.Key]int
 }
 
-func (r *toldRows) count(key table.Key) int {
+func (r *unreadableReports) count(key table.Key) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.told[key]
+	return r.counts[key]
 }
 
-// tellTo has a view report to r.
-func (r *toldRows) tellTo(view *View) {
-	r.told = map[table.Key]int{}
+// attach has a view report to r.
+func (r *unreadableReports) attach(view *View) {
+	r.counts = map[table.Key]int{}
 	view.Unreadable = &table.Unreadable{OnUnreadable: func(found *table.UnreadableError) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.told[found.Key]++
+		r.counts[found.Key]++
 	}}
 }
 
-// startTold starts a node whose reports are counted.
-func startTold(t *testing.T, shared *tabletest.Table, session string) (*testNode, *toldRows) {
+// startReportingNode starts a node whose reports are counted.
+func startReportingNode(t *testing.T, shared *tabletest.Table, session string) (*testNode, *unreadableReports) {
 	t.Helper()
-	told := &toldRows{}
+	reports := &unreadableReports{}
 	view := NewView()
-	told.tellTo(view)
+	reports.attach(view)
 	service := &Service{
-		Table: shared, Objects: &objecttest.Store{}, View: view, Events: quietEvents{},
+		Table: shared, Objects: &objecttest.Store{}, View: view, Events: noEvents{},
 		Session: func(context.Context) (string, error) { return session, nil },
 	}
 	tabletest.Follow(t, table.NewWatcher(shared.Feed(Group), view.Apply))
-	return &testNode{Service: service, session: session}, told
+	return &testNode{Service: service, session: session}, reports
 }
 
 // overwrite puts a body into a row as another writer does, and returns the row before.
@@ -68,11 +68,11 @@
 
 var damage = []byte("\xff not a row of ours")
 
-// TestUpdate_ADamagedProgressRowEndsAWriteAtOnce has a writer meet a row that it cannot read:
+// TestUpdate_DamagedProgressRowFailsAtOnce has a writer meet a row that it cannot read:
 // it must not try again for ever, and what was known before stays.
-func TestUpdate_ADamagedProgressRowEndsAWriteAtOnce(t *testing.T) {
+func TestUpdate_DamagedProgressRowFailsAtOnce(t *testing.T) {
 	shared := tabletest.New()
-	node, told := startTold(t, shared, "a#1")
+	node, reports := startReportingNode(t, shared, "a#1")
 	if err := node.Submit(t.Context(), submission("j", 2)); err != nil {
 		t.Fatal(err)
 	}
@@ -89,8 +89,8 @@
 			t.Fatalf("end: %v", err)
 		}
 	}
-	if commits.Load() > 1 || told.count(progressKey("j")) != 1 {
-		t.Errorf("%d commits, told %d times", commits.Load(), told.count(progressKey("j")))
+	if commits.Load() > 1 || reports.count(progressKey("j")) != 1 {
+		t.Errorf("%d commits, told %d times", commits.Load(), reports.count(progressKey("j")))
 	}
 	if reading, err := node.Read(t.Context(), "j", 0, 0); err != nil || reading.Total != 2 {
 		t.Errorf("reading is %+v, %v", reading, err)
@@ -102,11 +102,11 @@
 	}
 }
 
-// TestRunner_AJobRestsWhileItsProgressCannotBeRead damages the row of one job of two: the
+// TestRunner_JobPausesWhileItsProgressIsUnreadable damages the row of one job of two: the
 // other is done, and the first once its row can be read again.
-func TestRunner_AJobRestsWhileItsProgressCannotBeRead(t *testing.T) {
+func TestRunner_JobPausesWhileItsProgressIsUnreadable(t *testing.T) {
 	shared := tabletest.New()
-	node, told := startTold(t, shared, "a#1")
+	node, reports := startReportingNode(t, shared, "a#1")
 	// damaged is set once the row is damaged; nothing ends before.
 	damaged := make(chan struct{})
 	backend := &scriptedBackend{answer: func(*forward.Attempt, int) (*forward.Answer, error) {
@@ -129,8 +129,8 @@
 	if backend.attempts() != sent {
 		t.Errorf("items of the damaged job are sent: %d, then %d", sent, backend.attempts())
 	}
-	if told.count(progressKey("spoilt")) != 1 {
-		t.Errorf("told %d times", told.count(progressKey("spoilt")))
+	if reports.count(progressKey("spoilt")) != 1 {
+		t.Errorf("told %d times", reports.count(progressKey("spoilt")))
 	}
 	overwrite(t, shared, progressKey("spoilt"), before.Body)
 	if results := readAll(t, node, "spoilt"); len(results) != 3 {
@@ -138,12 +138,12 @@
 	}
 }
 
-// TestSubmit_ADamagedJobRowIsUndecided submits a job again whose row cannot be read. Nobody
+// TestSubmit_DamagedJobRowIsUndecided submits a job again whose row cannot be read. Nobody
 // may say that it never runs, and the caller is told before its patience ends.
-func TestSubmit_ADamagedJobRowIsUndecided(t *testing.T) {
+func TestSubmit_DamagedJobRowIsUndecided(t *testing.T) {
 	shared := tabletest.New()
 	overwrite(t, shared, jobKey("j"), damage)
-	node, told := startTold(t, shared, "a#1")
+	node, reports := startReportingNode(t, shared, "a#1")
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
 	for range 2 {
@@ -154,19 +154,19 @@
 			t.Fatalf("read: %v", err)
 		}
 	}
-	if told.count(jobKey("j")) != 1 {
-		t.Errorf("told %d times", told.count(jobKey("j")))
+	if reports.count(jobKey("j")) != 1 {
+		t.Errorf("told %d times", reports.count(jobKey("j")))
 	}
 	if err := node.Submit(t.Context(), submission("other", 1)); err != nil {
 		t.Errorf("another job: %v", err)
 	}
 }
 
-// TestSubmit_ADamagedCounterIsWrittenAnew damages the counter of each shard of an account:
+// TestSubmit_DamagedCounterIsOverwritten damages the counter of each shard of an account:
 // jobs are accepted all the same, and no more of them than fit.
-func TestSubmit_ADamagedCounterIsWrittenAnew(t *testing.T) {
+func TestSubmit_DamagedCounterIsOverwritten(t *testing.T) {
 	shared := tabletest.New()
-	node, _ := startTold(t, shared, "a#1")
+	node, _ := startReportingNode(t, shared, "a#1")
 	submit := func(id string) error {
 		asked := submission(id, 1)
 		asked.Quota = 500
@@ -179,16 +179,16 @@
 			t.Fatal(err)
 		}
 	}
-	of := account{route: "batch"}
+	acct := account{route: "batch"}
 	for shard := range shards {
-		overwrite(t, shared, counterKey(of, shardName(shard)), damage)
+		overwrite(t, shared, counterKey(acct, shardName(shard)), damage)
 	}
 	for _, id := range []string{"c", "d", "e"} {
 		if err := submit(id); err != nil {
 			t.Fatalf("job %s: %v", id, err)
 		}
 	}
-	if used := node.View.used(of); used != 500 {
+	if used := node.View.used(acct); used != 500 {
 		t.Errorf("%d tokens are in use, want 500", used)
 	}
 	if err := submit("f"); !errors.Is(err, ErrQuota) {
@@ -196,11 +196,11 @@
 	}
 }
 
-// TestRunner_ItemsWithoutAContentExpire damages the content of a job: its items can only be
+// TestRunner_ItemsWithDamagedContentExpire damages the content of a job: its items can only be
 // given up, when the time for that has come.
-func TestRunner_ItemsWithoutAContentExpire(t *testing.T) {
+func TestRunner_ItemsWithDamagedContentExpire(t *testing.T) {
 	shared := tabletest.New()
-	node, told := startTold(t, shared, "a#1")
+	node, reports := startReportingNode(t, shared, "a#1")
 	asked := submission("j", 2)
 	asked.Retention = time.Second
 	if err := node.Submit(t.Context(), asked); err != nil {
@@ -220,15 +220,15 @@
 			t.Errorf("result is %+v", result)
 		}
 	}
-	if backend.attempts() != 0 || told.count(chunkKey("j", 0)) != 1 {
-		t.Errorf("%d attempts, told %d times", backend.attempts(), told.count(chunkKey("j", 0)))
+	if backend.attempts() != 0 || reports.count(chunkKey("j", 0)) != 1 {
+		t.Errorf("%d attempts, told %d times", backend.attempts(), reports.count(chunkKey("j", 0)))
 	}
 }
 
-// TestRead_ADamagedResultLeavesTheOnesBefore damages the second result of three.
-func TestRead_ADamagedResultLeavesTheOnesBefore(t *testing.T) {
+// TestRead_DamagedResultKeepsOthersReadable damages the second result of three.
+func TestRead_DamagedResultKeepsOthersReadable(t *testing.T) {
 	shared := tabletest.New()
-	node, told := startTold(t, shared, "a#1")
+	node, reports := startReportingNode(t, shared, "a#1")
 	if err := node.Submit(t.Context(), submission("j", 3)); err != nil {
 		t.Fatal(err)
 	}
@@ -252,16 +252,16 @@
 	if reading, err := node.Read(t.Context(), "j", 2, 0); err != nil || len(reading.Results) != 1 {
 		t.Fatalf("behind it: %+v, %v", reading, err)
 	}
-	if told.count(resultKey("j", 1)) != 1 {
-		t.Errorf("told %d times", told.count(resultKey("j", 1)))
+	if reports.count(resultKey("j", 1)) != 1 {
+		t.Errorf("told %d times", reports.count(resultKey("j", 1)))
 	}
 }
 
-// TestList_WritesOverARowOfAnotherWriter leaves rows where results of a job are to go. They are
+// TestListResults_OverwritesAnUnreadableForeignRow leaves rows where results of a job are to go. They are
 // not listed, so they are not the job's.
-func TestList_WritesOverARowOfAnotherWriter(t *testing.T) {
+func TestListResults_OverwritesAnUnreadableForeignRow(t *testing.T) {
 	shared := tabletest.New()
-	node, told := startTold(t, shared, "a#1")
+	node, reports := startReportingNode(t, shared, "a#1")
 	if err := node.Submit(t.Context(), submission("j", 2)); err != nil {
 		t.Fatal(err)
 	}
@@ -276,16 +276,16 @@
 			t.Errorf("result is %+v", result)
 		}
 	}
-	if told.count(resultKey("j", 0)) != 1 || told.count(resultKey("j", 1)) != 1 {
-		t.Errorf("told as %v", told.told)
+	if reports.count(resultKey("j", 0)) != 1 || reports.count(resultKey("j", 1)) != 1 {
+		t.Errorf("told as %v", reports.counts)
 	}
 }
 
-// TestList_LeavesAResultThatStands has a result stand that the progress does not tell of, as
+// TestListResults_KeepsAReadableForeignRow has a result stand that the progress does not tell of, as
 // if that had been put back: callers may have read it, so it is not written over.
-func TestList_LeavesAResultThatStands(t *testing.T) {
+func TestListResults_KeepsAReadableForeignRow(t *testing.T) {
 	shared := tabletest.New()
-	node, told := startTold(t, shared, "a#1")
+	node, reports := startReportingNode(t, shared, "a#1")
 	if err := node.Submit(t.Context(), submission("j", 1)); err != nil {
 		t.Fatal(err)
 	}
@@ -299,21 +299,21 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	err := node.listResults(ctx, entry.Job, []*task{{owned: &ownedJob{job: entry.Job}, text: []byte("other")}})
-	if err == nil || commits.Load() > 20 || told.count(resultKey("j", 0)) != 1 {
-		t.Errorf("%v after %d commits, told %d times", err, commits.Load(), told.count(resultKey("j", 0)))
+	if err == nil || commits.Load() > 20 || reports.count(resultKey("j", 0)) != 1 {
+		t.Errorf("%v after %d commits, told %d times", err, commits.Load(), reports.count(resultKey("j", 0)))
 	}
 	row, err := shared.Get(t.Context(), resultKey("j", 0))
-	var stood storedResult
-	if err != nil || row.Decode(&stood) != nil || stood.Text != "read before" {
-		t.Errorf("it is %+v, %v", stood, err)
+	var stored storedResult
+	if err != nil || row.Decode(&stored) != nil || stored.Text != "read before" {
+		t.Errorf("it is %+v, %v", stored, err)
 	}
 }
 
-// TestKeptTexts_ADamagedOneIsWrittenOver has an item begin anew whose kept text cannot be read,
+// TestLoadCheckpoints_DamagedOneIsOverwritten has an item begin anew whose kept text cannot be read,
 // and its next text take the place of that one.
-func TestKeptTexts_ADamagedOneIsWrittenOver(t *testing.T) {
+func TestLoadCheckpoints_DamagedOneIsOverwritten(t *testing.T) {
 	shared := tabletest.New()
-	node, told := startTold(t, shared, "a#1")
+	node, reports := startReportingNode(t, shared, "a#1")
 	if err := node.Submit(t.Context(), submission("j", 2)); err != nil {
 		t.Fatal(err)
 	}
@@ -321,13 +321,13 @@
 	overwrite(t, shared, checkpointKey("j", 1), encode(storedResult{Text: "piece", LastEvent: 1}))
 	entry := node.View.Get("j")
 	for range 2 {
-		kept := node.loadCheckpoints(t.Context(), entry)
-		if kept[0].Text != "" || kept[0].LastEvent != 0 || kept[0].version == 0 || kept[1].Text != "piece" {
-			t.Fatalf("kept are %+v", kept)
+		checkpoints := node.loadCheckpoints(t.Context(), entry)
+		if checkpoints[0].Text != "" || checkpoints[0].LastEvent != 0 || checkpoints[0].version == 0 || checkpoints[1].Text != "piece" {
+			t.Fatalf("kept are %+v", checkpoints)
 		}
 	}
-	if told.count(checkpointKey("j", 0)) != 1 {
-		t.Errorf("told %d times", told.count(checkpointKey("j", 0)))
+	if reports.count(checkpointKey("j", 0)) != 1 {
+		t.Errorf("told %d times", reports.count(checkpointKey("j", 0)))
 	}
 	runner := NewRunner(RunnerOptions{Service: node.Service})
 	owned := &ownedJob{job: entry.Job}
@@ -338,10 +338,10 @@
 	}
 }
 
-// TestRelease_AJobThatCannotBeReadIsDone lets a node stop that has such a job.
-func TestRelease_AJobThatCannotBeReadIsDone(t *testing.T) {
+// TestRelease_UnreadableJobNeedsNoRelease lets a node stop that has such a job.
+func TestRelease_UnreadableJobNeedsNoRelease(t *testing.T) {
 	shared := tabletest.New()
-	node, _ := startTold(t, shared, "a#1")
+	node, _ := startReportingNode(t, shared, "a#1")
 	if err := node.Submit(t.Context(), submission("j", 1)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/jobs/unreadablefuzz_test.go
+++ b/internal/jobs/unreadablefuzz_test.go
@@ -15,9 +15,9 @@
 	f.Add(encode(Job{ID: "j", Items: []ItemHead{{ID: "a", Node: 4}}}), []byte{}, []byte{0xff})
 	f.Fuzz(func(t *testing.T, job, progress, count []byte) {
 		view := NewView()
-		of := account{route: "batch"}
+		acct := account{route: "batch"}
 		view.Apply(table.Changes{Changes: []table.Change{
-			{Row: table.Row{Key: counterKey(of, shardOf("j")), Version: 1, Body: count}},
+			{Row: table.Row{Key: counterKey(acct, shardOf("j")), Version: 1, Body: count}},
 			{Row: table.Row{Key: jobKey("j"), Version: 2, Body: job}},
 			{Row: table.Row{Key: progressKey("j"), Version: 3, Body: progress}},
 		}}, true)
@@ -30,7 +30,7 @@
 				entry.regionOf(item)
 			}
 		}
-		if used := view.used(of); used < 0 {
+		if used := view.used(acct); used < 0 {
 			t.Fatalf("%d tokens in use", used)
 		}
 		if entry := view.Get("j"); entry == nil && len(view.Open()) > 0 {
--- a/internal/jobs/waits_test.go
+++ b/internal/jobs/waits_test.go
@@ -19,17 +19,17 @@
 // nothing until the attempt is given up.
 func hangingAnswer(ctx context.Context, text string) *forward.Answer {
 	answer := answerOf(http.StatusOK, "")
-	answer.Body = &silentBody{ctx: ctx, text: []byte(text)}
+	answer.Body = &stalledBody{ctx: ctx, text: []byte(text)}
 	return answer
 }
 
-// silentBody has a text, and says nothing after it until its context ends.
-type silentBody struct {
+// stalledBody has a text, and says nothing after it until its context ends.
+type stalledBody struct {
 	ctx  context.Context
 	text []byte
 }
 
-func (b *silentBody) Read(into []byte) (int, error) {
+func (b *stalledBody) Read(into []byte) (int, error) {
 	if len(b.text) > 0 {
 		count := copy(into, b.text)
 		b.text = b.text[count:]
@@ -39,7 +39,7 @@
 	return 0, context.Cause(b.ctx)
 }
 
-func (b *silentBody) Close() error { return nil }
+func (b *stalledBody) Close() error { return nil }
 
 // sendFunc is a backend of one function.
 type sendFunc func(ctx context.Context, attempt *forward.Attempt) (*forward.Answer, error)
@@ -49,7 +49,7 @@
 	return f(ctx, attempt)
 }
 
-func TestAccount_TellsWhatItemsWaitFor(t *testing.T) {
+func TestItemWaits_ReasonOfEachItem(t *testing.T) {
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "a#1")
 	runner, replicas := startRunner(t, node, sendFunc(func(ctx context.Context, _ *forward.Attempt) (*forward.Answer, error) {
 		return hangingAnswer(ctx, events(1, 3)), nil
@@ -60,8 +60,8 @@
 	if err := node.Submit(t.Context(), submission("j", 10)); err != nil {
 		t.Fatal(err)
 	}
-	counted := func(what Wait) int { return runner.WaitCounts(clock.Now())[what].Count }
-	for deadline := time.Now().Add(5 * time.Second); counted(WaitAnswer) < 8 || counted(WaitSlot) < 2; time.Sleep(5 * time.Millisecond) {
+	count := func(kind Wait) int { return runner.WaitCounts(clock.Now())[kind].Count }
+	for deadline := time.Now().Add(5 * time.Second); count(WaitAnswer) < 8 || count(WaitSlot) < 2; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("account is %+v, want 8 items of 10 that run on 8 slots and 2 that wait for room", runner.WaitCounts(clock.Now()))
 		}
@@ -78,10 +78,10 @@
 // Each wait has a name of its own, and a bound unless it ends by what others declare.
 func TestWait_NamesAndBounds(t *testing.T) {
 	names := map[string]bool{}
-	for what := range waitKinds {
-		names[what.String()] = true
-		if bound := what.Bound(); bound <= 0 || bound > maxStall && bound != noBound {
-			t.Errorf("%s is bounded by %v", what, bound)
+	for kind := range waitKinds {
+		names[kind.String()] = true
+		if bound := kind.Bound(); bound <= 0 || bound > maxStall && bound != noBound {
+			t.Errorf("%s is bounded by %v", kind, bound)
 		}
 	}
 	if len(names) != int(waitKinds) || names["unknown"] {
@@ -90,13 +90,13 @@
 }
 
 // An item that waits for room tells what decided it.
-func TestAccount_TellsWhatDecidedTheRoom(t *testing.T) {
+func TestItemWaits_CauseOfAWaitForASlot(t *testing.T) {
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "a#1")
 	runner, replicas := startRunner(t, node, sendFunc(func(ctx context.Context, _ *forward.Attempt) (*forward.Answer, error) {
 		return hangingAnswer(ctx, events(1, 3)), nil
 	}))
 	nodes := []place.Node{{ID: "a"}}
-	for _, id := range names("n", 60) {
+	for _, id := range nodeNames("n", 60) {
 		nodes = append(nodes, place.Node{ID: id})
 	}
 	replicas.Divide("a", nodes)
@@ -104,40 +104,40 @@
 		t.Fatal(err)
 	}
 	eventually(t, func() bool { return runner.WaitCounts(clock.Now())[WaitSlot].Count > 0 })
-	for _, one := range runner.ItemWaits() {
+	for _, wait := range runner.ItemWaits() {
 		var room replica.ItemRoom
-		if one.For == WaitSlot && (!errors.As(one.Cause, &room) || room.Share > 1) {
-			t.Fatalf("item waits for room because of %v", one.Cause)
+		if wait.For == WaitSlot && (!errors.As(wait.Cause, &room) || room.Share > 1) {
+			t.Fatalf("item waits for room because of %v", wait.Cause)
 		}
 	}
 }
 
 // Items whose node is gone, and those that no live node may run, are told of by the node that
 // sees to them, since when they were first found so.
-func TestAccount_TellsOfItemsThatNobodyRuns(t *testing.T) {
-	site := newHomeSite(t, nil, nil, "n-1", "s-1")
+func TestItemWaits_OrphansAreReportedByOneNode(t *testing.T) {
+	site := newRegionSite(t, nil, nil, "n-1", "s-1")
 	site.nodes["n-1"].refuse.Store(true)
 	site.submit("n-1", "j", 4)
-	site.declare(place.Regions{"m"}, nil)
+	site.setRegions(place.Regions{"m"}, nil)
 	eventually(t, func() bool { return site.nodes["s-1"].View.Get("j") != nil })
 	site.claim("n-1", "s-1")
 	time.Sleep(20 * time.Millisecond)
 	site.claim("n-1", "s-1")
-	told := 0
+	waiting := 0
 	for _, node := range site.nodes {
-		told += node.runner.WaitCounts(clock.Now())[WaitRegion].Count
+		waiting += node.runner.WaitCounts(clock.Now())[WaitRegion].Count
 		if oldest := node.runner.WaitCounts(clock.Now())[WaitRegion].Oldest; oldest > 0 && oldest < 20*time.Millisecond {
 			t.Errorf("waits for %v, want since it was first found", oldest)
 		}
 	}
-	if told != 4 {
-		t.Fatalf("%d items wait for their homes, want 4 at one node", told)
+	if waiting != 4 {
+		t.Fatalf("%d items wait for their homes, want 4 at one node", waiting)
 	}
 }
 
 // Whoever asks any node learns who runs what is left of a job.
-func TestWhereabouts_NamesTheNodesThatRunTheItems(t *testing.T) {
-	site := newHomeSite(t, nil, nil, "n-1", "s-1")
+func TestWaitsByNode_NamesTheNodesThatRunItems(t *testing.T) {
+	site := newRegionSite(t, nil, nil, "n-1", "s-1")
 	for _, node := range site.nodes {
 		node.refuse.Store(true)
 	}
@@ -147,13 +147,13 @@
 	eventually(t, func() bool {
 		waits = at.runner.WaitsByNode(at.session, clock.Now(), func(job string) bool { return job == "j" })
 		items := 0
-		for _, one := range waits {
-			items += one.Items
+		for _, wait := range waits {
+			items += wait.Items
 		}
 		return items == 4
 	})
-	for _, one := range waits {
-		if one.Known != (one.Node == "s-1") {
+	for _, wait := range waits {
+		if wait.Known != (wait.Node == "s-1") {
 			t.Fatalf("whereabouts are %+v", waits)
 		}
 	}
--- a/internal/jobs/writelatency_test.go
+++ b/internal/jobs/writelatency_test.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-func TestPace_LostAnswerIsGivenUpSoonInCalm(t *testing.T) {
-	var learned writeLatency
+func TestWriteLatency_LostAnswerTimesOutSoon(t *testing.T) {
+	var latency writeLatency
 	for range 20 {
-		learned.observe(6 * time.Millisecond)
+		latency.observe(6 * time.Millisecond)
 	}
-	if limit := learned.timeout(0); limit != minWriteTimeout {
-		t.Fatalf("an answer is waited for %v, want %v", limit, minWriteTimeout)
+	if timeout := latency.timeout(0); timeout != minWriteTimeout {
+		t.Fatalf("an answer is waited for %v, want %v", timeout, minWriteTimeout)
 	}
-	began := time.Now()
-	err := learned.call(t.Context(), 0, func(ctx context.Context) error {
+	start := time.Now()
+	err := latency.call(t.Context(), 0, func(ctx context.Context) error {
 		<-ctx.Done()
 		return ctx.Err()
 	})
-	if took := time.Since(began); err == nil || took > 10*minWriteTimeout {
-		t.Fatalf("a lost answer took %v, %v", took, err)
+	if elapsed := time.Since(start); err == nil || elapsed > 10*minWriteTimeout {
+		t.Fatalf("a lost answer took %v, %v", elapsed, err)
 	}
 }
 
-func TestPace_SlowStoreIsWaitedFor(t *testing.T) {
-	var learned writeLatency
+func TestWriteLatency_SlowStoreHasALongTimeout(t *testing.T) {
+	var latency writeLatency
 	for range 20 {
-		learned.observe(360 * time.Millisecond)
+		latency.observe(360 * time.Millisecond)
 	}
-	if limit := learned.timeout(0); limit < 2*time.Second {
-		t.Fatalf("a slow store is given %v", limit)
+	if timeout := latency.timeout(0); timeout < 2*time.Second {
+		t.Fatalf("a slow store is given %v", timeout)
 	}
-	if limit := learned.timeout(30); limit != slowCallTimeout {
-		t.Fatalf("no try may take longer than %v, this one %v", slowCallTimeout, limit)
+	if timeout := latency.timeout(30); timeout != slowCallTimeout {
+		t.Fatalf("no try may take longer than %v, this one %v", slowCallTimeout, timeout)
 	}
 }
