--- a/internal/jobs/accept_test.go
+++ b/internal/jobs/accept_test.go
@@ -49,7 +49,7 @@
 	}
 	entry, err := second.find(t.Context(), "j")
 	if err != nil || entry.Progress.Owner != "a#1" {
-		t.Fatalf("entry %+v, %v", entry, err)
+		t.Fatalf("entry is %+v, %v", entry, err)
 	}
 }
 
@@ -68,7 +68,7 @@
 	limited := submission("j", 2)
 	limited.Quota = 1000
 	if err := node.Submit(t.Context(), limited); err != nil {
-		t.Fatalf("a job whose acceptance landed: %v", err)
+		t.Fatalf("submitting a job whose write was applied: %v", err)
 	}
 }
 
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestSubmit_QuotaHoldsUnderFaults lets two nodes accept jobs at the same
-// time while commits are refused, lost or late, and checks afterwards that what
-// was accepted never exceeds the quota, and that a refused job is not there.
+// TestSubmit_QuotaHoldsUnderFaults lets two nodes accept jobs concurrently while commits fail, lose
+// their answer or are delayed. The accepted jobs must never exceed the quota, and no refused job
+// may exist.
 func TestSubmit_QuotaHoldsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const quota, jobsPerNode = 1000, 4
@@ -133,8 +133,7 @@
 	})
 }
 
-// submitConcurrently submits jobs at two nodes and returns those that were refused
-// with the promise that they never run.
+// submitConcurrently submits jobs at two nodes and returns those that were refused for good.
 func submitConcurrently(t *testing.T, shared *tabletest.Table, quota int64, count int) map[string]bool {
 	refused := map[string]bool{}
 	var mu sync.Mutex
@@ -170,11 +169,11 @@
 	view := NewView()
 	view.Apply(all, true)
 	if used := view.used(account{route: "batch"}); used > quota {
-		rt.Fatalf("%d tokens are accepted over a quota of %d", used, quota)
+		rt.Fatalf("accepted %d tokens, over the quota of %d", used, quota)
 	}
 	for _, entry := range view.All() {
 		if refused[entry.Job.ID] {
-			rt.Fatalf("job %s was refused and is there", entry.Job.ID)
+			rt.Fatalf("job %s was refused but exists", entry.Job.ID)
 		}
 	}
 }
--- a/internal/jobs/atmostonce_test.go
+++ b/internal/jobs/atmostonce_test.go
@@ -14,7 +14,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// atMostOnceSubmission is a job whose items may run only once.
+// atMostOnceSubmission returns a job whose items may run only once.
 func atMostOnceSubmission(id string, items int) *Submission {
 	submitted := submission(id, items)
 	for i := range submitted.Items {
@@ -27,7 +27,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("not in time")
+			t.Fatal("condition does not hold in time")
 		}
 	}
 }
@@ -139,9 +139,8 @@
 	}
 }
 
-// A finding (lab batch-kill-after-ack, seed 52): an owner that had lost the job
-// found its item marked by the next owner, took the mark for its own, and both
-// sent it.
+// TestWriteStartMarks_OnlyTheOwnerMarks guards against an item that is sent twice: a previous owner
+// must not take the mark of the next owner for its own (lab batch-kill-after-ack, seed 52).
 func TestWriteStartMarks_OnlyTheOwnerMarks(t *testing.T) {
 	shared := tabletest.New()
 	first, next := startNode(t, shared, &objecttest.Store{}, "a#1"), startNode(t, shared, &objecttest.Store{}, "b#1")
@@ -163,6 +162,6 @@
 	owned.tasks = []*task{item}
 	runner.writeStartMarks(owned, owned.tasks)
 	if item.startMarked {
-		t.Fatal("an item that the next owner has marked counts as marked by this one")
+		t.Fatal("a mark of the next owner counts as one of this node")
 	}
 }
--- a/internal/jobs/checkpoint_test.go
+++ b/internal/jobs/checkpoint_test.go
@@ -30,14 +30,14 @@
 	runner := NewRunner(RunnerOptions{Service: first.Service})
 	running := addRunningTask(t, first, runner)
 	if !runner.checkpoint(t.Context(), running.owned, minCheckpointEvents) {
-		t.Fatal("the text was not written")
+		t.Fatal("the checkpoint was not written")
 	}
 	entry, err := second.find(t.Context(), "j")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if checkpoints := second.loadCheckpoints(t.Context(), entry); checkpoints[0].Text != "so far" || checkpoints[0].LastEvent != minCheckpointEvents {
-		t.Fatalf("kept texts are %+v", checkpoints)
+		t.Fatalf("checkpoints are %+v", checkpoints)
 	}
 }
 
@@ -58,6 +58,6 @@
 	}
 	entry := node.View.Get("j")
 	if checkpoints := node.loadCheckpoints(t.Context(), entry); checkpoints[0].Text != "further" {
-		t.Fatalf("kept texts are %+v", checkpoints)
+		t.Fatalf("checkpoints are %+v", checkpoints)
 	}
 }
--- a/internal/jobs/commit_test.go
+++ b/internal/jobs/commit_test.go
@@ -14,9 +14,9 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestListResults_PositionsAreStable lets two owners list the results of one job at
-// the same time, under any faults, and checks that each item is listed once,
-// that what was read stays, and that nothing is listed after the end.
+// TestListResults_PositionsAreStable lets two owners list the results of one job concurrently under
+// faults. Each item must be listed once, results that were read must stay, and nothing may be
+// listed after the end.
 func TestListResults_PositionsAreStable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const items = 6
@@ -72,7 +72,7 @@
 	done.Wait()
 }
 
-// listedAt reads the list as the store has it.
+// listedAt reads the list from the store.
 func listedAt(rt *rapid.T, node *testNode) []Result {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -103,7 +103,7 @@
 		}
 	}
 	if len(after) < len(before) {
-		rt.Fatalf("%d results were listed, %d are", len(before), len(after))
+		rt.Fatalf("%d results were listed, now %d are", len(before), len(after))
 	}
 }
 
@@ -140,7 +140,7 @@
 	runner.owned["j"] = owned
 	runner.Release(t.Context())
 	if ctx.Err() == nil {
-		t.Fatal("the item goes on after its job was handed back")
+		t.Fatal("the item runs on after its job was released")
 	}
 	entry, err := second.find(t.Context(), "j")
 	if err != nil {
@@ -148,7 +148,7 @@
 	}
 	checkpoints := second.loadCheckpoints(t.Context(), entry)
 	if checkpoints[0].Text != "so far" || checkpoints[0].LastEvent != 7 {
-		t.Fatalf("kept texts are %+v", checkpoints)
+		t.Fatalf("checkpoints are %+v", checkpoints)
 	}
 }
 
@@ -167,7 +167,7 @@
 	defer cancel()
 	time.AfterFunc(100*time.Millisecond, func() {
 		if jobCtx.Err() != nil {
-			t.Error("items were broken off before their job was handed back")
+			t.Error("items were canceled before their job was released")
 		}
 	})
 	runner.Release(ctx)
--- a/internal/jobs/freshness_test.go
+++ b/internal/jobs/freshness_test.go
@@ -13,8 +13,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestRead_UnavailableIfTheTableDoesNotAnswer guards that an old view is not taken for the truth
-// where the table does not answer either: then nobody knows whether there is a result.
+// TestRead_UnavailableIfTheTableDoesNotAnswer guards against answers from an old view while the
+// table does not answer either, so that it is unknown whether there is a result.
 func TestRead_UnavailableIfTheTableDoesNotAnswer(t *testing.T) {
 	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, lister *Service, reader *readerNode) {
 		listOne(t, lister, "job", 1)
@@ -24,13 +24,13 @@
 		defer cancel()
 		reading, err := reader.Read(ctx, "job", 1, 0)
 		if !errors.Is(err, ErrUnavailable) {
-			t.Fatalf("a view that is %v old answers %+v, %v", maxStaleness, reading, err)
+			t.Fatalf("read from a view that is %v old: %+v, %v", maxStaleness, reading, err)
 		}
 	})
 }
 
-// TestRead_FullReadIsAsOldAsItsFirstPage guards the age of a view that was read in pages:
-// what was listed after the first page, and before the last, is not in it.
+// TestRead_FullReadIsAsOldAsItsFirstPage guards the age of a view read in pages: it lacks what was
+// listed after the first page and before the last.
 func TestRead_FullReadIsAsOldAsItsFirstPage(t *testing.T) {
 	withStaleReader(t, func(t *testing.T, _ *tabletest.Table, lister *Service, reader *readerNode) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -44,13 +44,13 @@
 		reader.View = view
 		reading, err := reader.Read(t.Context(), "job", 1, 0)
 		if err != nil || len(reading.Results) != 1 {
-			t.Fatalf("a result listed during a whole read: %+v, %v", reading, err)
+			t.Fatalf("a result listed during a full read: %+v, %v", reading, err)
 		}
 	})
 }
 
-// slowPages answers the whole group with the first page, and takes its time for a second
-// one that holds nothing. Changes after it come late.
+// slowPages returns the whole group in the first page, and delays an empty second one. Later
+// changes never arrive.
 type slowPages struct {
 	table.Feed
 	page time.Duration
@@ -72,8 +72,8 @@
 	return table.Changes{}, outcome.Undecided(ctx.Err())
 }
 
-// TestRead_DelayedAnswerIsOld guards that the age of a view counts from when the
-// source knew it, not from when its answer came: a slow connection brings old news.
+// TestRead_DelayedAnswerIsOld guards that the age of a view counts from when the source produced
+// the answer, not from when the answer arrived over a slow connection.
 func TestRead_DelayedAnswerIsOld(t *testing.T) {
 	withStaleReader(t, func(t *testing.T, _ *tabletest.Table, lister *Service, reader *readerNode) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -89,12 +89,12 @@
 		reader.View = view
 		reading, err := reader.Read(t.Context(), "job", 1, 0)
 		if err != nil || len(reading.Results) != 1 {
-			t.Fatalf("a result whose news is on its way: %+v, %v", reading, err)
+			t.Fatalf("a result whose change is delayed: %+v, %v", reading, err)
 		}
 	})
 }
 
-// delayedFeed brings each answer a while after it was given.
+// delayedFeed delivers each answer a while after it was produced.
 type delayedFeed struct {
 	table.Feed
 	delay atomic.Int64
@@ -110,7 +110,7 @@
 	}
 }
 
-// delayedTable answers what it held when it was asked, a while later.
+// delayedTable returns a row some time after it was read.
 type delayedTable struct {
 	table.Service
 	delay time.Duration
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestRead_EarlierRefreshIsNotReused guards readers that share a question: one
-// who came later than the table looked, and than results may be missing for, asks again.
+// TestRead_EarlierRefreshIsNotReused guards readers that share a refresh: one that came after the
+// table was read, and may miss results, reads the table again.
 func TestRead_EarlierRefreshIsNotReused(t *testing.T) {
 	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, lister *Service, reader *readerNode) {
 		reader.Table = &delayedTable{Service: shared, delay: refreshTimeout - time.Millisecond}
@@ -143,10 +143,10 @@
 		time.Sleep(refreshTimeout - 10*time.Millisecond)
 		reading, err := reader.Read(t.Context(), "job", 1, 0)
 		if err != nil || len(reading.Results) != 1 {
-			t.Errorf("a result listed %v ago, settled after %v: %+v, %v", refreshTimeout, reader.MaxStaleness, reading, err)
+			t.Errorf("a result listed %v ago, with a staleness of %v: %+v, %v", refreshTimeout, reader.MaxStaleness, reading, err)
 		}
 		if reading := <-first; reading == nil {
-			t.Error("the first reader had no answer")
+			t.Error("the first reader got no answer")
 		}
 	})
 }
--- a/internal/jobs/notify_test.go
+++ b/internal/jobs/notify_test.go
@@ -12,7 +12,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// notifiedNodes records whom a service tells of news.
+// notifiedNodes records the nodes that a service notifies.
 type notifiedNodes struct {
 	mu    sync.Mutex
 	nodes []string
@@ -32,8 +32,8 @@
 	return sorted
 }
 
-// TestService_NotifiesNodesThatRunItems has a node accept and end a job: those who are to
-// run its items, or to stop them, need not wait for their next look.
+// TestService_NotifiesNodesThatRunItems accepts and ends a job: the nodes that must run or stop its
+// items are notified, so that they need not wait for the feed.
 func TestService_NotifiesNodesThatRunItems(t *testing.T) {
 	shared := tabletest.New()
 	node := detachedNode(t, shared, shared.Feed(Group), "a#1")
@@ -45,18 +45,18 @@
 	}
 	runners := node.View.Get("j").activeNodes()
 	if got := notified.take(); len(got) != 3 || !slices.Equal(got, slices.Sorted(slices.Values(runners))) {
-		t.Errorf("told %v of a job that %v run", got, runners)
+		t.Errorf("notified %v of a job that %v run", got, runners)
 	}
 	if err := node.End(t.Context(), "j"); err != nil {
 		t.Fatal(err)
 	}
 	if got := notified.take(); len(got) != 3 {
-		t.Errorf("told %v of the end of a job with three unlisted items", got)
+		t.Errorf("notified %v of the end of a job with three unlisted items", got)
 	}
 }
 
-// TestRead_WaitRequestsAnUpdate has a caller wait for a result: a look is asked for, and
-// the caller is counted until it has its answer.
+// TestRead_WaitRequestsAnUpdate guards that a caller who waits for a result requests an update, and
+// is counted until it is answered.
 func TestRead_WaitRequestsAnUpdate(t *testing.T) {
 	shared := tabletest.New()
 	node := detachedNode(t, shared, shared.Feed(Group), "a#1")
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestSubmit_UpdatesTheViewBeforeRefusingForTheQuota has the room that a job needs become
-// free where the node has not looked yet.
+// TestSubmit_UpdatesTheViewBeforeRefusingForTheQuota frees the quota that a job needs while the
+// node's view is out of date.
 func TestSubmit_UpdatesTheViewBeforeRefusingForTheQuota(t *testing.T) {
 	shared := tabletest.New()
 	feed := shared.Feed(Group)
@@ -96,7 +96,7 @@
 	updates := 0
 	node.RequestUpdate = func() { updates++; update() }
 	if err := node.Submit(t.Context(), limited("full", 2, quota)); !errors.Is(err, ErrQuota) || updates != 1 {
-		t.Fatalf("a job beyond the quota: %v after %d looks, want ErrQuota after 1", err, updates)
+		t.Fatalf("a job beyond the quota: %v after %d updates, want ErrQuota after 1", err, updates)
 	}
 	if _, err := other.find(t.Context(), "first"); err != nil {
 		t.Fatal(err)
--- a/internal/jobs/placement_test.go
+++ b/internal/jobs/placement_test.go
@@ -21,13 +21,13 @@
 		load, slots map[string]int
 		want        string
 	}{
-		{"own has room", both, "n", map[string]int{"n": 3}, map[string]int{"n": 4, "s": 9}, "n"},
-		{"own is full, another has room", both, "n", map[string]int{"n": 4, "s": 3}, map[string]int{"n": 4, "s": 4}, "s"},
+		{"own has free slots", both, "n", map[string]int{"n": 3}, map[string]int{"n": 4, "s": 9}, "n"},
+		{"own is full, another has free slots", both, "n", map[string]int{"n": 4, "s": 3}, map[string]int{"n": 4, "s": 4}, "s"},
 		{"all are full", both, "n", map[string]int{"n": 9, "s": 4}, map[string]int{"n": 4, "s": 4}, "n"},
 		{"own has no slots", both, "n", map[string]int{"s": 9}, map[string]int{"s": 4}, "s"},
 		{"own may not run it", map[string][]string{"s": {"s-1"}}, "n", nil, map[string]int{"n": 4, "s": 4}, "s"},
 		{"unknown own region", both, "", map[string]int{"n": 1}, map[string]int{"n": 4, "s": 4}, "s"},
-		{"one region that tells nothing", map[string][]string{"": {"x-1"}}, "", map[string]int{"": 9}, map[string]int{"": 1}, ""},
+		{"one unknown region", map[string][]string{"": {"x-1"}}, "", map[string]int{"": 9}, map[string]int{"": 1}, ""},
 	} {
 		p := &placement{nodes: tc.nodes, ownRegion: tc.own, regionLoad: tc.load, slots: tc.slots}
 		if got := p.chooseRegion(); got != tc.want {
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestPlacement_OneRegionBalancesNodes compares with the rule of before regions were known: each
-// item goes to the node of the fleet with the fewest, ties by preference.
+// TestPlacement_OneRegionBalancesNodes guards that within one region each item goes to the node
+// with the fewest, and that preference decides ties.
 func TestPlacement_OneRegionBalancesNodes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		prefix := rapid.SampledFrom([]string{"x-", "n-"}).Draw(rt, "region")
@@ -59,7 +59,7 @@
 			want := slices.MinFunc(ordered, func(a, b string) int { return load[a] - load[b] })
 			load[want]++
 			if got := job.Nodes[job.Items[i].Node]; got != want {
-				rt.Fatalf("item %d goes to %s, before to %s", i, got, want)
+				rt.Fatalf("item %d goes to %s, want %s", i, got, want)
 			}
 		}
 		if prefix == "x-" && job.Regions != nil {
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestSpread_ItemsBeyondTheSlotsOfARegionGoElsewhere submits more items than the region
-// has slots, 8.
+// TestSpread_ItemsBeyondTheSlotsOfARegionGoElsewhere submits more items than the 8 slots of the
+// region.
 func TestSpread_ItemsBeyondTheSlotsOfARegionGoElsewhere(t *testing.T) {
 	site := newRegionSite(t, nil, nil, "n-1", "s-1")
 	for _, node := range site.nodes {
@@ -96,7 +96,7 @@
 	}
 }
 
-// TestClaim_WithinTheRegionFirst takes nodes away one after the other.
+// TestClaim_WithinTheRegionFirst stops nodes one after the other.
 func TestClaim_WithinTheRegionFirst(t *testing.T) {
 	site := newRegionSite(t, nil, nil, "n-1", "n-2", "s-1", "s-2", "s-3")
 	for _, node := range site.nodes {
@@ -128,8 +128,8 @@
 	readAll(t, site.nodes["s-1"].testNode, "j")
 }
 
-// TestClaim_ItemsOfALostNodeGoBackToTheirRegions loses a node that had taken over items of
-// another region.
+// TestClaim_ItemsOfALostNodeGoBackToTheirRegions stops a node that had taken over items of another
+// region.
 func TestClaim_ItemsOfALostNodeGoBackToTheirRegions(t *testing.T) {
 	site := newRegionSite(t, nil, nil, "n-1", "s-1", "n-2", "s-2")
 	site.fleet.set("n-1#1", "s-1#1")
@@ -153,19 +153,19 @@
 	}
 }
 
-// TestClaim_NodeOfUnknownRegionIsNotPreferred has a node whose member row tells nothing
-// beside one of the region.
+// TestClaim_NodeOfUnknownRegionIsNotPreferred has a node of unknown region beside one in the
+// region.
 func TestClaim_NodeOfUnknownRegionIsNotPreferred(t *testing.T) {
 	runner := NewRunner(RunnerOptions{
 		Service: &Service{Fleet: &regionFleet{}}, Owners: &regionFleet{live: []string{"x-1#1", "n-1#1"}},
 	})
 	live := runner.Owners.Live()
 	if preferred := runner.preferRegion(live, "n"); len(preferred) != 1 || lease.Node(preferred[0]) != "n-1" {
-		t.Errorf("near n: %v", preferred)
+		t.Errorf("preferred in region n: %v", preferred)
 	}
 	for _, region := range []string{"", "s"} {
 		if preferred := runner.preferRegion(live, region); len(preferred) != len(live) {
-			t.Errorf("near %q: %v", region, preferred)
+			t.Errorf("preferred in region %q: %v", region, preferred)
 		}
 	}
 }
@@ -178,6 +178,6 @@
 		t.Fatal(err)
 	}
 	if len(node.contents) != 0 {
-		t.Fatal("a node that runs no item keeps their bodies")
+		t.Fatal("a node that runs no items caches their bodies")
 	}
 }
--- a/internal/jobs/preempt_test.go
+++ b/internal/jobs/preempt_test.go
@@ -27,18 +27,18 @@
 	set.Evacuate(map[string]bool{"a": true})
 	runner.PreemptPool(testPool, 1, replica.Pressure{})
 	if ctx.Err() != nil {
-		t.Fatal("an item gave up a slot that nobody may use")
+		t.Fatal("an item in an evacuated zone was preempted")
 	}
 	set.Evacuate(nil)
 	runner.PreemptPool(testPool, 1, replica.Pressure{})
 	if ctx.Err() == nil {
-		t.Fatal("an item did not give way")
+		t.Fatal("the item was not preempted")
 	}
 }
 
-// Found by the property (seed 228): online requests of its own node broke an item off before
-// its first event each time, for 57 s, while slots elsewhere were free. An item whose sending
-// it delayed for long keeps its slot; one that came on lately gives way.
+// TestPreempt_StarvedItemKeepsItsSlot guards against online requests of the same node that preempt
+// an item before its first event each time while other slots are free
+// (TestRunner_NoItemWaitsWhileASlotIsFree, seed 228). A starved item keeps its slot.
 func TestPreempt_StarvedItemKeepsItsSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newSlotSite(t, 1, nodeNames("n", 1), serverSlots("n", 1, 1))
--- a/internal/jobs/priority_test.go
+++ b/internal/jobs/priority_test.go
@@ -12,7 +12,7 @@
 	const now = 10 * time.Second
 	owned := func(id string, due time.Duration) *ownedJob { return &ownedJob{job: &Job{ID: id, Due: due}} }
 	tasks := []*task{
-		{owned: owned("hopeless", 14*time.Second)},
+		{owned: owned("late", 14*time.Second)},
 		{owned: owned("later", 200*time.Second)},
 		{owned: owned("nearly done", 14*time.Second), lastEvent: 60},
 		{owned: owned("soon", 100*time.Second)},
@@ -27,7 +27,7 @@
 	for _, tsk := range tasks {
 		order = append(order, tsk.owned.job.ID)
 	}
-	if want := []string{"nearly done", "soon", "later", "hopeless"}; !slices.Equal(order, want) {
+	if want := []string{"nearly done", "soon", "later", "late"}; !slices.Equal(order, want) {
 		t.Fatalf("order is %v, want %v", order, want)
 	}
 }
@@ -39,7 +39,7 @@
 		estimate.recordPace(200, 5*time.Second)
 	}
 	if left := estimate.remaining(100); left < 2300*time.Millisecond || left > 2700*time.Millisecond {
-		t.Fatalf("half an item takes %v, want some 2.5 s", left)
+		t.Fatalf("half an item takes %v, want about 2.5 s", left)
 	}
 	if left := estimate.remaining(300); left != 0 {
 		t.Fatalf("an item longer than usual takes %v", left)
--- a/internal/jobs/quarantine_test.go
+++ b/internal/jobs/quarantine_test.go
@@ -14,12 +14,12 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// countingQuarantine refuses work after three broken answers.
+// countingQuarantine refuses work after three interrupted answers.
 type countingQuarantine struct {
 	mu          sync.Mutex
 	interrupted map[quarantine.Work]int
 	successes   int
-	// trial has refused work be due for a trial.
+	// trial makes refused work due for a trial.
 	trial bool
 }
 
@@ -59,8 +59,8 @@
 
 var errReplicaCrashed = outcome.Undecided(errors.Join(forward.ErrBroken, errors.New("EOF")))
 
-// startCrashingJob runs a job whose first item breaks each answer off, after as many new events as
-// told, and returns what was sent of it.
+// startCrashingJob starts a job with one item whose answers are all interrupted, each after
+// eventsEach new events, and one that completes.
 func startCrashingJob(t *testing.T, end bool, eventsEach int) (*testNode, *crashingBackend, *countingQuarantine) {
 	t.Helper()
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "a#1")
@@ -77,7 +77,7 @@
 	return node, backend, guard
 }
 
-// crashingBackend breaks off what is sent of the item "bad".
+// crashingBackend interrupts the answers to the item "bad".
 type crashingBackend struct {
 	eventsEach int
 	mu         sync.Mutex
@@ -107,7 +107,7 @@
 	return b.sent
 }
 
-// listedItems counts the items of a job that are listed.
+// listedItems returns the number of listed items of a job.
 func listedItems(node *testNode, id string) int {
 	if entry := node.View.Get(id); entry != nil {
 		return len(entry.Progress.Listed)
@@ -157,6 +157,6 @@
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
 	if len(guard.interrupted) != 0 || backend.sends() < 9 {
-		t.Fatalf("%d works suspected after %d sends", len(guard.interrupted), backend.sends())
+		t.Fatalf("%d items suspected after %d sends", len(guard.interrupted), backend.sends())
 	}
 }
--- a/internal/jobs/quota_test.go
+++ b/internal/jobs/quota_test.go
@@ -16,7 +16,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// detachedNode is a node whose feed brings nothing after the first look.
+// detachedNode returns a node whose view is read once and never updated by the feed.
 func detachedNode(t testing.TB, shared table.Service, feed table.Feed, session string) *testNode {
 	t.Helper()
 	view := NewView()
@@ -38,9 +38,8 @@
 	return submitted
 }
 
-// TestSubmit_NeedsNoFeedOfOtherAcceptances lets nodes that hear nothing of each
-// other accept jobs in turn: a conflict tells a writer all that it needs. With a
-// wait for the feed after each conflict nobody but the first node got one in.
+// TestSubmit_NeedsNoFeedOfOtherAcceptances lets nodes without a feed accept jobs in turn: a
+// conflict must show a writer all it needs, or only the first node would succeed.
 func TestSubmit_NeedsNoFeedOfOtherAcceptances(t *testing.T) {
 	const quota, count = 6000, 30
 	shared := tabletest.New()
@@ -61,8 +60,8 @@
 	}
 }
 
-// TestSubmit_AcceptsWhileThePartitionOfAnotherShardIsDown guards that a job within
-// its shard's part of the quota needs no other shard.
+// TestSubmit_AcceptsWhileThePartitionOfAnotherShardIsDown guards that a job within its shard's part
+// of the quota needs no other shard.
 func TestSubmit_AcceptsWhileThePartitionOfAnotherShardIsDown(t *testing.T) {
 	shared := tabletest.New()
 	node := startNode(t, shared, &objecttest.Store{}, "a#1")
@@ -87,8 +86,8 @@
 	}
 }
 
-// TestSubmit_LoweredQuotaHoldsInAllShards lowers the quota below what one shard
-// holds: nothing is accepted in the others that would exceed it in sum.
+// TestSubmit_LoweredQuotaHoldsInAllShards lowers the quota below the usage of one shard: the other
+// shards must not accept jobs that would exceed it in sum.
 func TestSubmit_LoweredQuotaHoldsInAllShards(t *testing.T) {
 	shared := tabletest.New()
 	node := detachedNode(t, shared, shared.Feed(Group), "a#1")
@@ -110,9 +109,9 @@
 	}
 }
 
-// TestSubmit_QuotaHoldsWhileNodesDisagree lets nodes accept at the same time
-// under two quotas, as while a configuration is on its way, and under faults: what
-// is accepted never exceeds the larger one.
+// TestSubmit_QuotaHoldsWhileNodesDisagree lets nodes accept jobs concurrently under different
+// quotas, as while a configuration spreads, and under faults. The accepted jobs must never exceed
+// the largest quota.
 func TestSubmit_QuotaHoldsWhileNodesDisagree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.SampledFrom([]tabletest.Fault{
@@ -152,7 +151,7 @@
 	})
 }
 
-// slowTable answers after the time that the platform's store takes.
+// slowTable takes as long for a commit as the platform's store.
 type slowTable struct {
 	table.Service
 	latency time.Duration
@@ -165,8 +164,8 @@
 	return versions, err
 }
 
-// BenchmarkSubmit_Burst has many nodes accept a job each at the same time, with a
-// feed that is half a second behind, and reports the quantiles of the time taken.
+// BenchmarkSubmit_Burst lets many nodes accept one job each concurrently, with a feed that lags by
+// half a second, and reports quantiles of the time taken.
 func BenchmarkSubmit_Burst(b *testing.B) {
 	const burst, latency = 30, 8 * time.Millisecond
 	for _, count := range []int{30, 100, 300} {
--- a/internal/jobs/refresh_test.go
+++ b/internal/jobs/refresh_test.go
@@ -14,7 +14,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// countingTable counts the rows that are asked for, and answers after delay with fail, if set.
+// countingTable counts reads of rows, and answers them after delay, with fail if it is set.
 type countingTable struct {
 	table.Service
 	delay time.Duration
@@ -35,9 +35,8 @@
 	return a.Service.Get(ctx, key)
 }
 
-// TestEnsureFresh_ChangeBetweenWaitAndAnswer has the feed come back just when a reader's wait is
-// over: its view is young again, and the job must not be answered as it was before. It was for
-// 162 of 300 readers.
+// TestEnsureFresh_ChangeBetweenWaitAndAnswer lets the feed recover just when a reader's wait is
+// over. The view is recent again, so the reader must not get the state from before.
 func TestEnsureFresh_ChangeBetweenWaitAndAnswer(t *testing.T) {
 	withStaleReader(t, func(t *testing.T, _ *tabletest.Table, lister *Service, reader *readerNode) {
 		listOne(t, lister, "job", 1)
@@ -70,12 +69,13 @@
 			}
 		}
 		if count := counting.reads.Load(); count != 1 {
-			t.Errorf("the table was asked %d times for 20 readers of a job", count)
+			t.Errorf("%d reads of the table for 20 readers of a job, want 1", count)
 		}
 	})
 }
 
-// TestEnsureFresh_RefreshOutlivesTheFirstReader has the first reader leave: the others have their answer.
+// TestEnsureFresh_RefreshOutlivesTheFirstReader cancels the first reader: the others must still get
+// their answer.
 func TestEnsureFresh_RefreshOutlivesTheFirstReader(t *testing.T) {
 	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, _ *Service, reader *readerNode) {
 		counting := &countingTable{Service: shared, delay: 300 * time.Millisecond}
@@ -92,12 +92,13 @@
 		synctest.Wait()
 		leave()
 		if err := <-second; err != nil || counting.reads.Load() != 1 {
-			t.Errorf("%v, asked %d times", err, counting.reads.Load())
+			t.Errorf("%v, %d reads of the table", err, counting.reads.Load())
 		}
 	})
 }
 
-// TestEnsureFresh_EndedJobIsNotRefreshed guards the calls: it gets no more results.
+// TestEnsureFresh_EndedJobIsNotRefreshed guards against needless calls: an ended job gets no more
+// results.
 func TestEnsureFresh_EndedJobIsNotRefreshed(t *testing.T) {
 	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, _ *Service, reader *readerNode) {
 		if err := reader.End(t.Context(), "job"); err != nil {
@@ -108,13 +109,13 @@
 		time.Sleep(2 * maxStaleness)
 		reading, err := reader.Read(t.Context(), "job", 1, 0)
 		if err != nil || len(reading.Results) != 0 || counting.reads.Load() != 0 {
-			t.Errorf("%+v, %v, asked %d times", reading, err, counting.reads.Load())
+			t.Errorf("%+v, %v, %d reads of the table", reading, err, counting.reads.Load())
 		}
 	})
 }
 
-// TestEnsureFresh_UnreadableRow guards that nobody is sure where the answer of the table cannot be
-// read: versions that could be may have come and gone while the view was old.
+// TestEnsureFresh_UnreadableRow guards that an unreadable row makes the state unknown: readable
+// versions may have been written and overwritten while the view was old.
 func TestEnsureFresh_UnreadableRow(t *testing.T) {
 	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, lister *Service, reader *readerNode) {
 		listOne(t, lister, "job", 1)
@@ -127,8 +128,8 @@
 	})
 }
 
-// TestView_AsOfTheNewestCompleteAnswer guards the age of a view: answers that come out of order, or
-// that are not all of the news, make it no younger and no older.
+// TestView_AsOfTheNewestCompleteAnswer guards the age of a view against answers that are out of
+// order or incomplete.
 func TestView_AsOfTheNewestCompleteAnswer(t *testing.T) {
 	now := time.Now()
 	view := NewView()
@@ -150,8 +151,8 @@
 	}
 }
 
-// TestEnsureFresh_BeforeAWaitIfTheFeedIsStalled guards that a reader does not wait a second
-// for news that cannot come by the feed.
+// TestEnsureFresh_BeforeAWaitIfTheFeedIsStalled guards that a reader does not wait for changes that
+// a stalled feed cannot bring.
 func TestEnsureFresh_BeforeAWaitIfTheFeedIsStalled(t *testing.T) {
 	withStaleReader(t, func(t *testing.T, _ *tabletest.Table, lister *Service, reader *readerNode) {
 		listOne(t, lister, "job", 1)
@@ -164,8 +165,8 @@
 	})
 }
 
-// TestEnsureFresh_RateIsLimited has readers of 2,000 jobs come twice a second to a node whose feed
-// stands still. Without a bound a table that refuses was asked 960 times a second for 200.
+// TestEnsureFresh_RateIsLimited lets readers of 2,000 jobs read twice a second at a node whose feed
+// is stalled: the calls to the table must stay limited, also if it throttles them.
 func TestEnsureFresh_RateIsLimited(t *testing.T) {
 	const jobCount, seconds = 2000, 5
 	for name, fail := range map[string]error{"answers": nil, "refuses": outcome.Failed(table.ErrThrottled)} {
@@ -189,7 +190,7 @@
 				}
 				time.Sleep(seconds * time.Second)
 				if count := counting.reads.Load(); count > fleetRefreshRate*(seconds+1) || count < fleetRefreshRate*seconds/2 {
-					t.Errorf("the table was asked %d times in %d s", count, seconds)
+					t.Errorf("%d reads of the table in %d s", count, seconds)
 				}
 				time.Sleep(10 * time.Second)
 			})
@@ -197,9 +198,9 @@
 	}
 }
 
-// TestSubmit_ResentToANodeWithAnOldView has a job come again at a node whose view is old and full: it was
-// accepted elsewhere, and items have been listed since. It must not be refused as one that never
-// runs, nor another as one for which there is no room.
+// TestSubmit_ResentToANodeWithAnOldView sends a job again to a node with an old view and a full
+// quota. The job was accepted elsewhere and items have been listed since, so it must not be refused
+// for good, and another job must not be refused for the quota.
 func TestSubmit_ResentToANodeWithAnOldView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -226,13 +227,13 @@
 		}
 		err := reader.Submit(ctx, limited("other", 2, 500))
 		if !errors.Is(err, ErrNotAccepted) || errors.Is(err, ErrQuota) {
-			t.Errorf("a job that fits by what has been listed since: %v", err)
+			t.Errorf("a job that fits after the latest results: %v", err)
 		}
 		shared.ReadFault = func() error { return outcome.Undecided(table.ErrUnavailable) }
 		callCtx, end := context.WithTimeout(ctx, 2*maxStaleness)
 		defer end()
-		if err := reader.Submit(callCtx, limited("unheard", 2, 500)); !errors.Is(err, ErrUndecided) {
-			t.Errorf("a job of which nobody can tell: %v", err)
+		if err := reader.Submit(callCtx, limited("unknown", 2, 500)); !errors.Is(err, ErrUndecided) {
+			t.Errorf("a job of unknown state: %v", err)
 		}
 	})
 }
--- a/internal/jobs/regions_test.go
+++ b/internal/jobs/regions_test.go
@@ -43,8 +43,8 @@
 	site.checkStoresNothing("s-1")
 }
 
-// TestRegions_ChangeMovesOwners changes the homes of items that may run only once while no
-// replica takes them.
+// TestRegions_ChangeMovesOwners changes the regions of at-most-once items while no replica accepts
+// them.
 func TestRegions_ChangeMovesOwners(t *testing.T) {
 	site := newRegionSite(t, place.Regions{"n"}, nil, "n-1", "s-1")
 	site.nodes["n-1"].runner.Replicas.Remove("n-r", time.Now())
@@ -65,11 +65,11 @@
 	site.routes.Store(nil)
 	site.claim("n-1")
 	if site.nodes["n-1"].events.awaiting.Load() != 0 {
-		t.Fatal("a job waits for homes that nobody has told")
+		t.Fatal("a job waits for regions before the first configuration")
 	}
 }
 
-// TestRegions_ItemsWaitForADeadRegion kills all nodes at home and brings one back.
+// TestRegions_ItemsWaitForADeadRegion stops all nodes in the region and starts one again.
 func TestRegions_ItemsWaitForADeadRegion(t *testing.T) {
 	site := newRegionSite(t, place.Regions{"n"}, nil, "n-1", "n-2", "s-1", "s-2")
 	site.nodes["n-1"].refuse.Store(true)
@@ -82,10 +82,10 @@
 	}
 	entry := site.nodes["s-1"].View.Get("j")
 	if len(entry.Progress.Reassigned) != 0 || len(entry.Progress.Listed) != 0 {
-		t.Fatalf("progress is %+v while nobody at home lives", entry.Progress)
+		t.Fatalf("progress is %+v without a live node in the regions", entry.Progress)
 	}
 	if reports := site.nodes["s-1"].events.awaiting.Load() + site.nodes["s-2"].events.awaiting.Load(); reports != 1 {
-		t.Errorf("%d lines say that items wait, want 1", reports)
+		t.Errorf("%d reports that items wait, want 1", reports)
 	}
 	site.start("n-3", &objecttest.Store{})
 	site.fleet.set("n-3#1", "s-1#1", "s-2#1")
@@ -117,7 +117,7 @@
 	site.checkStoresNothing("s-2")
 }
 
-// TestRegions_ChangeMovesWaitingItems changes the homes while no replica takes the items.
+// TestRegions_ChangeMovesWaitingItems changes the regions while no replica accepts the items.
 func TestRegions_ChangeMovesWaitingItems(t *testing.T) {
 	site := newRegionSite(t, place.Regions{"n"}, nil, "n-1", "s-1")
 	site.nodes["n-1"].refuse.Store(true)
@@ -149,11 +149,11 @@
 		t.Fatalf("submission: %v", err)
 	}
 	if _, err := site.nodes["n-1"].Read(t.Context(), "j", 0, 0); !errors.Is(err, ErrNotFound) {
-		t.Fatalf("the job is there: %v", err)
+		t.Fatalf("reading the refused job: %v", err)
 	}
 }
 
-// TestRegions_OutliveTheirRoute takes the route away while items wait.
+// TestRegions_OutliveTheirRoute removes the route while items wait.
 func TestRegions_OutliveTheirRoute(t *testing.T) {
 	site := newRegionSite(t, place.Regions{"n"}, nil, "n-1", "s-1")
 	site.nodes["n-1"].refuse.Store(true)
@@ -162,7 +162,7 @@
 	site.stop("n-1")
 	site.claim("s-1")
 	if reassigned := site.nodes["s-1"].View.Get("j").Progress.Reassigned; len(reassigned) != 0 {
-		t.Fatalf("items moved to %v", reassigned)
+		t.Fatalf("items reassigned to %v", reassigned)
 	}
 	site.checkStoresNothing("s-1")
 }
@@ -171,11 +171,11 @@
 	site := newRegionSite(t, nil, nil, "n-1")
 	site.routes.Store(nil)
 	if regions := site.nodes["n-1"].allowedRegions(&Job{Route: "batch"}); regions == nil || len(regions) != 0 {
-		t.Fatalf("homes are %#v", regions)
+		t.Fatalf("regions are %#v", regions)
 	}
 }
 
-// TestRegions_NodesOutsideAnswerReads asks a node elsewhere for a body and results.
+// TestRegions_NodesOutsideAnswerReads reads a body and results at a node outside the regions.
 func TestRegions_NodesOutsideAnswerReads(t *testing.T) {
 	site := newRegionSite(t, place.Regions{"n"}, nil, "n-1", "s-1")
 	site.nodes["n-1"].refuse.Store(true)
@@ -187,15 +187,15 @@
 	site.nodes["n-1"].refuse.Store(false)
 	readAll(t, outside.testNode, "j")
 	if len(outside.contents) != 0 || outside.cache.size != 0 {
-		t.Fatalf("%d contents and %d bytes of texts stay at a node elsewhere", len(outside.contents), outside.cache.size)
+		t.Fatalf("%d contents and %d bytes of texts are cached at a node outside the regions", len(outside.contents), outside.cache.size)
 	}
 	readAll(t, site.nodes["n-1"].testNode, "j")
 	if site.nodes["n-1"].cache.size == 0 {
-		t.Fatal("the node at home keeps no texts")
+		t.Fatal("the node in the region caches no texts")
 	}
 }
 
-// TestRegions_ItemsWithoutReplicaDoNotBlockOthers fills the only replica at home.
+// TestRegions_ItemsWithoutReplicaDoNotBlockOthers removes the only replica in the region.
 func TestRegions_ItemsWithoutReplicaDoNotBlockOthers(t *testing.T) {
 	site := newRegionSite(t, place.Regions{"n"}, nil, "n-1")
 	site.nodes["n-1"].runner.Replicas.Remove("n-r", time.Now())
@@ -210,7 +210,7 @@
 	}
 	readAll(t, site.nodes["n-1"].testNode, "b")
 	if listed := site.nodes["n-1"].View.Get("a").Progress.Listed; len(listed) != 0 {
-		t.Fatalf("items without a replica at home are listed: %v", listed)
+		t.Fatalf("items without a replica in the region are listed: %v", listed)
 	}
 }
 
@@ -225,11 +225,11 @@
 	readAll(t, site.nodes["s-1"].testNode, "j")
 	site.checkStoresNothing("s-1")
 	if sent := site.nodes["s-1"].sentTo(); len(sent) != 0 {
-		t.Fatalf("the node elsewhere sent items to %v", sent)
+		t.Fatalf("the node outside the regions sent items to %v", sent)
 	}
 }
 
-// TestJob_ReadsRowsWithoutRegions reads a row without regions and homes.
+// TestJob_ReadsRowsWithoutRegions reads a row written before rows had regions.
 func TestJob_ReadsRowsWithoutRegions(t *testing.T) {
 	var job Job
 	if err := decode(encode(map[int]any{1: "j", 2: "batch", 10: []string{"a"}}), &job); err != nil {
@@ -240,6 +240,6 @@
 		t.Fatalf("job is %+v", job)
 	}
 	if regions := (&Service{Routes: newRegionSite(t, place.Regions{"n"}, nil).routes.Load}).allowedRegions(&job); fmt.Sprint(regions) != "[n]" {
-		t.Fatalf("homes are %v", regions)
+		t.Fatalf("regions are %v", regions)
 	}
 }
--- a/internal/jobs/regionsite_test.go
+++ b/internal/jobs/regionsite_test.go
@@ -22,8 +22,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/tenant"
 )
 
-// regionFleet are nodes that come and go. A node's region is the part of its name before
-// the dash; "x-" tells none.
+// regionFleet is a changing set of nodes. The region of a node is the part of its name before the
+// dash; "x" is unknown.
 type regionFleet struct {
 	noOwners
 	mu   sync.Mutex
@@ -69,7 +69,7 @@
 	return region
 }
 
-// contentTable notes the reads of contents.
+// contentTable counts the reads of contents.
 type contentTable struct {
 	table.Service
 	reads atomic.Int64
@@ -82,7 +82,7 @@
 	return c.Service.List(ctx, partition, after, limit)
 }
 
-// regionEvents counts the jobs that wait for their homes.
+// regionEvents counts reports of jobs that wait for a node in their regions.
 type regionEvents struct {
 	noEvents
 	awaiting atomic.Int64
@@ -90,7 +90,7 @@
 
 func (e *regionEvents) AwaitingRegion(*Job, place.Regions) { e.awaiting.Add(1) }
 
-// regionNode is a node of a homeFleet.
+// regionNode is a node of a regionSite.
 type regionNode struct {
 	*testNode
 	runner *Runner
@@ -99,9 +99,9 @@
 	mu     sync.Mutex
 	// sent are the replicas that items went to.
 	sent []string
-	// dispatches counts the runner's dispatches at the routes, one at the begin of each dispatch.
+	// dispatches counts the reads of the routes, one at the start of each dispatch.
 	dispatches atomic.Int64
-	// refuse makes replicas refuse.
+	// refuse makes all replicas refuse items.
 	refuse atomic.Bool
 }
 
@@ -120,7 +120,7 @@
 	return n.Routes()
 }
 
-// settled waits until nothing is under way that was chosen by routes of before.
+// settled waits until no attempt is running that was dispatched by earlier routes.
 func (n *regionNode) settled(t *testing.T) {
 	for range 2 {
 		seen := n.dispatches.Load()
@@ -130,13 +130,13 @@
 		})
 	}
 	eventually(t, func() bool {
-		// Also a run whose job was dropped meanwhile holds its slot until it ends.
+		// A run whose job was dropped also holds its slot until it ends.
 		replicas := n.runner.Replicas.List(time.Now())
 		return !slices.ContainsFunc(replicas, func(one replica.Candidate) bool { return one.Open > 0 })
 	})
 }
 
-// owned counts the jobs that a node has items of.
+// owned returns the number of jobs of which the node runs items.
 func (n *regionNode) owned() int {
 	n.runner.mu.Lock()
 	defer n.runner.mu.Unlock()
@@ -149,7 +149,7 @@
 	return slices.Clone(n.sent)
 }
 
-// regionSite is a fleet with replicas in regions n and s, and one of an unknown region.
+// regionSite is a fleet with replicas in regions n and s, and one in an unknown region.
 type regionSite struct {
 	t      *testing.T
 	shared *tabletest.Table
@@ -160,7 +160,7 @@
 
 const testTenant = "miller"
 
-// setRegions puts homes of the route and of the tenant in force.
+// setRegions sets the regions of the route and of the tenant.
 func (s *regionSite) setRegions(ofRoute, ofTenant place.Regions) {
 	s.routes.Store(route.NewTable(&route.Config{Routes: []*route.Route{
 		{
@@ -219,7 +219,7 @@
 	s.nodes[name] = node
 }
 
-// stop makes a node run nothing any more and leave the fleet.
+// stop stops a node's runner and removes the node from the fleet.
 func (s *regionSite) stop(name string) {
 	node := s.nodes[name]
 	node.runner.mu.Lock()
@@ -229,7 +229,7 @@
 	s.fleet.set(live...)
 }
 
-// claim lets live nodes look for what they should take over.
+// claim runs a round of claims at some nodes.
 func (s *regionSite) claim(names ...string) {
 	for _, name := range names {
 		s.nodes[name].runner.claimOrphaned(s.t.Context())
@@ -245,25 +245,25 @@
 	}
 }
 
-// checkSent fails if a node sent anything to a replica of another region than one.
+// checkSent fails if any node sent an item to a replica in another region.
 func (s *regionSite) checkSent(region string) {
 	s.t.Helper()
 	for name, node := range s.nodes {
 		for _, id := range node.sentTo() {
 			if regionOf(id) != region {
-				s.t.Errorf("node %s sent an item to %s, homes are %s", name, id, region)
+				s.t.Errorf("node %s sent an item to %s, want region %s", name, id, region)
 			}
 		}
 	}
 }
 
-// checkStoresNothing fails if a node has read or keeps bodies.
+// checkStoresNothing fails if a node has read bodies or keeps some.
 func (s *regionSite) checkStoresNothing(name string) {
 	s.t.Helper()
 	node := s.nodes[name]
 	node.contentMu.Lock()
 	defer node.contentMu.Unlock()
 	if reads, kept := node.rows.reads.Load(), len(node.contents); reads != 0 || kept != 0 {
-		s.t.Errorf("node %s has read bodies %d times and keeps those of %d jobs", name, reads, kept)
+		s.t.Errorf("node %s read bodies %d times and caches those of %d jobs", name, reads, kept)
 	}
 }
--- a/internal/jobs/regionsprop_test.go
+++ b/internal/jobs/regionsprop_test.go
@@ -14,8 +14,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// regionWatch notes items that reach a replica outside the homes in force. While homes
-// change those of before and those to come count.
+// regionWatch records items that reach a replica outside the allowed regions. During a change, both
+// the previous and the next regions are allowed.
 type regionWatch struct {
 	mu        sync.Mutex
 	allowed   []place.Regions
@@ -32,11 +32,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !slices.ContainsFunc(w.allowed, func(regions place.Regions) bool { return regions.Allows(regionOf(id)) }) {
-		w.violation = fmt.Sprintf("an item reached %s, homes are %v", id, w.allowed)
+		w.violation = fmt.Sprintf("an item reached %s, allowed are %v", id, w.allowed)
 	}
 }
 
-// watchedBackend tells a watch where items go.
+// watchedBackend reports the replicas that items are sent to.
 type watchedBackend struct {
 	*regionNode
 	watch *regionWatch
@@ -47,9 +47,9 @@
 	return b.regionNode.Send(ctx, attempt)
 }
 
-// TestHomes_ExactlyOnceUnderChanges changes homes and takes nodes away and brings them
-// back while jobs run, and checks that each item is listed once, that no position
-// changes, and that no item reaches a replica outside the homes.
+// TestHomes_ExactlyOnceUnderChanges changes the allowed regions and the live nodes while jobs run.
+// Each item must be listed once, no position may change, and no item may reach a replica outside
+// the regions.
 func TestHomes_ExactlyOnceUnderChanges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"n-1", "n-2", "s-1", "x-1"}
@@ -111,7 +111,7 @@
 	})
 }
 
-// checkStable reads jobs and fails if a position holds something else than before.
+// checkStable reads jobs and fails if a listed position has changed.
 func checkStable(rt *rapid.T, node *testNode, jobs []string, seen map[string][]Result) {
 	for _, id := range jobs {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -123,7 +123,7 @@
 		previous := seen[id]
 		shared := min(len(previous), len(reading.Results))
 		if !slices.Equal(previous[:shared], reading.Results[:shared]) {
-			rt.Fatalf("job %s listed %v and lists %v", id, previous, reading.Results)
+			rt.Fatalf("job %s listed %v, and now %v", id, previous, reading.Results)
 		}
 		if len(reading.Results) > len(previous) {
 			seen[id] = reading.Results
@@ -131,7 +131,7 @@
 	}
 }
 
-// checkComplete fails if an item is not listed exactly once, or not done.
+// checkComplete fails if an item is not listed exactly once, or is dead.
 func checkComplete(rt *rapid.T, node *testNode, jobs []string) {
 	for _, id := range jobs {
 		eventuallyDone(rt, node, id)
--- a/internal/jobs/restart_test.go
+++ b/internal/jobs/restart_test.go
@@ -10,9 +10,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// A finding (urnik hunt-f317-7): a node that had just been restarted was asked
-// for a job before it had read the jobs once. It took the job over, and by a
-// clock that was not set yet the item had expired.
+// TestRunner_NothingExpiresBeforeJobsAreLoaded guards against items that expire by a clock that is
+// not known yet, when a restarted node takes a job over before it has read all jobs.
 func TestRunner_NothingExpiresBeforeJobsAreLoaded(t *testing.T) {
 	shared := tabletest.New()
 	first := startNode(t, shared, &objecttest.Store{}, "node#1")
@@ -33,14 +32,13 @@
 	time.Sleep(500 * time.Millisecond)
 	for _, listed := range restarted.View.Get("job").Progress.Listed {
 		if listed.Dead {
-			t.Fatal("an item expired by a clock that is not known yet")
+			t.Fatal("an item expired before the clock was known")
 		}
 	}
 }
 
-// A finding (aspsc-dakar trouble-2): a node that had just been restarted read a job from
-// the store for a caller, and answered later reads from that picture while its first look
-// at all jobs hung: results that others had shown were missing.
+// TestRead_UsesTheStoreBeforeJobsAreLoaded guards against old results: a restarted node whose first
+// read of all jobs hangs must not answer from what it read for an earlier caller.
 func TestRead_UsesTheStoreBeforeJobsAreLoaded(t *testing.T) {
 	shared := tabletest.New()
 	first := startNode(t, shared, &objecttest.Store{}, "node#1")
--- a/internal/jobs/runner_test.go
+++ b/internal/jobs/runner_test.go
@@ -22,10 +22,10 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// answerFunc answers the attempts of an item, by its number.
+// answerFunc answers an attempt at an item. Attempts are numbered from 1.
 type answerFunc func(attempt *forward.Attempt, number int) (*forward.Answer, error)
 
-// scriptedBackend answers as told and records what it was sent.
+// scriptedBackend answers with a function and records the event that each attempt resumed after.
 type scriptedBackend struct {
 	mu           sync.Mutex
 	answer       answerFunc
@@ -61,7 +61,7 @@
 	return text.String()
 }
 
-// noEvents takes notices and keeps none.
+// noEvents discards all events.
 type noEvents struct{}
 
 func (noEvents) Accepted(*Job, time.Duration, bool)                        {}
@@ -96,7 +96,7 @@
 	return &testNode{Service: service, session: session}
 }
 
-// noOwners sees every other session as alive.
+// noOwners regards every other session as live.
 type noOwners struct{}
 
 func (noOwners) Refresh(context.Context) error  { return nil }
@@ -210,7 +210,7 @@
 		t.Fatalf("text is %q, want %q", results[0].Text, want)
 	}
 	if backend.resumedAfter[1] != 3 {
-		t.Fatalf("second attempt went on after event %d, want 3", backend.resumedAfter[1])
+		t.Fatalf("second attempt resumed after event %d, want 3", backend.resumedAfter[1])
 	}
 }
 
@@ -279,7 +279,7 @@
 	t.Fatal("the ended job is still owned")
 }
 
-// hangingBody says nothing until it is closed.
+// hangingBody blocks reads until it is closed.
 type hangingBody struct {
 	once   sync.Once
 	closed chan struct{}
--- a/internal/jobs/slots_test.go
+++ b/internal/jobs/slots_test.go
@@ -12,27 +12,17 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// Items that lie at a node without room, the open finding "An item that gave way is not sent
-// again" of docs/INCIDENTS.md.
-//
-// Seen: with 20 and 40 nodes before 16 slots items of accepted jobs were never listed, though
-// slots stood empty.
-//
-// How it comes about: jobs are spread over all nodes, and an item runs in its node's own slots
-// only. Where there are fewer slots than nodes some have none, and where online requests need
-// most slots the room of others rounds down to nothing, for good: the division and the
-// rounding go by hashes that do not change.
-//
-// Proved by: the account of the nodes in these tests, which shows items waiting for room at
-// nodes whose share is 0 while slots are free.
+// These tests guard against items that never run although slots are free. Jobs are spread over all
+// nodes, and an item runs in its node's own slots. If there are fewer slots than nodes, some nodes
+// have none; and if online requests need most slots, the share left to items rounds down to 0 at
+// some nodes. Both stay so, because shares and rounding follow hashes that do not change.
 
 const (
-	// slotBound is the time within which an item is run that finds no room at its own node
-	// while a slot that it may use is free: 3 s until it asks replicas for one, 5 s until it
-	// is its turn among those of its node.
+	// slotBound is how long an item may wait at a node without a free slot while another slot that
+	// it may use is free: 3 s until it borrows one, 5 s for the other items of its node.
 	slotBound = 8 * time.Second
-	// backlogBound is the same where a node runs items all the time and hears nothing of
-	// idle room elsewhere.
+	// backlogBound is the same if the node runs items all the time and does not hear of idle slots
+	// elsewhere.
 	backlogBound = 20 * time.Second
 	// crowdedBound is the same where online requests need more than half of the slots.
 	crowdedBound = 50 * time.Second
@@ -54,7 +44,7 @@
 	return all
 }
 
-// submitAt hands a job in at a node.
+// submitAt submits a job at a node.
 func (s *slotSite) submitAt(node int, id string, items int) {
 	s.t.Helper()
 	job := submission(id, items)
@@ -64,8 +54,7 @@
 	}
 }
 
-// awaitDone waits until a job is listed whole, and fails with what its items wait for if it
-// is not within a time.
+// awaitDone waits until all items of a job are listed, and fails with their waits after a time.
 func (s *slotSite) awaitDone(id string, bound time.Duration) {
 	s.t.Helper()
 	for deadline := clock.Now().Add(bound); clock.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
@@ -76,7 +65,7 @@
 	s.t.Fatalf("after %v job %s is not done, %d slots are free: %s", bound, id, s.free(), s.describeWaits())
 }
 
-// describeWaits tells what the items of each live node wait for.
+// describeWaits returns what the items of each live node wait for.
 func (s *slotSite) describeWaits() string {
 	text := ""
 	for _, node := range s.nodes {
@@ -95,11 +84,11 @@
 		messageLoss float64
 		within      time.Duration
 	}{
-		"more nodes than slots":                  {nodeNames("n", 20), serverSlots("n", 4, 2), 0, slotBound},
-		"more nodes than slots, words lost":      {nodeNames("n", 20), serverSlots("n", 4, 2), 1, slotBound},
-		"many more nodes than slots":             {nodeNames("n", 24), serverSlots("n", 2, 1), 0.3, 2 * slotBound},
-		"a region without slots":                 {append(nodeNames("n", 6), nodeNames("s", 6)...), serverSlots("n", 2, 2), 0, slotBound},
-		"a region without slots, words are lost": {append(nodeNames("n", 6), nodeNames("s", 6)...), serverSlots("n", 2, 2), 1, slotBound},
+		"more nodes than slots":                 {nodeNames("n", 20), serverSlots("n", 4, 2), 0, slotBound},
+		"more nodes than slots, messages lost":  {nodeNames("n", 20), serverSlots("n", 4, 2), 1, slotBound},
+		"many more nodes than slots":            {nodeNames("n", 24), serverSlots("n", 2, 1), 0.3, 2 * slotBound},
+		"a region without slots":                {append(nodeNames("n", 6), nodeNames("s", 6)...), serverSlots("n", 2, 2), 0, slotBound},
+		"a region without slots, messages lost": {append(nodeNames("n", 6), nodeNames("s", 6)...), serverSlots("n", 2, 2), 1, slotBound},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -118,8 +107,8 @@
 	}
 }
 
-// Online requests that need most slots for good leave some for items: each node's own part
-// rounds down to nothing at most nodes.
+// TestRunner_ItemsRunBesideConstantOnlineDemand guards that online requests that always need most
+// slots leave some to items, although the share of items rounds down to 0 at most nodes.
 func TestRunner_ItemsRunBesideConstantOnlineDemand(t *testing.T) {
 	for name, online := range map[string]int{"half": 8, "three quarters": 12, "nine tenths": 14} {
 		t.Run(name, func(t *testing.T) {
@@ -142,7 +131,7 @@
 	}
 }
 
-// adapterTable has a route whose adapter no replica has loaded beside one that needs none.
+// adapterTable returns a route whose adapter no replica has loaded, and one without an adapter.
 func adapterTable() *route.Table {
 	shares := []route.Share{{Pool: testPool, Weight: 1}}
 	return route.NewTable(&route.Config{Version: 1, Routes: []*route.Route{
@@ -151,8 +140,8 @@
 	}})
 }
 
-// Items that no replica takes for what they ask keep none behind them from the room that
-// there is: a look at the items that wait closed the whole pool.
+// TestRunner_ItemsThatNoReplicaAcceptsDoNotBlockOthers guards against a dispatch that closes the
+// whole pool because of items that no replica accepts.
 func TestRunner_ItemsThatNoReplicaAcceptsDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newSlotSite(t, 1, nodeNames("n", 1), serverSlots("n", 1, 4))
@@ -171,7 +160,7 @@
 	})
 }
 
-// Items that may run only once stay with their owner, which may have no slot at all.
+// At-most-once items stay with their owner, which may have no slot at all.
 func TestRunner_AtMostOnceItemsOfANodeWithoutSlotsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newSlotSite(t, 1, nodeNames("n", 20), serverSlots("n", 2, 2))
--- a/internal/jobs/slotserver_test.go
+++ b/internal/jobs/slotserver_test.go
@@ -10,7 +10,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// slotServer is a replica that takes no more than its slots and sets free ones aside.
+// slotServer is a replica with a fixed number of slots, which can be reserved.
 type slotServer struct {
 	name  string
 	slots int
@@ -22,7 +22,7 @@
 	listed       bool
 }
 
-// Reserve sets a slot aside.
+// reserve reserves a slot.
 func (s *slotServer) reserve(hold time.Duration) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,7 +35,7 @@
 	return id, nil
 }
 
-// taken counts the slots that are held or set aside. The caller holds mu.
+// taken returns the number of slots that are in use or reserved. The caller holds mu.
 func (s *slotServer) taken() int {
 	taken := s.running
 	for id, until := range s.reservations {
@@ -48,7 +48,7 @@
 	return taken
 }
 
-// acquire takes a slot, one set aside if the reservation names it.
+// acquire takes a slot, the reserved one if the reservation is known.
 func (s *slotServer) acquire(reservation string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/jobs/slotsite_test.go
+++ b/internal/jobs/slotsite_test.go
@@ -20,7 +20,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// slotOwners are the live nodes of a roomSite.
+// slotOwners are the live nodes of a slotSite.
 type slotOwners struct {
 	regionFleet
 	refreshInterval time.Duration
@@ -36,7 +36,7 @@
 	return nodes
 }
 
-// slotNode is a node of a roomSite.
+// slotNode is a node of a slotSite.
 type slotNode struct {
 	*testNode
 	site   *slotSite
@@ -47,19 +47,19 @@
 	dead   atomic.Bool
 }
 
-// slotSite is a fleet before replicas, with all parts real but the replicas, the table and
-// the way of the words between nodes.
+// slotSite is a fleet in which everything is real except the replicas, the table and the messages
+// between nodes.
 type slotSite struct {
 	t *testing.T
-	// ctx ends with the test, later is what is under way by itself.
+	// ctx ends with the test; background tracks goroutines started by afterDelay.
 	ctx        context.Context
 	background sync.WaitGroup
 	shared     *tabletest.Table
 	owners     *slotOwners
 	nodes      []*slotNode
 	servers    map[string]*slotServer
-	// messageLoss is the part of the words between nodes that are lost, lateWords how late
-	// the others come at most.
+	// messageLoss is the probability that a message between nodes is lost, maxMessageDelay the
+	// longest delay of the others.
 	messageLoss     float64
 	maxMessageDelay time.Duration
 	eventTime       time.Duration
@@ -98,7 +98,7 @@
 	return s
 }
 
-// run starts the nodes. What is set of the site is set before.
+// run starts the nodes. The fields of the site are set before.
 func (s *slotSite) run() {
 	for _, node := range s.nodes {
 		node.start()
@@ -133,7 +133,7 @@
 	})
 }
 
-// publishNeeds does what a gateway does with its needs.
+// publishNeeds acts on a node's needs and sends them to other nodes, as a gateway does.
 func (n *slotNode) publishNeeds(ctx context.Context) {
 	for retry.Sleep(ctx, 100*time.Millisecond) {
 		for _, need := range n.set.Needs(clock.Now()) {
@@ -153,14 +153,14 @@
 	}
 }
 
-// receiveNeed takes in a word of another node.
+// receiveNeed handles a message of another node.
 func (n *slotNode) receiveNeed(need replica.Need) {
 	n.set.Told(need.Pool, need.Level, need.Share, clock.Now())
 	n.set.ToldIdle(need.Pool, float64(need.Idle), clock.Now())
 }
 
-// afterDelay does something later. Timers that run functions of their own end the runtime with the
-// race detector in a bubble of made-up time, so it waits in a goroutine.
+// afterDelay runs f later. It sleeps in a goroutine, because timers that run functions crash the
+// race detector's runtime in a synctest bubble.
 func (s *slotSite) afterDelay(ctx context.Context, delay time.Duration, f func()) {
 	if delay == 0 {
 		f()
@@ -173,7 +173,7 @@
 	})
 }
 
-// messageDelay is how messageDelay a word comes; negative if it is lost.
+// messageDelay returns the delay of a message; negative if it is lost.
 func (s *slotSite) messageDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,7 +183,7 @@
 	return time.Duration(s.rng.Float64() * float64(s.maxMessageDelay))
 }
 
-// randomPeers returns random other nodes of the same region.
+// randomPeers returns up to count random other nodes of the same region.
 func (s *slotSite) randomPeers(self *slotNode, count int) []*slotNode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -230,7 +230,7 @@
 	s.running[item]--
 }
 
-// pacedBody is an answer whose events come one by one.
+// pacedBody is an answer whose events arrive one by one.
 type pacedBody struct {
 	ctx      context.Context
 	node     *slotNode
@@ -265,7 +265,7 @@
 	return nil
 }
 
-// runLoad runs a part of the runLoad until the test ends.
+// runLoad generates load until the test ends.
 func (s *slotSite) runLoad(run func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -279,7 +279,7 @@
 	})
 }
 
-// kill ends a node's processes; the others learn of it when its session has run out.
+// kill stops a node. The other nodes learn of it when its session expires.
 func (s *slotSite) kill(node *slotNode) {
 	node.dead.Store(true)
 	node.cancel()
@@ -294,7 +294,7 @@
 	})
 }
 
-// setListed lists a server, or takes it off the setListed.
+// setListed adds a server to the replicas of all nodes, or removes it.
 func (s *slotSite) setListed(server *slotServer, listed bool) {
 	server.mu.Lock()
 	server.listed = listed
@@ -316,7 +316,7 @@
 	return free
 }
 
-// runOnline holds a slot of a server for a request of a node, if one is free.
+// runOnline runs an online request of a node at a server, if a slot is free.
 func (n *slotNode) runOnline(server *slotServer, hold time.Duration) {
 	now := clock.Now()
 	use := n.set.Begin(server.name, replica.Ask{Tokens: 10, Objective: time.Second}, now)
--- a/internal/jobs/slotwaits_test.go
+++ b/internal/jobs/slotwaits_test.go
@@ -13,11 +13,11 @@
 	"github.com/wheelhoist/wheelhoist/internal/retry"
 )
 
-// scenario is a day of the property, drawn from a seed.
+// scenario is a random load and set of failures.
 type scenario struct {
 	nodes, servers, slots, jobs, items, kills, losses int
 	regions                                           int
-	// online is the part of the slots that online requests hold.
+	// online is the fraction of the slots that online requests use.
 	online          float64
 	messageLoss     float64
 	maxMessageDelay time.Duration
@@ -32,11 +32,11 @@
 	}
 }
 
-// bound is how long an item may wait while a slot is free.
+// bound returns how long an item may wait while a slot is free.
 func (sc scenario) bound() time.Duration {
 	switch {
 	case sc.online > 0.3:
-		// Peaks of the few requests of a node count as more.
+		// The peak demand of a node with few requests is overestimated.
 		return crowdedBound
 	case sc.regions > 1 || sc.messageLoss > 0 || sc.maxMessageDelay > time.Second/2:
 		return backlogBound
@@ -45,11 +45,10 @@
 	}
 }
 
-// TestRunner_NoItemWaitsWhileASlotIsFree plays days of a fleet with all parts real but the
-// replicas and the way of the words: jobs come, nodes die, replicas go and come back, online
-// requests hold slots, words are lost and late. No item waits for room for longer than the
-// bound while a slot is free all the time, none runs twice at a time at living nodes, and in
-// the end all are listed.
+// TestRunner_NoItemWaitsWhileASlotIsFree runs random scenarios in which jobs arrive, nodes die,
+// replicas are removed and come back, online requests use slots, and messages are lost or late. No
+// item may wait for longer than the bound while a slot is free all the time, none may run twice at
+// a time at live nodes, and all must be listed in the end.
 func TestRunner_NoItemWaitsWhileASlotIsFree(t *testing.T) {
 	seeds := 40
 	if testing.Short() {
@@ -104,7 +103,7 @@
 	}
 }
 
-// holdOnline has online requests hold so many slots, for 300 ms each.
+// holdOnline keeps so many slots in use by online requests of 300 ms.
 func (s *slotSite) holdOnline(slots int) {
 	var listed []*slotServer
 	for _, server := range s.servers {
@@ -121,8 +120,8 @@
 	}
 }
 
-// watchWaits notes the first item that waits for a slot for longer than a bound, in all of
-// which one was free. The function returned ends it.
+// watchWaits records the first item that waits for a slot for longer than the bound while one is
+// free all the time. The function returned stops it.
 func (s *slotSite) watchWaits(bound time.Duration) (ended func() string) {
 	const interval = 100 * time.Millisecond
 	found, stop := make(chan string, 1), make(chan struct{})
@@ -151,7 +150,7 @@
 	}
 }
 
-// longestWait is how long one of the items has waited for a slot since some were free.
+// longestWait returns the longest wait of an item for a slot since some were free.
 func (s *slotSite) longestWait(freeSince time.Time) time.Duration {
 	var longest time.Duration
 	for _, node := range s.nodes {
--- a/internal/jobs/spread_test.go
+++ b/internal/jobs/spread_test.go
@@ -13,11 +13,11 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// liveOwners tells which nodes live.
+// liveOwners has a fixed set of live sessions.
 type liveOwners struct {
 	noOwners
 	live []string
-	// regions are those of nodes; a node that is not among them tells none.
+	// regions maps nodes to regions; those of other nodes are unknown.
 	regions map[string]string
 }
 
@@ -50,7 +50,7 @@
 	return answerOf(http.StatusOK, events(attempt.LastEventID+1, 5)), nil
 }
 
-// spreadNodes starts nodes that run jobs between them.
+// spreadNodes starts nodes that share jobs.
 func spreadNodes(t *testing.T, shared *tabletest.Table, owners *liveOwners) (nodes []*testNode, runners []*Runner, backends []*scriptedBackend) {
 	t.Helper()
 	objects := &objecttest.Store{}
@@ -121,7 +121,7 @@
 		t.Fatalf("%d results of 6", len(results))
 	}
 	if reassigned := nodes[0].View.Get("j").Progress.Reassigned; len(reassigned) != 3 {
-		t.Fatalf("moved items are %v, want 3", reassigned)
+		t.Fatalf("reassigned items are %v, want 3", reassigned)
 	}
 }
 
@@ -140,9 +140,8 @@
 	}
 }
 
-// A finding (lab yield, p99 of the first token 10 s instead of 0.14 s): each look
-// compared all items of all jobs with all tasks, some 640,000 steps with the lock held,
-// hundreds of times a second. A job that has not changed is left alone.
+// TestEnsureLoaded_SkipsUnchangedJobs guards against comparing all items with all tasks, under the
+// lock, at each dispatch, which delayed online requests (lab yield).
 func TestEnsureLoaded_SkipsUnchangedJobs(t *testing.T) {
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "a#1")
 	if err := node.Submit(t.Context(), submission("j", 3)); err != nil {
@@ -167,7 +166,7 @@
 	runner.mu.Unlock()
 	runner.reconcile(t.Context())
 	if count := tasks(); count != 0 {
-		t.Fatalf("an unchanged job was looked at again: %d tasks", count)
+		t.Fatalf("an unchanged job was loaded again: %d tasks", count)
 	}
 	entry := node.View.Get("j")
 	if err := node.listResults(t.Context(), entry.Job, []*task{{index: 0, text: []byte("x")}}); err != nil {
--- a/internal/jobs/staleread_test.go
+++ b/internal/jobs/staleread_test.go
@@ -13,10 +13,10 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// maxStaleness is how long after a result was read anywhere every node has to show it.
+// maxStaleness is how long after a result was read at any node every node must show it.
 const maxStaleness = time.Second
 
-// stallingFeed hangs while it is silent, as on a connection on which an answer was lost.
+// stallingFeed hangs while it is stalled, as on a connection that lost an answer.
 type stallingFeed struct {
 	table.Feed
 	stalled atomic.Bool
@@ -39,7 +39,7 @@
 	return f.Feed.Page(ctx, cursor)
 }
 
-// readerNode is a node whose view follows a feed that can go silent.
+// readerNode is a node whose view follows a feed that can stall.
 type readerNode struct {
 	*Service
 	feed *stallingFeed
@@ -56,7 +56,7 @@
 	return node
 }
 
-// listOne lists the next item of a job by a node.
+// listOne lists the next item of a job at a node.
 func listOne(t *testing.T, node *Service, id string, item int) {
 	t.Helper()
 	done := &task{owned: &ownedJob{job: node.View.Get(id).Job}, index: item, text: []byte("text")}
@@ -65,8 +65,8 @@
 	}
 }
 
-// withStaleReader has a job of three items of which one is listed known at two nodes, and
-// then the feed of one of them go silent.
+// withStaleReader runs a test with a job of three items, one of them listed, that is known at two
+// nodes, and a stalled feed at the second.
 func withStaleReader(t *testing.T, test func(t *testing.T, shared *tabletest.Table, lister *Service, reader *readerNode)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -86,13 +86,9 @@
 	})
 }
 
-// What was seen: a caller had read 16 results of a job, and more than a second later two
-// other nodes had nothing at positions 6 and 13. How it came about: the store lost answers
-// for seconds and dropped its history meanwhile, so these nodes had to read all jobs again,
-// which took 7 s, for a page that is lost is waited for 1, 2, then 4 s. Cause: until then
-// they answered from the view that they had, for nothing asked how old it was. Proved by
-// this test: a node whose feed stands still shows nothing at a position that was listed
-// seconds ago, though the table answers its reads.
+// TestRead_ResultIsShownThoughTheFeedIsStalled guards against a node whose feed is stalled and that
+// answers from its old view: it denied results that callers had read at other nodes, although the
+// table answered.
 func TestRead_ResultIsShownThoughTheFeedIsStalled(t *testing.T) {
 	for name, wait := range map[string]time.Duration{"without waiting": 0, "waiting": maxStaleness} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/jobs/stall_test.go
+++ b/internal/jobs/stall_test.go
@@ -18,25 +18,15 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// Incident 0002, items left lying.
-//
-// Seen: two accepted items had runs whose connections ended at the replica after some
-// seconds, and then nothing for 45 s, with slots free, at a node that lived and that nobody
-// took the items from. Pauses of 2.5 to 4 s lay between their earlier runs.
-//
-// How it comes about: the connection of an answer goes silent without a reset (a path is cut
-// for a while, or the replica starts again), and new connections to the replica work. The
-// node gave an attempt up only once the replica had said nothing for 2 s to any of its
-// requests. Where it answered others, the attempt counted as running for good: nobody sent the
-// item again, and the slot that it was believed to hold was missing to others.
-//
-// Proved by: the account of the items in the first test, which shows the item waiting for its
-// answer for as long as it is looked at, with the replica heard from all the time.
+// These tests guard against items that never complete because their answer went silent (incident
+// 0002). A connection may die without a reset while new connections to the replica work. If the
+// silence of the replica as a whole were the only criterion, an attempt would count as running for
+// good as long as the replica answers other requests, and its slot would be lost too.
 
-// stallBound is the time within which an item must come on whose answer went silent.
+// stallBound is how long an item may take to make progress after its answer went silent.
 const stallBound = 15 * time.Second
 
-// stallSite is a runner before one replica that answers others all the time.
+// stallSite is a runner with one replica that answers other requests all the time.
 type stallSite struct {
 	node   *testNode
 	runner *Runner
@@ -44,7 +34,7 @@
 	sends  map[string]int
 }
 
-// newStallSite starts one. Attempts at an item are answered by their number, from 1 on.
+// newStallSite starts a site. Attempts at an item are numbered from 1.
 func newStallSite(t *testing.T, answer func(ctx context.Context, attempt *forward.Attempt, number int) (*forward.Answer, error)) *stallSite {
 	site := &stallSite{node: startNode(t, tabletest.New(), &objecttest.Store{}, "a#1"), sends: map[string]int{}}
 	runner, replicas := startRunner(t, site.node, sendFunc(func(ctx context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
@@ -57,14 +47,14 @@
 	return site
 }
 
-// startReplica lists the replica as started at a time.
+// startReplica lists the replica with a start time.
 func (s *stallSite) startReplica(startTime int64) {
 	known, _ := s.runner.Replicas.Get("r0")
 	known.Born = startTime
 	s.runner.Replicas.Put(known)
 }
 
-// firstSilent goes silent after a text on the first attempts, and answers whole later.
+// firstSilent makes the first answers go silent after a text, and completes later ones.
 func firstSilent(silent int, before string) func(context.Context, *forward.Attempt, int) (*forward.Answer, error) {
 	return func(ctx context.Context, attempt *forward.Attempt, number int) (*forward.Answer, error) {
 		if number <= silent {
@@ -82,8 +72,7 @@
 	return s.sends[item]
 }
 
-// answerOthers has a replica answer other requests of the node, each 100 ms, until the test
-// ends.
+// answerOthers makes a replica answer another request of the node every 100 ms until the test ends.
 func answerOthers(t *testing.T, replicas *replica.Set, id string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -104,8 +93,7 @@
 	})
 }
 
-// awaitDone waits until all items of a job are listed, and fails with what they wait for if
-// they are not within a time.
+// awaitDone waits until all items of a job are listed, and fails with their waits after a time.
 func (s *stallSite) awaitDone(t *testing.T, job string, within time.Duration) []Result {
 	t.Helper()
 	for deadline := clock.Now().Add(within); clock.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
@@ -145,8 +133,7 @@
 	}
 }
 
-// An item that may run only once is not sent again: it ends as one of which nobody knows
-// whether it ran.
+// An at-most-once item is not sent again: it ends as undecided.
 func TestRunner_AtMostOnceItemWithASilentAnswerEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newStallSite(t, firstSilent(1, events(1, 3)))
@@ -158,13 +145,13 @@
 		}
 		result := site.awaitDone(t, "j", time.Minute)[0]
 		if !result.Dead || result.Reason != Undecided || site.sends["j-0"] != 1 {
-			t.Fatalf("result is %+v after %d sends, want an undecided one after one", result, site.sends["j-0"])
+			t.Fatalf("result is %+v after %d sends, want undecided after one", result, site.sends["j-0"])
 		}
 	})
 }
 
-// What was sent to the start before is left as soon as the list tells of the new one, long
-// before the silence of the attempt itself would show it.
+// An attempt sent to the previous process of a replica is abandoned as soon as the list shows the
+// restart, long before its own silence would show it.
 func TestRunner_ItemAtARestartedReplicaIsAbandonedAtOnce(t *testing.T) {
 	for name, once := range map[string]bool{"item that may run again": false, "item that may run once": true} {
 		t.Run(name, func(t *testing.T) {
@@ -187,8 +174,7 @@
 	}
 }
 
-// A replica that is only slow to begin is not left again and again: what falls silent must not
-// keep an item from its end either.
+// Timeouts must not keep items of a replica that is slow to begin from completing.
 func TestRunner_SlowAnswersComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const delay = 40 * time.Second
@@ -203,13 +189,13 @@
 				t.Fatalf("result is %+v", result)
 			}
 			if sends := site.sends[result.Item]; sends > 5 {
-				t.Fatalf("%s was sent %d times, want its time doubled with each", result.Item, sends)
+				t.Fatalf("%s was sent %d times, want a timeout doubled with each", result.Item, sends)
 			}
 		}
 	})
 }
 
-// delayedAnswer answers whole after a time.
+// delayedAnswer returns whole answers after a delay.
 func delayedAnswer(delay time.Duration) func(context.Context, *forward.Attempt, int) (*forward.Answer, error) {
 	return func(ctx context.Context, attempt *forward.Attempt, _ int) (*forward.Answer, error) {
 		select {
@@ -221,7 +207,7 @@
 	}
 }
 
-// submitLasting hands a job in whose items do not expire while a test runs.
+// submitLasting submits a job whose items do not expire during the test.
 func (s *stallSite) submitLasting(t *testing.T, id string, items int, once bool) {
 	t.Helper()
 	job := submission(id, items)
@@ -234,8 +220,8 @@
 	}
 }
 
-// Replicas that need longer to begin than a silent one is waited for, and that this node has
-// nothing else at, are not left each time.
+// A replica that is slow to begin must not be abandoned each time if this node has no other request
+// there.
 func TestRunner_SlowAnswersOfReplicasWithoutOtherRequestsComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		answer := delayedAnswer(3 * time.Second)
@@ -248,7 +234,7 @@
 	})
 }
 
-// An item that may run only once may wait in the queue of a replica that answers others.
+// An at-most-once item may wait in the queue of a replica that answers other requests.
 func TestRunner_AtMostOnceItemInALongQueueIsNotAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newStallSite(t, delayedAnswer(40*time.Second))
@@ -259,7 +245,7 @@
 	})
 }
 
-// A replica that answers others is not left out for attempts that waited long there.
+// A replica that answers other requests must not be ejected for attempts that waited long there.
 func TestRunner_StalledAttemptsDoNotEjectTheirReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newStallSite(t, delayedAnswer(10*time.Second))
@@ -273,8 +259,7 @@
 	})
 }
 
-// Connections that die one after the other hold an item up for a bounded time, also where
-// answers had to be waited for long before.
+// Dead connections in a row delay an item for a bounded time, also if answers were slow before.
 func TestRunner_ManyDeadConnectionsInARow(t *testing.T) {
 	for silent, within := range map[int]time.Duration{1: 11 * time.Second, 2: 32 * time.Second, 3: 73 * time.Second, 4: 134 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
@@ -294,8 +279,8 @@
 	}
 }
 
-// An attempt that ends by itself when its silence is looked at leaves the next one alone; the
-// race detector sees the two.
+// A silence check that fires as an attempt ends must not cancel the next attempt, and must not race
+// with it.
 func TestRunner_LateSilenceCheckDoesNotCancelTheNextAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := &stallSite{node: startNode(t, tabletest.New(), &objecttest.Store{}, "a#1"), sends: map[string]int{}}
--- a/internal/jobs/suspend_test.go
+++ b/internal/jobs/suspend_test.go
@@ -8,8 +8,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// TestView_StoreClockAdvancesDuringASuspension guards that due and expired items are known to
-// be so by a node that slept.
+// TestView_StoreClockAdvancesDuringASuspension guards that a node which was suspended knows which
+// items are due or expired.
 func TestView_StoreClockAdvancesDuringASuspension(t *testing.T) {
 	machine := clocktest.New(t)
 	view := NewView()
--- a/internal/jobs/sweep_test.go
+++ b/internal/jobs/sweep_test.go
@@ -34,12 +34,12 @@
 	readAll(t, node, "large")
 	runner.sweepExpired(t.Context(), time.Hour)
 	if node.View.Get("done") == nil {
-		t.Fatal("a job was removed before its time")
+		t.Fatal("a job was removed before its retention was over")
 	}
-	// By this promise all of them are outdated.
+	// With this retention all of them are outdated.
 	runner.sweepExpired(t.Context(), -time.Hour)
 	if node.View.Get("done") != nil || node.View.Get("large") != nil {
-		t.Fatal("outdated jobs are still there")
+		t.Fatal("outdated jobs still exist")
 	}
 	if node.View.Get("open") == nil {
 		t.Fatal("a job with items to run was removed")
@@ -52,7 +52,8 @@
 	}
 }
 
-// A long text's object goes with its job, also at a node that never read it.
+// TestRemove_DeletesLongTextsThatWereNeverRead guards that the object of a long text is deleted
+// with its job, also at a node that never read it.
 func TestRemove_DeletesLongTextsThatWereNeverRead(t *testing.T) {
 	shared, objects := tabletest.New(), &objecttest.Store{}
 	first, other := startNode(t, shared, objects, "a#1"), startNode(t, shared, objects, "b#1")
--- a/internal/jobs/unlisted_test.go
+++ b/internal/jobs/unlisted_test.go
@@ -16,7 +16,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// failingObjects refuses to write objects for as long as it is told to.
+// failingObjects fails writes of objects while put is set.
 type failingObjects struct {
 	objecttest.Store
 	put atomic.Pointer[error]
@@ -31,7 +31,7 @@
 
 func failWith(err error) *error { return &err }
 
-// longAnswer is an answer whose text is too long for a row.
+// longAnswer returns a text that is too long for a row for the first item of a job.
 func longAnswer(_ context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
 	if strings.HasSuffix(attempt.Request.ID, "-0") {
 		return answerOf(200, "id: 1\ndata: "+strings.Repeat("x", 2*maxRowText)+"\n\n"), nil
@@ -39,11 +39,9 @@
 	return answerOf(200, events(attempt.LastEventID+1, 5)), nil
 }
 
-// Seen by reading: an item whose result could not be listed for good counted as listed at its
-// node. It was never sent and never listed again, and the job never ended.
-//
-// The object store refuses the text of the first item, at once or by not answering; the others
-// are listed meanwhile, and the first once the text can be written.
+// TestRunner_ItemWhoseTextCannotBeWrittenIsListedLater guards against items that count as listed
+// although listing them failed, so that their job never ends. While the text of the first item
+// cannot be written, the others must be listed.
 func TestRunner_ItemWhoseTextCannotBeWrittenIsListedLater(t *testing.T) {
 	for name, err := range map[string]error{"refused": object.ErrNotFound, "unavailable": errors.New("unavailable")} {
 		t.Run(name, func(t *testing.T) {
@@ -60,7 +58,7 @@
 					t.Fatalf("%d items are listed, want the three whose texts need no object", listed)
 				}
 				if waiting := runner.ItemWaits(); len(waiting) != 1 || waiting[0].For != WaitListing || waiting[0].Cause == nil {
-					t.Fatalf("waiting are %+v, want one item for its listing, with the cause", waiting)
+					t.Fatalf("waits are %+v, want one for listing, with its cause", waiting)
 				}
 				objects.put.Store(nil)
 				time.Sleep(textPutTimeout)
@@ -72,9 +70,8 @@
 	}
 }
 
-// Seen by reading: while the items of a job could not be read they had no tasks, so nothing
-// said that they wait, and they never expired; a content that is not there was asked for at
-// each look, ten times a second.
+// TestRunner_ItemsWhoseContentCannotBeReadExpire guards against items that neither report a wait
+// nor expire because they have no tasks, and against reading missing content at each dispatch.
 func TestRunner_ItemsWhoseContentCannotBeReadExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared, objects := tabletest.New(), &objecttest.Store{}
@@ -94,10 +91,10 @@
 		time.Sleep(5 * time.Second)
 		waiting := runner.ItemWaits()
 		if len(waiting) != 3 || waiting[0].For != WaitContent || waiting[0].Cause == nil {
-			t.Fatalf("waiting are %+v, want three items for their content, with the cause", waiting)
+			t.Fatalf("waits are %+v, want three for content, with their cause", waiting)
 		}
 		if since := clock.Since(waiting[0].LastProgress); since < 4*time.Second {
-			t.Fatalf("waits for %v, want since it was taken up", since)
+			t.Fatalf("waits for %v, want since it was assigned", since)
 		}
 		time.Sleep(20 * time.Second)
 		entry := node.View.Get("j")
--- a/internal/jobs/unreadable_test.go
+++ b/internal/jobs/unreadable_test.go
@@ -27,7 +27,7 @@
 	return r.counts[key]
 }
 
-// attach has a view report to r.
+// attach makes a view report to r.
 func (r *unreadableReports) attach(view *View) {
 	r.counts = map[table.Key]int{}
 	view.Unreadable = &table.Unreadable{OnUnreadable: func(found *table.UnreadableError) {
@@ -51,7 +51,7 @@
 	return &testNode{Service: service, session: session}, reports
 }
 
-// overwrite puts a body into a row as another writer does, and returns the row before.
+// overwrite writes the body of a row as another writer would, and returns the previous row.
 func overwrite(t *testing.T, shared *tabletest.Table, key table.Key, body []byte) table.Row {
 	t.Helper()
 	for {
@@ -68,8 +68,8 @@
 
 var damage = []byte("\xff not a row of ours")
 
-// TestUpdate_DamagedProgressRowFailsAtOnce has a writer meet a row that it cannot read:
-// it must not try again for ever, and what was known before stays.
+// TestUpdate_DamagedProgressRowFailsAtOnce guards against endless retries of a writer that meets an
+// unreadable row. What was known before must stay.
 func TestUpdate_DamagedProgressRowFailsAtOnce(t *testing.T) {
 	shared := tabletest.New()
 	node, reports := startReportingNode(t, shared, "a#1")
@@ -90,7 +90,7 @@
 		}
 	}
 	if commits.Load() > 1 || reports.count(progressKey("j")) != 1 {
-		t.Errorf("%d commits, told %d times", commits.Load(), reports.count(progressKey("j")))
+		t.Errorf("%d commits, %d reports", commits.Load(), reports.count(progressKey("j")))
 	}
 	if reading, err := node.Read(t.Context(), "j", 0, 0); err != nil || reading.Total != 2 {
 		t.Errorf("reading is %+v, %v", reading, err)
@@ -102,12 +102,12 @@
 	}
 }
 
-// TestRunner_JobPausesWhileItsProgressIsUnreadable damages the row of one job of two: the
-// other is done, and the first once its row can be read again.
+// TestRunner_JobPausesWhileItsProgressIsUnreadable damages the progress row of one of two jobs: the
+// other must complete, and the first once its row is readable again.
 func TestRunner_JobPausesWhileItsProgressIsUnreadable(t *testing.T) {
 	shared := tabletest.New()
 	node, reports := startReportingNode(t, shared, "a#1")
-	// damaged is set once the row is damaged; nothing ends before.
+	// damaged is closed once the row is damaged; no attempt ends before.
 	damaged := make(chan struct{})
 	backend := &scriptedBackend{answer: func(*forward.Attempt, int) (*forward.Answer, error) {
 		<-damaged
@@ -130,7 +130,7 @@
 		t.Errorf("items of the damaged job are sent: %d, then %d", sent, backend.attempts())
 	}
 	if reports.count(progressKey("spoilt")) != 1 {
-		t.Errorf("told %d times", reports.count(progressKey("spoilt")))
+		t.Errorf("%d reports, want 1", reports.count(progressKey("spoilt")))
 	}
 	overwrite(t, shared, progressKey("spoilt"), before.Body)
 	if results := readAll(t, node, "spoilt"); len(results) != 3 {
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestSubmit_DamagedJobRowIsUndecided submits a job again whose row cannot be read. Nobody
-// may say that it never runs, and the caller is told before its patience ends.
+// TestSubmit_DamagedJobRowIsUndecided submits a job whose row exists and cannot be read. It must
+// not be refused for good, and the caller must be answered before its context ends.
 func TestSubmit_DamagedJobRowIsUndecided(t *testing.T) {
 	shared := tabletest.New()
 	overwrite(t, shared, jobKey("j"), damage)
@@ -155,15 +155,15 @@
 		}
 	}
 	if reports.count(jobKey("j")) != 1 {
-		t.Errorf("told %d times", reports.count(jobKey("j")))
+		t.Errorf("%d reports, want 1", reports.count(jobKey("j")))
 	}
 	if err := node.Submit(t.Context(), submission("other", 1)); err != nil {
 		t.Errorf("another job: %v", err)
 	}
 }
 
-// TestSubmit_DamagedCounterIsOverwritten damages the counter of each shard of an account:
-// jobs are accepted all the same, and no more of them than fit.
+// TestSubmit_DamagedCounterIsOverwritten damages the counters of all shards of an account: jobs
+// must still be accepted, up to the quota.
 func TestSubmit_DamagedCounterIsOverwritten(t *testing.T) {
 	shared := tabletest.New()
 	node, _ := startReportingNode(t, shared, "a#1")
@@ -196,8 +196,8 @@
 	}
 }
 
-// TestRunner_ItemsWithDamagedContentExpire damages the content of a job: its items can only be
-// given up, when the time for that has come.
+// TestRunner_ItemsWithDamagedContentExpire damages the content of a job: its items cannot run and
+// must expire.
 func TestRunner_ItemsWithDamagedContentExpire(t *testing.T) {
 	shared := tabletest.New()
 	node, reports := startReportingNode(t, shared, "a#1")
@@ -221,11 +221,11 @@
 		}
 	}
 	if backend.attempts() != 0 || reports.count(chunkKey("j", 0)) != 1 {
-		t.Errorf("%d attempts, told %d times", backend.attempts(), reports.count(chunkKey("j", 0)))
+		t.Errorf("%d attempts, %d reports", backend.attempts(), reports.count(chunkKey("j", 0)))
 	}
 }
 
-// TestRead_DamagedResultKeepsOthersReadable damages the second result of three.
+// TestRead_DamagedResultKeepsOthersReadable damages the second of three results.
 func TestRead_DamagedResultKeepsOthersReadable(t *testing.T) {
 	shared := tabletest.New()
 	node, reports := startReportingNode(t, shared, "a#1")
@@ -250,15 +250,15 @@
 		}
 	}
 	if reading, err := node.Read(t.Context(), "j", 2, 0); err != nil || len(reading.Results) != 1 {
-		t.Fatalf("behind it: %+v, %v", reading, err)
+		t.Fatalf("after the damaged one: %+v, %v", reading, err)
 	}
 	if reports.count(resultKey("j", 1)) != 1 {
-		t.Errorf("told %d times", reports.count(resultKey("j", 1)))
+		t.Errorf("%d reports, want 1", reports.count(resultKey("j", 1)))
 	}
 }
 
-// TestListResults_OverwritesAnUnreadableForeignRow leaves rows where results of a job are to go. They are
-// not listed, so they are not the job's.
+// TestListResults_OverwritesAnUnreadableForeignRow writes rows of another writer where results are
+// to go. They are not listed, so they are not the job's.
 func TestListResults_OverwritesAnUnreadableForeignRow(t *testing.T) {
 	shared := tabletest.New()
 	node, reports := startReportingNode(t, shared, "a#1")
@@ -277,12 +277,12 @@
 		}
 	}
 	if reports.count(resultKey("j", 0)) != 1 || reports.count(resultKey("j", 1)) != 1 {
-		t.Errorf("told as %v", reports.counts)
+		t.Errorf("reports are %v", reports.counts)
 	}
 }
 
-// TestListResults_KeepsAReadableForeignRow has a result stand that the progress does not tell of, as
-// if that had been put back: callers may have read it, so it is not written over.
+// TestListResults_KeepsAReadableForeignRow writes a result that the progress row does not include,
+// as if that had been reset. Callers may have read the result, so it must not be overwritten.
 func TestListResults_KeepsAReadableForeignRow(t *testing.T) {
 	shared := tabletest.New()
 	node, reports := startReportingNode(t, shared, "a#1")
@@ -300,17 +300,17 @@
 	defer cancel()
 	err := node.listResults(ctx, entry.Job, []*task{{owned: &ownedJob{job: entry.Job}, text: []byte("other")}})
 	if err == nil || commits.Load() > 20 || reports.count(resultKey("j", 0)) != 1 {
-		t.Errorf("%v after %d commits, told %d times", err, commits.Load(), reports.count(resultKey("j", 0)))
+		t.Errorf("%v after %d commits, %d reports", err, commits.Load(), reports.count(resultKey("j", 0)))
 	}
 	row, err := shared.Get(t.Context(), resultKey("j", 0))
 	var stored storedResult
 	if err != nil || row.Decode(&stored) != nil || stored.Text != "read before" {
-		t.Errorf("it is %+v, %v", stored, err)
+		t.Errorf("the row is %+v, %v", stored, err)
 	}
 }
 
-// TestLoadCheckpoints_DamagedOneIsOverwritten has an item begin anew whose kept text cannot be read,
-// and its next text take the place of that one.
+// TestLoadCheckpoints_DamagedOneIsOverwritten guards that an item with an unreadable checkpoint
+// starts over, and that its next checkpoint replaces that one.
 func TestLoadCheckpoints_DamagedOneIsOverwritten(t *testing.T) {
 	shared := tabletest.New()
 	node, reports := startReportingNode(t, shared, "a#1")
@@ -323,22 +323,22 @@
 	for range 2 {
 		checkpoints := node.loadCheckpoints(t.Context(), entry)
 		if checkpoints[0].Text != "" || checkpoints[0].LastEvent != 0 || checkpoints[0].version == 0 || checkpoints[1].Text != "piece" {
-			t.Fatalf("kept are %+v", checkpoints)
+			t.Fatalf("checkpoints are %+v", checkpoints)
 		}
 	}
 	if reports.count(checkpointKey("j", 0)) != 1 {
-		t.Errorf("told %d times", reports.count(checkpointKey("j", 0)))
+		t.Errorf("%d reports, want 1", reports.count(checkpointKey("j", 0)))
 	}
 	runner := NewRunner(RunnerOptions{Service: node.Service})
 	owned := &ownedJob{job: entry.Job}
 	version := node.loadCheckpoints(t.Context(), entry)[0].version
 	owned.tasks = []*task{{owned: owned, text: []byte("anew"), lastEvent: minCheckpointEvents, checkpointVersion: version}}
 	if !runner.checkpoint(t.Context(), owned, minCheckpointEvents) || node.loadCheckpoints(t.Context(), entry)[0].Text != "anew" {
-		t.Error("its next text is not kept")
+		t.Error("its next checkpoint was not saved")
 	}
 }
 
-// TestRelease_UnreadableJobNeedsNoRelease lets a node stop that has such a job.
+// TestRelease_UnreadableJobNeedsNoRelease guards that a node with such a job can stop.
 func TestRelease_UnreadableJobNeedsNoRelease(t *testing.T) {
 	shared := tabletest.New()
 	node, _ := startReportingNode(t, shared, "a#1")
@@ -349,6 +349,6 @@
 	eventually(t, func() bool { return node.View.ProgressUnreadable("j") })
 	runner := NewRunner(RunnerOptions{Service: node.Service})
 	if !runner.tryRelease(t.Context(), &ownedJob{job: node.View.Get("j").Job}) {
-		t.Error("it is to be handed back again")
+		t.Error("the job is to be released again")
 	}
 }
--- a/internal/jobs/unreadablefuzz_test.go
+++ b/internal/jobs/unreadablefuzz_test.go
@@ -7,7 +7,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// FuzzView has any body of any row leave a view that can be used.
+// FuzzView guards that a view stays usable whatever bodies its rows have.
 func FuzzView(f *testing.F) {
 	job := &Job{ID: "j", Items: []ItemHead{{ID: "a", Tokens: 1}, {ID: "b", Tokens: 2, Node: 1}}, Nodes: []string{"n", "m"}, Regions: []string{"x", "y"}}
 	f.Add(encode(job), encode(Progress{Listed: []Listed{{Item: 1}}, Reassigned: map[int]string{0: "m"}}), encode(counter{Accepted: 3, Quota: 9}))
@@ -34,12 +34,12 @@
 			t.Fatalf("%d tokens in use", used)
 		}
 		if entry := view.Get("j"); entry == nil && len(view.Open()) > 0 {
-			t.Fatal("a job is open that is not known")
+			t.Fatal("an unknown job is open")
 		}
 	})
 }
 
-// FuzzDecodeContent takes no content whose items are not those of the job.
+// FuzzDecodeContent guards that content with other items than those of the job is rejected.
 func FuzzDecodeContent(f *testing.F) {
 	job := &Job{ID: "j", Items: []ItemHead{{ID: "a"}, {ID: "b"}}}
 	f.Add(encode([]Item{{ID: "a"}, {ID: "b"}}))
@@ -51,7 +51,7 @@
 			t.Fatalf("items are %+v", items)
 		}
 		if found := (*table.UnreadableError)(nil); err != nil && !errors.As(err, &found) {
-			t.Fatalf("refused as %v", err)
+			t.Fatalf("rejected with %v", err)
 		}
 	})
 }
--- a/internal/jobs/waits_test.go
+++ b/internal/jobs/waits_test.go
@@ -15,15 +15,15 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// hangingAnswer is an answer whose connection has gone silent: it brings some events and then
-// nothing until the attempt is given up.
+// hangingAnswer returns an answer that brings some events and then blocks until the attempt is
+// abandoned.
 func hangingAnswer(ctx context.Context, text string) *forward.Answer {
 	answer := answerOf(http.StatusOK, "")
 	answer.Body = &stalledBody{ctx: ctx, text: []byte(text)}
 	return answer
 }
 
-// stalledBody has a text, and says nothing after it until its context ends.
+// stalledBody returns a text and then blocks until its context ends.
 type stalledBody struct {
 	ctx  context.Context
 	text []byte
@@ -41,7 +41,7 @@
 
 func (b *stalledBody) Close() error { return nil }
 
-// sendFunc is a backend of one function.
+// sendFunc implements forward.Backend with a function.
 type sendFunc func(ctx context.Context, attempt *forward.Attempt) (*forward.Answer, error)
 
 // Send implements forward.Backend.
@@ -63,7 +63,7 @@
 	count := func(kind Wait) int { return runner.WaitCounts(clock.Now())[kind].Count }
 	for deadline := time.Now().Add(5 * time.Second); count(WaitAnswer) < 8 || count(WaitSlot) < 2; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("account is %+v, want 8 items of 10 that run on 8 slots and 2 that wait for room", runner.WaitCounts(clock.Now()))
+			t.Fatalf("waits are %+v, want 8 of 10 items running in 8 slots and 2 waiting for one", runner.WaitCounts(clock.Now()))
 		}
 	}
 	if overdue := runner.Overdue(clock.Now()); len(overdue) > 0 {
@@ -75,7 +75,7 @@
 	}
 }
 
-// Each wait has a name of its own, and a bound unless it ends by what others declare.
+// Each reason must have a name of its own, and a bound unless others decide when the wait ends.
 func TestWait_NamesAndBounds(t *testing.T) {
 	names := map[string]bool{}
 	for kind := range waitKinds {
@@ -89,7 +89,7 @@
 	}
 }
 
-// An item that waits for room tells what decided it.
+// The cause of a wait for a slot shows what limits the slots.
 func TestItemWaits_CauseOfAWaitForASlot(t *testing.T) {
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "a#1")
 	runner, replicas := startRunner(t, node, sendFunc(func(ctx context.Context, _ *forward.Attempt) (*forward.Answer, error) {
@@ -107,13 +107,13 @@
 	for _, wait := range runner.ItemWaits() {
 		var room replica.ItemRoom
 		if wait.For == WaitSlot && (!errors.As(wait.Cause, &room) || room.Share > 1) {
-			t.Fatalf("item waits for room because of %v", wait.Cause)
+			t.Fatalf("item waits for a slot because of %v", wait.Cause)
 		}
 	}
 }
 
-// Items whose node is gone, and those that no live node may run, are told of by the node that
-// sees to them, since when they were first found so.
+// One node reports the items whose node is gone and those that no live node may run, with the time
+// since they were first found.
 func TestItemWaits_OrphansAreReportedByOneNode(t *testing.T) {
 	site := newRegionSite(t, nil, nil, "n-1", "s-1")
 	site.nodes["n-1"].refuse.Store(true)
@@ -127,15 +127,15 @@
 	for _, node := range site.nodes {
 		waiting += node.runner.WaitCounts(clock.Now())[WaitRegion].Count
 		if oldest := node.runner.WaitCounts(clock.Now())[WaitRegion].Oldest; oldest > 0 && oldest < 20*time.Millisecond {
-			t.Errorf("waits for %v, want since it was first found", oldest)
+			t.Errorf("waits for %v, want at least the time since it was found", oldest)
 		}
 	}
 	if waiting != 4 {
-		t.Fatalf("%d items wait for their homes, want 4 at one node", waiting)
+		t.Fatalf("%d items wait for a region, want 4 at one node", waiting)
 	}
 }
 
-// Whoever asks any node learns who runs what is left of a job.
+// Every node must know which nodes run the unlisted items of a job.
 func TestWaitsByNode_NamesTheNodesThatRunItems(t *testing.T) {
 	site := newRegionSite(t, nil, nil, "n-1", "s-1")
 	for _, node := range site.nodes {
@@ -154,10 +154,10 @@
 	})
 	for _, wait := range waits {
 		if wait.Known != (wait.Node == "s-1") {
-			t.Fatalf("whereabouts are %+v", waits)
+			t.Fatalf("waits by node are %+v", waits)
 		}
 	}
 	if other := at.runner.WaitsByNode(at.session, clock.Now(), func(string) bool { return false }); len(other) > 0 {
-		t.Fatalf("whereabouts of no job are %+v", other)
+		t.Fatalf("waits of no job are %+v", other)
 	}
 }
--- a/internal/jobs/writelatency_test.go
+++ b/internal/jobs/writelatency_test.go
@@ -12,7 +12,7 @@
 		latency.observe(6 * time.Millisecond)
 	}
 	if timeout := latency.timeout(0); timeout != minWriteTimeout {
-		t.Fatalf("an answer is waited for %v, want %v", timeout, minWriteTimeout)
+		t.Fatalf("timeout is %v, want %v", timeout, minWriteTimeout)
 	}
 	start := time.Now()
 	err := latency.call(t.Context(), 0, func(ctx context.Context) error {
@@ -20,7 +20,7 @@
 		return ctx.Err()
 	})
 	if elapsed := time.Since(start); err == nil || elapsed > 10*minWriteTimeout {
-		t.Fatalf("a lost answer took %v, %v", elapsed, err)
+		t.Fatalf("a lost answer timed out after %v, %v", elapsed, err)
 	}
 }
 
@@ -30,9 +30,9 @@
 		latency.observe(360 * time.Millisecond)
 	}
 	if timeout := latency.timeout(0); timeout < 2*time.Second {
-		t.Fatalf("a slow store is given %v", timeout)
+		t.Fatalf("timeout for a slow store is %v", timeout)
 	}
 	if timeout := latency.timeout(30); timeout != slowCallTimeout {
-		t.Fatalf("no try may take longer than %v, this one %v", slowCallTimeout, timeout)
+		t.Fatalf("timeout is limited to %v, this one is %v", slowCallTimeout, timeout)
 	}
 }
