--- a/internal/jobs/freshness.go
+++ b/internal/jobs/freshness.go
@@ -93,11 +93,11 @@
 
 // maxTrustedAge returns the age up to which the view is trusted.
 func (s *Service) maxTrustedAge() time.Duration {
-	settle := s.MaxStaleness
-	if settle <= 0 {
-		settle = DefaultMaxStaleness
+	staleness := s.MaxStaleness
+	if staleness <= 0 {
+		staleness = DefaultMaxStaleness
 	}
-	return time.Duration(float64(settle) * trustedShare)
+	return time.Duration(float64(staleness) * trustedShare)
 }
 
 // refreshSince updates the view of a job to what the table held at a time or later. Callers share a
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -252,30 +252,31 @@
 
 func shardOf(job string) string { return shardName(shardNumber(job)) }
 
-// memberShard holds the rows of the live nodes. It is read first, so that the nodes named by a job
+// memberPart holds the rows of the live nodes. It is read first, so that the nodes named by a job
 // are known before the job, and is separate from the shards of jobs, which need their write rate.
-const memberShard = "members"
+const memberPart = "members"
 
-// Shards lists the shards of Group in the order in which they must be read.
-func Shards() []string {
-	all := []string{memberShard, quarantineShard}
+// Parts lists the parts of Group, each of which is a partition, in the order in which they must be
+// read.
+func Parts() []string {
+	all := []string{memberPart, quarantinePart}
 	for shard := range shards {
 		all = append(all, shardName(shard))
 	}
 	return all
 }
 
-// quarantineShard holds the rows about crashed replicas and the work that ran there.
-const quarantineShard = "quarantine"
+// quarantinePart holds the rows about crashed replicas and the work that ran there.
+const quarantinePart = "quarantine"
 
 // QuarantinePartition returns the partition of the rows about crashed replicas and the work that
 // ran there. Nodes follow it together with the jobs, so it costs no extra calls.
-func QuarantinePartition() string { return Group + "/" + quarantineShard }
+func QuarantinePartition() string { return Group + "/" + quarantinePart }
 
 // MemberPartition returns the partition of the rows of the live nodes.
-func MemberPartition() string { return Group + "/" + memberShard }
+func MemberPartition() string { return Group + "/" + memberPart }
 
-// Prefixes of the keys of rows in a shard. Counters sort first, see counterKey.
+// Prefixes of the keys of rows in a part. Counters sort first, see counterKey.
 const (
 	prefixCounter  = "counter/"
 	prefixJob      = "job/"
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -104,7 +104,7 @@
 	g.core = newCore(log, metrics, ports{
 		id: g.settings.Node.ID, zone: g.settings.Node.Zone, region: g.settings.Node.Region, places: g.settings.Node.Zones,
 		table: rows, objects: platform.Objects{Store: g.store}, backend: g.backend,
-		jobFeed: platform.JobFeed(g.store, jobs.Group, jobs.Shards()), timing: fastTiming(), weights: g.weights(), quarantine: g.settings.Quarantine,
+		jobFeed: platform.JobFeed(g.store, jobs.Group, jobs.Parts()), timing: fastTiming(), weights: g.weights(), quarantine: g.settings.Quarantine,
 		sessions: func(own *lease.Session) sessionView {
 			roster = lease.NewRoster(rows, own, jobs.MemberPartition(), clock.Now, fastTiming())
 			return roster
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -160,7 +160,7 @@
 }
 
 func jobPartitions() []string {
-	parts := jobs.Shards()
+	parts := jobs.Parts()
 	for i := range parts {
 		parts[i] = jobs.Group + "/" + parts[i]
 	}
