--- a/internal/forward/restart.go
+++ b/internal/forward/restart.go
@@ -63,7 +63,7 @@
 // its answer continues.
 func (c *call) watchRestart(ctx context.Context, use *replica.Use, cancel context.CancelCauseFunc) *progress {
 	seen := &progress{began: clock.Now()}
-	restarted, canRetry := use.Reborn(), c.hasAttemptsLeft()
+	restarted, canRetry := use.Restarted(), c.hasAttemptsLeft()
 	go func() {
 		select {
 		case <-ctx.Done():
--- a/internal/jobs/preempt.go
+++ b/internal/jobs/preempt.go
@@ -28,7 +28,7 @@
 // node's items, those of lowest priority first. Items in borrowed slots run on, as do those in a
 // zone that is being evacuated, whose slots are of no use to others.
 func (r *Runner) PreemptPool(pool string, items int, why replica.Pressure) {
-	r.preempt(items, why, func(t *task) bool { return t.pool == pool && !t.borrowed && !r.Replicas.Emptied(t.replica) })
+	r.preempt(items, why, func(t *task) bool { return t.pool == pool && !t.borrowed && !r.Replicas.IsEvacuated(t.replica) })
 }
 
 // PreemptBorrowed cancels items in slots of a pool that are borrowed from other nodes.
@@ -57,7 +57,7 @@
 	for _, t := range running[:min(items, len(running))] {
 		r.Service.Events.ItemPreempted(t.owned.job, t.owned.job.Items[t.index].ID, t.replica, t.lastEvent, why)
 		t.preempted = true
-		t.use.GiveWay()
+		t.use.MarkPreempted()
 		t.cancel(errPreempted)
 	}
 }
--- a/internal/jobs/stall.go
+++ b/internal/jobs/stall.go
@@ -98,7 +98,7 @@
 // restarted reports whether the replica of an attempt is known to have restarted since.
 func restarted(use *replica.Use) bool {
 	select {
-	case <-use.Reborn():
+	case <-use.Restarted():
 		return true
 	default:
 		return false
--- a/internal/replica/borrow_test.go
+++ b/internal/replica/borrow_test.go
@@ -42,7 +42,7 @@
 		t.Fatal("a slot that was given back counts as borrowed")
 	}
 	use = set.Begin("r", borrowed, now)
-	use.GiveWay()
+	use.MarkPreempted()
 	use.End(Abandoned, now)
 	if !set.MayBorrow(testPool, time.Hour, now) {
 		t.Fatal("a slot that was left counts as borrowed")
@@ -89,7 +89,7 @@
 	if room := set.ItemRoom(testPool, now); room != before {
 		t.Fatalf("room for %d items, %d before one was borrowed", room, before)
 	}
-	use.GiveWay()
+	use.MarkPreempted()
 	if room := set.ItemRoom(testPool, now); room != before {
 		t.Fatalf("room for %d items while the borrowed slot is left, %d before", room, before)
 	}
--- a/internal/replica/demand_test.go
+++ b/internal/replica/demand_test.go
@@ -25,7 +25,7 @@
 	now = now.Add(2 * time.Second)
 	asked := 0
 	set.Pressed = func(_ string, count int, _ Pressure) {
-		items[asked].GiveWay()
+		items[asked].MarkPreempted()
 		asked += count
 	}
 	for i := range items {
--- a/internal/replica/evacuate.go
+++ b/internal/replica/evacuate.go
@@ -29,8 +29,8 @@
 	return maps.Clone(s.evacuated)
 }
 
-// Emptied reports whether operators empty the zone of a listed replica.
-func (s *Set) Emptied(id string) bool {
+// IsEvacuated reports whether operators empty the zone of a listed replica.
+func (s *Set) IsEvacuated(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known, ok := s.entries[id]
--- a/internal/replica/evacuate_test.go
+++ b/internal/replica/evacuate_test.go
@@ -38,7 +38,7 @@
 	if needs := set.Needs(now); needs[0].Excess > 0 {
 		t.Errorf("%d items are to leave slots that nobody may use", needs[0].Excess)
 	}
-	if !set.Emptied("north") || set.Emptied("south") || set.Emptied("unknown") {
+	if !set.IsEvacuated("north") || set.IsEvacuated("south") || set.IsEvacuated("unknown") {
 		t.Error("wrong replicas are emptied")
 	}
 }
--- a/internal/replica/restart.go
+++ b/internal/replica/restart.go
@@ -142,9 +142,9 @@
 	}
 }
 
-// Reborn returns a channel that is closed once the replica is known to have started again
+// Restarted returns a channel that is closed once the replica is known to have started again
 // since the request was sent: no answer comes from the one before. It is never nil.
-func (u *Use) Reborn() <-chan struct{} {
+func (u *Use) Restarted() <-chan struct{} {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
 	if u.reborn == nil {
--- a/internal/replica/restart_test.go
+++ b/internal/replica/restart_test.go
@@ -106,7 +106,7 @@
 		set := startedSet(2, now)
 		set.Ejected = func(info Info, result Result) { t.Errorf("%s was ejected: %v", info.ID, result) }
 		uses := busy(set, now)
-		uses[0].GiveWay()
+		uses[0].MarkPreempted()
 		set.put(listed(secondBorn), now)
 		next := set.Begin("r00", Ask{Tokens: 10}, now)
 		for _, use := range uses {
--- a/internal/replica/restartuse_test.go
+++ b/internal/replica/restartuse_test.go
@@ -11,7 +11,7 @@
 // told reports whether a request knows that its replica has started again since.
 func told(use *Use) bool {
 	select {
-	case <-use.Reborn():
+	case <-use.Restarted():
 		return true
 	default:
 		return false
@@ -25,7 +25,7 @@
 	set.Restarted = func(restart Restart) { noticed = append(noticed, restart) }
 	uses := busy(set, now)
 	// Two ask for the channel before, one after.
-	asked := uses[0].Reborn()
+	asked := uses[0].Restarted()
 	if told(uses[1]) {
 		t.Fatal("told of a start that is not known")
 	}
@@ -111,7 +111,7 @@
 	if known := seen(t, set, "r00", now); known.Open != 1 || known.Batch != 1 || known.PendingTokens != 7 {
 		t.Errorf("the request at the new one is not counted there: %+v", known)
 	}
-	since.GiveWay()
+	since.MarkPreempted()
 	since.First(now)
 	since.End(Failed, now)
 	before.End(Failed, now)
@@ -367,7 +367,7 @@
 		use.First(m.now)
 	}
 	if rapid.Bool().Draw(t, "gives way") {
-		use.GiveWay()
+		use.MarkPreempted()
 	}
 	use.End(rapid.SampledFrom([]Result{Succeeded, Failed, Refused, Abandoned}).Draw(t, "result"), m.now)
 	m.sent = slices.Delete(m.sent, at, at+1)
--- a/internal/replica/use.go
+++ b/internal/replica/use.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// GiveWay notes that an item was asked to give way: its slot counts as free.
-func (u *Use) GiveWay() {
+// MarkPreempted notes that an item was asked to give way: its slot counts as free.
+func (u *Use) MarkPreempted() {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
 	if u.ask.Batch && !u.gaveWay && !u.ended {
