--- a/internal/batch/feeder.go
+++ b/internal/batch/feeder.go
@@ -352,7 +352,7 @@
 		return err
 	}
 	if fed.atRisk(time.Now()) {
-		submission.Advance = atRiskAdvance
+		submission.HeadStart = atRiskAdvance
 	}
 	return f.Service.Work.Submit(ctx, submission)
 }
--- a/internal/batch/feeder_test.go
+++ b/internal/batch/feeder_test.go
@@ -72,19 +72,19 @@
 
 type discardEvents struct{}
 
-func (discardEvents) Accepted(*jobs.Job, time.Duration, bool)                       {}
-func (discardEvents) Refused(string, int64, int64, int64, error)                    {}
-func (discardEvents) Ended(string, error)                                           {}
-func (discardEvents) Claimed(*jobs.Entry, string, error)                            {}
-func (discardEvents) ItemSent(*jobs.Job, string, string, int)                       {}
-func (discardEvents) ItemFailed(*jobs.Job, string, string, error)                   {}
-func (discardEvents) ItemQuarantined(*jobs.Job, string, error)                      {}
-func (discardEvents) GaveWay(*jobs.Job, string, string, int, replica.Pressure)      {}
-func (discardEvents) ItemListed(*jobs.Job, string, int, jobs.Reason, time.Duration) {}
-func (discardEvents) Removed(*jobs.Job, error)                                      {}
-func (discardEvents) Asked(*jobs.Job, time.Duration, error)                         {}
-func (discardEvents) Homeless(*jobs.Job, place.Regions)                             {}
-func (discardEvents) Resolved(string, int, error)                                   {}
+func (discardEvents) Accepted(*jobs.Job, time.Duration, bool)                        {}
+func (discardEvents) Refused(string, int64, int64, int64, error)                     {}
+func (discardEvents) Ended(string, error)                                            {}
+func (discardEvents) Claimed(*jobs.Entry, string, error)                             {}
+func (discardEvents) ItemSent(*jobs.Job, string, string, int)                        {}
+func (discardEvents) ItemFailed(*jobs.Job, string, string, error)                    {}
+func (discardEvents) ItemQuarantined(*jobs.Job, string, error)                       {}
+func (discardEvents) ItemPreempted(*jobs.Job, string, string, int, replica.Pressure) {}
+func (discardEvents) ItemListed(*jobs.Job, string, int, jobs.Reason, time.Duration)  {}
+func (discardEvents) Removed(*jobs.Job, error)                                       {}
+func (discardEvents) Refreshed(*jobs.Job, time.Duration, error)                      {}
+func (discardEvents) AwaitingRegion(*jobs.Job, place.Regions)                        {}
+func (discardEvents) Resolved(string, int, error)                                    {}
 
 // testNode is a node that serves, feeds and runs batches until stop is called.
 type testNode struct {
--- a/internal/jobs/commit_test.go
+++ b/internal/jobs/commit_test.go
@@ -14,10 +14,10 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// TestList_OnePositionForGood lets two owners list the results of one job at
-// the same time, under any faults, and checks that each item is listed once,
-// that what was read stays, and that nothing is listed after the end.
-func TestList_OnePositionForGood(t *testing.T) {
+// TestListResults_PositionsAreStable lets two owners list the results of one job concurrently under
+// faults. Each item must be listed once, results that were read must stay, and nothing may be
+// listed after the end.
+func TestListResults_PositionsAreStable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const items = 6
 		shared := tabletest.New()
@@ -35,7 +35,7 @@
 			next++
 			return script[next%len(script)]
 		}
-		listAtOnce(rt, nodes, items, endAfter)
+		listConcurrently(rt, nodes, items, endAfter)
 		shared.CommitFault = nil
 		before := listedAt(rt, nodes[0])
 		shared.ApplyLate()
@@ -44,7 +44,7 @@
 	})
 }
 
-func listAtOnce(rt *rapid.T, nodes []*testNode, items, endAfter int) {
+func listConcurrently(rt *rapid.T, nodes []*testNode, items, endAfter int) {
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	var done sync.WaitGroup
@@ -61,8 +61,8 @@
 				if number == 1 {
 					index = items - 1 - step
 				}
-				one := &task{index: index, text: []byte(fmt.Sprintf("text of %d by %d", index, number))}
-				_ = node.list(ctx, entry.Job, []*task{one})
+				finished := &task{index: index, text: []byte(fmt.Sprintf("text of %d by %d", index, number))}
+				_ = node.listResults(ctx, entry.Job, []*task{finished})
 				if number == 0 && step == endAfter {
 					_ = node.End(ctx, "j")
 				}
@@ -72,7 +72,7 @@
 	done.Wait()
 }
 
-// listedAt reads the list as the store has it.
+// listedAt reads the list from the store.
 func listedAt(rt *rapid.T, node *testNode) []Result {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -103,7 +103,7 @@
 		}
 	}
 	if len(after) < len(before) {
-		rt.Fatalf("%d results were listed, %d are", len(before), len(after))
+		rt.Fatalf("%d results were listed, now %d are", len(before), len(after))
 	}
 }
 
@@ -118,7 +118,7 @@
 		}
 	}
 	entry := node.View.Get("j")
-	if err := node.list(t.Context(), entry.Job, []*task{{index: 0, text: []byte("late")}}); err != nil {
+	if err := node.listResults(t.Context(), entry.Job, []*task{{index: 0, text: []byte("late")}}); err != nil {
 		t.Fatal(err)
 	}
 	if listed := node.View.Get("j").Progress.Listed; len(listed) != 0 {
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestHandBack_NextOwnerGoesOnAfterTheText(t *testing.T) {
+func TestRelease_NextOwnerResumesAfterTheText(t *testing.T) {
 	shared := tabletest.New()
 	objects := &objecttest.Store{}
 	first, second := startNode(t, shared, objects, "a#1"), startNode(t, shared, objects, "b#1")
@@ -135,24 +135,24 @@
 	}
 	runner := NewRunner(RunnerOptions{Service: first.Service})
 	ctx, cancel := context.WithCancel(t.Context())
-	owned := &work{job: first.View.Get("j").Job, ctx: ctx, cancel: cancel}
-	owned.tasks = []*task{{work: owned, state: taskRunning, text: []byte("so far"), after: 7}}
+	owned := &ownedJob{job: first.View.Get("j").Job, ctx: ctx, cancel: cancel}
+	owned.tasks = []*task{{owned: owned, state: taskRunning, text: []byte("so far"), lastEvent: 7}}
 	runner.owned["j"] = owned
-	runner.HandBack(t.Context())
+	runner.Release(t.Context())
 	if ctx.Err() == nil {
-		t.Fatal("the item goes on after its job was handed back")
+		t.Fatal("the item runs on after its job was released")
 	}
 	entry, err := second.find(t.Context(), "j")
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept := second.keptTexts(t.Context(), entry)
-	if kept[0].Text != "so far" || kept[0].After != 7 {
-		t.Fatalf("kept texts are %+v", kept)
+	checkpoints := second.loadCheckpoints(t.Context(), entry)
+	if checkpoints[0].Text != "so far" || checkpoints[0].LastEvent != 7 {
+		t.Fatalf("checkpoints are %+v", checkpoints)
 	}
 }
 
-func TestHandBack_RunningItemsGoOnWhileTheStoreIsDown(t *testing.T) {
+func TestRelease_ItemsRunOnWhileTheStoreIsDown(t *testing.T) {
 	shared := tabletest.New()
 	node := startNode(t, shared, &objecttest.Store{}, "a#1")
 	if err := node.Submit(t.Context(), submission("j", 1)); err != nil {
@@ -160,15 +160,15 @@
 	}
 	shared.CommitFault = func([]table.Write) tabletest.Fault { return tabletest.Down }
 	runner := NewRunner(RunnerOptions{Service: node.Service})
-	workCtx, cancelWork := context.WithCancel(context.Background())
-	owned := &work{job: node.View.Get("j").Job, ctx: workCtx, cancel: cancelWork}
+	jobCtx, cancelJob := context.WithCancel(context.Background())
+	owned := &ownedJob{job: node.View.Get("j").Job, ctx: jobCtx, cancel: cancelJob}
 	runner.owned["j"] = owned
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	time.AfterFunc(100*time.Millisecond, func() {
-		if workCtx.Err() != nil {
-			t.Error("items were broken off before their job was handed back")
+		if jobCtx.Err() != nil {
+			t.Error("items were canceled before their job was released")
 		}
 	})
-	runner.HandBack(ctx)
+	runner.Release(ctx)
 }
--- a/internal/jobs/silent_test.go
+++ b/internal/jobs/stall_test.go
@@ -18,37 +18,27 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// Incident 0002, items left lying.
-//
-// Seen: two accepted items had runs whose connections ended at the replica after some
-// seconds, and then nothing for 45 s, with slots free, at a node that lived and that nobody
-// took the items from. Pauses of 2.5 to 4 s lay between their earlier runs.
-//
-// How it comes about: the connection of an answer goes silent without a reset (a path is cut
-// for a while, or the replica starts again), and new connections to the replica work. The
-// node gave an attempt up only once the replica had said nothing for 2 s to any of its
-// requests. Where it answered others, the attempt counted as running for good: nobody sent the
-// item again, and the slot that it was believed to hold was missing to others.
-//
-// Proved by: the account of the items in the first test, which shows the item waiting for its
-// answer for as long as it is looked at, with the replica heard from all the time.
+// These tests guard against items that never complete because their answer went silent (incident
+// 0002). A connection may die without a reset while new connections to the replica work. If the
+// silence of the replica as a whole were the only criterion, an attempt would count as running for
+// good as long as the replica answers other requests, and its slot would be lost too.
 
-// silentWithin is the time within which an item must come on whose answer went silent.
-const silentWithin = 15 * time.Second
+// stallBound is how long an item may take to make progress after its answer went silent.
+const stallBound = 15 * time.Second
 
-// silentSite is a runner before one replica that answers others all the time.
-type silentSite struct {
+// stallSite is a runner with one replica that answers other requests all the time.
+type stallSite struct {
 	node   *testNode
 	runner *Runner
 	mu     sync.Mutex
 	sends  map[string]int
 }
 
-// newSilentSite starts one. Attempts at an item are answered by their number, from 1 on.
-func newSilentSite(t *testing.T, answer func(ctx context.Context, attempt *forward.Attempt, number int) (*forward.Answer, error)) *silentSite {
-	site := &silentSite{node: startNode(t, tabletest.New(), &objecttest.Store{}, "a#1"), sends: map[string]int{}}
+// newStallSite starts a site. Attempts at an item are numbered from 1.
+func newStallSite(t *testing.T, answer func(ctx context.Context, attempt *forward.Attempt, number int) (*forward.Answer, error)) *stallSite {
+	site := &stallSite{node: startNode(t, tabletest.New(), &objecttest.Store{}, "a#1"), sends: map[string]int{}}
 	runner, replicas := startRunner(t, site.node, sendFunc(func(ctx context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
-		return answer(ctx, attempt, site.sent(attempt.Request.ID))
+		return answer(ctx, attempt, site.countSend(attempt.Request.ID))
 	}))
 	site.runner = runner
 	replicas.Remove("r1", clock.Now())
@@ -57,15 +47,15 @@
 	return site
 }
 
-// startReplica lists the replica as started at a time.
-func (s *silentSite) startReplica(born int64) {
+// startReplica lists the replica with a start time.
+func (s *stallSite) startReplica(startTime int64) {
 	known, _ := s.runner.Replicas.Get("r0")
-	known.StartedUnixMs = born
+	known.StartedUnixMs = startTime
 	s.runner.Replicas.Put(known)
 }
 
-// silentAtFirst goes silent after a text on the first attempts, and answers whole later.
-func silentAtFirst(silent int, before string) func(context.Context, *forward.Attempt, int) (*forward.Answer, error) {
+// firstSilent makes the first answers go silent after a text, and completes later ones.
+func firstSilent(silent int, before string) func(context.Context, *forward.Attempt, int) (*forward.Answer, error) {
 	return func(ctx context.Context, attempt *forward.Attempt, number int) (*forward.Answer, error) {
 		if number <= silent {
 			return hangingAnswer(ctx, before), nil
@@ -74,16 +64,15 @@
 	}
 }
 
-// sent counts an attempt at an item and returns its number.
-func (s *silentSite) sent(item string) int {
+// countSend counts an attempt at an item and returns its number.
+func (s *stallSite) countSend(item string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sends[item]++
 	return s.sends[item]
 }
 
-// answerOthers has a replica answer other requests of the node, each 100 ms, until the test
-// ends.
+// answerOthers makes a replica answer another request of the node every 100 ms until the test ends.
 func answerOthers(t *testing.T, replicas *replica.Set, id string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -104,9 +93,8 @@
 	})
 }
 
-// awaitDone waits until all items of a job are listed, and fails with what they wait for if
-// they are not within a time.
-func (s *silentSite) awaitDone(t *testing.T, job string, within time.Duration) []Result {
+// awaitDone waits until all items of a job are listed, and fails with their waits after a time.
+func (s *stallSite) awaitDone(t *testing.T, job string, within time.Duration) []Result {
 	t.Helper()
 	for deadline := clock.Now().Add(within); clock.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		reading, err := s.node.Read(t.Context(), job, 0, 0)
@@ -114,11 +102,11 @@
 			return reading.Results
 		}
 	}
-	t.Fatalf("after %v items of job %s are not listed: %+v", within, job, s.runner.Waiting())
+	t.Fatalf("after %v items of job %s are not listed: %+v", within, job, s.runner.ItemWaits())
 	return nil
 }
 
-func TestRunner_AnswerThatWentSilentIsLeftThoughItsReplicaAnswersOthers(t *testing.T) {
+func TestRunner_SilentAnswerIsAbandonedThoughItsReplicaAnswersOthers(t *testing.T) {
 	cases := map[string]struct {
 		silent int
 		before string
@@ -128,14 +116,14 @@
 		"before the first event":       {1, ""},
 		"again on the next connection": {2, events(1, 3)},
 	}
-	for name, one := range cases {
+	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				site := newSilentSite(t, silentAtFirst(one.silent, one.before))
+				site := newStallSite(t, firstSilent(tc.silent, tc.before))
 				if err := site.node.Submit(t.Context(), submission("j", 3)); err != nil {
 					t.Fatal(err)
 				}
-				for _, result := range site.awaitDone(t, "j", time.Duration(one.silent)*silentWithin) {
+				for _, result := range site.awaitDone(t, "j", time.Duration(tc.silent)*stallBound) {
 					if want := "piece 1\npiece 2\npiece 3\npiece 4\npiece 5"; result.Dead || result.Text != want {
 						t.Fatalf("result is %+v, want the text %q", result, want)
 					}
@@ -145,34 +133,33 @@
 	}
 }
 
-// An item that may run only once is not sent again: it ends as one of which nobody knows
-// whether it ran.
-func TestRunner_OnceItemWhoseAnswerWentSilentEnds(t *testing.T) {
+// An at-most-once item is not sent again: it ends as undecided.
+func TestRunner_AtMostOnceItemWithASilentAnswerEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		site := newSilentSite(t, silentAtFirst(1, events(1, 3)))
+		site := newStallSite(t, firstSilent(1, events(1, 3)))
 		job := submission("j", 1)
-		job.Items[0].Once = true
+		job.Items[0].AtMostOnce = true
 		job.Completion = time.Hour
 		if err := site.node.Submit(t.Context(), job); err != nil {
 			t.Fatal(err)
 		}
 		result := site.awaitDone(t, "j", time.Minute)[0]
 		if !result.Dead || result.Reason != Undecided || site.sends["j-0"] != 1 {
-			t.Fatalf("result is %+v after %d sends, want an undecided one after one", result, site.sends["j-0"])
+			t.Fatalf("result is %+v after %d sends, want undecided after one", result, site.sends["j-0"])
 		}
 	})
 }
 
-// What was sent to the start before is left as soon as the list tells of the new one, long
-// before the silence of the attempt itself would show it.
-func TestRunner_ItemAtTheStartBeforeIsLeftAtOnce(t *testing.T) {
+// An attempt sent to the previous process of a replica is abandoned as soon as the list shows the
+// restart, long before its own silence would show it.
+func TestRunner_ItemAtARestartedReplicaIsAbandonedAtOnce(t *testing.T) {
 	for name, once := range map[string]bool{"item that may run again": false, "item that may run once": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				site := newSilentSite(t, silentAtFirst(1, ""))
+				site := newStallSite(t, firstSilent(1, ""))
 				site.startReplica(1000)
 				job := submission("j", 1)
-				job.Items[0].Once = once
+				job.Items[0].AtMostOnce = once
 				if err := site.node.Submit(t.Context(), job); err != nil {
 					t.Fatal(err)
 				}
@@ -187,12 +174,11 @@
 	}
 }
 
-// A replica that is only slow to begin is not left again and again: what falls silent must not
-// keep an item from its end either.
-func TestRunner_SlowAnswersComeToTheirEnd(t *testing.T) {
+// Timeouts must not keep items of a replica that is slow to begin from completing.
+func TestRunner_SlowAnswersComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const slow = 40 * time.Second
-		site := newSilentSite(t, slowBy(slow))
+		const delay = 40 * time.Second
+		site := newStallSite(t, delayedAnswer(delay))
 		job := submission("j", 3)
 		job.Completion, job.Retention = time.Hour, time.Hour
 		if err := site.node.Submit(t.Context(), job); err != nil {
@@ -203,55 +189,55 @@
 				t.Fatalf("result is %+v", result)
 			}
 			if sends := site.sends[result.Item]; sends > 5 {
-				t.Fatalf("%s was sent %d times, want its time doubled with each", result.Item, sends)
+				t.Fatalf("%s was sent %d times, want a timeout doubled with each", result.Item, sends)
 			}
 		}
 	})
 }
 
-// slowBy answers whole after a time.
-func slowBy(slow time.Duration) func(context.Context, *forward.Attempt, int) (*forward.Answer, error) {
+// delayedAnswer returns whole answers after a delay.
+func delayedAnswer(delay time.Duration) func(context.Context, *forward.Attempt, int) (*forward.Answer, error) {
 	return func(ctx context.Context, attempt *forward.Attempt, _ int) (*forward.Answer, error) {
 		select {
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
-		case <-time.After(slow):
+		case <-time.After(delay):
 			return answerOf(http.StatusOK, events(attempt.LastEventID+1, 5)), nil
 		}
 	}
 }
 
-// submitLasting hands a job in whose items do not expire while a test runs.
-func (s *silentSite) submitLasting(t *testing.T, id string, items int, once bool) {
+// submitLasting submits a job whose items do not expire during the test.
+func (s *stallSite) submitLasting(t *testing.T, id string, items int, once bool) {
 	t.Helper()
 	job := submission(id, items)
 	job.Completion, job.Retention = time.Hour, time.Hour
 	for i := range job.Items {
-		job.Items[i].Once = once
+		job.Items[i].AtMostOnce = once
 	}
 	if err := s.node.Submit(t.Context(), job); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Replicas that need longer to begin than a silent one is waited for, and that this node has
-// nothing else at, are not left each time.
-func TestRunner_SlowAnswersOfReplicasWithoutOtherRequestsComeToTheirEnd(t *testing.T) {
+// A replica that is slow to begin must not be abandoned each time if this node has no other request
+// there.
+func TestRunner_SlowAnswersOfReplicasWithoutOtherRequestsComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		answer := slowBy(3 * time.Second)
-		site := &silentSite{node: startNode(t, tabletest.New(), &objecttest.Store{}, "a#1"), sends: map[string]int{}}
+		answer := delayedAnswer(3 * time.Second)
+		site := &stallSite{node: startNode(t, tabletest.New(), &objecttest.Store{}, "a#1"), sends: map[string]int{}}
 		site.runner, _ = startRunner(t, site.node, sendFunc(func(ctx context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
-			return answer(ctx, attempt, site.sent(attempt.Request.ID))
+			return answer(ctx, attempt, site.countSend(attempt.Request.ID))
 		}))
 		site.submitLasting(t, "j", 3, false)
 		site.awaitDone(t, "j", 10*time.Second)
 	})
 }
 
-// An item that may run only once may wait in the queue of a replica that answers others.
-func TestRunner_OnceItemInALongQueueIsNotGivenUp(t *testing.T) {
+// An at-most-once item may wait in the queue of a replica that answers other requests.
+func TestRunner_AtMostOnceItemInALongQueueIsNotAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		site := newSilentSite(t, slowBy(40*time.Second))
+		site := newStallSite(t, delayedAnswer(40*time.Second))
 		site.submitLasting(t, "j", 1, true)
 		if result := site.awaitDone(t, "j", time.Minute)[0]; result.Dead {
 			t.Fatalf("result is %+v", result)
@@ -259,10 +245,10 @@
 	})
 }
 
-// A replica that answers others is not left out for attempts that waited long there.
+// A replica that answers other requests must not be ejected for attempts that waited long there.
 func TestRunner_StalledAttemptsDoNotEjectTheirReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		site := newSilentSite(t, slowBy(10*time.Second))
+		site := newStallSite(t, delayedAnswer(10*time.Second))
 		ejected := 0
 		site.runner.Replicas.OnEjected = func(replica.Info, replica.Result) { ejected++ }
 		site.submitLasting(t, "j", 3, false)
@@ -273,17 +259,16 @@
 	})
 }
 
-// Connections that die one after the other hold an item up for a bounded time, also where
-// answers had to be waited for long before.
+// Dead connections in a row delay an item for a bounded time, also if answers were slow before.
 func TestRunner_ManyDeadConnectionsInARow(t *testing.T) {
 	for silent, within := range map[int]time.Duration{1: 11 * time.Second, 2: 32 * time.Second, 3: 73 * time.Second, 4: 134 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			slow := true
-			site := newSilentSite(t, func(ctx context.Context, attempt *forward.Attempt, number int) (*forward.Answer, error) {
+			site := newStallSite(t, func(ctx context.Context, attempt *forward.Attempt, number int) (*forward.Answer, error) {
 				if slow {
-					return slowBy(9*time.Second)(ctx, attempt, number)
+					return delayedAnswer(9*time.Second)(ctx, attempt, number)
 				}
-				return silentAtFirst(silent, "")(ctx, attempt, number)
+				return firstSilent(silent, "")(ctx, attempt, number)
 			})
 			site.submitLasting(t, "slow", 3, false)
 			site.awaitDone(t, "slow", time.Minute)
@@ -294,16 +279,16 @@
 	}
 }
 
-// An attempt that ends by itself when its silence is looked at leaves the next one alone; the
-// race detector sees the two.
-func TestRunner_AnAttemptThatEndsAtALookLeavesTheNextAlone(t *testing.T) {
+// A silence check that fires as an attempt ends must not cancel the next attempt, and must not race
+// with it.
+func TestRunner_LateSilenceCheckDoesNotCancelTheNextAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		site := &silentSite{node: startNode(t, tabletest.New(), &objecttest.Store{}, "a#1"), sends: map[string]int{}}
+		site := &stallSite{node: startNode(t, tabletest.New(), &objecttest.Store{}, "a#1"), sends: map[string]int{}}
 		site.runner, _ = startRunner(t, site.node, sendFunc(func(_ context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
-			if site.sent(attempt.Request.ID) > 20 {
+			if site.countSend(attempt.Request.ID) > 20 {
 				return answerOf(http.StatusOK, events(attempt.LastEventID+1, 5)), nil
 			}
-			time.Sleep(itemSilence + itemSilence/silenceLooks)
+			time.Sleep(maxReplicaSilence + maxReplicaSilence/silenceChecks)
 			return nil, io.ErrUnexpectedEOF
 		}))
 		site.submitLasting(t, "j", 20, false)
--- a/internal/jobs/expire_test.go
+++ b/internal/jobs/sweep_test.go
@@ -12,7 +12,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-func TestSweepOld_RemovesWhatIsDoneAndOldOnly(t *testing.T) {
+func TestSweepExpired_RemovesOnlyFinishedOldJobs(t *testing.T) {
 	shared := tabletest.New()
 	objects := &objecttest.Store{}
 	node := startNode(t, shared, objects, "a#1")
@@ -24,7 +24,7 @@
 	}}
 	runner, _ := startRunner(t, node, backend)
 	large := submission("large", 2)
-	large.Items[0].Body = make([]byte, maxInline+1)
+	large.Items[0].Body = make([]byte, maxInlineContent+1)
 	for _, submitted := range []*Submission{submission("done", 2), large, submission("open", 1)} {
 		if err := node.Submit(t.Context(), submitted); err != nil {
 			t.Fatal(err)
@@ -32,14 +32,14 @@
 	}
 	readAll(t, node, "done")
 	readAll(t, node, "large")
-	runner.sweepOld(t.Context(), time.Hour)
+	runner.sweepExpired(t.Context(), time.Hour)
 	if node.View.Get("done") == nil {
-		t.Fatal("a job was removed before its time")
+		t.Fatal("a job was removed before its retention was over")
 	}
-	// By this promise all of them are outdated.
-	runner.sweepOld(t.Context(), -time.Hour)
+	// With this retention all of them are outdated.
+	runner.sweepExpired(t.Context(), -time.Hour)
 	if node.View.Get("done") != nil || node.View.Get("large") != nil {
-		t.Fatal("outdated jobs are still there")
+		t.Fatal("outdated jobs still exist")
 	}
 	if node.View.Get("open") == nil {
 		t.Fatal("a job with items to run was removed")
@@ -52,8 +52,9 @@
 	}
 }
 
-// A long text's object goes with its job, also at a node that never read it.
-func TestRemove_LongTextsGoWithoutHavingBeenRead(t *testing.T) {
+// TestRemove_DeletesLongTextsThatWereNeverRead guards that the object of a long text is deleted
+// with its job, also at a node that never read it.
+func TestRemove_DeletesLongTextsThatWereNeverRead(t *testing.T) {
 	shared, objects := tabletest.New(), &objecttest.Store{}
 	first, other := startNode(t, shared, objects, "a#1"), startNode(t, shared, objects, "b#1")
 	long := "id: 1\ndata: " + strings.Repeat("x", maxRowText+1) + "\n\n"
--- /dev/null
+++ b/internal/jobs/writelatency.go
@@ -0,0 +1,61 @@
+package jobs
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/wheelhoist/wheelhoist/internal/clock"
+)
+
+const (
+	// writeTimeoutFactor is the multiple of the mean latency after which the answer to a write
+	// counts as lost. Repeating a conditional write is harmless, while waiting for a lost answer
+	// costs time.
+	writeTimeoutFactor = 6
+	minWriteTimeout    = 100 * time.Millisecond
+	// initialWriteLatency is assumed until a write has been answered.
+	initialWriteLatency = 25 * time.Millisecond
+	latencyGain         = 0.3
+)
+
+// writeLatency estimates how long writes to the store take. It is safe for concurrent use.
+type writeLatency struct {
+	mu   sync.Mutex
+	mean time.Duration
+}
+
+// timeout returns how long to wait for the answer to an attempt, numbered from 0. It doubles with
+// each attempt, because the store may have become slow.
+func (p *writeLatency) timeout(attempt int) time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	mean := p.mean
+	if mean == 0 {
+		mean = initialWriteLatency
+	}
+	timeout := max(minWriteTimeout, writeTimeoutFactor*mean)
+	return min(timeout<<min(attempt, 8), slowCallTimeout)
+}
+
+// observe updates the mean with the time a write took, or the time after which it was given up.
+func (p *writeLatency) observe(elapsed time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.mean == 0 {
+		p.mean = elapsed
+	}
+	p.mean += time.Duration(latencyGain * float64(elapsed-p.mean))
+}
+
+// call makes one attempt at a write within its timeout.
+func (p *writeLatency) call(ctx context.Context, attempt int, write func(context.Context) error) error {
+	callCtx, cancel := context.WithTimeout(ctx, p.timeout(attempt))
+	defer cancel()
+	start := clock.Now()
+	err := write(callCtx)
+	if ctx.Err() == nil {
+		p.observe(clock.Since(start))
+	}
+	return err
+}
--- a/internal/node/batchwaits.go
+++ b/internal/node/batchwaits.go
@@ -56,7 +56,7 @@
 func (n *Node) batchWaits(id string) []v1.BatchWait {
 	var waits []v1.BatchWait
 	inBatch := func(job string) bool { return batch.BatchOf(job) == id }
-	for _, holder := range n.runner.Whereabouts(n.session.ID(), clock.Now(), inBatch) {
+	for _, holder := range n.runner.WaitsByNode(n.session.ID(), clock.Now(), inBatch) {
 		wait := v1.BatchWait{Node: holder.Node, Items: holder.Items, OldestSeconds: holder.Oldest.Seconds()}
 		if holder.Known {
 			wait.Reason = holder.For.String()
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -137,14 +137,14 @@
 	c.jobs = &jobs.Service{
 		Table: deps.table, Objects: deps.objects, View: view,
 		Events: &jobLog{log: log, sampled: c.sampled, metrics: metrics}, Session: c.ownSession,
-		Fleet: c.owners, Routes: c.routes.Load, Slots: c.replicas.RegionSlots, Awaited: c.jobWatch.Announce,
+		Fleet: c.owners, Routes: c.routes.Load, Slots: c.replicas.RegionSlots, RequestUpdate: c.jobWatch.Announce,
 	}
 	c.runner = jobs.NewRunner(jobs.RunnerOptions{
 		Service: c.jobs, Replicas: c.replicas, Backend: deps.backend, Routes: c.routes.Load, Owners: c.owners,
 		Weights: deps.weights, Zone: deps.zone, Region: deps.region, ViewAge: c.viewAge, CommitInterval: deps.commitInterval,
 		Quarantine: &c.quarantine.guard, EndQuarantined: deps.endQuarantined,
 	})
-	c.replicas.OnPressure = c.runner.Yield
+	c.replicas.OnPressure = c.runner.Preempt
 	return c
 }
 
@@ -176,7 +176,7 @@
 // jobPace returns the minimum time between two polls of the jobs' changes.
 func (c *core) jobPace() table.Pace {
 	interval := max(jobPollInterval, time.Duration(len(c.owners.Live()))*jobPollPerSession)
-	if c.jobs.Tell == nil || c.jobs.Waiting() > 0 {
+	if c.jobs.Notify == nil || c.jobs.Waiters() > 0 {
 		return table.Pace{AfterAnnouncement: interval, Default: interval}
 	}
 	return table.Pace{AfterAnnouncement: interval, Default: max(idleJobPollInterval, interval)}
@@ -232,7 +232,7 @@
 	c.spawn(func() { c.session.Run(ctx) })
 	c.spawn(func() { c.runner.Run(ctx) })
 	c.spawn(func() { c.runner.RunClaims(ctx) })
-	c.spawn(func() { c.runner.RunKeeping(ctx) })
+	c.spawn(func() { c.runner.RunCheckpoints(ctx) })
 	c.spawn(func() { c.quarantine.publisher.Run(ctx) })
 	c.spawn(func() { c.runSuspensionLog(ctx) })
 	c.spawn(func() { c.runOverdueItemLog(ctx) })
@@ -241,7 +241,7 @@
 // handBackJobs hands this node's jobs back and ends its session, so that other nodes take over
 // before this one stops.
 func (c *core) handBackJobs(ctx context.Context) {
-	c.runner.HandBack(ctx)
+	c.runner.Release(ctx)
 	if err := c.session.End(ctx); err != nil {
 		c.log.Warn().Err(err).Msg("session not ended, others wait for it to expire")
 	}
--- a/internal/node/gatewaydemand.go
+++ b/internal/node/gatewaydemand.go
@@ -47,10 +47,10 @@
 		for _, demand := range g.replicas.UpdateDemand(clock.Now()) {
 			addDemand(reports, g.nodes.ownRegion(), demand)
 			if demand.Excess > 0 {
-				g.runner.YieldPool(demand.Pool, demand.Excess, replica.Pressure{Fleet: demand.FleetUsage})
+				g.runner.PreemptPool(demand.Pool, demand.Excess, replica.Pressure{Fleet: demand.FleetUsage})
 			}
 			if demand.BorrowedExcess > 0 {
-				g.runner.YieldBorrowed(demand.Pool, demand.BorrowedExcess, replica.Pressure{Fleet: demand.FleetUsage})
+				g.runner.PreemptBorrowed(demand.Pool, demand.BorrowedExcess, replica.Pressure{Fleet: demand.FleetUsage})
 			}
 		}
 		for region, regional := range reports {
--- a/internal/node/gatewaypeers.go
+++ b/internal/node/gatewaypeers.go
@@ -28,7 +28,7 @@
 	socket.Handle(peer.KindCrashReport, g.handleQuarantineMessage)
 	g.quarantine.publisher.Broadcast, g.quarantine.guard.QueryPeers = g.broadcastUpdate, g.queryPeers
 	g.quarantine.publisher.OnWritten = g.broadcastRowsChanged
-	g.jobs.Tell = g.notifyRowsChanged
+	g.jobs.Notify = g.notifyRowsChanged
 	g.quota.Sender = socket
 	g.handleColdGrants(socket)
 	g.metrics.registerPeers(socket)
--- a/internal/node/gatewayrowschanged.go
+++ b/internal/node/gatewayrowschanged.go
@@ -38,8 +38,8 @@
 
 // broadcastRowsChanged notifies all nodes that the set of nodes or the quarantine has changed.
 func (g *Gateway) broadcastRowsChanged() {
-	if g.jobs.Tell != nil && g.broadcastLimiter.Allow() {
-		g.jobs.Tell(g.roster.Nodes(), "")
+	if g.jobs.Notify != nil && g.broadcastLimiter.Allow() {
+		g.jobs.Notify(g.roster.Nodes(), "")
 	}
 }
 
