--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -116,8 +116,8 @@
 
 // nodeLimit returns a node's share of a concurrency limit, rounded up. It is at least one, so that
 // every node admits some requests of every tenant.
-func nodeLimit(count int, share float64) int {
-	return max(1, int(float64(count)*share+0.999))
+func nodeLimit(limit int, share float64) int {
+	return max(1, int(float64(limit)*share+0.999))
 }
 
 // takeTokens takes n tokens, or the burst size if n is larger, from a limiter. If too few are
@@ -182,9 +182,9 @@
 	defer c.mu.Unlock()
 	demand := map[string]float64{}
 	for name, state := range c.tenants {
-		rate := state.demand.rate(now)
-		if rate > idleRate {
-			demand[name] = rate
+		demandRate := state.demand.rate(now)
+		if demandRate > idleRate {
+			demand[name] = demandRate
 		} else if state.inFlight == 0 {
 			delete(c.tenants, name)
 		}
--- a/internal/admission/meter.go
+++ b/internal/admission/meter.go
@@ -14,8 +14,8 @@
 
 // meter estimates an event rate per second with exponential decay.
 type meter struct {
-	value float64
-	last  time.Time
+	value     float64
+	updatedAt time.Time
 }
 
 // add records n events.
@@ -26,10 +26,10 @@
 
 // decay updates the rate to now.
 func (m *meter) decay(now time.Time) {
-	if elapsed := now.Sub(m.last); elapsed > 0 && !m.last.IsZero() {
+	if elapsed := now.Sub(m.updatedAt); elapsed > 0 && !m.updatedAt.IsZero() {
 		m.value *= math.Exp(-elapsed.Seconds() / meterTimeConstant.Seconds())
 	}
-	m.last = now
+	m.updatedAt = now
 }
 
 // rate returns the number of events per second.
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -16,8 +16,8 @@
 // fakeEngines holds the report of each engine by address. Other engines do not answer.
 type fakeEngines map[string]engine.Load
 
-func (r fakeEngines) Load(_ context.Context, base string) (engine.Load, error) {
-	load, ok := r[base]
+func (f fakeEngines) Load(_ context.Context, base string) (engine.Load, error) {
+	load, ok := f[base]
 	if !ok {
 		return load, errors.New("no answer")
 	}
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -206,13 +206,13 @@
 // negative. The caller holds mu.
 func (a *Allocator) available(entry *tenantEntry, tenant string, limit Limit, now time.Time) float64 {
 	capacity := a.Tolerance.capacity(limit)
-	var view Reachability
+	var reachability Reachability
 	if a.Reachability != nil {
-		view = a.Reachability(tenant)
+		reachability = a.Reachability(tenant)
 	}
-	equalShare := capacity / float64(max(1, view.Nodes))
+	equalShare := capacity / float64(max(1, reachability.Nodes))
 	unreachable := map[string]bool{}
-	for _, node := range view.Unreachable {
+	for _, node := range reachability.Unreachable {
 		unreachable[node] = true
 	}
 	remaining := capacity
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -81,8 +81,8 @@
 	mu sync.Mutex
 	// waiters holds the channels of requests that wait for a grant, by report number.
 	waiters map[uint64]chan Grant
-	// silentSince is when a query to a node last timed out.
-	silentSince map[string]time.Time
+	// lastTimeoutAt is when a query to a node last timed out.
+	lastTimeoutAt map[string]time.Time
 	// wake makes Run check for due reports at once.
 	wake chan struct{}
 
@@ -93,7 +93,7 @@
 func NewCoordinator(tolerance Tolerance, fleet Fleet) *Coordinator {
 	c := &Coordinator{
 		Limiter: &Limiter{Tolerance: tolerance, Nodes: fleet.Count}, Allocator: &Allocator{Tolerance: tolerance}, Fleet: fleet,
-		waiters: map[uint64]chan Grant{}, silentSince: map[string]time.Time{}, wake: make(chan struct{}, 1),
+		waiters: map[uint64]chan Grant{}, lastTimeoutAt: map[string]time.Time{}, wake: make(chan struct{}, 1),
 	}
 	c.Allocator.Reachability = c.reachability
 	c.Limiter.WakeReporter = func() {
@@ -138,7 +138,7 @@
 		return nil
 	}
 	c.mu.Lock()
-	since, silent := c.silentSince[node]
+	since, silent := c.lastTimeoutAt[node]
 	c.mu.Unlock()
 	if silent && clock.Since(since) < silentOwnerBackoff {
 		return nil
@@ -155,7 +155,7 @@
 func (c *Coordinator) recordNoAnswer(node string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silentSince[node] = clock.Now()
+	c.lastTimeoutAt[node] = clock.Now()
 }
 
 // query sends a report and waits for the grant. If the grant is late, it sends a second report.
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -294,7 +294,7 @@
 
 // reportableDemand returns the demand, or 0 if it is below idleDemand.
 func (a *account) reportableDemand(now time.Time) float64 {
-	if demand := a.demand.value(now); demand >= idleDemand {
+	if demand := a.demand.rate(now); demand >= idleDemand {
 		return demand
 	}
 	return 0
@@ -362,7 +362,7 @@
 	usage := make([]TenantUsage, 0, len(l.accounts))
 	for tenant, acct := range l.accounts {
 		usage = append(usage, TenantUsage{
-			Tenant: tenant, Limit: acct.limit, Demand: acct.demand.value(now), Admitted: acct.admitted,
+			Tenant: tenant, Limit: acct.limit, Demand: acct.demand.rate(now), Admitted: acct.admitted,
 			Share: acct.shareAt(l.nodes(), now), GrantAge: acct.grantAge(now),
 		})
 	}
--- a/internal/quota/peers.go
+++ b/internal/quota/peers.go
@@ -57,8 +57,8 @@
 // peerTracker records which peers are reachable and which have stopped.
 type peerTracker struct {
 	mu sync.Mutex
-	// lastHeard is the time of the last message from each node.
-	lastHeard map[string]time.Time
+	// lastMessageAt is the time of the last message from each node.
+	lastMessageAt map[string]time.Time
 	// peerConfirmedAt is when any peer last reported that its session is confirmed.
 	peerConfirmedAt time.Time
 	// stopped holds the stop notices by node.
@@ -82,7 +82,7 @@
 
 // isReachable reports whether a message from node arrived recently. The caller holds mu.
 func (t *peerTracker) isReachable(node string, now time.Time) bool {
-	at, ok := t.lastHeard[node]
+	at, ok := t.lastMessageAt[node]
 	return ok && now.Sub(at) < reachableFor
 }
 
@@ -134,7 +134,7 @@
 // stopped.
 func (c *Coordinator) ownerUnreachable(owner string, now time.Time) bool {
 	c.mu.Lock()
-	since, silent := c.silentSince[owner]
+	since, silent := c.lastTimeoutAt[owner]
 	c.mu.Unlock()
 	if silent && now.Sub(since) < lostOwnerBackoff {
 		return true
@@ -176,15 +176,15 @@
 // their sessions if this node counts as a successor.
 func (c *Coordinator) reachability(tenant string) Reachability {
 	now := clock.Now()
-	view := Reachability{Nodes: c.Fleet.Count()}
+	reachability := Reachability{Nodes: c.Fleet.Count()}
 	if c.sessionInDoubt(now) {
-		view.Unreachable = c.unreachable(now, false)
-		return view
+		reachability.Unreachable = c.unreachable(now, false)
+		return reachability
 	}
 	if owner, _ := c.Fleet.Owner(tenant); owner != c.Fleet.Self() {
-		view.Unreachable = c.unreachable(now, true)
+		reachability.Unreachable = c.unreachable(now, true)
 	}
-	return view
+	return reachability
 }
 
 // sessionInDoubt reports whether this node's session may be lost, or may have been lost within
@@ -276,13 +276,13 @@
 func (t *peerTracker) update(session string, status NodeStatus, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.lastHeard == nil {
-		t.lastHeard, t.stopped = map[string]time.Time{}, map[string]stopNotice{}
+	if t.lastMessageAt == nil {
+		t.lastMessageAt, t.stopped = map[string]time.Time{}, map[string]stopNotice{}
 	}
 	node := lease.Node(session)
 	if status.Stopping {
 		t.stopped[node] = stopNotice{session: session, at: now}
-		delete(t.lastHeard, node)
+		delete(t.lastMessageAt, node)
 		return
 	}
 	if t.stopped[node].session == session {
@@ -290,7 +290,7 @@
 		return
 	}
 	delete(t.stopped, node)
-	t.lastHeard[node] = now
+	t.lastMessageAt[node] = now
 	if status.Confirmed {
 		t.peerConfirmedAt = now
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -181,20 +181,20 @@
 
 // meter estimates an event rate per second as an exponentially weighted moving average.
 type meter struct {
-	rate      float64
+	value     float64
 	updatedAt time.Time
 }
 
 // add records one event.
 func (m *meter) add(now time.Time) {
-	m.rate = m.value(now) + 1/meterTimeConstant.Seconds()
+	m.value = m.rate(now) + 1/meterTimeConstant.Seconds()
 	m.updatedAt = now
 }
 
-// value returns the rate, decayed to now.
-func (m *meter) value(now time.Time) float64 {
-	if m.rate == 0 {
+// rate returns the rate, decayed to now.
+func (m *meter) rate(now time.Time) float64 {
+	if m.value == 0 {
 		return 0
 	}
-	return m.rate * math.Exp(-float64(max(0, now.Sub(m.updatedAt)))/float64(meterTimeConstant))
+	return m.value * math.Exp(-float64(max(0, now.Sub(m.updatedAt)))/float64(meterTimeConstant))
 }
--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -23,19 +23,19 @@
 func (c *Config) validatePools(found *findings.List) {
 	names := map[string]bool{}
 	for i, declared := range c.Pools {
-		place := "pools[" + declared.Name + "]"
+		path := "pools[" + declared.Name + "]"
 		switch {
 		case declared.Name == "":
 			found.Add("pools", "pool %d has no name", i)
 		case names[declared.Name]:
-			found.Add(place, "is declared twice")
+			found.Add(path, "is declared twice")
 		}
 		names[declared.Name] = true
 		if !(declared.ColdRate >= 0) || math.IsInf(declared.ColdRate, 0) {
-			found.Add(place+".coldRate", "must be a number of requests a second, not negative")
+			found.Add(path+".coldRate", "must be a number of requests a second, not negative")
 		}
 		if declared.ColdStart < 0 || declared.ColdStart > maxColdStart {
-			found.Add(place+".coldStart", "must be from 0 to %s", maxColdStart)
+			found.Add(path+".coldStart", "must be from 0 to %s", maxColdStart)
 		}
 	}
 }
--- a/internal/route/regions.go
+++ b/internal/route/regions.go
@@ -12,13 +12,13 @@
 // effect: regions without a zone, and routes and tenants whose requests cannot be served anywhere.
 func (c *Config) RegionFindings(zones place.Map) []findings.Finding {
 	var found findings.List
-	for _, target := range c.Routes {
-		regionFindings(&found, "routes["+target.Name+"].regions", target.Regions, zones)
+	for _, route := range c.Routes {
+		regionFindings(&found, "routes["+route.Name+"].regions", route.Regions, zones)
 	}
-	for _, caller := range c.Tenants {
-		path := "tenants[" + caller.Name + "].regions"
-		regionFindings(&found, path, caller.Regions, zones)
-		c.disjointFindings(&found, path, caller.Regions)
+	for _, tenant := range c.Tenants {
+		path := "tenants[" + tenant.Name + "].regions"
+		regionFindings(&found, path, tenant.Regions, zones)
+		c.disjointFindings(&found, path, tenant.Regions)
 	}
 	return found.All()
 }
@@ -40,9 +40,9 @@
 	if len(allowed) == 0 {
 		return
 	}
-	for _, target := range c.Routes {
-		if len(target.Regions) > 0 && len(allowed.Intersect(target.Regions)) == 0 {
-			found.Add(path, "has no region in common with routes[%s].regions: requests are served nowhere", target.Name)
+	for _, route := range c.Routes {
+		if len(route.Regions) > 0 && len(allowed.Intersect(route.Regions)) == 0 {
+			found.Add(path, "has no region in common with routes[%s].regions: requests are served nowhere", route.Name)
 		}
 	}
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -139,23 +139,23 @@
 func (c *Config) Validate() []findings.Finding {
 	var found findings.List
 	for i, route := range c.Routes {
-		place := "routes[" + route.Name + "]"
+		path := "routes[" + route.Name + "]"
 		if route.Name == "" {
 			found.Add("routes", "route %d has no name", i)
 		}
 		if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
-			found.Add(place+".prefix", "must begin and end with a slash")
+			found.Add(path+".prefix", "must begin and end with a slash")
 		}
 		switch route.Kind {
 		case Repeatable, Once, Stream, Batch:
 		default:
-			found.Add(place+".kind", "unknown kind %q", route.Kind)
+			found.Add(path+".kind", "unknown kind %q", route.Kind)
 		}
 		if len(route.Shares) == 0 {
-			found.Add(place, "names no pool")
+			found.Add(path, "names no pool")
 		}
 		if route.MaxAttempts < 1 {
-			found.Add(place+".maxAttempts", "must be at least 1")
+			found.Add(path+".maxAttempts", "must be at least 1")
 		}
 	}
 	c.validateTenants(&found)
@@ -167,20 +167,20 @@
 	names := map[string]bool{}
 	var keys tenant.Directory[*tenant.Tenant]
 	for i, declared := range c.Tenants {
-		place := "tenants[" + declared.Name + "]"
+		path := "tenants[" + declared.Name + "]"
 		switch {
 		case declared.Name == "":
 			found.Add("tenants", "tenant %d has no name", i)
 		case names[declared.Name]:
-			found.Add(place, "is declared twice")
+			found.Add(path, "is declared twice")
 		}
 		names[declared.Name] = true
 		if declared.Rate < 0 || declared.Burst < 0 {
-			found.Add(place, "rate and burst must not be negative")
+			found.Add(path, "rate and burst must not be negative")
 		}
 		for number, key := range declared.Keys {
 			if !keys.Add(key, declared) {
-				found.Add(place, "key %d is held already", number)
+				found.Add(path, "key %d is held already", number)
 			}
 		}
 	}
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -41,10 +41,10 @@
 
 // Reader reads events. It is not safe for concurrent use.
 type Reader struct {
-	input *bufio.Reader
-	raw   []byte
-	data  []byte
-	last  int
+	input  *bufio.Reader
+	raw    []byte
+	data   []byte
+	lastID int
 }
 
 // NewReader returns a Reader of the events in input.
@@ -71,7 +71,7 @@
 		}
 		if value, ok := field(line, fieldID); ok {
 			if id, err := strconv.Atoi(string(value)); err == nil {
-				r.last = id
+				r.lastID = id
 				event.HasID = true
 			}
 		} else if value, ok := field(line, fieldData); ok {
@@ -82,7 +82,7 @@
 			lines++
 		}
 	}
-	event.ID, event.Raw, event.Data = r.last, r.raw, r.data
+	event.ID, event.Raw, event.Data = r.lastID, r.raw, r.data
 	return event, nil
 }
 
--- a/internal/table/dynamo.go
+++ b/internal/table/dynamo.go
@@ -84,8 +84,8 @@
 			TableName:              aws.String(d.table),
 			KeyConditionExpression: aws.String("pk = :partition AND sk > :after"),
 			ExpressionAttributeValues: map[string]types.AttributeValue{
-				":partition": text(partition),
-				":after":     text(after + "\x00"),
+				":partition": stringAttribute(partition),
+				":after":     stringAttribute(after + "\x00"),
 			},
 			ConsistentRead: aws.Bool(true),
 			Limit:          aws.Int32(int32(limit - len(rows))),
@@ -143,8 +143,8 @@
 		}}
 	default:
 		item := keyAttributes(write.Key)
-		item[attributeVersion] = number(write.NextVersion())
-		item[attributeOperation] = text(operation)
+		item[attributeVersion] = numberAttribute(write.NextVersion())
+		item[attributeOperation] = stringAttribute(operation)
 		item[attributeBody] = &types.AttributeValueMemberB{Value: write.Body}
 		return types.TransactWriteItem{Put: &types.Put{
 			TableName: table, Item: item,
@@ -157,21 +157,21 @@
 	if expect == Absent {
 		return aws.String("attribute_not_exists(pk)"), nil
 	}
-	return aws.String("version = :expect"), map[string]types.AttributeValue{":expect": number(expect)}
+	return aws.String("version = :expect"), map[string]types.AttributeValue{":expect": numberAttribute(expect)}
 }
 
 func keyAttributes(key Key) map[string]types.AttributeValue {
 	return map[string]types.AttributeValue{
-		attributePartition: text(key.Partition),
-		attributeSort:      text(key.Sort),
+		attributePartition: stringAttribute(key.Partition),
+		attributeSort:      stringAttribute(key.Sort),
 	}
 }
 
-func text(value string) types.AttributeValue {
+func stringAttribute(value string) types.AttributeValue {
 	return &types.AttributeValueMemberS{Value: value}
 }
 
-func number(value uint64) types.AttributeValue {
+func numberAttribute(value uint64) types.AttributeValue {
 	return &types.AttributeValueMemberN{Value: strconv.FormatUint(value, 10)}
 }
 
--- a/internal/table/poll.go
+++ b/internal/table/poll.go
@@ -22,9 +22,9 @@
 	logPageSize = 100
 )
 
-// errNoPollAnswered reports that no poll of the heads completed during a wait, so it is unknown
+// errNoPollCompleted reports that no poll of the heads completed during a wait, so it is unknown
 // whether there are changes.
-var errNoPollAnswered = fmt.Errorf("%w: no poll of the log heads completed", ErrUnavailable)
+var errNoPollCompleted = fmt.Errorf("%w: no poll of the log heads completed", ErrUnavailable)
 
 // Heads polls the heads of all groups of a Logged service periodically, for any number of feeds. It
 // is safe for concurrent use.
@@ -42,12 +42,12 @@
 	// answeredPollStart is the start time of the last successful poll.
 	answeredPollStart time.Time
 	err               error
-	changed           chan struct{}
+	polled            chan struct{}
 }
 
 // NewHeads returns a Heads that has not polled yet. Call Run to poll.
 func NewHeads(service Service) *Heads {
-	return &Heads{Service: service, heads: map[string]uint64{}, changed: make(chan struct{})}
+	return &Heads{Service: service, heads: map[string]uint64{}, polled: make(chan struct{})}
 }
 
 // Run polls until ctx is done.
@@ -80,8 +80,8 @@
 	for _, row := range rows {
 		h.heads[row.Sort] = max(h.heads[row.Sort], row.Version)
 	}
-	close(h.changed)
-	h.changed = make(chan struct{})
+	close(h.polled)
+	h.polled = make(chan struct{})
 }
 
 // headState is the state of a group after the last poll.
@@ -89,15 +89,15 @@
 	revision uint64
 	poll     uint64
 	// asOf is the start time of the last successful poll.
-	asOf time.Time
-	err  error
-	next <-chan struct{}
+	asOf     time.Time
+	err      error
+	nextPoll <-chan struct{}
 }
 
 func (h *Heads) state(group string) headState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return headState{revision: h.heads[group], poll: h.polls, asOf: h.answeredPollStart, err: h.err, next: h.changed}
+	return headState{revision: h.heads[group], poll: h.polls, asOf: h.answeredPollStart, err: h.err, nextPoll: h.polled}
 }
 
 // await waits up to wait until a group is beyond a revision, and returns the state after the last
@@ -118,10 +118,10 @@
 			return current, ctx.Err()
 		case <-deadline.C:
 			if current.poll == first.poll {
-				return current, Error.Wrap(errNoPollAnswered)
+				return current, Error.Wrap(errNoPollCompleted)
 			}
 			return current, nil
-		case <-current.next:
+		case <-current.nextPoll:
 		}
 	}
 }
--- a/internal/table/seed_test.go
+++ b/internal/table/seed_test.go
@@ -80,12 +80,12 @@
 // slowPages is a feed with several pages, each of which takes some time to read.
 type slowPages struct {
 	busyFeed
-	page  time.Duration
-	pages int
+	pageDelay time.Duration
+	pages     int
 }
 
 func (f *slowPages) Page(_ context.Context, cursor table.Cursor) (table.Changes, table.Cursor, error) {
-	time.Sleep(f.page)
+	time.Sleep(f.pageDelay)
 	next := table.Cursor{Part: cursor.Part + 1}
 	next.Done = next.Part == f.pages
 	return table.Changes{Revision: 1}, next, nil
@@ -96,16 +96,16 @@
 // between regions.
 func TestWatcher_SlowFirstReadIsNotSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		feed := &slowPages{page: 400 * time.Millisecond, pages: 10}
+		feed := &slowPages{pageDelay: 400 * time.Millisecond, pages: 10}
 		watcher := table.NewWatcher(feed, func(table.Changes, bool) {})
 		watcher.Pace = func() table.Pace { return table.Pace{AfterAnnouncement: time.Second, Default: time.Second} }
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go watcher.Run(ctx)
-		time.Sleep(feed.page + time.Millisecond)
+		time.Sleep(feed.pageDelay + time.Millisecond)
 		for !watcher.Ready() {
-			if sinceResponse := watcher.SinceLastResponse(); sinceResponse > feed.page+time.Millisecond {
-				t.Fatalf("%v since the last response while a page is read every %v", sinceResponse, feed.page)
+			if sinceResponse := watcher.SinceLastResponse(); sinceResponse > feed.pageDelay+time.Millisecond {
+				t.Fatalf("%v since the last response while a page is read every %v", sinceResponse, feed.pageDelay)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
--- a/internal/table/watch.go
+++ b/internal/table/watch.go
@@ -255,19 +255,19 @@
 	var whole Changes
 	var cursor Cursor
 	var read WholeRead
-	failuresInRow := 0
+	consecutiveFailures := 0
 	for first := true; !cursor.Done; {
-		page, next, err := w.readPage(ctx, cursor, failuresInRow)
+		page, next, err := w.readPage(ctx, cursor, consecutiveFailures)
 		if err != nil {
-			failuresInRow++
+			consecutiveFailures++
 			read.Failures++
-			if failuresInRow > pageMaxFailures || ctx.Err() != nil {
+			if consecutiveFailures > pageMaxFailures || ctx.Err() != nil {
 				return Changes{}, read, err
 			}
-			retry.Sleep(ctx, jittered(min(watchRetryMinDelay<<min(failuresInRow, 8), pageRetryMaxDelay)))
+			retry.Sleep(ctx, jittered(min(watchRetryMinDelay<<min(consecutiveFailures, 8), pageRetryMaxDelay)))
 			continue
 		}
-		failuresInRow = 0
+		consecutiveFailures = 0
 		read.Pages++
 		whole.Changes = append(whole.Changes, page.Changes...)
 		if first {
