--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -77,8 +77,8 @@
 // Now returns the wall clock at the start of the process plus the time elapsed since then, including
 // suspensions. The result has a monotonic reading that also includes suspensions. Differences
 // between results of Now are therefore independent of changes to the wall clock, as are differences
-// to times of package time while the machine has not been suspended. A wall clock that is slewed
-// by 5 ms per second would be off by half a second after 100 s.
+// to times of package time while the machine has not been suspended. Differences between wall clock
+// readings are not: with a clock slewed by 5 ms per second they are off by half a second after 100 s.
 func Now() time.Time {
 	now := time.Now()
 	monotonic := now.Sub(processStart)
--- a/internal/dialer/dialer.go
+++ b/internal/dialer/dialer.go
@@ -1,11 +1,10 @@
 // Package dialer creates TCP connections that fail soon after the peer becomes unreachable.
 //
-// If the path to a peer is cut, or the peer loses power or restarts behind such a cut, no reset
-// arrives and reads block for as long as the system keeps the connection: until nine keep-alive
-// probes at intervals of 15 s fail by the defaults of package net, or about 15 min for
-// unacknowledged data by those of Linux (tcp(7), tcp_retries2). The kernel acknowledges probes
-// however busy the process is, so an unanswered probe distinguishes a dead connection from a slow
-// peer, which a timeout on answers cannot.
+// If the network path to a peer is cut, or the peer loses power, no reset arrives and reads block for
+// as long as the system keeps the connection: until nine keep-alive probes at intervals of 15 s fail
+// by the defaults of package net, or about 15 min for unacknowledged data by those of Linux (tcp(7),
+// tcp_retries2). The kernel acknowledges probes however busy the process is, so an unanswered probe
+// distinguishes a dead connection from a slow peer, which a timeout on answers cannot.
 package dialer
 
 import (
--- a/internal/engine/answer.go
+++ b/internal/engine/answer.go
@@ -25,10 +25,11 @@
 	ctx     context.Context
 	engines EngineClient
 	stream  *Stream
-	base    string
-	id      string
-	path    string
-	render  func(buffer []byte, event Event, last int) []byte
+	// base is the address of the engine, id the ID of the attempt and path that of its request.
+	base   string
+	id     string
+	path   string
+	render func(buffer []byte, event Event, last int) []byte
 
 	buffer []byte
 	// lastEventID is the ID of the last event read.
--- a/internal/engine/backend.go
+++ b/internal/engine/backend.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// abortAttempt tells an engine that an answer is no longer wanted.
+// abortAttempt aborts an attempt whose answer is no longer needed.
 func abortAttempt(engines EngineClient, base, id string) {
 	ctx, cancel := context.WithTimeout(context.Background(), abortTimeout)
 	defer cancel()
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -16,7 +16,8 @@
 	ErrRefused = errors.New("engine refused the request")
 	// ErrUnreachable reports that no connection to the engine was established.
 	ErrUnreachable = errors.New("engine unreachable")
-	// ErrBroken reports that the answer was truncated.
+	// ErrBroken reports that the connection failed before the answer was complete. The request may
+	// have run.
 	ErrBroken = errors.New("engine answer broke off")
 	// ErrStaleFence reports that an order had a lower fencing token than one that the engine has
 	// already obeyed.
--- a/internal/idempotency/claims.go
+++ b/internal/idempotency/claims.go
@@ -98,8 +98,9 @@
 	return s.resumeExisting(ctx, claim)
 }
 
-// resumeExisting returns the claim for a key that has been claimed before, by the state of the
-// existing claim, or an error if the request must not run.
+// resumeExisting handles a key that has been claimed before. It returns the existing claim if that
+// has a recorded answer, claim itself if it could replace one in state NotRun, and otherwise an error:
+// the request must not run.
 func (s *Store) resumeExisting(ctx context.Context, claim *Claim) (*Claim, error) {
 	row, err := s.service.Get(ctx, claim.key)
 	if err != nil {
--- a/internal/inventory/entry.go
+++ b/internal/inventory/entry.go
@@ -1,7 +1,6 @@
-// Package inventory keeps the list of replicas in a table, so that every node learns of them by one
-// change feed.
+// Package inventory keeps the list of replicas in a table, whose change feed every node follows.
 //
-// The platform's list of machines has the addresses of the replicas, with some delay; the engines
+// The platform's list of machines contains the addresses of the replicas, with some delay; the engines
 // report what they serve. For each replica one node, its observer, queries both and writes changes. A
 // row is written only if its content changes, so the feed is idle while the replicas do not change.
 package inventory
--- a/internal/inventory/observer.go
+++ b/internal/inventory/observer.go
@@ -32,8 +32,9 @@
 	Load(ctx context.Context, base string) (engine.Load, error)
 }
 
-// Observer maintains the entries of the replicas assigned to this node. Two observers of a replica, for
-// a moment, do no harm: each write is conditional on the row version that it is based on.
+// Observer maintains the entries of the replicas assigned to this node. A replica may have two
+// observers for a moment, which is harmless: each write is conditional on the row version that it is
+// based on.
 type Observer struct {
 	Table    table.Service
 	View     *View
--- a/internal/lease/away.go
+++ b/internal/lease/away.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// awayRetention is how long a node is remembered after its last session ended. Nodes have been cut
-// off from the store for up to 12 s while they continued to serve.
+// awayRetention is how long a node is remembered after its last session ended. It covers a node that
+// is cut off from the store but continues to serve.
 const awayRetention = 30 * time.Second
 
 // awayNode is a node whose last session has ended.
--- a/internal/lease/roster.go
+++ b/internal/lease/roster.go
@@ -19,8 +19,9 @@
 const (
 	// minRefreshInterval is the minimum time between two calls of Refresh.
 	minRefreshInterval = 400 * time.Millisecond
-	// refreshIntervalPerSession limits all nodes together to 125 reads per second. A read of all
-	// sessions then costs about 15 KB/s per node.
+	// refreshIntervalPerSession is the part of the refresh interval that grows with the fleet. It
+	// limits all nodes together to 125 reads per second. If each read returns all sessions, that is
+	// about 15 KB/s per node.
 	refreshIntervalPerSession = 8 * time.Millisecond
 	// maxRefreshInterval is the maximum time between two reads of the neighbours, whose cost
 	// does not depend on the fleet. Two reads fit into the session time to live of 3 s.
@@ -117,8 +118,8 @@
 	// is nil after a change.
 	generation  uint64
 	sortedNodes []string
-	// missingSince holds the nodes without a member row that callers have asked about, with the
-	// time of the first question; zero if the row was seen to be deleted.
+	// missingSince holds the nodes without a member row, with the time of the first call that asked
+	// for the node; zero if the row was seen to be deleted.
 	missingSince map[string]time.Time
 }
 
@@ -157,9 +158,9 @@
 	}
 }
 
-// add records a member row. One that cannot be decoded does not add a node: no session would
-// expire for a row left by another writer, and work assigned to that node would never be done. A
-// known node stays, with its previous information. The caller holds mu.
+// add records a member row. A row that cannot be decoded adds no node: it may be from another writer
+// and have no session that could expire, so work assigned to its node would never be done. A known
+// node stays, with its previous information. The caller holds mu.
 func (r *Roster) add(id string, row table.Row) {
 	member, err := decodeMember(id, row)
 	r.unreadable.Report(err)
@@ -226,7 +227,7 @@
 // errMemberRowUnknown reports a session whose member row has not been received yet.
 var errMemberRowUnknown = errors.New("member row not yet received")
 
-// RefreshInterval returns the time to leave between two calls of Refresh.
+// RefreshInterval returns the time to wait between two calls of Refresh.
 func (r *Roster) RefreshInterval() time.Duration {
 	return min(max(minRefreshInterval, time.Duration(len(r.Live()))*refreshIntervalPerSession), maxRefreshInterval)
 }
@@ -263,7 +264,7 @@
 	return append(live, own)
 }
 
-// Preferred returns the live session that should do a piece of work.
+// Preferred returns the live session that should do a piece of work, as function Preferred does.
 func (r *Roster) Preferred(work string) string { return Preferred(r.Live(), work) }
 
 // invalidateNodes records a change to the set of nodes. The caller holds mu.
--- a/internal/lease/roster_test.go
+++ b/internal/lease/roster_test.go
@@ -197,8 +197,8 @@
 	}
 }
 
-// Rows copied from another node, or read before the own session was written, may lack nodes that
-// started at the same time, so they do not count as joined.
+// Rows copied from another node, or read before this node's own session was written, may lack nodes
+// that started at the same time, so a node that has only these has not joined.
 func TestRoster_JoinedOnceOwnRowIsRead(t *testing.T) {
 	f := newFleet(t, 2)
 	if !f.rosters[0].Joined() {
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -4,7 +4,7 @@
 // A node holds all of its work through one session row in the table service, which it renews
 // periodically. Another node may take over the work of a session once it has itself observed the
 // row unchanged for the time to live, measured on its own monotonic clock. Clocks of different
-// machines are therefore never compared, and nobody can take work over while the store is down.
+// machines are therefore never compared, and no node can take work over while the store is down.
 // Every write of a holder is conditional on the version of the row it holds, so the store rejects
 // the writes of a holder that resumes after its work was taken over.
 package lease
@@ -36,13 +36,13 @@
 	sessionSeparator = "#"
 	// ringHashDigits is the number of hexadecimal digits of the hash at the start of a sort key.
 	ringHashDigits = 8
-	// partitionCount is the number of partitions that hold the session rows. A partition of the
-	// platform's store takes 300 writes per second, and each of 320 nodes renews once per second.
+	// partitionCount is the number of partitions that hold the session rows. The platform's store
+	// limits a partition to 300 writes per second, and every node renews once per second.
 	partitionCount = 2
-	// sweepMultiple times TimeToLive is the age at which an abandoned row is deleted.
+	// sweepMultiple is the age at which an abandoned row is deleted, as a multiple of TimeToLive.
 	sweepMultiple = 10
-	// renewAttempts is the number of initial attempts that fit into a renewal interval, and
-	// renewRetryDivisor the fraction of the interval to wait after a failed attempt.
+	// renewAttempts is the number of attempts with the initial timeout that fit into a renewal
+	// interval. The wait after a failed attempt is the interval divided by renewRetryDivisor.
 	renewAttempts     = 4
 	renewRetryDivisor = 16
 )
@@ -135,7 +135,7 @@
 }
 
 // SameNode reports whether two sessions are runs of the same node. A node has one run at a time, so
-// one of two different sessions is over.
+// one of two different sessions has ended.
 func SameNode(a, b string) bool { return Node(a) == Node(b) }
 
 // ID returns the ID of the session. It is never reused after a restart.
@@ -228,7 +228,7 @@
 }
 
 // readMemberVersion reads back the version of the member row, which was written in the same commit as
-// the session row. Without it the session can only expire, not be ended. The caller holds mu.
+// the session row. Without this version End fails, and the session has to expire. The caller holds mu.
 func (s *Session) readMemberVersion(ctx context.Context) {
 	if s.MemberPartition == "" {
 		return
--- a/internal/lease/watcher.go
+++ b/internal/lease/watcher.go
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// RefreshInterval returns the time to leave between two calls of Refresh. Since Refresh reads all
+// RefreshInterval returns the time to wait between two calls of Refresh. Since Refresh reads all
 // sessions, the interval grows with their number to keep this node's load on the store constant.
 func (w *Watcher) RefreshInterval() time.Duration {
 	return max(minRefreshInterval, time.Duration(len(w.Live()))*refreshIntervalPerSession)
@@ -254,7 +254,7 @@
 	return preferred
 }
 
-// Preferred returns the live session that should do a piece of work.
+// Preferred returns the live session that should do a piece of work, as function Preferred does.
 func (w *Watcher) Preferred(work string) string { return Preferred(w.Live(), work) }
 
 // Share returns the subset of works that rendezvous hashing over the live sessions assigns to
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -2,7 +2,7 @@
 //
 // The effect took place, did not take place, or it is unknown whether it did. Callers must not
 // treat an unknown outcome as either of the others: they resolve it by reading back their own
-// operation id, or report it as unknown.
+// operation ID, or report it as unknown.
 package outcome
 
 import "errors"
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -51,7 +51,7 @@
 	if _, err := conn.Write([]byte("no message")); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.Send(to, kindTest+1, "of a kind that nobody takes"); err != nil {
+	if err := a.Send(to, kindTest+1, "of a kind without a handler"); err != nil {
 		t.Fatal(err)
 	}
 	if err := a.Send(to, kindTest, "hello"); err != nil {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Regions is a set of regions. A nil set holds any region, an empty one holds none.
+// Regions is a set of regions. A nil set contains every region, an empty one contains none.
 type Regions []string
 
 // Allows reports whether a region is in the set. An unknown (empty) region is only in the nil set.
--- a/internal/placement/controller.go
+++ b/internal/placement/controller.go
@@ -19,7 +19,7 @@
 	// planInterval is the time between two plans of a lease holder.
 	planInterval = 500 * time.Millisecond
 	// contendInterval is the time between two attempts of a node to acquire the leases. It grows by
-	// contendPerNode for each node, so that the load of the store does not grow with the fleet.
+	// contendPerNode for each node, so that the load on the store does not grow with the fleet.
 	contendInterval = 2 * time.Second
 	contendPerNode  = 100 * time.Millisecond
 	// orderTimeout is how long an order may take to appear in the reports before it is sent again.
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -81,7 +81,7 @@
 	mu sync.Mutex
 	// waiters holds the channels of requests that wait for a grant, by report number.
 	waiters map[uint64]chan Grant
-	// lastTimeoutAt is when a query to a node last timed out.
+	// lastTimeoutAt is when a query to each node last timed out.
 	lastTimeoutAt map[string]time.Time
 	// wake makes Run check for due reports at once.
 	wake chan struct{}
@@ -252,7 +252,7 @@
 	}
 }
 
-// AnnounceStop sends the final reports and tells all peers that this node is stopping. The node
+// AnnounceStop sends the final reports and notifies all peers that this node is stopping. The node
 // must admit no requests afterwards.
 func (c *Coordinator) AnnounceStop() {
 	c.Limiter.prepareFinalReports()
--- a/internal/quota/peers.go
+++ b/internal/quota/peers.go
@@ -217,7 +217,7 @@
 // probeIfDue probes peers if this node has to know which of them are reachable. A node that
 // counts for no tenant sends no probes because of its own session: if all nodes did, the number
 // of probes would grow with the square of the nodes, and an owner reserves shares for peers that
-// it has not heard from anyway.
+// have sent it no message anyway.
 func (c *Coordinator) probeIfDue(now time.Time) {
 	inDoubt := c.Allocator.hasTenants() && (c.Fleet.SinceConfirmed() >= probeAfter || c.sessionInDoubt(now))
 	c.tracker.mu.Lock()
@@ -262,7 +262,7 @@
 	c.send(source, peer.KindQuotaProbeReply, NodeStatus{Confirmed: c.Fleet.SinceConfirmed() < sessionTrustedFor})
 }
 
-// handleStatus handles messages of peer.KindQuotaContact.
+// handleStatus handles messages of peer.KindQuotaProbeReply, which carry a NodeStatus.
 func (c *Coordinator) handleStatus(from string, _ *net.UDPAddr, body []byte) {
 	var status NodeStatus
 	if err := cbor.Unmarshal(body, &status); err != nil {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -191,7 +191,7 @@
 	m.updatedAt = now
 }
 
-// rate returns the rate, decayed to now.
+// rate returns the number of events per second, decayed to now.
 func (m *meter) rate(now time.Time) float64 {
 	if m.value == 0 {
 		return 0
--- a/internal/resource/status.go
+++ b/internal/resource/status.go
@@ -12,7 +12,7 @@
 
 const (
 	// acceptTimeout is how long a write waits until the revision is in force on all nodes before it
-	// is answered as pending. It is below the target of 4 s.
+	// is answered as pending.
 	acceptTimeout = 3500 * time.Millisecond
 	// acceptPollInterval is the time between two reads of the sessions during that wait.
 	acceptPollInterval = 40 * time.Millisecond
@@ -45,7 +45,8 @@
 	return body
 }
 
-// Status reports on which nodes a revision is in force, as of the last read of the sessions.
+// Status returns on how many nodes a revision is in force, and the nodes on which it is not, as of the
+// last read of the sessions.
 func (p *Publisher) Status(revision uint64) v1.Status {
 	status := v1.Status{Revision: revision}
 	sessions := p.Sessions.Sessions()
--- a/internal/table/asof_test.go
+++ b/internal/table/asof_test.go
@@ -97,7 +97,7 @@
 }
 
 // While no poll of the heads completes, the age of the view grows, the outage is reported once, and
-// the wall clock in Changes.Now goes on.
+// the wall clock in Changes.Now continues to advance.
 func TestPolledFeed_AgeGrowsWhileNoPollIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -188,8 +188,8 @@
 	return answer, nil
 }
 
-// Guards against an age that is measured from the receipt of an answer instead of its generation. Keys
-// and configurations that were withdrawn are checked against the age.
+// Guards against an age that is measured from the receipt of an answer instead of its generation. The
+// age limits how long a node relies on keys and configurations that may have been withdrawn.
 func TestWatcher_AgeIncludesResponseDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/table/dynamo.go
+++ b/internal/table/dynamo.go
@@ -242,8 +242,8 @@
 	}
 }
 
-// isDialError reports whether no connection was established, so that the service cannot have
-// received any of the request.
+// isDialError reports whether err means that no connection was established, so that the service
+// cannot have received any of the request.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
--- a/internal/table/poll.go
+++ b/internal/table/poll.go
@@ -89,8 +89,9 @@
 	revision uint64
 	poll     uint64
 	// asOf is the start time of the last successful poll.
-	asOf     time.Time
-	err      error
+	asOf time.Time
+	err  error
+	// nextPoll is closed at the end of the next poll.
 	nextPoll <-chan struct{}
 }
 
--- a/internal/table/seed_test.go
+++ b/internal/table/seed_test.go
@@ -92,8 +92,7 @@
 }
 
 // Guards against a slow first read, as when a whole fleet starts, that is mistaken for an unresponsive
-// store: 300 nodes in front of 3,000 replicas then requested all data from each other, about 300 MB
-// between regions.
+// store: all nodes would then request all rows from each other, even between regions.
 func TestWatcher_SlowFirstReadIsNotSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := &slowPages{pageDelay: 400 * time.Millisecond, pages: 10}
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,7 +1,7 @@
 // Package table defines the interface to the platform's transactional table service, and an
 // adapter to the DynamoDB protocol.
 //
-// All persistent state that needs agreement is stored in versioned rows. A row is only changed by
+// All persistent state that nodes must agree on is stored in versioned rows. A row is only changed by
 // a write that names the version it expects, so every change is a compare-and-set and no two
 // writers can both succeed from the same version.
 package table
--- a/internal/table/watch.go
+++ b/internal/table/watch.go
@@ -32,8 +32,8 @@
 	pageRetryMaxDelay = time.Second
 )
 
-// Watcher follows a feed and passes every change to Apply, in order. Its view never goes back in
-// time: only newer versions of a row are passed on, and a row that is missing from a whole read
+// Watcher follows a feed and passes every change to Apply, in order. Its view never reverts to an
+// older state: only newer versions of a row are passed on, and a row that is missing from a whole read
 // is only considered removed if the read is newer than the known revision.
 type Watcher struct {
 	Feed Feed
@@ -338,8 +338,8 @@
 	w.Apply(changes, whole)
 }
 
-// callSucceeded records a response. It must be called before the changes are applied, because
-// handlers of the changes need to know of an outage that has ended.
+// callSucceeded records a response. It must be called before the changes are applied, so that
+// OnRegained reports the end of an outage before handlers of the changes run.
 func (w *Watcher) callSucceeded(changes Changes) {
 	asOf := int64(changes.AsOf.Sub(clockOrigin))
 	if newest := w.newestAnswer.Load(); !changes.More && (newest == 0 || asOf > newest) {
--- a/internal/table/watch_test.go
+++ b/internal/table/watch_test.go
@@ -112,8 +112,7 @@
 }
 
 func TestWatcher_ReportsOutageBeforeChanges(t *testing.T) {
-	// Guards against removals that are applied before the handlers of the changes know of the
-	// outage that caused them.
+	// Guards against removals that are applied before OnRegained reports the outage that caused them.
 	feed := &scriptedFeed{answers: make(chan func() (table.Changes, error))}
 	order := make(chan string, 4)
 	watcher := table.NewWatcher(feed, func(table.Changes, bool) { order <- "applied" })
@@ -156,8 +155,8 @@
 }
 
 func TestWatcher_RetriesOnlyFailedPage(t *testing.T) {
-	// Guards against a rejected page that restarts the whole read: 300 nodes that started at the
-	// same time needed 30 s until they could serve.
+	// Guards against a rejected page that restarts the whole read: many nodes that start at the same
+	// time would take long until they can serve.
 	feed := &pagedFeed{}
 	applied := make(chan int, 1)
 	watcher := table.NewWatcher(feed, func(changes table.Changes, _ bool) { applied <- len(changes.Changes) })
