--- a/internal/batch/feeder.go
+++ b/internal/batch/feeder.go
@@ -132,7 +132,7 @@
 	defer cancel()
 	// The groups are read before the list: a batch that has a group and is missing from the later
 	// list has ended.
-	known := f.Service.Work.View.All()
+	entries := f.Service.Work.View.All()
 	active, err := f.Service.Active(callCtx)
 	if err != nil {
 		return
@@ -149,7 +149,7 @@
 			delete(f.batches, id)
 		}
 	}
-	f.stopEnded(callCtx, known, listed)
+	f.stopEnded(callCtx, entries, listed)
 }
 
 // start begins to feed a batch, unless it has ended.
@@ -168,8 +168,8 @@
 }
 
 // stopEnded ends and removes the groups of batches that have ended.
-func (f *Feeder) stopEnded(ctx context.Context, known []*jobs.Entry, listed map[string]bool) {
-	for _, entry := range known {
+func (f *Feeder) stopEnded(ctx context.Context, entries []*jobs.Entry, listed map[string]bool) {
+	for _, entry := range entries {
 		batch, _, ok := parseGroupID(entry.Job.ID)
 		if !ok || listed[batch] || f.Sessions.Preferred(batch) != f.Self {
 			continue
--- a/internal/batch/feeder_test.go
+++ b/internal/batch/feeder_test.go
@@ -60,15 +60,15 @@
 // fakeSessions lists the live sessions. The first is preferred for all work.
 type fakeSessions []string
 
-func (a fakeSessions) RefreshInterval() time.Duration { return 10 * time.Millisecond }
-func (a fakeSessions) Live() []string                 { return a }
-func (a fakeSessions) Preferred(string) string        { return a[0] }
-func (a fakeSessions) Nodes() []string                { return []string{lease.Node(a[0])} }
-func (a fakeSessions) Places() []place.Node           { return nil }
-func (a fakeSessions) Region(string) string           { return "" }
-func (a fakeSessions) Gone(node string) bool          { return node != lease.Node(a[0]) }
-func (a fakeSessions) Refresh(context.Context) error  { return nil }
-func (a fakeSessions) Expired(session string) bool    { return session != a[0] }
+func (s fakeSessions) RefreshInterval() time.Duration { return 10 * time.Millisecond }
+func (s fakeSessions) Live() []string                 { return s }
+func (s fakeSessions) Preferred(string) string        { return s[0] }
+func (s fakeSessions) Nodes() []string                { return []string{lease.Node(s[0])} }
+func (s fakeSessions) Places() []place.Node           { return nil }
+func (s fakeSessions) Region(string) string           { return "" }
+func (s fakeSessions) Gone(node string) bool          { return node != lease.Node(s[0]) }
+func (s fakeSessions) Refresh(context.Context) error  { return nil }
+func (s fakeSessions) Expired(session string) bool    { return session != s[0] }
 
 type discardEvents struct{}
 
@@ -136,13 +136,13 @@
 }
 
 // submitLines uploads an input file with one item for each prompt, and submits a batch over it.
-func submitLines(t *testing.T, service *Service, bodies []string, window time.Duration) *Job {
+func submitLines(t *testing.T, service *Service, texts []string, window time.Duration) *Job {
 	t.Helper()
 	var file bytes.Buffer
-	for i, body := range bodies {
+	for i, text := range texts {
 		line, err := json.Marshal(openai.BatchItem{
 			CustomID: fmt.Sprintf("c%d", i), Method: http.MethodPost, URL: openai.PathChatCompletions,
-			Body: json.RawMessage(fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":%q}]}`, testModel, body)),
+			Body: json.RawMessage(fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":%q}]}`, testModel, text)),
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -275,11 +275,11 @@
 
 func testSubmission(t *testing.T, service *Service, batch *Job) *jobs.Submission {
 	t.Helper()
-	submitted, err := service.newSubmission(t.Context(), batch, 0)
+	submission, err := service.newSubmission(t.Context(), batch, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return submitted
+	return submission
 }
 
 func TestFeeder_ItemsPastTheDeadlineExpire(t *testing.T) {
--- a/internal/batch/jsonl_test.go
+++ b/internal/batch/jsonl_test.go
@@ -46,20 +46,20 @@
 	return nil, nil
 }
 
-const goodLine = `{"custom_id":"a","method":"POST","url":"/v1/chat/completions","body":{"model":"m","messages":[{"role":"user","content":"hi"}]}}`
+const validLine = `{"custom_id":"a","method":"POST","url":"/v1/chat/completions","body":{"model":"m","messages":[{"role":"user","content":"hi"}]}}`
 
 func TestUpload_Findings(t *testing.T) {
 	cases := []struct {
 		name, content, code string
 		line                int
 	}{
-		{"broken JSON", goodLine + "\n{\"custom_id\":", codeInvalidJSON, 2},
-		{"duplicate id", goodLine + "\n" + goodLine + "\n", codeDuplicateID, 2},
-		{"no id", strings.Replace(goodLine, `"a"`, `""`, 1), codeInvalidItem, 1},
-		{"wrong method", strings.Replace(goodLine, "POST", "GET", 1), codeInvalidItem, 1},
-		{"no model", strings.Replace(goodLine, `"m"`, `""`, 1), codeInvalidItem, 1},
+		{"broken JSON", validLine + "\n{\"custom_id\":", codeInvalidJSON, 2},
+		{"duplicate id", validLine + "\n" + validLine + "\n", codeDuplicateID, 2},
+		{"no id", strings.Replace(validLine, `"a"`, `""`, 1), codeInvalidItem, 1},
+		{"wrong method", strings.Replace(validLine, "POST", "GET", 1), codeInvalidItem, 1},
+		{"no model", strings.Replace(validLine, `"m"`, `""`, 1), codeInvalidItem, 1},
 		{"empty", "\n\n", codeEmptyFile, 0},
-		{"too long", goodLine + "\n" + strings.Repeat("x", MaxLineBytes+1) + "\n", codeLineTooLong, 2},
+		{"too long", validLine + "\n" + strings.Repeat("x", MaxLineBytes+1) + "\n", codeLineTooLong, 2},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -76,7 +76,7 @@
 }
 
 func FuzzParseItem(f *testing.F) {
-	f.Add([]byte(goodLine))
+	f.Add([]byte(validLine))
 	f.Add([]byte(`{"custom_id":1}`))
 	f.Add([]byte("\x00"))
 	f.Fuzz(func(t *testing.T, line []byte) {
--- a/internal/command/quarantine.go
+++ b/internal/command/quarantine.go
@@ -35,66 +35,66 @@
 // newQuarantineCommand returns a quarantine subcommand with the common flags.
 func newQuarantineCommand(std streams, name, usage, help string, run func(context.Context, *quarantineFlags, []string) error) *ffcli.Command {
 	flags := newFlags("wheelhoist quarantine "+name, std)
-	call := &quarantineFlags{}
-	call.conn.register(flags)
-	registerFormat(flags, &call.output)
-	flags.StringVar(&call.gateway, "gateway", "", "host:port of a gateway's metrics address, instead of -server")
+	common := &quarantineFlags{}
+	common.conn.register(flags)
+	registerFormat(flags, &common.output)
+	flags.StringVar(&common.gateway, "gateway", "", "host:port of a gateway's metrics address, instead of -server")
 	return &ffcli.Command{
 		Name: name, ShortUsage: "wheelhoist quarantine " + usage, FlagSet: flags, Options: options(), ShortHelp: help,
-		Exec: func(ctx context.Context, arguments []string) error { return run(ctx, call, arguments) },
+		Exec: func(ctx context.Context, arguments []string) error { return run(ctx, common, arguments) },
 	}
 }
 
 func quarantineListCommand(std streams) *ffcli.Command {
 	return newQuarantineCommand(std, "list", "list [flags]", "show all work that is suspected or quarantined",
-		func(ctx context.Context, call *quarantineFlags, arguments []string) error {
+		func(ctx context.Context, common *quarantineFlags, arguments []string) error {
 			if len(arguments) > 0 {
 				return &usageError{"quarantine list takes no arguments"}
 			}
-			list, err := call.client().Suspects(ctx)
+			list, err := common.client().Suspects(ctx)
 			if err != nil {
 				return err
 			}
-			return call.output.write(std.out, list, func() table { return suspectTable(list.Items) })
+			return common.output.write(std.out, list, func() table { return suspectTable(list.Items) })
 		})
 }
 
 func quarantineShowCommand(std streams) *ffcli.Command {
 	return newQuarantineCommand(std, "show", "show [flags] WORK", "show what counts against a work",
-		func(ctx context.Context, call *quarantineFlags, arguments []string) error {
+		func(ctx context.Context, common *quarantineFlags, arguments []string) error {
 			work, err := workArgument(arguments)
 			if err != nil {
 				return err
 			}
-			suspect, err := call.client().Suspect(ctx, work)
+			suspect, err := common.client().Suspect(ctx, work)
 			if err != nil {
 				return err
 			}
-			return call.output.write(std.out, suspect, func() table { return suspectTable([]v1.Suspect{*suspect}) })
+			return common.output.write(std.out, suspect, func() table { return suspectTable([]v1.Suspect{*suspect}) })
 		})
 }
 
 func quarantineReleaseCommand(std streams) *ffcli.Command {
 	return newQuarantineCommand(std, "release", "release [flags] WORK", "let a work run again, at all nodes",
-		func(ctx context.Context, call *quarantineFlags, arguments []string) error {
+		func(ctx context.Context, common *quarantineFlags, arguments []string) error {
 			work, err := workArgument(arguments)
 			if err != nil {
 				return err
 			}
-			released, err := call.client().Release(ctx, work)
+			released, err := common.client().Release(ctx, work)
 			if err != nil {
 				return err
 			}
-			return call.output.write(std.out, released, func() table { return suspectTable([]v1.Suspect{*released}) })
+			return common.output.write(std.out, released, func() table { return suspectTable([]v1.Suspect{*released}) })
 		})
 }
 
 // client returns a client of the node, or of the gateway if one is set.
-func (c *quarantineFlags) client() *client.Client {
-	if c.gateway == "" {
-		return c.conn.client()
+func (f *quarantineFlags) client() *client.Client {
+	if f.gateway == "" {
+		return f.conn.client()
 	}
-	return client.New("http://"+c.gateway, c.conn.key)
+	return client.New("http://"+f.gateway, f.conn.key)
 }
 
 func workArgument(arguments []string) (string, error) {
--- a/internal/lab/experiment/fault.go
+++ b/internal/lab/experiment/fault.go
@@ -134,9 +134,9 @@
 	r.site.Platform.Table.Faults.Change(edit)
 	r.site.Platform.Objects.Faults.Change(edit)
 	retry.Sleep(ctx, 2*quarter)
-	heal := func(condition *emulator.Condition) { *condition = emulator.Condition{} }
-	r.site.Platform.Table.Faults.Change(heal)
-	r.site.Platform.Objects.Faults.Change(heal)
+	reset := func(condition *emulator.Condition) { *condition = emulator.Condition{} }
+	r.site.Platform.Table.Faults.Change(reset)
+	r.site.Platform.Objects.Faults.Change(reset)
 	r.options.Progress("store fault ends")
 	// The rate right after recovery shows whether clients and nodes retry all at once.
 	rateAfter := r.tableCallRate(context.WithoutCancel(ctx), callRateWindow)
--- a/internal/lab/site/balancer.go
+++ b/internal/lab/site/balancer.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// balanceInterval is the time between two probes of the readiness of the nodes.
-const balanceInterval = 200 * time.Millisecond
+// probeInterval is the time between two probes of the readiness of the nodes.
+const probeInterval = 200 * time.Millisecond
 
 // balancer emulates a load balancer between the callers and the nodes: it probes the nodes and keeps
 // the list of those that are ready.
@@ -20,12 +20,12 @@
 }
 
 func newBalancer() *balancer {
-	return &balancer{client: &http.Client{Timeout: 4 * balanceInterval}}
+	return &balancer{client: &http.Client{Timeout: 4 * probeInterval}}
 }
 
 // run probes the nodes of site until the context ends.
 func (b *balancer) run(ctx context.Context, site *Site) {
-	ticker := time.NewTicker(balanceInterval)
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
 		b.probe(ctx, site)
--- a/internal/lab/site/drain_test.go
+++ b/internal/lab/site/drain_test.go
@@ -33,7 +33,7 @@
 		for stream.Next() {
 		}
 	}()
-	batch := submitWith(ctx, t, sdk(testSite, 1), load.Items(profile.Urnik.Batch, 5, "drain", 400, false))
+	batch := submitBatch(ctx, t, sdk(testSite, 1), load.Items(profile.Urnik.Batch, 5, "drain", 400, false))
 	time.Sleep(300 * time.Millisecond)
 	drained := make(chan error, 1)
 	go func() { drained <- testSite.Nodes()[0].Drain(context.WithoutCancel(ctx)) }()
--- a/internal/lab/site/site_test.go
+++ b/internal/lab/site/site_test.go
@@ -56,10 +56,10 @@
 func TestSite_OpenAIClient(t *testing.T) {
 	testSite := start(t, 3)
 	ctx := t.Context()
-	streamWith(ctx, t, testSite)
+	checkStreaming(ctx, t, testSite)
 
 	items := load.Items(profile.Urnik.Batch, 5, "sdk", 60, false)
-	batch := submitWith(ctx, t, sdk(testSite, 1), items)
+	batch := submitBatch(ctx, t, sdk(testSite, 1), items)
 	client := sdk(testSite, 2)
 	var err error
 	for batch.Status != openai.BatchStatusCompleted {
@@ -73,11 +73,11 @@
 		t.Fatal(err)
 	}
 	checkResults(t, content.Body, items)
-	cancelWith(ctx, t, testSite)
+	checkCancellation(ctx, t, testSite)
 }
 
-// submitWith uploads items and creates a batch of them.
-func submitWith(ctx context.Context, t *testing.T, client openai.Client, items []load.Item) *openai.Batch {
+// submitBatch uploads items and creates a batch of them.
+func submitBatch(ctx context.Context, t *testing.T, client openai.Client, items []load.Item) *openai.Batch {
 	t.Helper()
 	file, err := client.Files.New(ctx, openai.FileNewParams{
 		File:    openai.File(bytes.NewReader(load.JSONL(profile.Urnik.Model, items)), "items.jsonl", "application/jsonl"),
@@ -96,8 +96,8 @@
 	return batch
 }
 
-// streamWith checks that a streamed completion and one that is not streamed have the expected text.
-func streamWith(ctx context.Context, t *testing.T, testSite *site.Site) {
+// checkStreaming checks that a streamed completion and one that is not streamed have the expected text.
+func checkStreaming(ctx context.Context, t *testing.T, testSite *site.Site) {
 	t.Helper()
 	client := sdk(testSite, 0)
 	stream := client.Chat.Completions.NewStreaming(ctx, openai.ChatCompletionNewParams{
@@ -161,11 +161,11 @@
 	}
 }
 
-// cancelWith checks that a batch submitted through one node can be cancelled through another.
-func cancelWith(ctx context.Context, t *testing.T, testSite *site.Site) {
+// checkCancellation checks that a batch submitted through one node can be cancelled through another.
+func checkCancellation(ctx context.Context, t *testing.T, testSite *site.Site) {
 	t.Helper()
 	client := sdk(testSite, 0)
-	batch := submitWith(ctx, t, client, load.Items(profile.Urnik.Batch, 6, "cancel", 5000, false))
+	batch := submitBatch(ctx, t, client, load.Items(profile.Urnik.Batch, 6, "cancel", 5000, false))
 	other := sdk(testSite, 1)
 	cancelled, err := other.Batches.Cancel(ctx, batch.ID)
 	if err != nil {
--- a/internal/lab/soak/checkzones_test.go
+++ b/internal/lab/soak/checkzones_test.go
@@ -11,15 +11,15 @@
 
 // Times of the outages in a valid history, in seconds after its start.
 const (
-	evacuatedAt, takenBackAt = 20.0, 30.0
-	lostAt, recoveredAt      = 40.0, 48.0
-	chilledAt                = 60.0
+	evacuatedAt, revokedAt = 20.0, 30.0
+	lostAt, recoveredAt    = 40.0, 48.0
+	coldAt                 = 60.0
 )
 
 // addValidZones adds an evacuated zone, a lost zone and a cold server to a valid history, with
 // everything that is just allowed.
 func addValidZones(h *History, at func(seconds float64) time.Time) {
-	h.Evacuations = []Outage{{Zone: "b", From: at(evacuatedAt), To: at(takenBackAt)}}
+	h.Evacuations = []Outage{{Zone: "b", From: at(evacuatedAt), To: at(revokedAt)}}
 	h.Losses = []Outage{{Zone: "b", From: at(lostAt), To: at(recoveredAt)}}
 	evacuatedRun := func(id string, after float64) ServerRun {
 		run := standin.Run{ID: id, At: at(evacuatedAt + after), Header: http.Header{"Tenant": {tenantMain}}}
@@ -37,7 +37,7 @@
 		h.Requests = append(h.Requests, req)
 	}
 	for number := range 16 {
-		send := standin.ColdRequest{At: at(chilledAt + 1 + 0.14*float64(number)), Since: at(chilledAt)}
+		send := standin.ColdRequest{At: at(coldAt + 1 + 0.14*float64(number)), Since: at(coldAt)}
 		h.ColdSends = append(h.ColdSends, ColdSend{Server: "s2", ColdRequest: send})
 	}
 }
@@ -70,7 +70,7 @@
 
 // Late runs in an evacuated zone only count if their sender was connected: for a request the node
 // that received it, for an item any node.
-func TestCheck_LateRunsOfNodesInTouchCount(t *testing.T) {
+func TestCheck_LateRunsOfConnectedNodesCount(t *testing.T) {
 	cases := []struct {
 		name        string
 		item        bool
@@ -109,7 +109,7 @@
 }
 
 // Requests that need not be served while a zone is lost do not count.
-func TestCheck_LossesCountWhatIsOwed(t *testing.T) {
+func TestCheck_LossesCountExpectedAnswersOnly(t *testing.T) {
 	changes := map[string]func(h *History, req *Request){
 		"node of the lost zone": func(_ *History, req *Request) { req.Node = "m" },
 		"restarted node": func(h *History, req *Request) {
@@ -142,8 +142,8 @@
 	}{{0, 2, false}, {1.1, 1.9, false}, {-2, -1, true}, {4, 5, true}} {
 		h := validHistory()
 		zoneMutations()[ColdWithinRate](h)
-		chilled := h.ColdSends[0].Since
-		after := func(seconds float64) time.Time { return chilled.Add(time.Duration(seconds * float64(time.Second))) }
+		coldSince := h.ColdSends[0].Since
+		after := func(seconds float64) time.Time { return coldSince.Add(time.Duration(seconds * float64(time.Second))) }
 		h.Overwritten = []ServerOutage{{Server: "s2", From: after(test.from), To: after(test.to)}}
 		if found := Check(h); (len(found) > 0) != test.broken {
 			t.Errorf("overwritten from %v to %v: got violations %v", test.from, test.to, found)
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -40,7 +40,7 @@
 		retry.Sleep(ctx, fault.Duration)
 		node.store.setFault(NoFault)
 	case StoreBusy, StoreLoses, StoreLate:
-		s.store.SetFault(s.storeTrouble(fault))
+		s.store.SetFault(s.storeFaults(fault))
 		retry.Sleep(ctx, fault.Duration)
 		s.store.SetFault(nil)
 	case StoreForget:
@@ -54,7 +54,7 @@
 	case ServerCut, ServerBad, ServerFull, DrainServer:
 		s.injectServerFault(ctx, fault)
 	default:
-		s.injectSecond(ctx, fault)
+		s.injectSecondPlanFault(ctx, fault)
 	}
 }
 
@@ -91,16 +91,16 @@
 	}
 }
 
-// storeTrouble returns a function that chooses the calls to the store which fail.
-func (s *soak) storeTrouble(fault Fault) func(string) standin.Fault {
-	trouble := map[FaultKind]standin.Fault{StoreBusy: standin.Unavailable, StoreLoses: standin.ResponseLost, StoreLate: standin.WriteDelayed}[fault.Kind]
+// storeFaults returns a function that chooses the calls to the store which fail.
+func (s *soak) storeFaults(fault Fault) func(string) standin.Fault {
+	storeFault := map[FaultKind]standin.Fault{StoreBusy: standin.Unavailable, StoreLoses: standin.ResponseLost, StoreLate: standin.WriteDelayed}[fault.Kind]
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(s.Seed, uint64(fault.After)))
 	return func(string) standin.Fault {
 		mu.Lock()
 		defer mu.Unlock()
 		if random.Float64() < fault.Share {
-			return trouble
+			return storeFault
 		}
 		return standin.NoFault
 	}
--- a/internal/lab/soak/harm_test.go
+++ b/internal/lab/soak/harm_test.go
@@ -32,7 +32,7 @@
 }
 
 // Crashes caused by requests of disturbed nodes do not count.
-func TestCheck_HarmOfNodesInTouchCounts(t *testing.T) {
+func TestCheck_HarmByConnectedNodesCounts(t *testing.T) {
 	history := validHistory()
 	last := history.HarmfulCrashes[6].At
 	addHarm(history, 7, last.Add(time.Second))
--- a/internal/lab/soak/secondfaults.go
+++ b/internal/lab/soak/secondfaults.go
@@ -25,8 +25,8 @@
 	clockStepBack = 10 * time.Minute
 )
 
-// injectSecond injects one fault of the second plan and reverts it.
-func (s *soak) injectSecond(ctx context.Context, fault Fault) {
+// injectSecondPlanFault injects one fault of the second plan and reverts it.
+func (s *soak) injectSecondPlanFault(ctx context.Context, fault Fault) {
 	node := s.gateways[fault.Target%len(s.gateways)]
 	switch fault.Kind {
 	case SilentServer, SilentServers, SilentStore, SilentStores:
--- a/internal/lab/soak/servers.go
+++ b/internal/lab/soak/servers.go
@@ -204,8 +204,8 @@
 	srv.updateOutageLocked()
 }
 
-// chill makes a server cold, and updates its row then and when it is warm again.
-func (s *soak) chill(ctx context.Context, srv *server, length time.Duration) {
+// makeCold makes a server cold, and updates its row then and when it is warm again.
+func (s *soak) makeCold(ctx context.Context, srv *server, length time.Duration) {
 	srv.SetCold(length)
 	srv.writeRow()
 	s.awaitWarm(ctx, srv)
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -282,7 +282,7 @@
 	var done sync.WaitGroup
 	done.Go(func() { s.evacuateZone(ctx, s.zones[1], calmEvacuation) })
 	retry.Sleep(ctx, time.Until(s.CalmFrom))
-	done.Go(func() { s.chill(ctx, s.servers[2], coldStart) })
+	done.Go(func() { s.makeCold(ctx, s.servers[2], coldStart) })
 	s.drain(ctx, s.servers[0], true)
 	done.Wait()
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -81,7 +81,7 @@
 }
 
 // Guards against changes of the series that a seed draws, since findings are recorded by seed.
-func TestSecondPlan_SeriesOfASeedStay(t *testing.T) {
+func TestSecondPlan_SeriesOfASeedDoNotChange(t *testing.T) {
 	const (
 		faults = 36
 		sum    = "2fb99d6b5c5376e76f68d5f99c0ee326a577f79eb64ed22692a785e3abf2518b"
@@ -136,11 +136,11 @@
 
 // validHistory returns a history without violations.
 func validHistory() *History {
-	began := time.Now()
-	at := func(seconds float64) time.Time { return began.Add(time.Duration(seconds * float64(time.Second))) }
+	start := time.Now()
+	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 	listed := []standin.JobResult{{Item: "j-0", Text: wholeText()}, {Item: "j-1", DeadLetter: true}}
-	run := func(server, id string, when float64, did standin.Behaviour) ServerRun {
-		return ServerRun{Server: server, Run: standin.Run{ID: id, At: at(when), Behaviour: did, Header: http.Header{"Tenant": {tenantMain}}}}
+	run := func(server, id string, when float64, behaviour standin.Behaviour) ServerRun {
+		return ServerRun{Server: server, Run: standin.Run{ID: id, At: at(when), Behaviour: behaviour, Header: http.Header{"Tenant": {tenantMain}}}}
 	}
 	history := &History{
 		Events: testEvents, Quota: 1000, CalmFrom: at(5),
@@ -224,7 +224,7 @@
 	}
 }
 
-func TestProxy_Harms(t *testing.T) {
+func TestProxy_ConnectionFaults(t *testing.T) {
 	s := &soak{Options: Options{Nodes: 0}, store: standin.NewStore()}
 	t.Cleanup(s.close)
 	address, err := s.listen(s.store)
@@ -244,10 +244,10 @@
 	if status := getStatus(); status != reached {
 		t.Fatalf("status without a fault is %d", status)
 	}
-	for _, harm := range []ConnectionFault{Reset, StallToUpstream, StallToCaller} {
-		proxy.setFault(harm)
+	for _, fault := range []ConnectionFault{Reset, StallToUpstream, StallToCaller} {
+		proxy.setFault(fault)
 		if status := getStatus(); status != 0 {
-			t.Errorf("status with connection fault %d is %d", harm, status)
+			t.Errorf("status with connection fault %d is %d", fault, status)
 		}
 	}
 	proxy.setFault(NoFault)
--- a/internal/lab/soak/waits_test.go
+++ b/internal/lab/soak/waits_test.go
@@ -117,7 +117,7 @@
 
 // The bound in the calm phase applies to uninterrupted waits, since a slot that is free briefly
 // between two requests cannot be used.
-func TestCheck_WaitsInCalmWithoutABreak(t *testing.T) {
+func TestCheck_CalmWaitsMustBeUninterrupted(t *testing.T) {
 	h := validHistory()
 	moveItem(h, "j-0", 10*time.Second)
 	middle := h.LoadStart.Add(9 * time.Second)
--- a/internal/lab/soak/zones.go
+++ b/internal/lab/soak/zones.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// chillLead is how long before the end of an evacuation the servers of the zone turn cold.
-	chillLead = 500 * time.Millisecond
+	// coldLead is how long before the end of an evacuation the servers of the zone turn cold.
+	coldLead = 500 * time.Millisecond
 	// minOutage is the minimum time for which a zone is evacuated or lost.
 	minOutage = time.Second
 	// calmEvacuation is a second longer than the time within which connected nodes have to react.
@@ -63,7 +63,7 @@
 func (s *soak) injectZoneFault(ctx context.Context, fault Fault) {
 	zone := s.zoneOf(fault.Target)
 	if fault.Kind == ChillZone {
-		s.chillZone(ctx, zone, fault.Duration)
+		s.makeZoneCold(ctx, zone, fault.Duration)
 		return
 	}
 	s.zoneOutage.Lock()
@@ -80,11 +80,11 @@
 	s.evacuateZone(ctx, zone, length)
 }
 
-// chillZone makes the servers of a zone cold.
-func (s *soak) chillZone(ctx context.Context, zone *zone, length time.Duration) {
+// makeZoneCold makes the servers of a zone cold.
+func (s *soak) makeZoneCold(ctx context.Context, zone *zone, length time.Duration) {
 	var all sync.WaitGroup
 	for _, srv := range s.serversIn(zone) {
-		all.Go(func() { s.chill(ctx, srv, length) })
+		all.Go(func() { s.makeCold(ctx, srv, length) })
 	}
 	all.Wait()
 }
@@ -93,9 +93,9 @@
 func (s *soak) evacuateZone(ctx context.Context, zone *zone, length time.Duration) {
 	s.store.Evacuate(zone.name)
 	start := time.Now()
-	retry.Sleep(ctx, length-chillLead)
-	s.warming.Go(func() { s.chillZone(ctx, zone, coldStart) })
-	retry.Sleep(ctx, chillLead)
+	retry.Sleep(ctx, length-coldLead)
+	s.warming.Go(func() { s.makeZoneCold(ctx, zone, coldStart) })
+	retry.Sleep(ctx, coldLead)
 	record(&s.History, &s.Evacuations, Outage{Zone: zone.name, From: start, To: time.Now()})
 	s.store.CancelEvacuation(zone.name)
 }
@@ -117,7 +117,7 @@
 	all.Wait()
 	for _, srv := range s.serversIn(zone) {
 		srv.bringUp()
-		s.warming.Go(func() { s.chill(ctx, srv, srv.ColdLeft()) })
+		s.warming.Go(func() { s.makeCold(ctx, srv, srv.ColdLeft()) })
 	}
 }
 
--- a/internal/server/sink.go
+++ b/internal/server/sink.go
@@ -71,11 +71,11 @@
 }
 
 // Write implements forward.Sink.
-func (s *streamSink) Write(piece []byte, more bool) error {
+func (s *streamSink) Write(chunk []byte, more bool) error {
 	if s.record {
-		s.recorded.buffer.Write(piece)
+		s.recorded.buffer.Write(chunk)
 	}
-	if _, err := s.ctx.ResponseWriter().Write(piece); err != nil {
+	if _, err := s.ctx.ResponseWriter().Write(chunk); err != nil {
 		return err
 	}
 	if !more {
@@ -118,8 +118,8 @@
 }
 
 // Write implements forward.Sink.
-func (s *bufferedSink) Write(piece []byte, _ bool) error {
-	s.events.Write(piece)
+func (s *bufferedSink) Write(chunk []byte, _ bool) error {
+	s.events.Write(chunk)
 	return s.ctx.Request().Context().Err()
 }
 
