--- a/api/client/client.go
+++ b/api/client/client.go
@@ -36,7 +36,7 @@
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Message) }
 
-// ErrTooOld reports that a watch asked for changes that the server no longer stores.
+// ErrTooOld reports that a watch requested changes that the server no longer stores.
 var ErrTooOld = errors.New("resource version too old, list again")
 
 // Client calls the API of one node.
--- a/internal/batch/feeder.go
+++ b/internal/batch/feeder.go
@@ -104,7 +104,7 @@
 		select {
 		case <-ctx.Done():
 		case <-changed:
-			// Results arrive in bursts; one step handles many.
+			// Results arrive in bursts, so one step handles many.
 			retry.Sleep(ctx, stepDelay)
 		case <-time.After(f.listInterval()):
 		}
@@ -167,7 +167,7 @@
 	f.batches[batch.ID] = &fedBatch{batch: batch, done: done, startedAt: time.Now(), initialResults: completed + failed}
 }
 
-// stopEnded ends and removes the groups of batches that have ended.
+// stopEnded ends and removes the groups among entries whose batch is not listed as active.
 func (f *Feeder) stopEnded(ctx context.Context, entries []*jobs.Entry, listed map[string]bool) {
 	for _, entry := range entries {
 		batch, _, ok := parseGroupID(entry.Job.ID)
@@ -270,8 +270,8 @@
 	}
 }
 
-// recover handles submitted groups that are neither open nor known to be done: either another
-// feeder has finished them, or they are submitted again.
+// recover handles submitted groups that are neither open nor known to be done. Either another feeder
+// has finished them, or they are submitted again.
 func (f *Feeder) recover(ctx context.Context, fed *fedBatch) {
 	if len(f.lostGroups(fed)) == 0 {
 		return
--- a/internal/batch/feeder_test.go
+++ b/internal/batch/feeder_test.go
@@ -135,7 +135,7 @@
 	return &testNode{Service: service, stop: stop, feeder: feeder}
 }
 
-// submitLines uploads an input file with one item for each prompt, and submits a batch over it.
+// submitLines uploads an input file with one item for each text, and submits a batch over it.
 func submitLines(t *testing.T, service *Service, texts []string, window time.Duration) *Job {
 	t.Helper()
 	var file bytes.Buffer
--- a/internal/batch/upload.go
+++ b/internal/batch/upload.go
@@ -77,8 +77,8 @@
 	storedSegments int
 }
 
-// Upload stores an input file and returns its record. Findings do not fail the upload, but a job over
-// the file.
+// Upload stores an input file and returns its record. An upload with findings succeeds, but a job over
+// the file fails.
 func (s *Service) Upload(ctx context.Context, tenant, name string, content io.Reader) (*FileRecord, error) {
 	record := &FileRecord{ID: "file-" + table.NewOperation(), Tenant: tenant, Name: name, CreatedAt: time.Now().UTC()}
 	upload := &uploader{store: s.Objects, record: record, digest: sha256.New(), seenIDs: map[uint64]bool{}}
--- a/internal/lab/history/checkconfig.go
+++ b/internal/lab/history/checkconfig.go
@@ -55,7 +55,7 @@
 	OutcomeConflict = "conflict"
 	// OutcomeRefused means refused with a guarantee of no effect.
 	OutcomeRefused = "refused"
-	// OutcomeUnknown means no response, or one that does not tell whether the call took effect.
+	// OutcomeUnknown means no response, or one that does not show whether the call took effect.
 	OutcomeUnknown = "unknown"
 )
 
--- a/internal/lab/labcmd/root.go
+++ b/internal/lab/labcmd/root.go
@@ -24,7 +24,7 @@
 	out, err io.Writer
 }
 
-// Main runs the command line and returns the exit code. The command "node" is the one of the product,
+// Main runs the command line and returns the exit code. Its "node" command is that of wheelhoist,
 // because the lab runs nodes as processes of its own executable.
 func Main(arguments []string) int {
 	if len(arguments) > 0 && arguments[0] == "node" {
--- a/internal/lab/labcmd/soak.go
+++ b/internal/lab/labcmd/soak.go
@@ -14,7 +14,8 @@
 // soakReadyTimeout limits the time until all nodes of a soak serve.
 const soakReadyTimeout = 2 * time.Minute
 
-// Bounds of the flags of a soak. Each node is a process that uses about 25 MB of memory.
+// Bounds of the flags of a soak. Each node is a separate process, so maxSoakNodes also bounds the
+// memory that a run uses.
 const (
 	minSoakNodes   = 3
 	maxSoakNodes   = 40
--- a/internal/lab/profile/profile.go
+++ b/internal/lab/profile/profile.go
@@ -18,7 +18,7 @@
 
 // Online describes the online load: bursts of requests with idle time between them.
 type Online struct {
-	// MeanBurst and Quiet are the mean lengths of bursts and of the idle time between.
+	// MeanBurst and MeanIdle are the mean lengths of bursts and of the idle time between them.
 	MeanBurst time.Duration
 	MeanIdle  time.Duration
 	// Rate is the mean number of requests per second within a burst.
@@ -35,7 +35,7 @@
 
 // Batch describes the batch load: bursts of jobs.
 type Batch struct {
-	// BurstInterval is the time between two heaps of jobs.
+	// BurstInterval is the time between two bursts of jobs.
 	BurstInterval time.Duration
 	// Jobs is the number of jobs per burst, Items the number of items per job.
 	Jobs  int
@@ -54,7 +54,7 @@
 	Zones    []string
 	Region   string
 	Replicas []Replicas
-	// ClientDelay is the network delay from callers to a zone, ZoneDelay the one between zones.
+	// ClientDelay is the network delay from callers to a zone, ZoneDelay the delay between zones.
 	ClientDelay time.Duration
 	ZoneDelay   time.Duration
 	Online      Online
--- a/internal/lab/site/drain_test.go
+++ b/internal/lab/site/drain_test.go
@@ -12,9 +12,9 @@
 )
 
 // A batch completes while one of the nodes drains with an open stream. Guards against a draining node
-// that releases its jobs, but keeps its session until the last stream ends, up to five minutes later:
-// until then no other node took over the items that the job row assigned to it, nor items of lost
-// nodes for which it was preferred.
+// that releases its jobs, but keeps its session until the last stream ends: until then no other node
+// takes over the items that the job row assigns to it, nor the items of lost nodes for which it is
+// preferred.
 func TestSite_NodeThatDrainsHoldsUpNoItems(t *testing.T) {
 	testSite := start(t, 3)
 	ctx := t.Context()
--- a/internal/lab/soak/check.go
+++ b/internal/lab/soak/check.go
@@ -72,8 +72,8 @@
 	ReadEverywhere Promise = "result-read-once-is-read-everywhere"
 )
 
-// Bounds of the promises, as the platform specifies them. Names in parentheses are those of the
-// specification, here and at the other bounds.
+// Bounds of the promises, as the platform specifies them. In this package, a name in parentheses
+// after the description of a bound is its name in the specification.
 const (
 	drainBound  = 2 * time.Second
 	cancelBound = 3 * time.Second
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -91,7 +91,8 @@
 	}
 }
 
-// storeFaults returns a function that chooses the calls to the store which fail.
+// storeFaults returns a function that chooses the fault of each call to the store: for a random share
+// of the calls the one that fault.Kind specifies, for the others none.
 func (s *soak) storeFaults(fault Fault) func(string) standin.Fault {
 	storeFault := map[FaultKind]standin.Fault{StoreBusy: standin.Unavailable, StoreLoses: standin.ResponseLost, StoreLate: standin.WriteDelayed}[fault.Kind]
 	var mu sync.Mutex
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -157,8 +157,9 @@
 	Overwritten []ServerOutage
 	// ServerSlots maps the names of servers to their slots.
 	ServerSlots map[string]int
-	// Silences, ServerStarts, ForeignRows and HistoryLosses are the injected faults of these
-	// groups.
+	// Silences, ServerStarts, ForeignRows and HistoryLosses list the injected faults that silenced
+	// connections, restarted servers, wrote rows as another writer, and made the store lose its
+	// history.
 	Silences, ServerStarts, ForeignRows, HistoryLosses []FaultKind
 	// LoadStart and LoadEnd delimit the load. The calm phase starts at CalmFrom, some seconds after
 	// the last random fault has ended, and lasts until LoadEnd.
--- a/internal/lab/soak/open_test.go
+++ b/internal/lab/soak/open_test.go
@@ -80,8 +80,8 @@
 		{Seed: 7219, Nodes: 7, Regions: 2},
 		{Seed: 990118, Nodes: 20, Regions: 1},
 		{Seed: 7239, Nodes: 20, Regions: 2, Servers: 24, Slots: 4},
-		// Cold servers received more than their rate: each node of a zone that came back took
-		// itself for the only one of the zone (docs/incidents/0006).
+		// Cold servers received more than their rate: each node of a zone that had returned
+		// assumed that it was the only node of the zone (docs/incidents/0006).
 		{Seed: 7244, Nodes: 20, Regions: 2, Servers: 24, Slots: 4},
 	} {
 		t.Run(fmt.Sprint(options.Seed), func(t *testing.T) {
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -35,7 +35,7 @@
 
 // Kinds of faults in the second plan.
 const (
-	// The silent faults make the open connections drop all data for good: those to one server
+	// The silent faults make the open connections drop all data permanently: those to one server
 	// (SilentServer) or all servers (SilentServers), or those from one node (SilentStore) or all
 	// nodes (SilentStores) to the store.
 	SilentServer  FaultKind = "silent-server"
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -72,8 +72,8 @@
 
 func (p *proxy) address() string { return p.addr }
 
-// silence makes all open connections drop their data for good without a reset, so that neither side
-// learns that the other has closed. New connections are not affected.
+// silence makes all open connections drop their data permanently without a reset, so that neither
+// side learns that the other has closed. New connections are not affected.
 func (p *proxy) silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/soak/secondplan.go
+++ b/internal/lab/soak/secondplan.go
@@ -54,7 +54,7 @@
 	for at := secondStart; at < length; at += secondPause + time.Duration(random.Int64N(int64(secondJitter))) {
 		plan = append(plan, series(random, kinds, at)...)
 	}
-	// Drawn last, so that the series of recorded seeds do not change.
+	// Drawn last, so that recorded seeds keep their series.
 	plan = mergePlans(plan, historyLosses(random, length))
 	return slices.DeleteFunc(plan, func(fault Fault) bool { return fault.After >= length })
 }
--- a/internal/lab/soak/servers.go
+++ b/internal/lab/soak/servers.go
@@ -204,7 +204,8 @@
 	srv.updateOutageLocked()
 }
 
-// makeCold makes a server cold, and updates its row then and when it is warm again.
+// makeCold makes a server cold. It updates the row of the server at once, and again when the server
+// is warm.
 func (s *soak) makeCold(ctx context.Context, srv *server, length time.Duration) {
 	srv.SetCold(length)
 	srv.writeRow()
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -80,7 +80,8 @@
 	}
 }
 
-// Guards against changes of the series that a seed draws, since findings are recorded by seed.
+// Guards against changes of the series that are drawn for a seed, since findings are recorded by
+// seed.
 func TestSecondPlan_SeriesOfASeedDoNotChange(t *testing.T) {
 	const (
 		faults = 36
--- a/internal/lab/soak/zones.go
+++ b/internal/lab/soak/zones.go
@@ -17,7 +17,7 @@
 	minOutage = time.Second
 	// calmEvacuation is a second longer than the time within which connected nodes have to react.
 	calmEvacuation = evacuationBound + time.Second
-	// floodCallers wait for floodPause after each answer. While they are refused each makes up to
+	// floodCallers wait for floodPause after each answer. While they are refused, each makes up to
 	// 50 requests per second for a tenant that is limited to limitRate.
 	floodCallers = 5
 	floodPause   = 20 * time.Millisecond
--- a/internal/server/completion.go
+++ b/internal/server/completion.go
@@ -247,7 +247,7 @@
 	}
 	defer stopFollowing()
 	// An engine that has restarted no longer has the answer, and the connection to the old process
-	// may stay open in silence.
+	// may stay open without delivering data.
 	streamCtx, cancel := context.WithCancel(ctx.Request().Context())
 	defer cancel()
 	go func() {
--- a/internal/server/reconnect_test.go
+++ b/internal/server/reconnect_test.go
@@ -18,7 +18,7 @@
 )
 
 // TestReconnect_EndsWhenTheEngineRestarts guards against a resumed stream that hangs after a restart
-// of the engine: the new process has no answer, and the old connection may stay open in silence.
+// of the engine: the new process has no answer, and the old connection may stay open without data.
 func TestReconnect_EndsWhenTheEngineRestarts(t *testing.T) {
 	engineServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = fmt.Fprint(w, "id: 3\ndata: {}\n\n")
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -21,8 +21,8 @@
 	Grace v1.Duration `json:"grace,omitempty"`
 	// KeepJobs is how long after its acceptance a completed job can be read; 0 keeps all jobs.
 	KeepJobs v1.Duration `json:"keepJobs,omitempty"`
-	// Settle bounds how long the nodes disagree about a job's result: this long after a node returned
-	// it, all others return it too or answer 503. The default is 1s.
+	// Settle is how long after a node returned a job's result another node may still answer that there
+	// is none. Later it returns the result or answers 503. The default is 1s.
 	Settle v1.Duration `json:"settle,omitempty"`
 	// MemoryMegabytes is the memory that the process may use; 0 means unknown.
 	MemoryMegabytes int `json:"memoryMegabytes,omitempty"`
@@ -70,7 +70,7 @@
 }
 
 // DefaultBootstrapAfter is the default of BootstrapAfter. It exceeds the time to read a page of the
-// initial state: about 50 ms, or several hundred when a whole fleet starts.
+// initial state, even when a whole fleet starts at once.
 const DefaultBootstrapAfter = v1.Duration(700 * time.Millisecond)
 
 // DefaultQuotaWindow is the default of Quota.Window.
