--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -33,7 +33,7 @@
 )
 
 // forwardEvents relays events as they arrive, skipping those that the caller already has.
-func (c *call) forwardEvents(answer *Answer, use *replica.Use, watch *silenceWatchdog) error {
+func (c *call) forwardEvents(answer *Answer, use *replica.Use, watchdog *silenceWatchdog) error {
 	reader := sse.NewReader(answer.Body)
 	for {
 		event, err := reader.Next()
@@ -47,7 +47,7 @@
 		use.Received(now)
 		use.FirstEvent(now)
 		c.reportFirstEvent(now)
-		watch.setEventLimit(c.route.Gap)
+		watchdog.setEventLimit(c.route.Gap)
 		if event.HasID && event.ID <= c.lastEventID {
 			continue
 		}
@@ -55,7 +55,7 @@
 			return outcome.Undecided(fmt.Errorf("%w: event %d follows event %d", ErrBroken, event.ID, c.lastEventID))
 		}
 		write := func() error { return c.forwardEvent(answer, event, reader.Buffered()) }
-		if err := watch.duringWrite(write); err != nil {
+		if err := watchdog.duringWrite(write); err != nil {
 			return err
 		}
 	}
@@ -164,9 +164,9 @@
 	return write()
 }
 
-// sinceLastRead is the time since the last write to the caller ended, after which the answer is
+// sinceLastWrite is the time since the last write to the caller ended, after which the answer is
 // read again; 0 during a write.
-func (w *silenceWatchdog) sinceLastRead(now time.Time) time.Duration {
+func (w *silenceWatchdog) sinceLastWrite(now time.Time) time.Duration {
 	if w.writing.Load() {
 		return 0
 	}
@@ -180,9 +180,9 @@
 	if !c.hasAttemptsLeft() || c.route.Objective == 0 {
 		return watchdog
 	}
-	first := max(silenceFactor*c.route.Objective, minSilenceLimit)
-	watchdog.limit.Store(int64(first))
-	watchdog.timer = time.AfterFunc(first, func() { watchdog.check(cancel) })
+	limit := max(silenceFactor*c.route.Objective, minSilenceLimit)
+	watchdog.limit.Store(int64(limit))
+	watchdog.timer = time.AfterFunc(limit, func() { watchdog.check(cancel) })
 	return watchdog
 }
 
@@ -194,13 +194,13 @@
 		cancel(ErrSilent)
 		return
 	}
-	if own, begun := w.use.OwnSilence(now); begun {
-		stalled := stalledFactor*limit - min(own, w.sinceLastRead(now))
-		if stalled <= 0 {
+	if ownSilence, begun := w.use.OwnSilence(now); begun {
+		untilStalled := stalledFactor*limit - min(ownSilence, w.sinceLastWrite(now))
+		if untilStalled <= 0 {
 			cancel(ErrStalled)
 			return
 		}
-		left = min(left, stalled)
+		left = min(left, untilStalled)
 	}
 	w.timer.Reset(left)
 }
--- a/internal/forward/cold.go
+++ b/internal/forward/cold.go
@@ -24,13 +24,13 @@
 type ColdGranter interface {
 	// RequestGrant asks a node for permission to send one request to a cold replica whose rate that
 	// node shares. It reports whether the node granted it before the context ended.
-	RequestGrant(ctx context.Context, feeder replica.ColdSender) bool
+	RequestGrant(ctx context.Context, sender replica.ColdSender) bool
 }
 
 // coldOnly returns the error of a pick that found only cold replicas which must wait, or nil.
 func coldOnly(err error) *replica.NoReplicaError {
-	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) && none.WaitsForCold() {
-		return none
+	if noReplicaErr := (*replica.NoReplicaError)(nil); errors.As(err, &noReplicaErr) && noReplicaErr.WaitsForCold() {
+		return noReplicaErr
 	}
 	return nil
 }
@@ -38,8 +38,8 @@
 // needsColdGrant reports whether a pick found only cold replicas to which this node may not send,
 // or not soon.
 func (f *Forwarder) needsColdGrant(err error) bool {
-	none := coldOnly(err)
-	return none != nil && f.ColdGranter != nil && none.ColdWait > coldRecheckInterval
+	noReplicaErr := coldOnly(err)
+	return noReplicaErr != nil && f.ColdGranter != nil && noReplicaErr.ColdWait > coldRecheckInterval
 }
 
 // requestColdGrant asks one of the nodes that pace cold replicas for a grant. It returns the
@@ -48,52 +48,52 @@
 	if c.forwarder.ColdGranter == nil {
 		return nil
 	}
-	feeders := c.forwarder.Replicas.ColdSenders(c.result.Pool, &c.demand, clock.Now())
-	if len(feeders) == 0 {
+	senders := c.forwarder.Replicas.ColdSenders(c.result.Pool, &c.criteria, clock.Now())
+	if len(senders) == 0 {
 		return nil
 	}
-	granter := chooseGranter(feeders, c.forwarder.Zone)
-	askCtx, cancel := context.WithTimeout(ctx, coldGrantTimeout)
+	granter := chooseGranter(senders, c.forwarder.Zone)
+	grantCtx, cancel := context.WithTimeout(ctx, coldGrantTimeout)
 	defer cancel()
 	began := clock.Now()
-	granted := c.forwarder.ColdGranter.RequestGrant(askCtx, granter)
+	granted := c.forwarder.ColdGranter.RequestGrant(grantCtx, granter)
 	// A process that was suspended may see the answer before its timers fire.
-	if !granted || askCtx.Err() != nil || clock.Since(began) >= coldGrantTimeout {
+	if !granted || grantCtx.Err() != nil || clock.Since(began) >= coldGrantTimeout {
 		return nil
 	}
 	chosen, listed := c.forwarder.Replicas.CandidateByID(granter.Replica, clock.Now())
 	if !listed || chosen.Evacuated {
 		return nil
 	}
-	c.demand.Granted = true
+	c.criteria.Granted = true
 	return chosen
 }
 
 // chooseGranter picks a node at random; half of the time among those with a replica in this zone,
 // since other zones are unreachable if the zone is cut off.
-func chooseGranter(feeders []replica.ColdSender, zone string) replica.ColdSender {
+func chooseGranter(senders []replica.ColdSender, zone string) replica.ColdSender {
 	var near []replica.ColdSender
-	for _, one := range feeders {
-		if one.Zone == zone {
-			near = append(near, one)
+	for _, sender := range senders {
+		if sender.Zone == zone {
+			near = append(near, sender)
 		}
 	}
 	if len(near) > 0 && rand.IntN(2) == 0 {
-		feeders = near
+		senders = near
 	}
-	return feeders[rand.IntN(len(feeders))]
+	return senders[rand.IntN(len(senders))]
 }
 
 // waitForReplica waits until a replica may be available, within the limits of the route.
 func (c *call) waitForReplica(ctx context.Context, err error) error {
-	if none := (*replica.NoReplicaError)(nil); errors.As(err, &none) && none.Persistent() {
+	if noReplicaErr := (*replica.NoReplicaError)(nil); errors.As(err, &noReplicaErr) && noReplicaErr.Persistent() {
 		// No change before the deadline can help.
 		return err
 	}
 	wait := capacityRetryInterval
-	if none := coldOnly(err); none != nil {
+	if noReplicaErr := coldOnly(err); noReplicaErr != nil {
 		c.forwarder.Replicas.NoteHeldBack()
-		wait = max(time.Millisecond, none.ColdWait)
+		wait = max(time.Millisecond, noReplicaErr.ColdWait)
 		if c.forwarder.needsColdGrant(err) {
 			wait = coldRecheckInterval
 		}
--- a/internal/forward/cold_test.go
+++ b/internal/forward/cold_test.go
@@ -93,9 +93,9 @@
 	grant func(number int) bool
 }
 
-func (f *scriptedGranter) RequestGrant(_ context.Context, feeder replica.ColdSender) bool {
-	f.asked = append(f.asked, feeder)
-	return f.grant(len(f.asked))
+func (g *scriptedGranter) RequestGrant(_ context.Context, sender replica.ColdSender) bool {
+	g.asked = append(g.asked, sender)
+	return g.grant(len(g.asked))
 }
 
 func TestDo_RequestsGrantFromOtherNode(t *testing.T) {
--- a/internal/forward/evacuate_test.go
+++ b/internal/forward/evacuate_test.go
@@ -24,8 +24,8 @@
 	}}
 	began := time.Now()
 	_, _, err := do(t, &Forwarder{Replicas: set, Backend: backend, Budget: retry.NewBudget(1)}, routeOf(route.Stream, true, 2))
-	none := (*replica.NoReplicaError)(nil)
-	if !errors.As(err, &none) || !none.Persistent() || outcome.Of(err) != outcome.NotDone {
+	noReplicaErr := (*replica.NoReplicaError)(nil)
+	if !errors.As(err, &noReplicaErr) || !noReplicaErr.Persistent() || outcome.Of(err) != outcome.NotDone {
 		t.Fatalf("failed with %v", err)
 	}
 	if took := time.Since(began); took > time.Second {
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -29,7 +29,7 @@
 	// Sent is called before each attempt with the candidate and its predicted time to first event.
 	Sent(request *Request, attempt int, chosen *replica.Candidate, predicted time.Duration)
 	// Reserved is called after a replica was asked for a free slot, with the result.
-	Reserved(request *Request, asked *replica.Candidate, took time.Duration, err error)
+	Reserved(request *Request, candidate *replica.Candidate, took time.Duration, err error)
 	// FirstEvent is called at the first event of an attempt, with its predicted and actual time.
 	FirstEvent(request *Request, predicted, actual time.Duration)
 	// Failed is called after an attempt that did not deliver a complete answer.
@@ -64,7 +64,7 @@
 	sink      Sink
 	deadline  time.Time
 	result    Result
-	demand    replica.Criteria
+	criteria  replica.Criteria
 	// lastEventID is the last event relayed, lastEventAt when that was.
 	lastEventID int
 	lastEventAt time.Time
@@ -89,7 +89,7 @@
 	c := &call{forwarder: f, route: target, request: request, sink: sink, lastEventID: request.LastEventID}
 	c.deadline = deadlineOf(target, request)
 	c.result.Pool = target.Pool()
-	c.demand = replica.Criteria{
+	c.criteria = replica.Criteria{
 		Zone: f.Zone, Region: f.Region, RequestInfo: replica.RequestInfo{Tokens: request.Prompt.Tokens}, Affinity: affinityOf(request.Prompt), SharedTokens: sharedTokens(request.Prompt),
 		Adapter: target.Adapter, Exclude: map[string]bool{}, Regions: target.Regions.Intersect(request.Regions),
 		NoRetry: !c.mayRepeat() || target.MaxAttempts < 2,
@@ -106,18 +106,18 @@
 // Predict estimates the time until a request would get its first event. It returns
 // replica.ErrNoReplica if no replica could serve it.
 func (f *Forwarder) Predict(target *route.Route, request *Request, now time.Time) (time.Duration, error) {
-	demand := &replica.Criteria{
+	criteria := &replica.Criteria{
 		Zone: f.Zone, Region: f.Region, RequestInfo: replica.RequestInfo{Tokens: request.Prompt.Tokens}, Adapter: target.Adapter,
 		Regions: target.Regions.Intersect(request.Regions),
 	}
-	best, err := replica.Pick(f.Replicas.SnapshotFor(target.Pool(), demand, now), demand, f.Weights)
-	if none := coldOnly(err); none != nil {
-		return none.ColdWait, nil
+	best, err := replica.Pick(f.Replicas.SnapshotFor(target.Pool(), criteria, now), criteria, f.Weights)
+	if noReplicaErr := coldOnly(err); noReplicaErr != nil {
+		return noReplicaErr.ColdWait, nil
 	}
 	if err != nil {
 		return 0, err
 	}
-	return replica.Predict(best, demand, f.Weights), nil
+	return replica.Predict(best, criteria, f.Weights), nil
 }
 
 // deadlineOf returns when the complete answer is due: the earlier of the route's timeout and the
@@ -168,7 +168,7 @@
 			}
 			continue
 		}
-		if !c.demand.Granted {
+		if !c.criteria.Granted {
 			chosen = c.reserve(ctx, chosen)
 		}
 		if now := clock.Now(); !c.hasTimeFor(chosen, now) {
@@ -194,7 +194,7 @@
 		if errors.Is(err, ErrCallerDisconnected) || !c.shouldRetry(err) {
 			return c.withOutcome(err)
 		}
-		c.demand.Exclude[chosen.Incarnation()] = true
+		c.criteria.Exclude[chosen.Incarnation()] = true
 		if c.result.Refusals >= refusalsPerPause && c.result.Refusals%refusalsPerPause == 0 {
 			if waitErr := c.waitForCapacity(ctx, capacityRetryInterval); waitErr != nil {
 				return c.withOutcome(fmt.Errorf("%w: %w", waitErr, err))
@@ -220,9 +220,9 @@
 
 func (c *call) pick() (*replica.Candidate, error) {
 	now := clock.Now()
-	c.demand.Objective = max(0, c.route.Objective-now.Sub(c.request.Received))
-	candidates := c.forwarder.Replicas.SnapshotFor(c.result.Pool, &c.demand, now)
-	return replica.Pick(candidates, &c.demand, c.forwarder.Weights)
+	c.criteria.Objective = max(0, c.route.Objective-now.Sub(c.request.Received))
+	candidates := c.forwarder.Replicas.SnapshotFor(c.result.Pool, &c.criteria, now)
+	return replica.Pick(candidates, &c.criteria, c.forwarder.Weights)
 }
 
 // shouldRetry decides whether another attempt follows a failed one, and spends retry budget if the
@@ -246,16 +246,16 @@
 
 func (c *call) attempt(ctx context.Context, chosen *replica.Candidate) error {
 	now := clock.Now()
-	use := c.forwarder.Replicas.BeginAt(chosen.Info, c.demand.RequestInfo, now)
-	c.demand.Granted = false
+	use := c.forwarder.Replicas.BeginAt(chosen.Info, c.criteria.RequestInfo, now)
+	c.criteria.Granted = false
 	if use == nil {
-		c.reservation, c.demand.Reserved = "", false
+		c.reservation, c.criteria.Reserved = "", false
 		return errNotAdmitted
 	}
 	c.result.Attempts++
 	c.result.Replica, c.result.Region = chosen.ID, chosen.Region
-	c.result.Distance = c.demand.Distance(chosen)
-	c.predicted, c.sentAt, c.status = chosen.ExpectedFirstEvent(c.demand.RequestInfo), now, 0
+	c.result.Distance = c.criteria.Distance(chosen)
+	c.predicted, c.sentAt, c.status = chosen.ExpectedFirstEvent(c.criteria.RequestInfo), now, 0
 	if c.forwarder.Observer != nil {
 		c.forwarder.Observer.Sent(c.request, c.result.Attempts, chosen, c.predicted)
 	}
@@ -263,9 +263,9 @@
 	err := c.exchange(ctx, chosen.Info, use)
 	stop()
 	c.recordRefusal(err, clock.Since(now))
-	c.reservation, c.demand.Reserved = "", false
+	c.reservation, c.criteria.Reserved = "", false
 	if c.result.Events > 0 {
-		c.demand.Version = chosen.Version
+		c.criteria.Version = chosen.Version
 	}
 	use.End(c.healthResult(ctx, use, err), clock.Now())
 	if err == nil {
@@ -332,9 +332,9 @@
 func (c *call) exchange(ctx context.Context, chosen replica.Info, use *replica.Use) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := c.startSilenceWatchdog(use, cancel)
-	defer watch.stop()
-	seen := c.watchRestart(ctx, use, cancel)
+	watchdog := c.startSilenceWatchdog(use, cancel)
+	defer watchdog.stop()
+	received := c.watchRestart(ctx, use, cancel)
 	answer, err := c.forwarder.Backend.Send(ctx, &Attempt{
 		Request: c.request, Replica: chosen, LastEventID: c.lastEventID, Deadline: c.replicaDeadline(c.result.Distance), Reservation: c.reservation,
 	})
@@ -342,8 +342,8 @@
 		return cancellationError(ctx, err)
 	}
 	c.status = answer.Status
-	seen.record()
-	answer.Body = &observedBody{ReadCloser: answer.Body, progress: seen}
+	received.record()
+	answer.Body = &observedBody{ReadCloser: answer.Body, progress: received}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.ColdLeft > 0 {
 		use.ReportCold(answer.ColdLeft, clock.Now())
@@ -352,7 +352,7 @@
 		use.RecordLoad(*answer.Load, clock.Now())
 	}
 	if answer.EventStream && answer.Status == http.StatusOK {
-		return cancellationError(ctx, c.forwardEvents(answer, use, watch))
+		return cancellationError(ctx, c.forwardEvents(answer, use, watchdog))
 	}
 	return cancellationError(ctx, c.forwardBuffered(answer, use))
 }
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -9,13 +9,13 @@
 )
 
 // recordingGuard records the replicas whose answers were reported as interrupted.
-type recordingGuard struct{ broken []quarantine.Replica }
+type recordingGuard struct{ interrupted []quarantine.Replica }
 
 func (g *recordingGuard) RefuseRequest(context.Context, func() quarantine.Work) error { return nil }
 func (g *recordingGuard) Refuse(func() quarantine.Work) error                         { return nil }
 func (g *recordingGuard) RecordSuccess(quarantine.Work)                               {}
-func (g *recordingGuard) RecordInterruption(_ context.Context, broken quarantine.Replica, _ quarantine.Run) {
-	g.broken = append(g.broken, broken)
+func (g *recordingGuard) RecordInterruption(_ context.Context, interrupted quarantine.Replica, _ quarantine.Run) {
+	g.interrupted = append(g.interrupted, interrupted)
 }
 
 // TestRestart_ReportsCrashedInstanceToQuarantine guards that the instance that ran the request is
@@ -34,7 +34,7 @@
 	if _, _, err := do(t, forwarder, patientRoute(route.Stream, true, 2)); err != nil {
 		t.Fatal(err)
 	}
-	if len(guard.broken) != 1 || guard.broken[0].StartTime != 1000 {
-		t.Errorf("reported %+v", guard.broken)
+	if len(guard.interrupted) != 1 || guard.interrupted[0].StartTime != 1000 {
+		t.Errorf("reported %+v", guard.interrupted)
 	}
 }
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -72,7 +72,7 @@
 	if c.deadline.IsZero() {
 		return true
 	}
-	replicaTime := c.replicaDeadline(c.demand.Distance(chosen)).Sub(now)
+	replicaTime := c.replicaDeadline(c.criteria.Distance(chosen)).Sub(now)
 	return replicaTime >= minUsefulTime && c.timeLeft(now) >= c.minAttemptTime(chosen)
 }
 
@@ -86,7 +86,7 @@
 
 // busyError returns the error of a request that found no capacity, with the predicted wait.
 func (c *call) busyError(now time.Time) *BusyError {
-	return &BusyError{PredictedWait: c.forwarder.Replicas.PredictAvailability(c.result.Pool, &c.demand, now).Wait}
+	return &BusyError{PredictedWait: c.forwarder.Replicas.PredictAvailability(c.result.Pool, &c.criteria, now).Wait}
 }
 
 // recordRefusal records the duration of an attempt that did not run.
@@ -124,7 +124,7 @@
 	case <-ctx.Done():
 		return contextError(ctx)
 	case <-timer.C:
-		c.demand.Exclude = map[string]bool{}
+		c.criteria.Exclude = map[string]bool{}
 		return nil
 	}
 }
--- a/internal/forward/regions_test.go
+++ b/internal/forward/regions_test.go
@@ -23,8 +23,8 @@
 	}
 	set.Divide("a", nodesWithoutPlace("a", "b"))
 	now := time.Now()
-	for _, one := range set.List(now) {
-		set.Begin(one.ID, replica.RequestInfo{}, now)
+	for _, candidate := range set.List(now) {
+		set.Begin(candidate.ID, replica.RequestInfo{}, now)
 	}
 	return &Forwarder{Replicas: set, Backend: backend, Budget: retry.NewBudget(1)}
 }
@@ -107,8 +107,8 @@
 		t.Run(name, func(t *testing.T) {
 			began := time.Now()
 			_, err := test.forwarder.Do(t.Context(), routeOf(route.Stream, true, 2), requestInRegions(test.regions), &recordingSink{})
-			var none *replica.NoReplicaError
-			if !errors.As(err, &none) || !none.Persistent() || outcome.Of(err) != outcome.NotDone {
+			var noReplicaErr *replica.NoReplicaError
+			if !errors.As(err, &noReplicaErr) || !noReplicaErr.Persistent() || outcome.Of(err) != outcome.NotDone {
 				t.Fatalf("ended with %v", err)
 			}
 			if took := time.Since(began); took > time.Second {
--- a/internal/forward/reserve.go
+++ b/internal/forward/reserve.go
@@ -40,21 +40,21 @@
 		// Requests to cold replicas are rate-limited already.
 		return chosen
 	}
-	demand := c.demand
-	demand.Exclude = maps.Clone(c.demand.Exclude)
-	demand.PreferStale = c.forwarder.Replicas.ProbeStale(c.result.Pool, clock.Now())
-	if demand.Affinity == 0 {
+	criteria := c.criteria
+	criteria.Exclude = maps.Clone(c.criteria.Exclude)
+	criteria.PreferStale = c.forwarder.Replicas.ProbeStale(c.result.Pool, clock.Now())
+	if criteria.Affinity == 0 {
 		// Equivalent replicas must be asked equally often. In a fixed order, all nodes would ask
 		// the same ones first, and never reach the last while the first do not report that they are
 		// full.
-		demand.Affinity = rand.Uint64()
+		criteria.Affinity = rand.Uint64()
 	}
-	if asked := c.reserveAny(ctx, &demand, reserveTries, false); asked != nil {
-		return asked
+	if reserved := c.reserveAny(ctx, &criteria, reserveTries, false); reserved != nil {
+		return reserved
 	}
 	if c.hasTimeForCrossRegion(chosen) {
-		if asked := c.reserveAny(ctx, &demand, crossRegionTries, true); asked != nil {
-			return asked
+		if reserved := c.reserveAny(ctx, &criteria, crossRegionTries, true); reserved != nil {
+			return reserved
 		}
 	}
 	if granted := c.requestColdGrant(ctx); granted != nil {
@@ -65,17 +65,17 @@
 
 // reserveAny asks up to the given number of replicas, one after the other, for a slot. It returns
 // the one that reserved a slot, or nil.
-func (c *call) reserveAny(ctx context.Context, demand *replica.Criteria, tries int, crossRegion bool) *replica.Candidate {
+func (c *call) reserveAny(ctx context.Context, criteria *replica.Criteria, tries int, crossRegion bool) *replica.Candidate {
 	for range tries {
-		asked := c.pickUnqueued(demand, crossRegion)
-		if asked == nil {
+		candidate := c.pickUnqueued(criteria, crossRegion)
+		if candidate == nil {
 			return nil
 		}
-		if c.reserveAt(ctx, asked) {
-			return asked
+		if c.reserveAt(ctx, candidate) {
+			return candidate
 		}
-		demand.Exclude[asked.Incarnation()] = true
-		demand.PreferStale = false
+		criteria.Exclude[candidate.Incarnation()] = true
+		criteria.PreferStale = false
 	}
 	return nil
 }
@@ -88,9 +88,9 @@
 }
 
 // pickUnqueued returns the next replica to ask for a slot, or nil.
-func (c *call) pickUnqueued(demand *replica.Criteria, crossRegion bool) *replica.Candidate {
-	candidates := c.forwarder.Replicas.SnapshotFor(c.result.Pool, demand, clock.Now())
-	best, err := replica.PickUnqueued(candidates, demand, c.forwarder.Weights, crossRegion)
+func (c *call) pickUnqueued(criteria *replica.Criteria, crossRegion bool) *replica.Candidate {
+	candidates := c.forwarder.Replicas.SnapshotFor(c.result.Pool, criteria, clock.Now())
+	best, err := replica.PickUnqueued(candidates, criteria, c.forwarder.Weights, crossRegion)
 	if err != nil {
 		// No candidate is left to ask.
 		return nil
@@ -99,28 +99,28 @@
 }
 
 // reservationTimeout bounds a reservation call to a replica.
-func (c *call) reservationTimeout(asked *replica.Candidate) time.Duration {
-	if c.demand.Distance(asked) != place.OtherRegion {
+func (c *call) reservationTimeout(candidate *replica.Candidate) time.Duration {
+	if c.criteria.Distance(candidate) != place.OtherRegion {
 		return reserveTimeout
 	}
 	return reserveTimeout + crossRegionRoundTrips*c.forwarder.Weights.Cost(place.OtherRegion)
 }
 
 // reserveAt asks a replica for a slot. It reports whether one was reserved.
-func (c *call) reserveAt(ctx context.Context, asked *replica.Candidate) bool {
+func (c *call) reserveAt(ctx context.Context, candidate *replica.Candidate) bool {
 	began := clock.Now()
-	callCtx, cancel := context.WithTimeout(ctx, c.reservationTimeout(asked))
+	callCtx, cancel := context.WithTimeout(ctx, c.reservationTimeout(candidate))
 	defer cancel()
-	id, err := c.forwarder.Reserver.Reserve(callCtx, asked.Info, c.request.Prompt.TotalTokens(), reserveHold)
+	id, err := c.forwarder.Reserver.Reserve(callCtx, candidate.Info, c.request.Prompt.TotalTokens(), reserveHold)
 	if c.forwarder.Observer != nil {
-		c.forwarder.Observer.Reserved(c.request, asked, clock.Since(began), err)
+		c.forwarder.Observer.Reserved(c.request, candidate, clock.Since(began), err)
 	}
 	switch {
 	case err == nil:
-		c.reservation, c.demand.Reserved = id, true
+		c.reservation, c.criteria.Reserved = id, true
 		return true
 	case errors.Is(err, ErrRefused):
-		c.forwarder.Replicas.MarkFull(asked.Info, began)
+		c.forwarder.Replicas.MarkFull(candidate.Info, began)
 	}
 	return false
 }
--- a/internal/forward/reserve_test.go
+++ b/internal/forward/reserve_test.go
@@ -39,9 +39,9 @@
 	forwarder.Reserver = reserver
 	forwarder.Replicas.Divide("a", []place.Node{{ID: "a"}, {ID: "b"}})
 	now := time.Now()
-	for _, one := range forwarder.Replicas.List(now) {
-		for range one.Slots {
-			forwarder.Replicas.Begin(one.ID, replica.RequestInfo{}, now)
+	for _, candidate := range forwarder.Replicas.List(now) {
+		for range candidate.Slots {
+			forwarder.Replicas.Begin(candidate.ID, replica.RequestInfo{}, now)
 		}
 	}
 	return forwarder
@@ -78,8 +78,8 @@
 func TestReserve_EquivalentReplicasAreAskedEvenly(t *testing.T) {
 	reserver := &scriptedReserver{answer: func(id string) (string, error) { return "slot-at-" + id, nil }}
 	forwarder := saturatedForwarder(t, answerAll(), reserver)
-	for _, one := range forwarder.Replicas.List(time.Now()) {
-		forwarder.Replicas.Begin(one.ID, replica.RequestInfo{}, time.Now()).Received(time.Now())
+	for _, candidate := range forwarder.Replicas.List(time.Now()) {
+		forwarder.Replicas.Begin(candidate.ID, replica.RequestInfo{}, time.Now()).Received(time.Now())
 	}
 	const calls = 120
 	for range calls {
@@ -169,9 +169,9 @@
 	own, other := place.Place{Zone: "n", Region: "north"}, place.Place{Zone: "s", Region: "south"}
 	forwarder.Replicas.Divide("a", []place.Node{{ID: "a", Place: own}, {ID: "b", Place: own}, {ID: "c", Place: other}, {ID: "d", Place: other}})
 	now := time.Now()
-	for _, one := range forwarder.Replicas.List(now) {
-		for range one.Share {
-			forwarder.Replicas.Begin(one.ID, replica.RequestInfo{}, now)
+	for _, candidate := range forwarder.Replicas.List(now) {
+		for range candidate.Share {
+			forwarder.Replicas.Begin(candidate.ID, replica.RequestInfo{}, now)
 		}
 	}
 	return forwarder
--- a/internal/forward/restart.go
+++ b/internal/forward/restart.go
@@ -62,7 +62,7 @@
 // be retried elsewhere and is making no progress is canceled at once; any other is canceled unless
 // its answer continues.
 func (c *call) watchRestart(ctx context.Context, use *replica.Use, cancel context.CancelCauseFunc) *progress {
-	seen := &progress{began: clock.Now()}
+	received := &progress{began: clock.Now()}
 	restarted, canRetry := use.Restarted(), c.hasAttemptsLeft()
 	go func() {
 		select {
@@ -70,20 +70,20 @@
 			return
 		case <-restarted:
 		}
-		quiet := !seen.after(clock.Now().Add(-restartGrace))
-		if canRetry && quiet || !keepsProgressing(ctx, seen) {
+		quiet := !received.after(clock.Now().Add(-restartGrace))
+		if canRetry && quiet || !keepsProgressing(ctx, received) {
 			cancel(ErrRestarted)
 		}
 	}()
-	return seen
+	return received
 }
 
 // keepsProgressing reports whether data arrives in each of the next restartGraceCount grace
 // periods, or the attempt ends first.
-func keepsProgressing(ctx context.Context, seen *progress) bool {
+func keepsProgressing(ctx context.Context, received *progress) bool {
 	for range restartGraceCount {
 		since := clock.Now()
-		if retry.Sleep(ctx, restartGrace) && !seen.after(since) {
+		if retry.Sleep(ctx, restartGrace) && !received.after(since) {
 			return false
 		}
 	}
--- a/internal/forward/stalled_test.go
+++ b/internal/forward/stalled_test.go
@@ -52,8 +52,8 @@
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, number int) (*Answer, error) {
 			answer := &Answer{Status: http.StatusOK, Header: http.Header{}, EventStream: true}
 			if number == 1 {
-				begun := strings.NewReader("id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
-				answer.Body = io.NopCloser(io.MultiReader(begun, blockedBody{ctx}))
+				firstEvents := strings.NewReader("id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
+				answer.Body = io.NopCloser(io.MultiReader(firstEvents, blockedBody{ctx}))
 				return answer, nil
 			}
 			if attempt.LastEventID != 2 {
@@ -81,14 +81,14 @@
 // slowSink is a caller that stops reading for a while after its first event.
 type slowSink struct {
 	recordingSink
-	slow   time.Duration
+	pause  time.Duration
 	events int
 }
 
 // Write implements Sink.
 func (s *slowSink) Write(chunk []byte, more bool) error {
 	if s.events++; s.events == 1 {
-		time.Sleep(s.slow)
+		time.Sleep(s.pause)
 	}
 	return s.recordingSink.Write(chunk, more)
 }
@@ -124,7 +124,7 @@
 		answerOtherRequests(t, forwarder.Replicas, "r0", "r1")
 		for range 3 {
 			request := &Request{ID: "q", Method: http.MethodPost, Header: http.Header{}, Received: clock.Now()}
-			result, err := forwarder.Do(t.Context(), stallingRoute(), request, &slowSink{slow: 3 * time.Second})
+			result, err := forwarder.Do(t.Context(), stallingRoute(), request, &slowSink{pause: 3 * time.Second})
 			if err != nil || result.Attempts != 1 {
 				t.Errorf("a healthy replica was abandoned: %v, %d attempts", err, result.Attempts)
 			}
--- a/internal/node/cold.go
+++ b/internal/node/cold.go
@@ -30,9 +30,9 @@
 func (c *core) runColdLog(ctx context.Context) {
 	presumed := false
 	for retry.Sleep(ctx, coldLogInterval) {
-		if now := c.replicas.PresumesCold(clock.Now()); now != presumed {
-			presumed = now
-			c.logPresumed(presumed)
+		if current := c.replicas.PresumesCold(clock.Now()); current != presumed {
+			presumed = current
+			c.logPresumedCold(presumed)
 		}
 		for _, change := range c.replicas.ColdChanges(clock.Now()) {
 			c.logCold(change)
@@ -40,7 +40,7 @@
 	}
 }
 
-func (c *core) logPresumed(presumed bool) {
+func (c *core) logPresumedCold(presumed bool) {
 	if presumed {
 		c.log.Warn().Msg("replica list is old, its replicas are taken as cold")
 		return
--- a/internal/node/evacuation_test.go
+++ b/internal/node/evacuation_test.go
@@ -73,8 +73,8 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-func (s *zonedSite) evacuate(zone string)    { s.store.Put("op", "evacuate/"+zone, map[string]any{}) }
-func (s *zonedSite) endEvacuation(id string) { s.store.Remove("op", "evacuate/"+id) }
+func (s *zonedSite) evacuate(zone string)      { s.store.Put("op", "evacuate/"+zone, map[string]any{}) }
+func (s *zonedSite) endEvacuation(zone string) { s.store.Remove("op", "evacuate/"+zone) }
 
 // waitEvacuated waits until exactly these zones are evacuated at a gateway.
 func (s *zonedSite) waitEvacuated(gateway *Gateway, zones ...string) {
@@ -223,7 +223,7 @@
 	if !gateway.Ready() {
 		t.Fatal("not ready while all zones are evacuated")
 	}
-	if status, text, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", job("j", 3)); status != http.StatusAccepted {
+	if status, text, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", jobBody("j", 3)); status != http.StatusAccepted {
 		t.Fatalf("job: %d %q", status, text)
 	}
 	// The runner looks for runnable items every 100 ms.
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -27,7 +27,7 @@
 	return strings.Join(pieces, "\n")
 }
 
-func (s *gatewaySite) behave(behaviour standin.Behaviour, first int) {
+func (s *gatewaySite) setBehaviour(behaviour standin.Behaviour, first int) {
 	for _, server := range s.servers {
 		server.SetBehaviour(func(number int) standin.Behaviour {
 			if number <= first {
@@ -64,7 +64,7 @@
 	site := newGatewaySite(t, 2)
 	site.configure(2, "once")
 	gateway := site.start("a")
-	site.behave(standin.DropResponse, 100)
+	site.setBehaviour(standin.DropResponse, 100)
 	status, _, _ := site.call(gateway, http.MethodPost, "/once/x", "q", nil)
 	if runs := len(site.servers[0].Runs()) + len(site.servers[1].Runs()); status != http.StatusBadGateway || runs != 1 {
 		t.Fatalf("status %d after %d runs, want 502 after one", status, runs)
@@ -74,7 +74,7 @@
 func TestGateway_RefusalHasRetryAfter(t *testing.T) {
 	site := newGatewaySite(t, 1)
 	gateway := site.start("a")
-	site.behave(standin.Refuse, 1<<30)
+	site.setBehaviour(standin.Refuse, 1<<30)
 	start := time.Now()
 	status, _, header := site.call(gateway, http.MethodPost, "/resume/x", "q", nil)
 	if status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
@@ -124,7 +124,7 @@
 	}
 }
 
-func job(id string, items int) []byte {
+func jobBody(id string, items int) []byte {
 	var list []map[string]any
 	for i := range items {
 		list = append(list, map[string]any{
@@ -171,7 +171,7 @@
 	site := newGatewaySite(t, 2)
 	first, second := site.start("a"), site.start("b")
 	for _, gateway := range []*Gateway{first, second} {
-		if status, text, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", job("j", 5)); status != http.StatusAccepted {
+		if status, text, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", jobBody("j", 5)); status != http.StatusAccepted {
 			t.Fatalf("submission: %d %q", status, text)
 		}
 	}
@@ -197,7 +197,7 @@
 		server.EventTime = 150 * time.Millisecond
 	}
 	first := site.start("a")
-	if status, _, _ := site.call(first, http.MethodPost, "/batch/j", "j", job("j", 3)); status != http.StatusAccepted {
+	if status, _, _ := site.call(first, http.MethodPost, "/batch/j", "j", jobBody("j", 3)); status != http.StatusAccepted {
 		t.Fatalf("submission: %d", status)
 	}
 	first.Kill()
@@ -215,7 +215,7 @@
 		server.EventTime = 100 * time.Millisecond
 	}
 	first, second := site.start("a"), site.start("b")
-	if status, _, _ := site.call(first, http.MethodPost, "/batch/j", "j", job("j", 3)); status != http.StatusAccepted {
+	if status, _, _ := site.call(first, http.MethodPost, "/batch/j", "j", jobBody("j", 3)); status != http.StatusAccepted {
 		t.Fatalf("submission: %d", status)
 	}
 	streamed := make(chan string, 1)
@@ -240,12 +240,12 @@
 			t.Fatalf("during the outage: %d %q", status, text)
 		}
 	}
-	if status, _, header := site.call(gateway, http.MethodPost, "/batch/j", "j", job("j", 1)); status < 500 {
+	if status, _, header := site.call(gateway, http.MethodPost, "/batch/j", "j", jobBody("j", 1)); status < 500 {
 		t.Fatalf("a job was answered %d %v with the store down", status, header)
 	}
 	site.store.SetFault(nil)
 	site.eventually("job accepted after the outage", func() bool {
-		status, _, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", job("j", 1))
+		status, _, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", jobBody("j", 1))
 		return status == http.StatusAccepted
 	})
 	site.awaitJob(gateway, "j")
@@ -265,7 +265,7 @@
 		}
 		return standin.NoFault
 	})
-	if status, text, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", job("j", 4)); status != http.StatusAccepted {
+	if status, text, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", jobBody("j", 4)); status != http.StatusAccepted {
 		t.Fatalf("submission: %d %q", status, text)
 	}
 	listing := site.awaitJob(gateway, "j")
--- a/internal/node/gatewayfront.go
+++ b/internal/node/gatewayfront.go
@@ -74,7 +74,7 @@
 	status.Serving, status.Draining = g.Ready(), g.Stopping()
 	status.Open = g.open.Load()
 	status.ConfigAge = g.configWatch.Age().Seconds()
-	status.Tenants = g.tenantUses()
+	status.Tenants = g.tenantUsage()
 	return status
 }
 
--- a/internal/node/gatewaykeys_test.go
+++ b/internal/node/gatewaykeys_test.go
@@ -71,7 +71,7 @@
 func TestGateway_JobBelongsToItsTenant(t *testing.T) {
 	site := newKeyedSite(t, twoTenants())
 	gateway := site.start("n")
-	body := job("j", 2)
+	body := jobBody("j", 2)
 	if status, _, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", body); status != http.StatusUnauthorized {
 		t.Errorf("submission without a key: %d", status)
 	}
@@ -111,10 +111,10 @@
 // TestGateway_TokenQuotaIsPerTenant checks that each tenant may use the whole quota.
 func TestGateway_TokenQuotaIsPerTenant(t *testing.T) {
 	site := newKeyedSite(t, twoTenants())
-	site.behave(standin.Hang, 1<<30)
+	site.setBehaviour(standin.Hang, 1<<30)
 	gateway := site.start("n")
 	submit := func(id, key string, items int) int {
-		status, _, _ := site.callWith(gateway, http.MethodPost, "/batch/"+id, id, job(id, items), withKey(key))
+		status, _, _ := site.callWith(gateway, http.MethodPost, "/batch/"+id, id, jobBody(id, items), withKey(key))
 		return status
 	}
 	for _, tt := range []struct {
--- a/internal/node/gatewayquarantine_test.go
+++ b/internal/node/gatewayquarantine_test.go
@@ -193,8 +193,8 @@
 	return socket, address
 }
 
-// TestGateway_ResetConnectionsEndNothing has responses break off at servers that do not crash.
-func TestGateway_ResetConnectionsEndNothing(t *testing.T) {
+// TestGateway_InterruptedResponsesSuspectNoWork has responses break off at servers that do not crash.
+func TestGateway_InterruptedResponsesSuspectNoWork(t *testing.T) {
 	site := newGatewaySite(t, 4)
 	for _, server := range site.servers {
 		server.SetBehaviour(func(int) standin.Behaviour { return standin.TruncateEvent })
--- a/internal/node/gatewayquota.go
+++ b/internal/node/gatewayquota.go
@@ -69,15 +69,15 @@
 	return Error.Wrap(outcome.Failed(err))
 }
 
-// tenantUses returns the usage of tenants' limits, sorted by name.
-func (g *Gateway) tenantUses() []server.TenantUsage {
-	var uses []server.TenantUsage
+// tenantUsage returns the usage of tenants' limits, sorted by name.
+func (g *Gateway) tenantUsage() []server.TenantUsage {
+	var usages []server.TenantUsage
 	for _, usage := range g.quota.Limiter.Usage(clock.Now()) {
-		uses = append(uses, server.TenantUsage{
+		usages = append(usages, server.TenantUsage{
 			Name: usage.Tenant, Rate: usage.Limit.Rate, Burst: usage.Limit.Burst, Demand: usage.Demand,
 			Admitted: usage.Admitted, Share: usage.Share, GrantAge: usage.GrantAge.Seconds(),
 		})
 	}
-	slices.SortFunc(uses, func(a, b server.TenantUsage) int { return strings.Compare(a.Name, b.Name) })
-	return uses
+	slices.SortFunc(usages, func(a, b server.TenantUsage) int { return strings.Compare(a.Name, b.Name) })
+	return usages
 }
--- a/internal/node/gatewayquota_test.go
+++ b/internal/node/gatewayquota_test.go
@@ -75,8 +75,8 @@
 			t.Errorf("%s shows a key", path)
 		}
 	}
-	uses := gateway.Status().Tenants
-	if len(uses) != 1 || uses[0].Name != "a" || uses[0].Rate != 5 || uses[0].Admitted != 1 || uses[0].Demand <= 0 {
-		t.Fatalf("tenants are %+v", uses)
+	tenants := gateway.Status().Tenants
+	if len(tenants) != 1 || tenants[0].Name != "a" || tenants[0].Rate != 5 || tenants[0].Admitted != 1 || tenants[0].Demand <= 0 {
+		t.Fatalf("tenants are %+v", tenants)
 	}
 }
--- a/internal/node/gatewayregions_test.go
+++ b/internal/node/gatewayregions_test.go
@@ -53,7 +53,7 @@
 			t.Fatalf("request: %d %q", status, text)
 		}
 	}
-	if status, text, _ := site.call(south, http.MethodPost, "/batch/j", "j", job("j", 6)); status != http.StatusAccepted {
+	if status, text, _ := site.call(south, http.MethodPost, "/batch/j", "j", jobBody("j", 6)); status != http.StatusAccepted {
 		t.Fatalf("submission: %d %q", status, text)
 	}
 	site.awaitJob(south, "j")
@@ -77,7 +77,7 @@
 		}
 	}
 	site.configureAllowedRegions(3)
-	if status, text, header := site.call(north, http.MethodPost, "/batch/j", "j", job("j", 1)); status != http.StatusServiceUnavailable || header.Get("Retry-After") != "1.20" {
+	if status, text, header := site.call(north, http.MethodPost, "/batch/j", "j", jobBody("j", 1)); status != http.StatusServiceUnavailable || header.Get("Retry-After") != "1.20" {
 		t.Errorf("a job without an allowed region: %d %q", status, text)
 	}
 	if runs := site.servers[1].Runs(); len(runs) != 0 {
--- a/internal/node/gatewaystarts_test.go
+++ b/internal/node/gatewaystarts_test.go
@@ -36,8 +36,8 @@
 	return bytes
 }
 
-// newStartsCore returns a core with replicas r0 to r3. r0 has the given start time.
-func newStartsCore(startTime int64) (c *core, info replica.Info) {
+// newCoreWithReplicas returns a core with replicas r0 to r3. r0 has the given start time.
+func newCoreWithReplicas(startTime int64) (c *core, info replica.Info) {
 	c = testCore()
 	for _, id := range []string{"r0", "r1", "r2", "r3"} {
 		c.replicas.Put(replica.Info{ID: id, Pool: "llm", Address: id, Slots: 4})
@@ -55,7 +55,7 @@
 // TestFailureReports_OfOtherStarts checks that reports about an earlier or later start of a
 // replica, which have the same ID, do not count.
 func TestFailureReports_OfOtherStarts(t *testing.T) {
-	c, info := newStartsCore(3000)
+	c, info := newCoreWithReplicas(3000)
 	g := &Gateway{core: c, roster: lease.NewRoster(nil, c.session, "m", time.Now, fastTiming())}
 	info.StartedUnixMs = 1000
 	c.replicas.Put(info)
@@ -82,7 +82,7 @@
 // TestFailureReports_OfOlderVersionsAreAccepted guards the exchange of reports between nodes of two
 // versions during an upgrade.
 func TestFailureReports_OfOlderVersionsAreAccepted(t *testing.T) {
-	c, _ := newStartsCore(1000)
+	c, _ := newCoreWithReplicas(1000)
 	g := &Gateway{core: c, roster: lease.NewRoster(nil, c.session, "m", time.Now, fastTiming())}
 	for _, node := range []string{"a#1", "b#1", "c#1"} {
 		g.handleFailureReports(node, nil, encoded(t, []oldFailureReport{{Replica: replica.Key("r0"), Failures: 9}}))
@@ -149,7 +149,7 @@
 // TestColdGranter_DeniesOtherStart checks requests for a start that the granting node does not
 // know.
 func TestColdGranter_DeniesOtherStart(t *testing.T) {
-	c, info := newStartsCore(1000)
+	c, info := newCoreWithReplicas(1000)
 	c.replicas.SetColdLimits(map[string]replica.ColdLimit{"llm": {Rate: 15, Start: 3 * time.Second}})
 	c.replicas.ColdTolerance = replica.ColdTolerance{Over: 1.5, Slack: 5}
 	c.replicas.Divide("n", []place.Node{{ID: "n"}})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -235,7 +235,7 @@
 func (n *Node) liveNodes() int { return max(1, len(n.owners.Live())) }
 
 // preferred reports whether this node should perform a task that any node could perform.
-func (n *Node) preferred(work string) bool { return n.owners.Preferred(work) == n.session.ID() }
+func (n *Node) preferred(task string) bool { return n.owners.Preferred(task) == n.session.ID() }
 
 func (n *Node) tenantWeight(name string) float64 {
 	if entry, ok := n.resources.Snapshot().Get(v1.KindTenant, name); ok {
--- a/internal/node/quotafleet.go
+++ b/internal/node/quotafleet.go
@@ -86,15 +86,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.refresh()
-	others := make([]quota.Peer, 0, len(f.all))
+	peers := make([]quota.Peer, 0, len(f.all))
 	for i, node := range f.all {
 		if node != f.self {
-			others = append(others, quota.Peer{
+			peers = append(peers, quota.Peer{
 				Node: node, Address: f.roster.Address(node), SessionLost: i >= len(f.all)-len(f.away),
 			})
 		}
 	}
-	return others
+	return peers
 }
 
 // Count implements quota.Fleet.
--- a/internal/node/unreadablesite_test.go
+++ b/internal/node/unreadablesite_test.go
@@ -38,7 +38,7 @@
 	if status, text, _ := site.call(gateway, http.MethodPost, "/added/x", "q", nil); status != http.StatusOK {
 		t.Fatalf("request: %d %q", status, text)
 	}
-	if status, text, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", job("j", 5)); status != http.StatusAccepted {
+	if status, text, _ := site.call(gateway, http.MethodPost, "/batch/j", "j", jobBody("j", 5)); status != http.StatusAccepted {
 		t.Fatalf("submission: %d %q", status, text)
 	}
 	if listing := site.awaitJob(gateway, "j"); listing.Total != 5 {
