--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -88,6 +88,7 @@
 	return nil
 }
 
+// finishEvents completes a stream. The header of one without events has not been relayed yet.
 func (c *call) finishEvents(answer *Answer) error { return c.forwardHead(answer) }
 
 // forwardHead relays the header of the first replica that answered. A stream that resumes elsewhere
@@ -164,8 +165,8 @@
 	return write()
 }
 
-// sinceLastWrite is the time since the last write to the caller ended, after which the answer is
-// read again; 0 during a write.
+// sinceLastWrite returns the time since the last write to the caller ended; 0 during a write. The
+// answer is not read during a write, so this bounds how long it may have been silent.
 func (w *silenceWatchdog) sinceLastWrite(now time.Time) time.Duration {
 	if w.writing.Load() {
 		return 0
@@ -173,8 +174,8 @@
 	return now.Sub(time.Unix(0, w.lastWriteEnd.Load()))
 }
 
-// startSilenceWatchdog starts a watchdog if the request can be retried elsewhere. Other attempts
-// are never canceled for silence.
+// startSilenceWatchdog starts a watchdog if the request can be retried elsewhere. Otherwise, or on
+// a route without an objective, the attempt is never canceled for silence.
 func (c *call) startSilenceWatchdog(use *replica.Use, cancel context.CancelCauseFunc) *silenceWatchdog {
 	watchdog := &silenceWatchdog{use: use}
 	if !c.hasAttemptsLeft() || c.route.Objective == 0 {
--- a/internal/forward/cold.go
+++ b/internal/forward/cold.go
@@ -22,12 +22,14 @@
 // ColdGranter requests grants from the nodes that pace requests to cold replicas. It is safe for
 // concurrent use.
 type ColdGranter interface {
-	// RequestGrant asks a node for permission to send one request to a cold replica whose rate that
-	// node shares. It reports whether the node granted it before the context ended.
+	// RequestGrant asks sender.Node for permission to send one request to the cold replica
+	// sender.Replica. The request then counts against the sender's part of the replica's rate
+	// limit. RequestGrant reports whether the node granted it before the context ended.
 	RequestGrant(ctx context.Context, sender replica.ColdSender) bool
 }
 
-// coldOnly returns the error of a pick that found only cold replicas which must wait, or nil.
+// coldOnly returns err as a NoReplicaError if no replica was available only because cold replicas may
+// not receive another request yet, and otherwise nil.
 func coldOnly(err error) *replica.NoReplicaError {
 	if noReplicaErr := (*replica.NoReplicaError)(nil); errors.As(err, &noReplicaErr) && noReplicaErr.WaitsForCold() {
 		return noReplicaErr
@@ -69,8 +71,8 @@
 	return chosen
 }
 
-// chooseGranter picks a node at random; half of the time among those with a replica in this zone,
-// since other zones are unreachable if the zone is cut off.
+// chooseGranter picks a sender at random, half of the time among the senders to replicas in this
+// zone: if the zone is cut off, replicas in other zones are unreachable.
 func chooseGranter(senders []replica.ColdSender, zone string) replica.ColdSender {
 	var near []replica.ColdSender
 	for _, sender := range senders {
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -153,6 +153,7 @@
 	return total
 }
 
+// run sends attempts until one succeeds or no further one is allowed.
 func (c *call) run(ctx context.Context) error {
 	for {
 		if err := c.checkQuarantine(ctx); err != nil {
@@ -211,6 +212,7 @@
 	return ErrCallerDisconnected
 }
 
+// withOutcome wraps the final error of a request with the outcome of the request.
 func (c *call) withOutcome(err error) error {
 	if c.mayHaveRun {
 		return Error.Wrap(outcome.Undecided(err))
@@ -218,6 +220,7 @@
 	return Error.Wrap(outcome.Failed(err))
 }
 
+// pick returns the best replica for the next attempt, or a replica.NoReplicaError.
 func (c *call) pick() (*replica.Candidate, error) {
 	now := clock.Now()
 	c.criteria.Objective = max(0, c.route.Objective-now.Sub(c.request.Received))
@@ -244,6 +247,8 @@
 // mayRepeat reports whether the request may run more than once.
 func (c *call) mayRepeat() bool { return !c.request.AtMostOnce && c.route.MayRepeat() }
 
+// attempt sends the request to a replica once and records the result. It returns errNotAdmitted if
+// nothing was sent.
 func (c *call) attempt(ctx context.Context, chosen *replica.Candidate) error {
 	now := clock.Now()
 	use := c.forwarder.Replicas.BeginAt(chosen.Info, c.criteria.RequestInfo, now)
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -21,8 +21,8 @@
 	Refuse(work func() quarantine.Work) error
 	// RecordSuccess records a complete answer for the work.
 	RecordSuccess(work quarantine.Work)
-	// RecordInterruption records that a replica's answer to a run was interrupted. It returns once it is
-	// known whether the replica crashed, or after a short time.
+	// RecordInterruption records that a replica's answer to a run was interrupted. It returns once
+	// it is known whether the replica crashed, or after a short time.
 	RecordInterruption(ctx context.Context, replica quarantine.Replica, run quarantine.Run)
 }
 
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -18,7 +18,7 @@
 	g.interrupted = append(g.interrupted, interrupted)
 }
 
-// TestRestart_ReportsCrashedInstanceToQuarantine guards that the instance that ran the request is
+// TestRestart_ReportsCrashedInstanceToQuarantine checks that the instance that ran the request is
 // reported, not its successor.
 func TestRestart_ReportsCrashedInstanceToQuarantine(t *testing.T) {
 	forwarder, guard := forwarderWithStartTimes(nil, 2), &recordingGuard{}
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -32,7 +32,8 @@
 	// another. A one-way delay is up to 3 ms within a region; the rest allows for machines with a
 	// small share of a core.
 	deadlineMargin = 10 * time.Millisecond
-	// crossRegionDeadlineMargin is the same for replicas in other regions, 20 ms away.
+	// crossRegionDeadlineMargin is the deadlineMargin for replicas in other regions, where a
+	// one-way delay is about 20 ms.
 	crossRegionDeadlineMargin = 50 * time.Millisecond
 )
 
--- a/internal/forward/refusal_test.go
+++ b/internal/forward/refusal_test.go
@@ -96,7 +96,7 @@
 	})
 }
 
-// TestDo_UnknownLatencyDoesNotBlockAttempt guards that requests are sent when no latency has been
+// TestDo_UnknownLatencyDoesNotBlockAttempt checks that requests are sent when no latency has been
 // observed yet.
 func TestDo_UnknownLatencyDoesNotBlockAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -106,7 +106,7 @@
 	})
 }
 
-// TestDo_MixedLatencyDoesNotBlockAttempt guards that an attempt is sent if a fast answer would
+// TestDo_MixedLatencyDoesNotBlockAttempt checks that an attempt is sent if a fast answer would
 // still be in time, even if others are slow.
 func TestDo_MixedLatencyDoesNotBlockAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -139,7 +139,7 @@
 	return target
 }
 
-// TestDo_DeadlineDuringRunIsTimeout guards that a request that may have run is never reported as
+// TestDo_DeadlineDuringRunIsTimeout checks that a request that may have run is never reported as
 // refused.
 func TestDo_DeadlineDuringRunIsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -154,7 +154,7 @@
 	})
 }
 
-// TestDo_QueuedRequestPastDeadlineIsNotDone guards that a replica's report that the deadline passed
+// TestDo_QueuedRequestPastDeadlineIsNotDone checks that a replica's report that the deadline passed
 // in its queue arrives before the caller's own deadline.
 func TestDo_QueuedRequestPastDeadlineIsNotDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/forward/reserve_test.go
+++ b/internal/forward/reserve_test.go
@@ -213,7 +213,7 @@
 	}
 }
 
-// TestReserve_WaitsForOtherRegion guards that the timeout includes the round trip to another
+// TestReserve_WaitsForOtherRegion checks that the timeout includes the round trip to another
 // region; otherwise every slot reserved there is lost.
 func TestReserve_WaitsForOtherRegion(t *testing.T) {
 	reserver := &slowReserver{delay: reserveTimeout + 10*time.Millisecond}
--- a/internal/forward/restart.go
+++ b/internal/forward/restart.go
@@ -18,8 +18,8 @@
 
 const (
 	// restartGrace is how long an attempt that may have been sent to the new instance has to prove
-	// it by receiving any part of its answer. It covers the longest allowed pause between two
-	// events, 250 to 300 ms; reading a prompt of 9,000 tokens takes 180 ms.
+	// it by receiving any part of its answer. It covers the usual limits on the pause between two
+	// events, and the time to read a long prompt.
 	restartGrace = 300 * time.Millisecond
 	// restartGraceCount is how many grace periods in a row must show progress: the first data may
 	// have been in flight when the previous instance ended, or buffered here while this machine was
--- a/internal/forward/restart_test.go
+++ b/internal/forward/restart_test.go
@@ -150,7 +150,8 @@
 	}
 }
 
-// TestRestart_BetweenPickAndSend guards that a request is sent to the instance known at that time.
+// TestRestart_BetweenPickAndSend checks that a request is sent to the instance that is known when
+// it is sent, not to the one that was picked.
 func TestRestart_BetweenPickAndSend(t *testing.T) {
 	backend := answerAll()
 	forwarder := forwarderWithStartTimes(backend, 1)
--- a/internal/forward/stalled_test.go
+++ b/internal/forward/stalled_test.go
@@ -45,8 +45,9 @@
 	})
 }
 
-// The connection dies without a reset after the second event while the replica keeps answering
-// other requests. The stream must resume elsewhere long before its deadline.
+// TestDo_StalledStreamResumesElsewhere has the connection die without a reset after the second
+// event while the replica keeps answering other requests. The stream must resume elsewhere long
+// before its deadline.
 func TestDo_StalledStreamResumesElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, number int) (*Answer, error) {
@@ -78,7 +79,7 @@
 	})
 }
 
-// slowSink is a caller that stops reading for a while after its first event.
+// slowSink is a caller that pauses during its first event.
 type slowSink struct {
 	recordingSink
 	pause  time.Duration
@@ -113,7 +114,8 @@
 	return read, nil
 }
 
-// While the caller does not read, nothing is read from the answer either; that is not a stall.
+// TestDo_SlowCallerIsNotAStall guards against taking a slow caller for a stalled answer: while the
+// caller does not read, nothing is read from the answer either.
 func TestDo_SlowCallerIsNotAStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, _ int) (*Answer, error) {
@@ -153,7 +155,8 @@
 	return s.recordingSink.Write(chunk, more)
 }
 
-// A request whose caller has stopped reading must release its slot at its deadline.
+// TestDo_BlockedCallerReleasesSlotAtDeadline guards against a request that holds its slot after its
+// deadline because its caller has stopped reading.
 func TestDo_BlockedCallerReleasesSlotAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, _ int) (*Answer, error) {
--- a/internal/forward/suspend_test.go
+++ b/internal/forward/suspend_test.go
@@ -11,8 +11,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// TestDo_EndsAtOnceWhenSuspendedPastDeadline guards that neither the caller nor the replica is held
-// for the duration of a machine suspension.
+// TestDo_EndsAtOnceWhenSuspendedPastDeadline guards against a request that continues after a
+// suspension of the machine in which its deadline passed.
 func TestDo_EndsAtOnceWhenSuspendedPastDeadline(t *testing.T) {
 	machine := clocktest.New(t)
 	sent := make(chan struct{})
--- a/internal/node/cold.go
+++ b/internal/node/cold.go
@@ -10,8 +10,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// coldLogInterval is the time between two checks which replicas became cold or warm. They are for
-// the log only.
+// coldLogInterval is the time between two checks for replicas that became cold or warm. Only the
+// log depends on these checks.
 const coldLogInterval = 500 * time.Millisecond
 
 // coldLimits returns the limits of cold replicas, by pool.
@@ -40,6 +40,7 @@
 	}
 }
 
+// logPresumedCold logs that all replicas are presumed cold, or no longer are.
 func (c *core) logPresumedCold(presumed bool) {
 	if presumed {
 		c.log.Warn().Msg("replica list is old, its replicas are taken as cold")
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -26,20 +26,20 @@
 
 const (
 	// jobPollInterval is the minimum time between two polls of the jobs' changes while a caller
-	// waits for some. It bounds the number of calls while many results are committed. It grows by
-	// jobPollPerSession with each live session, so that all nodes together stay below 700 calls a
-	// second.
+	// waits for some. It bounds the number of calls while many results are committed. With many
+	// sessions the time is jobPollPerSession for each live session, so that all nodes together stay
+	// below 700 calls a second.
 	jobPollInterval   = 120 * time.Millisecond
 	jobPollPerSession = 1500 * time.Microsecond
 	// idleJobPollInterval is the time between two polls while no caller waits here and other nodes
 	// announce the changes that concern this one. If an announcement is lost, a requested stop of
-	// an item or a new node is noticed this late. Deployments require items to stop within 3 s.
+	// an item or a new node is noticed this late; items must stop within a few seconds.
 	idleJobPollInterval = time.Second
 	// sampleBurst and sampleEvery bound the number of log lines about routine events.
 	sampleBurst = 20
 	sampleEvery = 20
-	// suspensionCheckInterval is the time between two checks whether the machine was suspended.
-	// They are for the log only.
+	// suspensionCheckInterval is the time between two checks for suspensions of the machine. Only
+	// the log depends on these checks.
 	suspensionCheckInterval = time.Second
 	// retryRatio is the number of retries allowed for each request, on average.
 	retryRatio = 0.3
@@ -287,8 +287,8 @@
 }
 
 // putReplica adds or updates a listed replica, given the version of its row. New replicas of a full
-// read are only counted in the summary that logReplicaList writes, others are sampled: a line for
-// each would multiply nodes by replicas when a fleet starts.
+// read are only counted in the summary that logReplicaList writes, others are sampled: otherwise
+// every node would log every replica when a fleet starts.
 func (c *core) putReplica(info replica.Info, version uint64, whole bool) {
 	info.Region = c.places.Region(info.Zone)
 	added := c.replicas.Put(info)
--- a/internal/node/evacuation.go
+++ b/internal/node/evacuation.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// logEvacuated logs that a zone is evacuated. A zone that the settings do not list may be misspelt;
-// it is evacuated all the same, for replicas may name it.
+// logEvacuated logs that a zone is evacuated. A zone that the settings do not list may be misspelt,
+// but it is evacuated too, because replicas may be in it.
 func (c *core) logEvacuated(zone string, ev evacuation) {
 	replicas := 0
 	for _, r := range c.replicas.List(ev.Since) {
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -11,6 +11,7 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
+// wholeStream returns the body of a complete answer to a request on a stream route.
 func wholeStream() string {
 	var text strings.Builder
 	for id := 1; id <= siteEvents; id++ {
@@ -19,6 +20,7 @@
 	return text.String()
 }
 
+// wholeText returns the result of a completed item.
 func wholeText() string {
 	var pieces []string
 	for id := 1; id <= siteEvents; id++ {
@@ -27,6 +29,8 @@
 	return strings.Join(pieces, "\n")
 }
 
+// setBehaviour sets the behaviour of all servers for the given number of first requests to each.
+// Later ones succeed.
 func (s *gatewaySite) setBehaviour(behaviour standin.Behaviour, first int) {
 	for _, server := range s.servers {
 		server.SetBehaviour(func(number int) standin.Behaviour {
@@ -124,6 +128,7 @@
 	}
 }
 
+// jobBody returns the body of a submission of a job with the given number of items.
 func jobBody(id string, items int) []byte {
 	var list []map[string]any
 	for i := range items {
--- a/internal/node/gatewaybootstrap.go
+++ b/internal/node/gatewaybootstrap.go
@@ -24,8 +24,8 @@
 // are not part of the state: they must not change while the store is unavailable.
 
 const (
-	// bootstrapInterval is the time between two requests, and bootstrapTimeout bounds one: the 300
-	// KB of 600 replicas take 80 ms over the slowest link, 30 Mbit/s.
+	// bootstrapInterval is the time between two requests, and bootstrapTimeout bounds one. It
+	// leaves time to transfer the state of a large fleet, a few hundred KB, over a slow link.
 	bootstrapInterval = 200 * time.Millisecond
 	bootstrapTimeout  = time.Second
 	// maxBootstrapResponses is the number of requests that are served concurrently. When many nodes
@@ -190,7 +190,8 @@
 	members := g.jobWatch.Seed(state.Members.changes(), state.Members.age(), g.roster.Apply)
 	replicas := g.replicaWatch.Seed(state.Replicas.changes(), state.Replicas.age(), g.applyReplicas)
 	if now := clock.Now(); replicas {
-		// The state was in transit, and no update follows before the store responds.
+		// The age does not include the time in transit, which is at most bootstrapTimeout. The list
+		// time is set here because no update sets it until the store responds.
 		g.replicas.SetListTime(now.Add(-state.Replicas.age()-bootstrapTimeout), now)
 	}
 	g.replicas.SetJoined(g.roster.Joined())
--- a/internal/node/gatewaycold.go
+++ b/internal/node/gatewaycold.go
@@ -77,6 +77,7 @@
 	}
 }
 
+// register returns the number for a new request and the channel that receives its reply.
 func (c *coldGranter) register() (number uint64, reply chan bool) {
 	number, reply = rand.Uint64(), make(chan bool, 1)
 	c.mu.Lock()
--- a/internal/node/gatewaycrash_test.go
+++ b/internal/node/gatewaycrash_test.go
@@ -13,11 +13,12 @@
 	// crashPropagationTime is the time after the third crash within which all nodes must know of
 	// it.
 	crashPropagationTime = 1500 * time.Millisecond
-	// maxFurtherCrashes is the number of replicas that the work may still crash after that.
+	// maxFurtherCrashes is the number of replicas that the work may still crash after
+	// crashPropagationTime.
 	maxFurtherCrashes = 3
-	// repeatedCalls is how often the work is sent again after that.
-	repeatedCalls = 40
-	// repeatedCallInterval is the time between two of these calls.
+	// repeatedCalls is how often the work is sent after crashPropagationTime, and
+	// repeatedCallInterval the time between two of these calls.
+	repeatedCalls        = 40
 	repeatedCallInterval = 20 * time.Millisecond
 )
 
--- a/internal/node/gatewaydemand.go
+++ b/internal/node/gatewaydemand.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// demandInterval is the time between two demand reports. A burst fills slots within the
-	// duration of a request, about 0.7 s on the users' deployments.
+	// demandInterval is the time between two demand reports. It is short compared with a request,
+	// because a burst fills the slots within the duration of one.
 	demandInterval = 100 * time.Millisecond
 	// demandFanout is the number of nodes of a region that get each report, whatever the size of
 	// the fleet. On average, a node receives as many from its own region.
 	demandFanout = 3
-	// demandZoneFanout is how many of these are in the sender's zone: traffic to other zones is
-	// expensive on some deployments, and slots are divided by zone first.
+	// demandZoneFanout is how many of these are in the sender's zone: traffic to other zones may be
+	// billed, and slots are divided by zone first.
 	demandZoneFanout = 2
 	// maxDemandPools bounds the pools of one message, each of some 40 bytes.
 	maxDemandPools = 16
--- a/internal/node/gatewayfront.go
+++ b/internal/node/gatewayfront.go
@@ -25,8 +25,8 @@
 const staleKeyAge = 3 * time.Second
 
 // Identify implements platform.Gateway. A node that gets no updates of the configuration still
-// accepts the keys that it knows, unless the settings bound the age. It cannot tell whether other
-// keys are wrong.
+// accepts the keys that it knows, unless the settings bound the age. Other keys may have been added
+// meanwhile, so it reports tenant.ErrStale for them instead of tenant.ErrUnknownKey.
 func (g *Gateway) Identify(header http.Header, public bool) (*tenant.Tenant, error) {
 	routes, age := g.routes.Load(), g.configWatch.Age()
 	caller, err := routes.Identify(header, public)
--- a/internal/node/gatewayquarantine_test.go
+++ b/internal/node/gatewayquarantine_test.go
@@ -17,8 +17,8 @@
 	"github.com/wheelhoist/wheelhoist/platform/standin"
 )
 
-// TestGateway_QuarantineIsShownAndReleased follows the steps of an operator, from a refusal to the
-// work and to its release at all nodes.
+// TestGateway_QuarantineIsShownAndReleased follows the steps of an operator who sees a refusal,
+// finds the quarantined work and releases it at all nodes.
 func TestGateway_QuarantineIsShownAndReleased(t *testing.T) {
 	site := newCrashSite(t, 8)
 	gateways := []*Gateway{site.startGateway("a"), site.startGateway("b")}
@@ -93,8 +93,8 @@
 }
 
 // TestGateway_KnowsSuccessesOfLostNode guards against the loss of all nodes that saw a work succeed
-// (soak seed 7215): without their successes, three crashes that the work meets by chance would
-// quarantine it at all nodes.
+// (soak seed 7215): without their successes, three crashes of other causes during its runs would
+// quarantine the work at all nodes.
 func TestGateway_KnowsSuccessesOfLostNode(t *testing.T) {
 	site := newCrashSite(t, 4)
 	gateways := []*Gateway{site.startGateway("a"), site.startGateway("b")}
@@ -193,7 +193,8 @@
 	return socket, address
 }
 
-// TestGateway_InterruptedResponsesSuspectNoWork has responses break off at servers that do not crash.
+// TestGateway_InterruptedResponsesSuspectNoWork has servers truncate their responses without
+// crashing.
 func TestGateway_InterruptedResponsesSuspectNoWork(t *testing.T) {
 	site := newGatewaySite(t, 4)
 	for _, server := range site.servers {
@@ -208,6 +209,7 @@
 	}
 }
 
+// FuzzHarmTold decodes quarantine messages that a node may receive from another process.
 func FuzzHarmTold(f *testing.F) {
 	body, err := cbor.Marshal(quarantineMessage{
 		Crashes:   []crashEntry{{Replica: "r", Works: []quarantine.Work{{1}}, AgeMs: 5}},
--- a/internal/node/gatewayreplicalist_test.go
+++ b/internal/node/gatewayreplicalist_test.go
@@ -23,8 +23,8 @@
 	cutSlots = 8
 )
 
-// cutSite is a site with one replica whose node "cut" cannot reach the store while disconnected is
-// set.
+// cutSite is a site with one replica and two nodes. The node "cut" cannot reach the store while
+// disconnected is set.
 type cutSite struct {
 	*gatewaySite
 	disconnected atomic.Bool
--- a/internal/node/gatewayrestart_test.go
+++ b/internal/node/gatewayrestart_test.go
@@ -34,7 +34,7 @@
 			if number > 1 {
 				return standin.Succeed
 			}
-			// The clock of its machine was set back.
+			// The server restarts after the clock of its machine was set back.
 			info.StartedUnixMs = 1000
 			time.AfterFunc(50*time.Millisecond, func() { gateway.putReplica(info, 2, false) })
 			return standin.Hang
--- a/internal/node/gatewayrowschanged.go
+++ b/internal/node/gatewayrowschanged.go
@@ -10,10 +10,10 @@
 	"github.com/wheelhoist/wheelhoist/internal/peer"
 )
 
-// A node without callers that wait for changes of jobs polls them rarely, because polls often made
-// by every node cost store calls in proportion to the fleet. A node that changes rows notifies the
-// nodes concerned, which then poll at once. The rows are authoritative: if a notification is lost,
-// the change is seen at the next poll.
+// A node without callers that wait for changes of jobs polls them rarely, because frequent polls by
+// all nodes would cost store calls in proportion to the size of the fleet. A node that changes rows
+// notifies the nodes concerned, which then poll at once. The rows are authoritative: if a
+// notification is lost, the change is seen at the next poll.
 
 // broadcastInterval is the minimum time between two notifications of all nodes. When many nodes are
 // lost at once, one node may end several sessions in a row.
--- a/internal/node/gatewaystarts_test.go
+++ b/internal/node/gatewaystarts_test.go
@@ -99,7 +99,7 @@
 
 // TestMessages_FitADatagram sends messages of the maximum size.
 func TestMessages_FitADatagram(t *testing.T) {
-	const maxReports = 32 // Bounds the reports of replica.Set.FailureReports.
+	const maxReports = 32 // the maximum number that replica.Set.FailureReports returns
 	reports := make([]failureReport, maxReports)
 	for i := range reports {
 		reports[i] = failureReport{Replica: 1<<64 - 1 - uint64(i), Failures: 1.1, Successes: 2.2, AgeMs: 1<<16 - 1, StartedUnixMs: maxStartTime}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -36,7 +36,8 @@
 
 const (
 	headerTimeout = 5 * time.Second
-	// headsPollPerSession lengthens the interval between polls of the heads in large fleets.
+	// headsPollPerSession, times the number of live sessions, is the minimum time between two polls
+	// of the table's heads. It bounds the calls of all nodes together in large fleets.
 	headsPollPerSession = 1500 * time.Microsecond
 	// commitInterval is how long finished items wait to be committed together: jobs last for
 	// minutes, and table writes are billed each.
--- a/internal/node/nodeindex.go
+++ b/internal/node/nodeindex.go
@@ -9,7 +9,7 @@
 )
 
 // nodeIndex groups the other nodes by zone and region and caches the result until the nodes change.
-// The zero value with a roster is ready to use. It is safe for concurrent use.
+// It is ready to use once roster is set, and safe for concurrent use.
 type nodeIndex struct {
 	roster *lease.Roster
 
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -19,8 +19,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// probeTimeout bounds a probe connection to a replica whose response broke off. A round trip takes
-// 2 to 6 ms within a region and 40 ms to another one.
+// probeTimeout bounds a probe connection to a replica whose response was interrupted. It leaves
+// time for several round trips to another region.
 const probeTimeout = 400 * time.Millisecond
 
 // quarantineState is what a node knows of work that crashes replicas.
--- a/internal/node/quarantinestart_test.go
+++ b/internal/node/quarantinestart_test.go
@@ -8,8 +8,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// TestReplicaStates_DistinguishStarts checks queries about the start at which a response broke off
-// while the list may have a later one.
+// TestReplicaStates_DistinguishStarts checks queries about a previous start of a replica, at which
+// a response was interrupted, while the list has a later one.
 func TestReplicaStates_DistinguishStarts(t *testing.T) {
 	set := replica.NewSet()
 	states := replicaStates{&core{replicas: set}}
@@ -27,7 +27,8 @@
 	set.Put(info)
 	expect(3000, quarantine.Serving)
 	expect(0, quarantine.Serving)
-	// Its clock is set back, and it restarts without notice.
+	// The clock of the machine is set back, and the replica restarts without having been listed as
+	// leaving.
 	info.StartedUnixMs = 1000
 	set.Put(info)
 	expect(3000, quarantine.Restarted)
--- a/internal/node/replicalist.go
+++ b/internal/node/replicalist.go
@@ -12,8 +12,8 @@
 const (
 	// coldListWait bounds one wait for changes of the replica list while cold replicas have limits.
 	// If nothing changes, the known list is two waits old before the second response arrives;
-	// replica.Set tolerates one second. On deployments whose rows change more often, the bound
-	// causes no additional calls.
+	// replica.Set tolerates one second. If the rows change more often than this, the bound causes
+	// no additional calls.
 	coldListWait = 300 * time.Millisecond
 	// coldListTimeoutMargin is how much longer than its wait a call may take.
 	coldListTimeoutMargin = 900 * time.Millisecond
--- a/internal/node/replicalist_test.go
+++ b/internal/node/replicalist_test.go
@@ -27,7 +27,7 @@
 	coldListLatency = 50 * time.Millisecond
 )
 
-// coldListTolerance is the tolerance of the users' deployments.
+// coldListTolerance is by how much the requests of all nodes may exceed coldListRate.
 var coldListTolerance = replica.ColdTolerance{Over: 1.5, Slack: 5}
 
 // coldListBound returns the number of requests that a cold replica may get in a second.
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -16,9 +16,9 @@
 	machinesInterval  = time.Second
 	callTimeout       = 2 * time.Second
 	joinRetryInterval = 300 * time.Millisecond
-	// sessionsInterval is the time between two refreshes of the other nodes' sessions. It grows by
-	// sessionsPerSession with each live session, so that the load on the table does not grow with
-	// the fleet.
+	// sessionsInterval is the time between two refreshes of the other nodes' sessions. With many
+	// nodes the time is sessionsPerSession for each of them, so that the load on the table does not
+	// grow with the fleet.
 	sessionsInterval   = time.Second
 	sessionsPerSession = 25 * time.Millisecond
 	// drainNotice is how long a draining node still admits requests after readiness has begun to
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -63,7 +63,7 @@
 // ItemsCompleted returns the number of batch items that this node has completed.
 func (n *Node) ItemsCompleted() uint64 { return n.metrics.completed.Load() }
 
-// registerTraffic registers the bytes of control traffic.
+// registerTraffic registers the gauges of control traffic.
 func (m *coreMetrics) registerTraffic(control *traffic.Counter) {
 	m.gauge("wheelhoist_control_sent_bytes", "Bytes sent to the platform and to the engines for control.",
 		func() float64 { return float64(control.Sent()) })
