--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -32,7 +32,8 @@
 	// another. A one-way delay is up to 3 ms within a region; the rest allows for machines with a
 	// small share of a core.
 	deadlineMargin = 10 * time.Millisecond
-	// crossRegionDeadlineMargin is the same for replicas in other regions, 20 ms away.
+	// crossRegionDeadlineMargin is the deadlineMargin for replicas in other regions, where a
+	// one-way delay is about 20 ms.
 	crossRegionDeadlineMargin = 50 * time.Millisecond
 )
 
@@ -72,7 +73,7 @@
 	if c.deadline.IsZero() {
 		return true
 	}
-	replicaTime := c.replicaDeadline(c.demand.Distance(chosen)).Sub(now)
+	replicaTime := c.replicaDeadline(c.criteria.Distance(chosen)).Sub(now)
 	return replicaTime >= minUsefulTime && c.timeLeft(now) >= c.minAttemptTime(chosen)
 }
 
@@ -86,7 +87,7 @@
 
 // busyError returns the error of a request that found no capacity, with the predicted wait.
 func (c *call) busyError(now time.Time) *BusyError {
-	return &BusyError{PredictedWait: c.forwarder.Replicas.PredictAvailability(c.result.Pool, &c.demand, now).Wait}
+	return &BusyError{PredictedWait: c.forwarder.Replicas.PredictAvailability(c.result.Pool, &c.criteria, now).Wait}
 }
 
 // recordRefusal records the duration of an attempt that did not run.
@@ -124,7 +125,7 @@
 	case <-ctx.Done():
 		return contextError(ctx)
 	case <-timer.C:
-		c.demand.Exclude = map[string]bool{}
+		c.criteria.Exclude = map[string]bool{}
 		return nil
 	}
 }
--- a/internal/forward/stalled_test.go
+++ b/internal/forward/stalled_test.go
@@ -45,15 +45,16 @@
 	})
 }
 
-// The connection dies without a reset after the second event while the replica keeps answering
-// other requests. The stream must resume elsewhere long before its deadline.
+// TestDo_StalledStreamResumesElsewhere has the connection die without a reset after the second
+// event while the replica keeps answering other requests. The stream must resume elsewhere long
+// before its deadline.
 func TestDo_StalledStreamResumesElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, number int) (*Answer, error) {
 			answer := &Answer{Status: http.StatusOK, Header: http.Header{}, EventStream: true}
 			if number == 1 {
-				begun := strings.NewReader("id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
-				answer.Body = io.NopCloser(io.MultiReader(begun, blockedBody{ctx}))
+				firstEvents := strings.NewReader("id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
+				answer.Body = io.NopCloser(io.MultiReader(firstEvents, blockedBody{ctx}))
 				return answer, nil
 			}
 			if attempt.LastEventID != 2 {
@@ -78,17 +79,17 @@
 	})
 }
 
-// slowSink is a caller that stops reading for a while after its first event.
+// slowSink is a caller that pauses during its first event.
 type slowSink struct {
 	recordingSink
-	slow   time.Duration
+	pause  time.Duration
 	events int
 }
 
 // Write implements Sink.
 func (s *slowSink) Write(chunk []byte, more bool) error {
 	if s.events++; s.events == 1 {
-		time.Sleep(s.slow)
+		time.Sleep(s.pause)
 	}
 	return s.recordingSink.Write(chunk, more)
 }
@@ -113,7 +114,8 @@
 	return read, nil
 }
 
-// While the caller does not read, nothing is read from the answer either; that is not a stall.
+// TestDo_SlowCallerIsNotAStall guards against taking a slow caller for a stalled answer: while the
+// caller does not read, nothing is read from the answer either.
 func TestDo_SlowCallerIsNotAStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, _ int) (*Answer, error) {
@@ -124,7 +126,7 @@
 		answerOtherRequests(t, forwarder.Replicas, "r0", "r1")
 		for range 3 {
 			request := &Request{ID: "q", Method: http.MethodPost, Header: http.Header{}, Received: clock.Now()}
-			result, err := forwarder.Do(t.Context(), stallingRoute(), request, &slowSink{slow: 3 * time.Second})
+			result, err := forwarder.Do(t.Context(), stallingRoute(), request, &slowSink{pause: 3 * time.Second})
 			if err != nil || result.Attempts != 1 {
 				t.Errorf("a healthy replica was abandoned: %v, %d attempts", err, result.Attempts)
 			}
@@ -153,7 +155,8 @@
 	return s.recordingSink.Write(chunk, more)
 }
 
-// A request whose caller has stopped reading must release its slot at its deadline.
+// TestDo_BlockedCallerReleasesSlotAtDeadline guards against a request that holds its slot after its
+// deadline because its caller has stopped reading.
 func TestDo_BlockedCallerReleasesSlotAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, _ int) (*Answer, error) {
