--- a/internal/quarantine/evaluate.go
+++ b/internal/quarantine/evaluate.go
@@ -74,11 +74,11 @@
 // longestSequence returns the longest subsequence of crashes, given in time order, in which each
 // run of work was sent after the previous crash.
 func longestSequence(crashes []*crash, work Work) []*crash {
-	var chain []*crash
+	var sequence []*crash
 	for _, c := range crashes {
-		if len(chain) == 0 || !c.works[work].Before(chain[len(chain)-1].at.Add(-clockSkew)) {
-			chain = append(chain, c)
+		if len(sequence) == 0 || !c.works[work].Before(sequence[len(sequence)-1].at.Add(-clockSkew)) {
+			sequence = append(sequence, c)
 		}
 	}
-	return chain
+	return sequence
 }
--- a/internal/quarantine/fleetnode_test.go
+++ b/internal/quarantine/fleetnode_test.go
@@ -96,8 +96,8 @@
 func (n *fleetNode) ReplicaCrashed(report quarantine.CrashReport) { n.publisher.PublishCrash(report) }
 
 // Cleared implements quarantine.Events.
-func (n *fleetNode) Cleared(before quarantine.Verdict, at time.Time) {
-	n.publisher.PublishClearing(quarantine.Clearing{Work: before.Work, At: at})
+func (n *fleetNode) Cleared(previous quarantine.Verdict, at time.Time) {
+	n.publisher.PublishClearing(quarantine.Clearing{Work: previous.Work, At: at})
 }
 
 // Quarantined implements quarantine.Events. It queries the other nodes for the last success of the
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -54,10 +54,10 @@
 	e.crashed = append(e.crashed, report)
 }
 
-func (e *recordedEvents) Cleared(before Verdict, _ time.Time) {
+func (e *recordedEvents) Cleared(previous Verdict, _ time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.cleared = append(e.cleared, before)
+	e.cleared = append(e.cleared, previous)
 }
 
 func (e *recordedEvents) Quarantined(verdict Verdict) {
--- a/internal/replica/borrow.go
+++ b/internal/replica/borrow.go
@@ -130,11 +130,11 @@
 // PickIdle returns the replica to ask for a reservation for an item: the least busy one, of other
 // regions if otherRegions is set. The estimated load of other nodes excludes none: a replica with few
 // slots that refused once would otherwise be skipped for seconds.
-func PickIdle(candidates []Candidate, demand *Criteria, weights Weights, otherRegions bool) (*Candidate, error) {
-	if demand.Reserve > 0 {
-		candidates = unreserved(candidates, demand.Reserve)
+func PickIdle(candidates []Candidate, criteria *Criteria, weights Weights, otherRegions bool) (*Candidate, error) {
+	if criteria.Reserve > 0 {
+		candidates = unreserved(candidates, criteria.Reserve)
 	}
-	return PickUnqueued(candidates, demand, weights, otherRegions)
+	return PickUnqueued(candidates, criteria, weights, otherRegions)
 }
 
 // RecordIdle records the number of slots that a node has for items and does not use, less those that
--- a/internal/replica/cold.go
+++ b/internal/replica/cold.go
@@ -71,9 +71,9 @@
 	nextSend time.Time
 	// senders are the indexes in Set.nodes of the nodes that may send to it, isSender is whether
 	// this node is one of them; both are as of division.
-	senders  []int
-	isSender bool
-	division uint64
+	senders    []int
+	isSender   bool
+	generation uint64
 	// logged is the state that ColdChanges last returned.
 	logged bool
 }
@@ -87,7 +87,7 @@
 	}
 	s.coldLimits = limits
 	// The number of senders of a cold replica depends on its limit.
-	s.division++
+	s.generation++
 	s.notifyChanged()
 }
 
@@ -138,19 +138,19 @@
 	u.set.markCold(u.entry, now.Add(left), ColdReported, now)
 }
 
-// noteUnreachable records that a replica accepted no connection. While it is ejected for that, only
+// recordUnreachable records that a replica accepted no connection. While it is ejected for that, only
 // its senders try it, also as a last resort. If no data arrives from any replica, this node is
 // likely cut off, and nothing is recorded. The caller holds mu.
-func (s *Set) noteUnreachable(e *entry, now time.Time) {
+func (s *Set) recordUnreachable(e *entry, now time.Time) {
 	if limit := s.coldLimits[e.info.Pool]; limit.Rate > 0 && now.Sub(s.lastReceived) < recentContact {
 		s.markCold(e, e.health.ejectedUntil, ColdUnreachable, now)
 	}
 }
 
-// noteReachable records that a replica answered after it was unreachable. A replica that reports no
+// recordReachable records that a replica answered after it was unreachable. A replica that reports no
 // start time gets a new ID when it restarts, so one with the same ID did not restart and is warm.
 // Others may have restarted under their ID, which the list shows soon. The caller holds mu.
-func (s *Set) noteReachable(e *entry, now time.Time) {
+func (s *Set) recordReachable(e *entry, now time.Time) {
 	if e.cold.reason != ColdUnreachable || !now.Before(e.cold.until) {
 		return
 	}
--- a/internal/replica/cold_test.go
+++ b/internal/replica/cold_test.go
@@ -215,13 +215,13 @@
 func TestColdTolerance_SplitKeepsBoundForTwoViews(t *testing.T) {
 	for _, rate := range []float64{0.5, 1, 2, 4, 15, 100} {
 		for _, tolerance := range []ColdTolerance{{}, {Over: 1.5, Slack: 5}, {Over: 1, Slack: 10}, {Over: 3}} {
-			nodes, part := tolerance.split(rate)
+			senders, part := tolerance.split(rate)
 			views := 2
 			if part < 1 {
 				views = 1
 			}
-			if maxSent := float64(views*nodes) * (part + 1); part > 0 && maxSent > max(2, tolerance.bound(rate)+1e-9) {
-				t.Errorf("rate %v, %+v: %d senders with a rate of %v each exceed the bound", rate, tolerance, nodes, part)
+			if maxSent := float64(views*senders) * (part + 1); part > 0 && maxSent > max(2, tolerance.bound(rate)+1e-9) {
+				t.Errorf("rate %v, %+v: %d senders with a rate of %v each exceed the bound", rate, tolerance, senders, part)
 			}
 		}
 	}
--- a/internal/replica/coldlist_model_test.go
+++ b/internal/replica/coldlist_model_test.go
@@ -56,8 +56,8 @@
 		f.deliverAfter(node, delay, func(set *Set) { f.putCold(set, warmAt) })
 	}
 	f.advance(maxListAge)
-	for _, row := range f.replicas {
-		f.coldUntil[row.ID] = warmAt
+	for _, info := range f.replicas {
+		f.coldUntil[info.ID] = warmAt
 	}
 	f.advance(time.Duration(rapid.IntRange(0, 1500).Draw(f.t, "updates resume after ms")) * time.Millisecond)
 	for node, set := range f.sets {
--- a/internal/replica/coldrate.go
+++ b/internal/replica/coldrate.go
@@ -37,13 +37,13 @@
 
 // split returns the number of senders of a cold replica and the rate of each. In any one second a
 // sender sends at most its rate plus one request.
-func (t ColdTolerance) split(rate float64) (nodes int, part float64) {
+func (t ColdTolerance) split(rate float64) (senders int, part float64) {
 	bound := t.bound(rate)
 	each := bound / membershipViews
-	nodes = min(max(int(each/minSenderRate), 1), maxColdSenders)
-	part = min(each/float64(nodes)-1, rate/float64(nodes))
+	senders = min(max(int(each/minSenderRate), 1), maxColdSenders)
+	part = min(each/float64(senders)-1, rate/float64(senders))
 	if part > 0 {
-		return nodes, part
+		return senders, part
 	}
 	if bound < 1 {
 		return 0, 0
@@ -59,7 +59,7 @@
 // isColdSender reports whether this node is a sender of an entry, which is cold. A node that becomes
 // a sender by a change of the members first waits newSenderDelay. The caller holds mu.
 func (s *Set) isColdSender(e *entry, now time.Time) bool {
-	if e.cold.division == s.division {
+	if e.cold.generation == s.generation {
 		return e.cold.isSender
 	}
 	// A node that had no members in its view replaces no other sender.
@@ -89,7 +89,7 @@
 		}
 		chosen = append(chosen, next)
 	}
-	e.cold.senders, e.cold.isSender, e.cold.division = chosen, slices.Contains(chosen, self), s.division
+	e.cold.senders, e.cold.isSender, e.cold.generation = chosen, slices.Contains(chosen, self), s.generation
 }
 
 // senderNode is a node that may become a sender.
@@ -103,16 +103,16 @@
 // highestWeight returns the index of the eligible node with the highest rendezvous weight for an
 // entry; -1 if there is none.
 func highestWeight(nodes []senderNode, e *entry, eligible func(i int) bool) int {
-	found, most := -1, uint64(0)
+	best, bestWeight := -1, uint64(0)
 	for i := range nodes {
 		if nodes[i].notMember {
 			continue
 		}
-		if weight := mix(nodes[i].key ^ e.key); eligible(i) && (found < 0 || weight > most) {
-			found, most = i, weight
+		if weight := mix(nodes[i].key ^ e.key); eligible(i) && (best < 0 || weight > bestWeight) {
+			best, bestWeight = i, weight
 		}
 	}
-	return found
+	return best
 }
 
 // SetJoined sets whether this node is among the members that it knows. Until then it sends to no cold
@@ -125,20 +125,20 @@
 		return
 	}
 	s.notJoined = !joined
-	s.division++
+	s.generation++
 	s.notifyChanged()
 }
 
 // senderNodes returns the nodes that may become senders and this node's index among them, or -1. The
 // result is cached for each division. The caller holds mu.
 func (s *Set) senderNodes() (nodes []senderNode, self int) {
-	if s.division == 0 {
+	if s.generation == 0 {
 		return nil, -1
 	}
-	if s.senderDivision == s.division {
+	if s.senderGeneration == s.generation {
 		return s.senderList, s.senderSelf
 	}
-	s.senderList, s.senderSelf, s.senderDivision = s.senderList[:0], -1, s.division
+	s.senderList, s.senderSelf, s.senderGeneration = s.senderList[:0], -1, s.generation
 	for i, node := range s.nodes {
 		if node.ID == s.self {
 			s.senderSelf = i
@@ -156,9 +156,9 @@
 	if !cold {
 		return e.share
 	}
-	nodes, rate := s.ColdTolerance.split(limit.Rate)
+	senders, rate := s.ColdTolerance.split(limit.Rate)
 	if rate <= 0 || !s.isColdSender(e, now) {
 		return 0
 	}
-	return (e.info.Slots + nodes - 1) / nodes
+	return (e.info.Slots + senders - 1) / senders
 }
--- a/internal/replica/demand.go
+++ b/internal/replica/demand.go
@@ -50,43 +50,43 @@
 }
 
 // begin records that a request is sent.
-func (d *poolEstimates) begin(req RequestInfo, now time.Time) {
-	d.advance(now)
-	d.running++
+func (p *poolEstimates) begin(req RequestInfo, now time.Time) {
+	p.advance(now)
+	p.running++
 	if req.Batch {
-		d.itemTokens += averageWeight * (float64(req.Tokens) - d.itemTokens)
+		p.itemTokens += averageWeight * (float64(req.Tokens) - p.itemTokens)
 		return
 	}
-	d.patience += time.Duration(averageWeight * float64(req.patience(d.firstEvent, minPatienceShare)-d.patience))
-	d.peak, d.peakAt = max(d.level(now), float64(d.open+1)), now
-	d.open++
+	p.patience += time.Duration(averageWeight * float64(req.patience(p.firstEvent, minPatienceShare)-p.patience))
+	p.peak, p.peakAt = max(p.level(now), float64(p.open+1)), now
+	p.open++
 }
 
 // end records that a request has left its slot. countRelease is false if it was preempted.
-func (d *poolEstimates) end(req RequestInfo, countRelease bool, result Result, took time.Duration, now time.Time) {
-	d.advance(now)
-	d.running--
+func (p *poolEstimates) end(req RequestInfo, countRelease bool, result Result, took time.Duration, now time.Time) {
+	p.advance(now)
+	p.running--
 	if countRelease {
-		d.releases++
+		p.releases++
 	}
 	if req.Batch {
 		return
 	}
-	d.peak, d.peakAt = d.level(now), now
-	d.open--
+	p.peak, p.peakAt = p.level(now), now
+	p.open--
 	if result == Succeeded {
-		updateAverage(&d.onlineHold, took)
+		updateAverage(&p.onlineHold, took)
 	}
 }
 
 // observeFirstEvent records the first event of a request that did not wait for a slot.
-func (d *poolEstimates) observeFirstEvent(req RequestInfo, took time.Duration) {
-	if d.firstEvent == 0 {
-		d.firstEventDeviation = took / 2
+func (p *poolEstimates) observeFirstEvent(req RequestInfo, took time.Duration) {
+	if p.firstEvent == 0 {
+		p.firstEventDeviation = took / 2
 	}
-	d.firstEventDeviation += time.Duration(averageWeight * float64((took-d.firstEvent).Abs()-d.firstEventDeviation))
-	updateAverage(&d.firstEvent, took)
-	d.readingSlope.add(float64(req.Tokens), took.Seconds())
+	p.firstEventDeviation += time.Duration(averageWeight * float64((took-p.firstEvent).Abs()-p.firstEventDeviation))
+	updateAverage(&p.firstEvent, took)
+	p.readingSlope.add(float64(req.Tokens), took.Seconds())
 }
 
 // minFirstEventDeviations is the number of mean deviations below the mean at which the earliest first
@@ -96,16 +96,16 @@
 
 // minFirstEvent returns the least time to the first event that can be expected; 0 if nothing is
 // measured or the times vary widely.
-func (d *poolEstimates) minFirstEvent() time.Duration {
-	return max(0, d.firstEvent-minFirstEventDeviations*d.firstEventDeviation)
+func (p *poolEstimates) minFirstEvent() time.Duration {
+	return max(0, p.firstEvent-minFirstEventDeviations*p.firstEventDeviation)
 }
 
 // patienceShare returns the part of the time left to its objective for which a request waits before it
 // preempts an item. The prompt of a preempted item is processed again on another replica, which slows
 // all requests there. If that costs more slot time than the request itself, the request waits longer.
-func (d *poolEstimates) patienceShare(slots int) float64 {
-	cost := d.itemTokens / d.readingRate() * float64(slots)
-	onlineHold := d.onlineHold
+func (p *poolEstimates) patienceShare(slots int) float64 {
+	cost := p.itemTokens / p.readingRate() * float64(slots)
+	onlineHold := p.onlineHold
 	if onlineHold == 0 {
 		onlineHold = initialHold
 	}
@@ -113,8 +113,8 @@
 }
 
 // readingRate returns the prompt processing rate of replicas, in tokens per second.
-func (d *poolEstimates) readingRate() float64 {
-	if seconds, ok := d.readingSlope.get(); ok && seconds > 0 {
+func (p *poolEstimates) readingRate() float64 {
+	if seconds, ok := p.readingSlope.get(); ok && seconds > 0 {
 		return 1 / seconds
 	}
 	return readingRate
@@ -130,31 +130,31 @@
 
 // level returns the number of slots that online requests are expected to need: those that they hold,
 // or held a moment ago, since bursts tend to continue.
-func (d *poolEstimates) level(now time.Time) float64 {
-	onlineHold := d.onlineHold
+func (p *poolEstimates) level(now time.Time) float64 {
+	onlineHold := p.onlineHold
 	if onlineHold == 0 {
 		onlineHold = initialHold
 	}
-	decayed := d.peak * math.Exp(-float64(now.Sub(d.peakAt))/float64(onlineHold))
-	return max(float64(d.open), decayed)
+	decayed := p.peak * math.Exp(-float64(now.Sub(p.peakAt))/float64(onlineHold))
+	return max(float64(p.open), decayed)
 }
 
 // advance updates the decaying sums to now.
-func (d *poolEstimates) advance(now time.Time) {
-	elapsed := now.Sub(d.advancedAt)
-	if d.advancedAt.IsZero() || elapsed <= 0 {
-		d.advancedAt = now
+func (p *poolEstimates) advance(now time.Time) {
+	elapsed := now.Sub(p.advancedAt)
+	if p.advancedAt.IsZero() || elapsed <= 0 {
+		p.advancedAt = now
 		return
 	}
 	decay := math.Exp(-float64(elapsed) / float64(holdMemory))
-	d.busy = d.busy*decay + float64(d.running)*elapsed.Seconds()
-	d.releases *= decay
-	d.advancedAt = now
+	p.busy = p.busy*decay + float64(p.running)*elapsed.Seconds()
+	p.releases *= decay
+	p.advancedAt = now
 }
 
 // slotHold returns how long a slot is held on average, by requests and items together.
-func (d *poolEstimates) slotHold() time.Duration {
-	seconds := (d.busy + initialHoldCount*initialHold.Seconds()) / (d.releases + initialHoldCount)
+func (p *poolEstimates) slotHold() time.Duration {
+	seconds := (p.busy + initialHoldCount*initialHold.Seconds()) / (p.releases + initialHoldCount)
 	return time.Duration(seconds * float64(time.Second))
 }
 
--- a/internal/replica/divide.go
+++ b/internal/replica/divide.go
@@ -18,10 +18,10 @@
 		return
 	}
 	s.self, s.nodes, s.selfPlace = self, nodes, place.Place{}
-	if at := indexOf(nodes, self); at >= 0 {
-		s.selfPlace = nodes[at].Place
+	if i := indexOf(nodes, self); i >= 0 {
+		s.selfPlace = nodes[i].Place
 	}
-	s.division++
+	s.generation++
 	s.invalidateIndex()
 }
 
@@ -58,19 +58,19 @@
 // proportional to nodes x replicas.
 func Shares(self string, nodes []place.Node, replicas []ReplicaSlots) []int {
 	shares := make([]int, len(replicas))
-	at := indexOf(nodes, self)
-	if at < 0 {
+	selfIndex := indexOf(nodes, self)
+	if selfIndex < 0 {
 		for i, r := range replicas {
 			shares[i] = r.Count
 		}
 		return shares
 	}
-	alloc := newAllocator(nodes, at)
+	alloc := newAllocator(nodes, selfIndex)
 	lentToAny := lendSlots(nodes, replicas, byRegion, minRegionPercent)
 	regional := subtract(replicas, lentToAny)
 	lentInRegion := make([]int, len(replicas))
 	for region := range groups(regional, byRegion) {
-		addWithin(lentInRegion, region, nodes, regional)
+		addLentInRegion(lentInRegion, region, nodes, regional)
 	}
 	alloc.allocateWithin(subtract(regional, lentInRegion), byZone, shares)
 	alloc.allocateWithin(withCounts(replicas, lentInRegion), byRegion, shares)
@@ -83,22 +83,22 @@
 	return slices.IndexFunc(nodes, func(node place.Node) bool { return node.ID == id })
 }
 
-// addWithin adds the slots that zones of a region lend to other zones of the region.
-func addWithin(lent []int, region place.Place, nodes []place.Node, replicas []ReplicaSlots) {
-	var own []place.Node
+// addLentInRegion adds the slots that zones of a region lend to other zones of the region.
+func addLentInRegion(lent []int, region place.Place, nodes []place.Node, replicas []ReplicaSlots) {
+	var members []place.Node
 	for _, node := range nodes {
 		if byRegion(node.Place) == region {
-			own = append(own, node)
+			members = append(members, node)
 		}
 	}
-	within := make([]ReplicaSlots, len(replicas))
+	regional := make([]ReplicaSlots, len(replicas))
 	for i, r := range replicas {
-		within[i] = r
+		regional[i] = r
 		if byRegion(r.Place) != region {
-			within[i].Count = 0
+			regional[i].Count = 0
 		}
 	}
-	for i, count := range lendSlots(own, within, byZone, minZonePercent) {
+	for i, count := range lendSlots(members, regional, byZone, minZonePercent) {
 		lent[i] += count
 	}
 }
@@ -147,9 +147,9 @@
 
 // allocateReplica allots the slots of a replica to the given nodes and returns the number that self
 // gets. Each slot goes to the node with the fewest so far.
-func (a *allocator) allocateReplica(r ReplicaSlots, among []int) (share int) {
-	for left := r.Count; left > 0 && len(among) > 0; {
-		a.rank(r.Key, min(left, len(among)), among)
+func (a *allocator) allocateReplica(r ReplicaSlots, eligible []int) (share int) {
+	for left := r.Count; left > 0 && len(eligible) > 0; {
+		a.rank(r.Key, min(left, len(eligible)), eligible)
 		least := a.ranked[0].allocated
 		for _, chosen := range a.ranked {
 			if chosen.allocated > least {
@@ -167,9 +167,9 @@
 }
 
 // rank sets ranked to the first count nodes for a replica, in order.
-func (a *allocator) rank(replica uint64, count int, among []int) {
+func (a *allocator) rank(replica uint64, count int, eligible []int) {
 	a.ranked = a.ranked[:0]
-	for _, node := range among {
+	for _, node := range eligible {
 		claim := slotClaim{node: node, allocated: a.allocated[node], weight: mix(a.keys[node] ^ replica)}
 		if len(a.ranked) == count {
 			if !claim.precedes(a.ranked[count-1]) {
@@ -177,12 +177,12 @@
 			}
 			a.ranked = a.ranked[:count-1]
 		}
-		at, _ := slices.BinarySearchFunc(a.ranked, claim, func(x, y slotClaim) int {
+		pos, _ := slices.BinarySearchFunc(a.ranked, claim, func(x, y slotClaim) int {
 			if x.precedes(y) {
 				return -1
 			}
 			return 1
 		})
-		a.ranked = slices.Insert(a.ranked, at, claim)
+		a.ranked = slices.Insert(a.ranked, pos, claim)
 	}
 }
--- a/internal/replica/evidence.go
+++ b/internal/replica/evidence.go
@@ -206,10 +206,10 @@
 	reporters int
 }
 
-func (s *evidenceSum) add(seen Tally, failing bool) {
-	s.Successes += seen.Successes
+func (s *evidenceSum) add(tally Tally, failing bool) {
+	s.Successes += tally.Successes
 	if failing {
-		s.Failures += seen.Failures
+		s.Failures += tally.Failures
 		s.reporters++
 	}
 }
@@ -232,10 +232,10 @@
 	zones map[string]bool
 }
 
-func (e *evidence) add(seen Tally, failing bool, zone, ownZone string) {
-	e.all.add(seen, failing)
+func (e *evidence) add(tally Tally, failing bool, zone, ownZone string) {
+	e.all.add(tally, failing)
 	if zone == ownZone {
-		e.sameZone.add(seen, failing)
+		e.sameZone.add(tally, failing)
 	}
 	if failing {
 		e.zones[zone] = true
@@ -285,8 +285,8 @@
 
 // warrantsEjection reports whether the evidence suffices to eject the replica. After an ejection, one
 // failure does.
-func (e *evidence) warrantsEjection(probed bool) bool {
-	if probed && (e.sameZone.mostlyFails() || e.all.mostlyFails()) {
+func (e *evidence) warrantsEjection(onProbation bool) bool {
+	if onProbation && (e.sameZone.mostlyFails() || e.all.mostlyFails()) {
 		return true
 	}
 	return e.sameZone.failsForSeveral() || len(e.zones) > 1 && e.all.failsForSeveral()
@@ -295,13 +295,13 @@
 // mayEject reports whether one more replica of a pool may be ejected. The caller holds mu.
 func (s *Set) mayEject(pool string, now time.Time) bool {
 	list := s.pool(pool)
-	excluded := 1
+	ejected := 1
 	for _, e := range list {
 		if e.shared.active(now) {
-			excluded++
+			ejected++
 		}
 	}
-	return float64(excluded) <= sharedEjectionShare*float64(len(list))
+	return float64(ejected) <= sharedEjectionShare*float64(len(list))
 }
 
 // isProber reports whether this node is one of those that probe a replica after its ejection. The
@@ -310,11 +310,11 @@
 	if len(s.nodes) <= proberCount {
 		return true
 	}
-	turn := mix(e.key + uint64(e.shared.count))
-	own := mix(Key(s.self) ^ turn)
+	ejectionHash := mix(e.key + uint64(e.shared.count))
+	ownWeight := mix(Key(s.self) ^ ejectionHash)
 	before := 0
 	for _, node := range s.nodes {
-		if mix(Key(node.ID)^turn) > own {
+		if mix(Key(node.ID)^ejectionHash) > ownWeight {
 			before++
 		}
 	}
--- a/internal/replica/exclusion.go
+++ b/internal/replica/exclusion.go
@@ -80,14 +80,14 @@
 // Persistent reports whether waiting is of no use: all replicas are excluded by what operators
 // declare, or none is listed where the request may be served.
 func (e *NoReplicaError) Persistent() bool {
-	lasting := 0
+	excluded := 0
 	for reason, count := range e.Counts {
 		if count > 0 && !Exclusion(reason).persistent() {
 			return false
 		}
-		lasting += count
+		excluded += count
 	}
-	return lasting > 0 || e.RegionRestricted
+	return excluded > 0 || e.RegionRestricted
 }
 
 // WaitsForCold reports whether the request waits for cold replicas only, one of which would take it if
@@ -98,11 +98,11 @@
 }
 
 // count adds an excluded replica.
-func (e *NoReplicaError) count(c *Candidate, why Exclusion) {
-	if why == Cold && (e.Counts[Cold] == 0 || c.Cold.Wait < e.ColdWait) {
+func (e *NoReplicaError) count(c *Candidate, reason Exclusion) {
+	if reason == Cold && (e.Counts[Cold] == 0 || c.Cold.Wait < e.ColdWait) {
 		e.ColdWait = c.Cold.Wait
 	}
-	e.Counts[why]++
+	e.Counts[reason]++
 }
 
 // placeExclusion returns why the place of a replica excludes it for a request, if it does.
@@ -125,8 +125,8 @@
 
 // hardExclusion returns a reason against a replica that holds even for a last resort.
 func (c *Candidate) hardExclusion(criteria *Criteria) Exclusion {
-	if why := c.placeExclusion(criteria); why != Usable {
-		return why
+	if reason := c.placeExclusion(criteria); reason != Usable {
+		return reason
 	}
 	switch {
 	case !serves(c, criteria):
--- a/internal/replica/itemcapacity.go
+++ b/internal/replica/itemcapacity.go
@@ -19,14 +19,14 @@
 }
 
 // Free returns the number of items that may start; negative if some have to stop.
-func (r ItemCapacity) Free() int { return int(float64(r.Share)-r.Needed+r.Rounding) - r.Items }
+func (c ItemCapacity) Free() int { return int(float64(c.Share)-c.Needed+c.Rounding) - c.Items }
 
 // Error implements error.
-func (r ItemCapacity) Error() string {
+func (c ItemCapacity) Error() string {
 	reports := "no reports from other nodes"
-	if r.HasReports {
-		reports = fmt.Sprintf("other nodes report %.2f needed, %.1f slots idle", r.FleetUsage, r.Idle)
+	if c.HasReports {
+		reports = fmt.Sprintf("other nodes report %.2f needed, %.1f slots idle", c.FleetUsage, c.Idle)
 	}
 	return fmt.Sprintf("%d slots, %.2f needed by online requests, rounding %.2f, %d items, %d in borrowed slots; %s",
-		r.Share, r.Needed, r.Rounding, r.Items, r.Borrowed, reports)
+		c.Share, c.Needed, c.Rounding, c.Items, c.Borrowed, reports)
 }
--- a/internal/replica/lend.go
+++ b/internal/replica/lend.go
@@ -62,11 +62,11 @@
 	for _, node := range nodes {
 		groupAt(all, by(node.Place)).nodes++
 	}
-	fleet := sumOf(all)
+	sum := sumOf(all)
 	missing, surplus := 0, 0
 	for _, g := range all {
-		missing += max(0, fleet.meanShare(g, minPercent)-g.slots)
-		surplus += fleet.surplus(g)
+		missing += max(0, sum.meanShare(g, minPercent)-g.slots)
+		surplus += sum.surplus(g)
 		if g.nodes == 0 {
 			missing -= g.slots
 		}
@@ -77,7 +77,7 @@
 		case g.nodes == 0:
 			count = g.slots
 		case missing > 0 && surplus > 0:
-			count = min(missing*fleet.surplus(g)/surplus, fleet.surplus(g))
+			count = min(missing*sum.surplus(g)/surplus, sum.surplus(g))
 		}
 		g.distribute(count, replicas, lent)
 	}
@@ -94,37 +94,37 @@
 }
 
 // meanShare returns a percentage of the slots that a group's nodes would have at the mean.
-func (g group) meanShare(one *group, percentage int) int {
+func (g group) meanShare(part *group, percentage int) int {
 	if g.nodes == 0 {
 		return 0
 	}
-	return g.slots * one.nodes * percentage / (g.nodes * percent)
+	return g.slots * part.nodes * percentage / (g.nodes * percent)
 }
 
 // surplus returns the number of slots beyond the mean of a group that has nodes.
-func (g group) surplus(one *group) int {
-	if one.nodes == 0 {
+func (g group) surplus(part *group) int {
+	if part.nodes == 0 {
 		return 0
 	}
-	return max(0, one.slots-g.meanShare(one, percent))
+	return max(0, part.slots-g.meanShare(part, percent))
 }
 
 // distribute spreads count over the group's replicas in proportion to their slots. The remainder of
 // rounding goes in the order of hashes, so that a change of count by one changes one replica.
-func (g *group) distribute(count int, replicas []ReplicaSlots, taken []int) {
+func (g *group) distribute(count int, replicas []ReplicaSlots, lent []int) {
 	if count == 0 || g.slots == 0 {
 		return
 	}
 	left := count
 	for _, i := range g.replicas {
-		taken[i] = replicas[i].Count * count / g.slots
-		left -= taken[i]
+		lent[i] = replicas[i].Count * count / g.slots
+		left -= lent[i]
 	}
 	order := slices.Clone(g.replicas)
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(mix(replicas[a].Key), mix(replicas[b].Key)) })
 	for _, i := range order {
-		if left > 0 && taken[i] < replicas[i].Count {
-			taken[i]++
+		if left > 0 && lent[i] < replicas[i].Count {
+			lent[i]++
 			left--
 		}
 	}
--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -25,8 +25,8 @@
 	Affinity uint64
 	// SharedTokens is the length of that prefix.
 	SharedTokens int
-	// home is the key of the replica that is expected to cache the prefix; Pick sets it.
-	home uint64
+	// affinityReplica is the key of the replica that is expected to cache the prefix; Pick sets it.
+	affinityReplica uint64
 	// Reserve is the share of the slots, on the fastest replicas, that items leave to online
 	// requests.
 	Reserve float64
@@ -67,8 +67,8 @@
 }
 
 // Distance returns the distance from this node to a candidate.
-func (d *Criteria) Distance(candidate *Candidate) place.Distance {
-	return place.Place{Zone: d.Zone, Region: d.Region}.DistanceTo(candidate.place())
+func (c *Criteria) Distance(candidate *Candidate) place.Distance {
+	return place.Place{Zone: c.Zone, Region: c.Region}.DistanceTo(candidate.place())
 }
 
 const (
@@ -93,7 +93,7 @@
 // meet the criteria. Ties are broken by a hash of replica and affinity. The error is a
 // *NoReplicaError.
 func Pick(candidates []Candidate, criteria *Criteria, weights Weights) (*Candidate, error) {
-	criteria.home = affinityHome(candidates, criteria)
+	criteria.affinityReplica = affinityReplicaKey(candidates, criteria)
 	eligible := candidates
 	if criteria.Batch && criteria.Reserve > 0 {
 		eligible = unreserved(candidates, criteria.Reserve)
@@ -112,15 +112,15 @@
 func noReplicaError(candidates []Candidate, criteria *Criteria) error {
 	failure := &NoReplicaError{RegionRestricted: criteria.Regions != nil}
 	for i := range candidates {
-		why := candidates[i].hardExclusion(criteria)
-		if why == Usable {
-			why = candidates[i].softExclusion(criteria)
+		reason := candidates[i].hardExclusion(criteria)
+		if reason == Usable {
+			reason = candidates[i].softExclusion(criteria)
 		}
-		if why == Usable {
+		if reason == Usable {
 			// Its slots are reserved for online requests.
-			why = Occupied
+			reason = Occupied
 		}
-		failure.count(&candidates[i], why)
+		failure.count(&candidates[i], reason)
 	}
 	return failure
 }
@@ -204,11 +204,11 @@
 	return best
 }
 
-// affinityHome returns the key of the replica to which prompts with the same prefix are sent, by
+// affinityReplicaKey returns the key of the replica to which prompts with the same prefix are sent, by
 // rendezvous hashing (Thaler and Ravishankar, 1998), so that it caches the prefix. Each region has
 // its own, since crossing regions costs more than reading the prefix again.
-func affinityHome(candidates []Candidate, criteria *Criteria) uint64 {
-	var home, best uint64
+func affinityReplicaKey(candidates []Candidate, criteria *Criteria) uint64 {
+	var preferred, bestWeight uint64
 	if criteria.Affinity == 0 {
 		return 0
 	}
@@ -220,16 +220,16 @@
 		}
 		sameRegion := criteria.Distance(candidate) != place.OtherRegion
 		weight := mix(candidate.Key ^ criteria.Affinity)
-		if home == 0 || sameRegion && !foundSameRegion || sameRegion == foundSameRegion && weight > best {
-			home, best, foundSameRegion = candidate.Key, weight, sameRegion
+		if preferred == 0 || sameRegion && !foundSameRegion || sameRegion == foundSameRegion && weight > bestWeight {
+			preferred, bestWeight, foundSameRegion = candidate.Key, weight, sameRegion
 		}
 	}
-	return home
+	return preferred
 }
 
 // uncachedTokens returns the number of prompt tokens that the replica has to process.
 func uncachedTokens(candidate *Candidate, criteria *Criteria) int {
-	if candidate.Key == criteria.home {
+	if candidate.Key == criteria.affinityReplica {
 		return criteria.Tokens - criteria.SharedTokens
 	}
 	return criteria.Tokens
@@ -248,7 +248,7 @@
 // time to the first event if it has a free slot. It considers replicas of other regions if
 // otherRegions is set, and those of this region otherwise. The error is a *NoReplicaError.
 func PickUnqueued(candidates []Candidate, criteria *Criteria, weights Weights, otherRegions bool) (*Candidate, error) {
-	criteria.home = affinityHome(candidates, criteria)
+	criteria.affinityReplica = affinityReplicaKey(candidates, criteria)
 	passes := func(candidate *Candidate, criteria *Criteria) bool {
 		return (criteria.Distance(candidate) == place.OtherRegion) == otherRegions && available(candidate, criteria)
 	}
--- a/internal/replica/restart.go
+++ b/internal/replica/restart.go
@@ -53,7 +53,7 @@
 
 // CurrentAndPrevious returns the descriptions of a listed replica and of its previous start; the
 // latter is zero if unknown.
-func (s *Set) CurrentAndPrevious(id string) (now, previous Info, listed bool) {
+func (s *Set) CurrentAndPrevious(id string) (current, previous Info, listed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.entries[id]
@@ -65,7 +65,7 @@
 
 // entryFor returns the entry of a listed replica: the known one, or a fresh one if the replica is new
 // or has restarted. The caller holds mu.
-func (s *Set) entryFor(info *Info, now time.Time) (e *entry, fresh bool, restart *Restart) {
+func (s *Set) entryFor(info *Info, now time.Time) (e *entry, created bool, restart *Restart) {
 	e, ok := s.entries[info.ID]
 	if !ok {
 		e, ok = s.unlisted[info.ID]
@@ -73,17 +73,17 @@
 	delete(s.unlisted, info.ID)
 	switch {
 	case !ok:
-		e, fresh = &entry{key: Key(info.ID)}, true
+		e, created = &entry{key: Key(info.ID)}, true
 	case e.info.SameStart(info):
 		if info.StartedUnixMs == 0 {
 			info.StartedUnixMs = e.info.StartedUnixMs
 		}
 	default:
 		e, restart = s.restart(e, info, now)
-		fresh = true
+		created = true
 	}
 	s.entries[info.ID] = e
-	return e, fresh, restart
+	return e, created, restart
 }
 
 // restart returns a fresh entry for a replica that has restarted. Requests sent to the previous start
--- a/internal/replica/restartuse_test.go
+++ b/internal/replica/restartuse_test.go
@@ -63,8 +63,8 @@
 	if !restarted(use) {
 		t.Error("not notified of a restart whose predecessor was missed")
 	}
-	if _, before, _ := set.CurrentAndPrevious("r00"); before.StartedUnixMs != firstStart {
-		t.Errorf("the previous start is %d, want firstStart", before.StartedUnixMs)
+	if _, previous, _ := set.CurrentAndPrevious("r00"); previous.StartedUnixMs != firstStart {
+		t.Errorf("the previous start is %d, want firstStart", previous.StartedUnixMs)
 	}
 }
 
@@ -314,8 +314,8 @@
 // check compares the set with the model.
 func (m *restartModel) check(t *rapid.T) {
 	for _, req := range m.inFlight {
-		if over := req.start != m.start; restarted(req.use) != over {
-			t.Fatalf("request to start %d, current start %d: notified = %v", req.start, m.start, !over)
+		if wantNotified := req.start != m.start; restarted(req.use) != wantNotified {
+			t.Fatalf("request to start %d, current start %d: notified = %v", req.start, m.start, !wantNotified)
 		}
 	}
 	for _, e := range m.set.unlisted {
--- a/internal/replica/sample.go
+++ b/internal/replica/sample.go
@@ -84,8 +84,8 @@
 
 // affinityEntry returns the entry to which prompts with the same prefix are sent; nil if none.
 func affinityEntry(list []*entry, affinity uint64, now time.Time) *entry {
-	var home *entry
-	var best uint64
+	var preferred *entry
+	var bestWeight uint64
 	if affinity == 0 {
 		return nil
 	}
@@ -93,9 +93,9 @@
 		if e.info.Leaving || e.graceExpired(now) || e.ejected(now) {
 			continue
 		}
-		if weight := mix(e.key ^ affinity); home == nil || weight > best {
-			home, best = e, weight
+		if weight := mix(e.key ^ affinity); preferred == nil || weight > bestWeight {
+			preferred, bestWeight = e, weight
 		}
 	}
-	return home
+	return preferred
 }
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -93,8 +93,8 @@
 	nodes []place.Node
 	// selfPlace is the place of this node according to nodes.
 	selfPlace place.Place
-	// division is incremented when nodes, notJoined or coldLimits change.
-	division uint64
+	// generation is incremented when nodes, notJoined or coldLimits change.
+	generation uint64
 	// estimates are what this node learned of each pool from its own requests.
 	estimates map[string]*poolEstimates
 	// evacuated are the zones that operators evacuate.
@@ -119,8 +119,8 @@
 	senderList []senderNode
 	senderSelf int
 	// notJoined is set while this node is not among the members that it knows.
-	notJoined      bool
-	senderDivision uint64
+	notJoined        bool
+	senderGeneration uint64
 	// ColdTolerance bounds how far a cold replica's rate may be exceeded.
 	ColdTolerance ColdTolerance
 	// OnEjected is called for each ejection on this node's own evidence.
@@ -130,7 +130,7 @@
 	// OnRestart is called for each replica that has restarted under its ID.
 	OnRestart func(restart Restart)
 	// OnPressure is called to preempt batch items of this node at a replica.
-	OnPressure func(id string, items int, why Pressure)
+	OnPressure func(id string, items int, pressure Pressure)
 }
 
 // NewSet returns an empty set.
@@ -154,8 +154,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, listed := s.entries[info.ID]
-	e, fresh, restart := s.entryFor(&info, now)
-	reindex := !listed || fresh || e.info.Pool != info.Pool || e.info.Slots != info.Slots || e.info.place() != info.place()
+	e, created, restart := s.entryFor(&info, now)
+	reindex := !listed || created || e.info.Pool != info.Pool || e.info.Slots != info.Slots || e.info.place() != info.place()
 	e.info = info
 	e.delistedAt = time.Time{}
 	if info.ColdLeft > 0 {
@@ -276,8 +276,8 @@
 	if s.allBlocked(chosen, criteria.Batch, now) {
 		return s.candidates(list, now)
 	}
-	if home := affinityEntry(inRegion, criteria.Affinity, now); home != nil && !slices.Contains(chosen, home) {
-		chosen = append(chosen, home)
+	if preferred := affinityEntry(inRegion, criteria.Affinity, now); preferred != nil && !slices.Contains(chosen, preferred) {
+		chosen = append(chosen, preferred)
 	}
 	return s.candidates(chosen, now)
 }
--- a/internal/replica/slope.go
+++ b/internal/replica/slope.go
@@ -19,11 +19,11 @@
 func (s *slope) add(x, y float64) {
 	s.count = min(s.count+1, slopeMemory)
 	weight := 1 / s.count
-	fromX, fromY := x-s.meanX, y-s.meanY
-	s.meanX += weight * fromX
-	s.meanY += weight * fromY
-	s.varX = (1 - weight) * (s.varX + weight*fromX*fromX)
-	s.covXY = (1 - weight) * (s.covXY + weight*fromX*fromY)
+	deltaX, deltaY := x-s.meanX, y-s.meanY
+	s.meanX += weight * deltaX
+	s.meanY += weight * deltaY
+	s.varX = (1 - weight) * (s.varX + weight*deltaX*deltaX)
+	s.covXY = (1 - weight) * (s.covXY + weight*deltaX*deltaY)
 }
 
 // get returns the slope. It returns false if the observations do not suffice.
--- a/internal/replica/use.go
+++ b/internal/replica/use.go
@@ -22,8 +22,8 @@
 
 // patience returns how long a request may wait for a slot: a share of the time left after the
 // expected time to its first event.
-func (a RequestInfo) patience(first time.Duration, share float64) time.Duration {
-	return time.Duration(share * float64(max(0, a.Objective-first)))
+func (r RequestInfo) patience(firstEvent time.Duration, share float64) time.Duration {
+	return time.Duration(share * float64(max(0, r.Objective-firstEvent)))
 }
 
 // Pressure is why items are preempted at a replica.
@@ -71,14 +71,14 @@
 // returns nil if the request must not be sent now, because the replica is cold or has restarted
 // since it was chosen.
 func (s *Set) BeginAt(chosen Info, req RequestInfo, now time.Time) *Use {
-	use, why := s.begin(&chosen, req, now)
-	if why != nil && s.OnPressure != nil {
-		s.OnPressure(chosen.ID, 1, *why)
+	use, pressure := s.begin(&chosen, req, now)
+	if pressure != nil && s.OnPressure != nil {
+		s.OnPressure(chosen.ID, 1, *pressure)
 	}
 	return use
 }
 
-func (s *Set) begin(chosen *Info, req RequestInfo, now time.Time) (use *Use, why *Pressure) {
+func (s *Set) begin(chosen *Info, req RequestInfo, now time.Time) (use *Use, pressure *Pressure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.indexStale {
@@ -93,29 +93,29 @@
 		return nil, nil
 	}
 	if !req.Batch && !req.Reserved && candidate.preempts(req) {
-		why = &Pressure{Wait: candidate.waitForSlot(), Patience: req.patience(candidate.FirstEvent, candidate.PatienceShare), Age: candidate.LoadAge}
+		pressure = &Pressure{Wait: candidate.waitForSlot(), Patience: req.patience(candidate.FirstEvent, candidate.PatienceShare), Age: candidate.LoadAge}
 	}
 	use = &Use{set: s, pool: e.info.Pool, request: req, sent: now, hadSpareSlot: req.Reserved || candidate.HasSpareSlot()}
 	s.estimatesFor(e.info.Pool).begin(req, now)
 	use.attach(e)
-	return use, why
+	return use, pressure
 }
 
 // RecordLoad records the load that the replica reported with an answer. If requests wait there
 // for too long, items of this node are preempted.
 func (u *Use) RecordLoad(load Load, now time.Time) {
-	if id, items, why := u.recordLoad(load, now); items > 0 && u.set.OnPressure != nil {
-		u.set.OnPressure(id, items, why)
+	if id, items, pressure := u.recordLoad(load, now); items > 0 && u.set.OnPressure != nil {
+		u.set.OnPressure(id, items, pressure)
 	}
 }
 
 // recordLoad returns the replica and the number of this node's items to preempt there.
-func (u *Use) recordLoad(load Load, now time.Time) (id string, items int, why Pressure) {
+func (u *Use) recordLoad(load Load, now time.Time) (id string, items int, pressure Pressure) {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
 	id = u.entry.info.ID
 	if u.entry.superseded {
-		return id, 0, why
+		return id, 0, pressure
 	}
 	others := max(0, float64(load.Running+load.Waiting-u.entry.open))
 	previous := u.entry.decayedOthers(now)
@@ -125,8 +125,8 @@
 	candidate := u.set.candidate(u.entry, now)
 	patience := time.Duration(candidate.PatienceShare / minPatienceShare * float64(u.set.estimatesFor(u.entry.info.Pool).patience))
 	tolerable := int(patience / max(time.Millisecond, candidate.SlotTime))
-	why = Pressure{Queued: load.queued(), Wait: time.Duration(load.queued()) * candidate.SlotTime, Patience: patience}
-	return id, min(candidate.Batch, load.queued()-tolerable), why
+	pressure = Pressure{Queued: load.queued(), Wait: time.Duration(load.queued()) * candidate.SlotTime, Patience: patience}
+	return id, min(candidate.Batch, load.queued()-tolerable), pressure
 }
 
 // MarkFull records that a replica, asked for a reservation, had no free slot.
@@ -229,13 +229,13 @@
 	e.ownTally.observe(result, now)
 	switch result {
 	case Succeeded:
-		s.noteReachable(e, now)
+		s.recordReachable(e, now)
 	case Failed:
 		ejection = s.evaluate(e, now)
 	case Unreachable:
 		e.unreachableAt = now
 		ejection = s.evaluate(e, now)
-		s.noteUnreachable(e, now)
+		s.recordUnreachable(e, now)
 	case Refused:
 		// A replica refuses only when its slots and its queue are full.
 		e.others = max(e.others, refusedLoad*float64(e.info.Slots))
