--- a/internal/quarantine/frequent.go
+++ b/internal/quarantine/frequent.go
@@ -30,8 +30,8 @@
 // workStats holds the successes of one work.
 type workStats struct {
 	runs int
-	// broadcastAt is when peers were last informed, persistedAt the success in the row that was
-	// last known.
+	// broadcastAt is when peers were last informed, persistedAt the time in the last known clearing
+	// row of the work.
 	lastSuccess, broadcastAt, persistedAt time.Time
 }
 
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -12,7 +12,8 @@
 
 const (
 	// probeWait bounds how long an interrupted attempt waits for the probe of its replica before
-	// the retry is decided. A refused connection takes one round trip, 2 to 6 ms within a region.
+	// the retry is decided. A refused connection takes one round trip, a few milliseconds within a
+	// region.
 	probeWait = 100 * time.Millisecond
 	// delistTimeout is how long after an interrupted response the removal of the replica from the
 	// list still counts as a crash. Entries expire after three missed heartbeats, usually within a
@@ -20,7 +21,8 @@
 	delistTimeout = 5 * time.Second
 	// delistPollInterval is the time between two checks of the list during delistTimeout.
 	delistPollInterval = 100 * time.Millisecond
-	// queryTimeout is how long peers have to answer a query about the successes of work.
+	// queryTimeout is how long this node waits for peers to answer a query about the successes of
+	// work.
 	queryTimeout = probeWait
 	// requeryInterval is the time after which a query is repeated while the work is still
 	// requested: a node that has just started knows no peers yet, and peers may see a success
@@ -55,7 +57,8 @@
 	// Leaving replicas have announced their shutdown.
 	Leaving
 	Serving
-	// Restarted replicas have started again under the same id without announcing a shutdown.
+	// Restarted replicas are listed with a new start under the same id and had not announced a
+	// shutdown.
 	Restarted
 )
 
@@ -223,7 +226,7 @@
 	return time.Time{}, false
 }
 
-// takeUnanswered reports whether a peer's query about work is unanswered, and forgets the query.
+// takeUnanswered reports whether a peer's query about work is unanswered, and removes the query.
 func (g *Guard) takeUnanswered(work Work) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -15,8 +15,8 @@
 	DefaultCrashLimit = 3
 	// DefaultWindow is how long a crash counts against the work that ran on the replica.
 	DefaultWindow = time.Hour
-	// maxWorks bounds the suspects: the work of about a thousand crashed replicas with 8 to 17
-	// slots each. The crashes that arrived first are evicted first.
+	// maxWorks bounds the suspects: the work of about a thousand crashed replicas with ten slots
+	// each. The crashes that were added first are evicted first.
 	maxWorks = 10000
 	// provenFactor multiplies the crash limit of proven work. Popular work runs on most replicas,
 	// so it is present at crashes that other work causes: three within a second, or all replicas of
@@ -26,11 +26,11 @@
 	// report its start time: a node that was stalled notices the crash late. A replica takes longer
 	// than that to start again.
 	sameCrashWindow = 2 * time.Second
-	// clockSkew is how much earlier than a crash a run that was sent after it may appear to start,
-	// since their times come from different nodes.
+	// clockSkew is how much earlier than a crash a run may appear to have been sent although it was
+	// sent after the crash, since the two times come from different nodes.
 	clockSkew = 15 * time.Millisecond
-	// reportDelay is how much later than it was the time of an event may appear when another node
-	// reports it: a message takes milliseconds, a row of a slow table up to a second.
+	// reportDelay is how much later than its actual time an event may appear to have happened when
+	// another node reports it: a message takes milliseconds, a row of a slow table up to a second.
 	reportDelay = time.Second
 )
 
@@ -53,12 +53,12 @@
 }
 
 // List identifies harmful work from replica crashes. Work with CrashLimit crashes within Window is
-// quarantined until the oldest of the crashes that reach the limit is Window ago. A crash counts
-// against all work that ran on the replica, until a later run of the work succeeds. It does not
-// count against proven work if other work on the replica explains it. Of crashes during concurrent
-// runs one counts, since they may have a common cause such as a rack, a zone or a link; only a run
-// that was sent after a crash is a new attempt. The zero value uses the defaults. A List is safe
-// for concurrent use.
+// quarantined until fewer than CrashLimit of them are younger than Window. A crash counts against
+// all work that ran on the replica, until a later run of the work succeeds. It does not count
+// against proven work if other work on the replica explains it. Of crashes during concurrent runs
+// of work only one counts, since they may have a common cause such as the failure of a rack, a zone
+// or a link; a further crash counts if its run was sent after the previous crash. The zero value
+// uses the defaults. A List is safe for concurrent use.
 type List struct {
 	// CrashLimit and Window are set before use; zero means the default.
 	CrashLimit int
@@ -202,7 +202,7 @@
 func (c *crash) precedes(sentAt time.Time) bool { return sentAt.After(c.at.Add(reportDelay)) }
 
 // moveEarlier corrects the time of a crash if a report has an earlier one, and removes work that
-// was sent after it. The caller holds mu.
+// was sent after that time. The caller holds mu.
 func (l *List) moveEarlier(c *crash, report *CrashReport) {
 	if report.StartTime == 0 || !report.At.Before(c.at) {
 		return
--- a/internal/quarantine/publisher.go
+++ b/internal/quarantine/publisher.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// batchDelay is how long an update waits for others to be sent with it: the requests that a
-	// node had on a replica notice its crash within a few ms.
+	// batchDelay is how long an update waits for others to be sent with it: a crash interrupts all
+	// requests that a node has on the replica within a few ms.
 	batchDelay = 20 * time.Millisecond
 	// writeTimeout bounds one write, writeRetryFirst and writeRetryMax the delays between attempts.
 	writeTimeout    = 2 * time.Second
--- a/internal/quarantine/rows.go
+++ b/internal/quarantine/rows.go
@@ -46,7 +46,7 @@
 type Rows struct {
 	// Partition is the partition of the rows; rows of other partitions are ignored.
 	Partition string
-	// Guard receives crashes, and its list clearings.
+	// Guard records the crashes, and its List the clearings.
 	Guard *Guard
 	// OnMalformed, if set, is called for rows that cannot be decoded; they are skipped.
 	OnMalformed func(key table.Key, err error)
@@ -123,8 +123,8 @@
 	return events
 }
 
-// decode returns the events of a row: first its own crash or clearing, then the successes that a
-// crash row contains. The caller holds mu.
+// decode returns the events of a row: first its crash or clearing, then, for a crash row, the
+// successes that it contains. The caller holds mu.
 func (r *Rows) decode(row table.Row) ([]rowEvent, error) {
 	if name, ok := strings.CutPrefix(row.Sort, prefixClearing); ok {
 		work, err := ParseWork(name)
@@ -151,14 +151,15 @@
 	return events, nil
 }
 
-// localTime converts a time of the table's clock to this node's clock. Later times than the table's
-// current one become readAt. The caller holds mu.
+// localTime converts a time of the table's clock, in ms, to this node's clock. Times later than
+// tableNow become readAt. The caller holds mu.
 func (r *Rows) localTime(at int64) time.Time {
 	age := r.tableNow - time.Duration(at)*time.Millisecond
 	return r.readAt.Add(-max(0, age))
 }
 
-// tableTime converts a time of this node's clock to the table's clock. The caller holds mu.
+// tableTime converts a time of this node's clock to the table's clock, in ms. It fails before the first
+// read of the table. The caller holds mu.
 func (r *Rows) tableTime(at time.Time) (int64, error) {
 	if r.readAt.IsZero() {
 		return 0, errClockUnknown
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -9,8 +9,8 @@
 	// trialDelay is the time from the newest crash to a trial of quarantined work; a short series
 	// of unrelated crashes is over by then.
 	trialDelay = 5 * time.Second
-	// trialTimeout is how long a trial of a request prevents another one on the same node; it
-	// exceeds the usual duration of a request.
+	// trialTimeout is how long after the start of a trial of a request no other trial of the same
+	// work starts on the node; it exceeds the usual duration of a request.
 	trialTimeout = 10 * time.Second
 	// trialPropagation is how long after its start the success of a trial is known on all nodes.
 	trialPropagation = time.Second
--- a/internal/replica/availability.go
+++ b/internal/replica/availability.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Availability predicts when a rejected request can expect a replica, from recent refusals and
-// load reports and from how long slots are held.
+// Availability is a prediction of when a replica accepts a rejected request, based on recent
+// refusals and load reports and on how long slots are held.
 type Availability struct {
 	// Wait is the least predicted time until a replica accepts a request; 0 if one may now.
 	Wait time.Duration
@@ -15,10 +15,10 @@
 }
 
 const (
-	// minKnownReplicas is the number of replicas with recent reports that suffices for a pool
-	// which is full according to the nodes: as many as a request asks before it pauses.
+	// minKnownReplicas is the number of replicas with recent reports that suffices if the nodes
+	// report that the pool is full. A request asks as many replicas before it pauses.
 	minKnownReplicas = 3
-	// fullUsage is the usage by online requests from which on a pool is full.
+	// fullUsage is the usage by online requests at and above which a pool is full.
 	fullUsage = 1.0
 )
 
--- a/internal/replica/borrow.go
+++ b/internal/replica/borrow.go
@@ -11,20 +11,20 @@
 // same slot, and nodes need not agree on slots or return them to each other.
 
 const (
-	// BorrowAfter is how long an item must have waited before it borrows. Nodes without capacity
-	// for the length of a burst of requests, some 2.4 s on the users' deployments, regain it by
-	// themselves; the users require that a replica gets an item within 5 s.
+	// BorrowAfter is how long an item must have waited before it borrows. A node that lacks
+	// capacity only during a burst of requests regains it within a few seconds without borrowing.
+	// The value must leave time for an item to reach a replica within 5 s of its arrival.
 	BorrowAfter = 3 * time.Second
-	// borrowWithOwnItems is the same for a node that runs items of the pool. It serves nodes without
-	// reports of idle slots, because they are in another region or the reports are lost.
+	// borrowWithOwnItems is the same for a node that runs items of the pool. It applies without
+	// reports of idle slots, as when the slots are in another region or the reports are lost.
 	borrowWithOwnItems = 15 * time.Second
 	// StarvedAfter is how long an item must have waited before it borrows although online requests
 	// are reported to need all slots. The item is then exempt from preemption. The reported need
 	// is a sum of peaks of many nodes, which exceeds the actual use at any time, so some slots
 	// might stay idle forever. The replica still decides, and a node has one such item at a time.
 	StarvedAfter = 30 * time.Second
-	// borrowReducedFrom is the usage by online requests from which on fewer and fewer of the nodes
-	// without running items may borrow. Below it the replicas are half empty, and all may.
+	// borrowReducedFrom is the usage by online requests above which the number of nodes without
+	// running items that may borrow decreases with the usage. Below it all of them may.
 	borrowReducedFrom = 0.5
 	// maxBorrowUsage caps the usage that is compared with a node's limit, so that each node asks a
 	// replica now and then: the replica decides whether a slot is free.
@@ -67,9 +67,9 @@
 	}
 }
 
-// borrowingUsage returns the usage by online requests, for decisions on borrowing, as reported by
-// other nodes. Without reports it is the usage of this node's slots, which says little of the
-// others'. The caller holds mu.
+// borrowingUsage returns the usage by online requests that decides on borrowing, as reported by
+// other nodes. Without reports it is the usage of this node's slots, which may differ much from that
+// of the others. The caller holds mu.
 func (s *Set) borrowingUsage(pool string, share int, now time.Time) float64 {
 	usage := s.fleetUsage(pool, now)
 	if share > 0 && !s.hasReports(pool, now) {
@@ -78,7 +78,7 @@
 	return min(usage, maxBorrowUsage)
 }
 
-// fullyUsed reports whether online requests need all slots of a pool according to other nodes, so that
+// fullyUsed reports whether other nodes report that online requests need all slots of a pool, so that
 // borrowed slots have to be released. The caller holds mu.
 func (s *Set) fullyUsed(pool string, now time.Time) bool {
 	return s.hasReports(pool, now) && s.fleetUsage(pool, now) >= fullUsage
--- a/internal/replica/cold.go
+++ b/internal/replica/cold.go
@@ -13,13 +13,13 @@
 // nodes send nothing. See coldrate.go.
 
 const (
-	// recentContact is how recently this node must have received data from any replica to take
+	// recentContact is how recently this node must have received data from any replica to treat
 	// an unreachable one as down. Otherwise this node itself is assumed to be cut off, since
 	// data arrives from the replicas of a busy pool many times a second.
 	recentContact = time.Second
-	// startListedDelay is how long after the first answer of a restarted replica the list shows
-	// the restart at the latest: the replica writes its row with its first heartbeat, each 1.2 s
-	// on the users' platform, and the feed of changes takes some milliseconds.
+	// startListedDelay is the maximum time from the first answer of a restarted replica until the
+	// list shows the restart: the replica writes its row with its first heartbeat, and the feed
+	// of changes adds some milliseconds.
 	startListedDelay = 1500 * time.Millisecond
 	// maxColdChanges bounds the changes that one call of ColdChanges returns.
 	maxColdChanges = 256
@@ -70,7 +70,7 @@
 	// nextSend is when this node may send it the next request.
 	nextSend time.Time
 	// senders are the indexes in Set.nodes of the nodes that may send to it, isSender is whether
-	// this node is one of them; both are as of division.
+	// this node is one of them. Both are outdated if generation differs from that of the set.
 	senders    []int
 	isSender   bool
 	generation uint64
@@ -107,8 +107,8 @@
 	return cold && now.Before(e.cold.until)
 }
 
-// markCold marks an entry as cold until a time, or longer if it is marked so already. The caller
-// holds mu.
+// markCold marks an entry as cold until the given time, unless it is already marked for longer. The
+// caller holds mu.
 func (s *Set) markCold(e *entry, until time.Time, reason ColdReason, now time.Time) {
 	if !until.After(e.cold.until) {
 		return
@@ -138,9 +138,9 @@
 	u.set.markCold(u.entry, now.Add(left), ColdReported, now)
 }
 
-// recordUnreachable records that a replica accepted no connection. While it is ejected for that, only
-// its senders try it, also as a last resort. If no data arrives from any replica, this node is
-// likely cut off, and nothing is recorded. The caller holds mu.
+// recordUnreachable records that a replica accepted no connection. While it is ejected for that, it
+// counts as cold, so that even as a last resort only its senders try it. If no data arrives from any
+// replica, this node is likely cut off, and nothing is recorded. The caller holds mu.
 func (s *Set) recordUnreachable(e *entry, now time.Time) {
 	if limit := s.coldLimits[e.info.Pool]; limit.Rate > 0 && now.Sub(s.lastReceived) < recentContact {
 		s.markCold(e, e.health.ejectedUntil, ColdUnreachable, now)
@@ -160,8 +160,8 @@
 	}
 }
 
-// markReturned marks the replicas of zones whose evacuation ends as cold: they are idle, so all
-// nodes would send to them at once. The caller holds mu.
+// markReturned marks the replicas of zones whose evacuation ends as cold. They are idle, so all nodes
+// would otherwise send to them at once. zones are those that remain evacuated. The caller holds mu.
 func (s *Set) markReturned(zones map[string]bool, now time.Time) {
 	for _, e := range s.entries {
 		if s.evacuated[e.info.Zone] && !zones[e.info.Zone] {
--- a/internal/replica/cold_model_test.go
+++ b/internal/replica/cold_model_test.go
@@ -17,7 +17,7 @@
 	bound    float64
 	replicas []Info
 	nodeIDs  []string
-	// sets holds the set of each node, downUntil the time until which the node does not run.
+	// sets holds the set of each node, downUntil the time until which each node does not run.
 	sets      []*Set
 	updates   []delayedUpdate
 	now       time.Time
@@ -123,9 +123,8 @@
 
 // changeMembership removes some nodes from the members or adds them again, which the others learn
 // after a delay. Nodes that are cut off keep their previous view and go on sending. An earlier
-// change is completed first, so that there are at most membershipViews views at once: with a third,
-// of nodes that were cut off before, this model sends 28 requests in a second where 27.5 are
-// allowed.
+// change is completed first, so that there are at most membershipViews views at once: with a third
+// one, of nodes that were cut off before, the requests can exceed the bound slightly.
 func (f *coldFleet) changeMembership() {
 	for node := range f.sets {
 		f.sets[node].Divide(f.nodeIDs[node], nodesWithoutPlace(f.nodeIDs...))
--- a/internal/replica/coldgrant.go
+++ b/internal/replica/coldgrant.go
@@ -30,7 +30,7 @@
 		if e.info.Leaving || candidate.Ejected || candidate.hardExclusion(criteria) != Cold {
 			continue
 		}
-		// Brings senders up to date.
+		// Called for its effect: it updates e.cold.senders.
 		s.isColdSender(e, now)
 		for _, i := range e.cold.senders {
 			node := s.nodes[i].ID
@@ -48,8 +48,8 @@
 }
 
 // randomOtherNode returns a random other node, or this one if there is none. If this node is the
-// sender of a replica that it only presumes to be cold, any other node may know better. The caller
-// holds mu.
+// sender of a replica that it only presumes to be cold, any other node may have a current list that
+// shows the replica as warm. The caller holds mu.
 func (s *Set) randomOtherNode() string {
 	others := len(s.nodes) - 1
 	if others < 1 {
--- a/internal/replica/coldlist.go
+++ b/internal/replica/coldlist.go
@@ -6,9 +6,9 @@
 // of the list, any replica may have become cold, and other nodes may use its full cold rate. So a
 // node with an old list treats all replicas as cold.
 
-// maxListAge is the age of the list from which on the replicas on it are presumed cold. It is the
-// second in which the requests to a cold replica are counted. Rows are written about once a second,
-// so even a current list is not more precise.
+// maxListAge is the age of the list beyond which the replicas on it are presumed cold. It equals the
+// period over which the requests to a cold replica are limited. Rows are written about once a second,
+// so even a current list is no more precise.
 const maxListAge = time.Second
 
 // SetListTime records that the list of replicas is known as of a time. Without any call, the list
--- a/internal/replica/coldlist_test.go
+++ b/internal/replica/coldlist_test.go
@@ -176,7 +176,7 @@
 }
 
 // With old lists on all nodes, the rates of presumed cold replicas suffice for the usual traffic of
-// a large deployment: 335 requests a second from 76 nodes to 89 replicas.
+// a large deployment.
 func TestSetListTime_RequestsAreServedDuringStoreOutage(t *testing.T) {
 	const nodes, replicas, perSecond, length = 76, 89, 335, 10 * time.Second
 	start := time.Unix(1000, 0)
--- a/internal/replica/coldrate.go
+++ b/internal/replica/coldrate.go
@@ -16,8 +16,9 @@
 	membershipViews = 2
 	// minSenderRate is the minimum rate per sender, in requests per second, to add a sender.
 	minSenderRate = 4
-	// newSenderDelay is how long a node waits that became a sender by a change of the members. It is
-	// the second in which requests are counted and the previous sender may have sent some.
+	// newSenderDelay is how long a node that becomes a sender by a change of the members waits before
+	// its first send. It equals the period over which requests are limited, since the previous
+	// sender may have used up its rate just before the change.
 	newSenderDelay = time.Second
 )
 
@@ -49,11 +50,12 @@
 		return 0, 0
 	}
 	// The bound is too small for two disjoint sets of senders. One request in slightly more than
-	// a second keeps to it while the views of the nodes agree.
+	// a second keeps to the bound while the nodes have the same view of the members.
 	return 1, min(slowSenderRate, rate)
 }
 
-// slowSenderRate spaces requests by slightly more than the second in which they are counted.
+// slowSenderRate, in requests per second, spaces requests by slightly more than the one-second period
+// over which they are limited.
 const slowSenderRate = 0.9
 
 // isColdSender reports whether this node is a sender of an entry, which is cold. A node that becomes
@@ -62,7 +64,7 @@
 	if e.cold.generation == s.generation {
 		return e.cold.isSender
 	}
-	// A node that had no members in its view replaces no other sender.
+	// If this node's previous view had no members, there is no previous sender to wait for.
 	replaces := !e.cold.isSender && len(e.cold.senders) > 0
 	s.chooseSenders(e)
 	if earliest := now.Add(newSenderDelay); replaces && e.cold.isSender && earliest.After(e.cold.nextSend) {
@@ -72,8 +74,8 @@
 }
 
 // chooseSenders chooses the senders of an entry: one of its zone, which can reach it when the zone is
-// cut off, then those with the highest weights, which remain available when the zone is lost and
-// comes back. A node that is not among the members does not know all of them, and is no sender. The
+// cut off, then those with the highest weights, which usually remain available when the zone fails
+// and recovers. A node that is not among the members may not know all of them and is not chosen. The
 // caller holds mu.
 func (s *Set) chooseSenders(e *entry) {
 	count, _ := s.ColdTolerance.split(s.coldLimits[e.info.Pool].Rate)
@@ -115,9 +117,9 @@
 	return best
 }
 
-// SetJoined sets whether this node is among the members that it knows. Until then it sends to no cold
-// replica: it may not know the nodes that started earlier, and of several nodes that start together
-// each would consider itself the only one of its zone.
+// SetJoined sets whether this node is among the members that it knows. Until it is, it sends to no
+// cold replica: it may not know the nodes that started earlier, and each of several nodes that start
+// together would consider itself the only one of its zone.
 func (s *Set) SetJoined(joined bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +132,7 @@
 }
 
 // senderNodes returns the nodes that may become senders and this node's index among them, or -1. The
-// result is cached for each division. The caller holds mu.
+// result is cached until the generation changes. The caller holds mu.
 func (s *Set) senderNodes() (nodes []senderNode, self int) {
 	if s.generation == 0 {
 		return nil, -1
--- a/internal/replica/delisted.go
+++ b/internal/replica/delisted.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// While the source of the list is down, replicas cannot renew their entries, so those missing after a
-// long outage may still be running. They are used for a grace period, subject to this node's own
-// evidence, and dropped if they are not listed again. Without the drop, a node that was cut off would
-// divide the slots of dead replicas too and come to another division than the other nodes: some slots
-// would be allotted to no node and others to two.
+// While the platform's store, the source of the list, is unavailable, replicas cannot renew their
+// entries, so those missing after a long outage may still be running. They are used for a grace
+// period, subject to this node's own evidence, and dropped if they are not listed again. Otherwise a
+// node that was cut off would also divide the slots of replicas that no longer exist. Its division
+// would differ from that of the other nodes: some slots would be allotted to no node, others to two.
 
 const (
-	// delistedGrace is how long a replica that was delisted around an outage of the platform's
-	// store may still be used, subject to this node's own evidence.
+	// delistedGrace is the grace period: how long a replica that was delisted around an outage of
+	// the store may still be used.
 	delistedGrace = 2 * time.Second
-	// outageWindow is how long after an outage a delisted replica gets that grace period.
+	// outageWindow is the time after an outage within which a delisted replica gets the grace period.
 	outageWindow = 200 * time.Millisecond
 	// minLapsingOutage is the minimum length of an outage in which the entries of running replicas may
 	// expire.
@@ -35,9 +35,9 @@
 	s.invalidateIndex()
 }
 
-// OutageEnded records that the source of the list is back after an outage. After a long outage,
-// replicas may be missing that are running, since they could not renew their entries; after a short
-// one, missing replicas have left.
+// OutageEnded records that an outage of the store has ended. After a long outage, running replicas may
+// be missing from the list, since they could not renew their entries; after a short one, missing
+// replicas have left.
 func (s *Set) OutageEnded(length time.Duration, now time.Time) {
 	if length < minLapsingOutage {
 		return
--- a/internal/replica/delisted_test.go
+++ b/internal/replica/delisted_test.go
@@ -27,7 +27,7 @@
 }
 
 // After the grace period, slots of replicas that were delisted around an outage are no longer
-// divided. Otherwise a node that was cut off would use another division than the other nodes.
+// divided. Otherwise the division of a node that was cut off would differ from that of the others.
 func TestDivide_ExcludesReplicasAfterGracePeriod(t *testing.T) {
 	now := time.Unix(1000, 0)
 	expired := []string{"gone-0", "gone-1", "gone-2", "gone-3"}
--- a/internal/replica/demand.go
+++ b/internal/replica/demand.go
@@ -14,13 +14,13 @@
 	averageWeight = 0.05
 	// holdMemory is the time constant of the average time that a slot is held.
 	holdMemory = 5 * time.Second
-	// minPatienceShare is the minimum part of the time left to its objective for which a request
+	// minPatienceShare is the minimum part of the time left until its objective that a request
 	// waits for a slot before it preempts an item. The rest allows for errors of the estimate.
 	minPatienceShare = 0.5
 )
 
-// poolEstimates are what a node learned of a pool from its own requests. The zero value is empty. The
-// set's lock guards it.
+// poolEstimates holds what a node has learned about a pool from its own requests. The zero value is
+// empty. The set's lock guards it.
 type poolEstimates struct {
 	// open is the number of online requests in flight.
 	open int
@@ -100,7 +100,7 @@
 	return max(0, p.firstEvent-minFirstEventDeviations*p.firstEventDeviation)
 }
 
-// patienceShare returns the part of the time left to its objective for which a request waits before it
+// patienceShare returns the part of the time left until its objective that a request waits before it
 // preempts an item. The prompt of a preempted item is processed again on another replica, which slows
 // all requests there. If that costs more slot time than the request itself, the request waits longer.
 func (p *poolEstimates) patienceShare(slots int) float64 {
@@ -179,7 +179,8 @@
 	// SlotHold is how long a slot is held on average, OnlineHold how long by an online request,
 	// FirstEvent the time to the first event of a request that does not wait.
 	SlotHold, OnlineHold, FirstEvent time.Duration
-	// PatienceShare is the part of the time left to its objective that a request waits for a slot.
+	// PatienceShare is the part of the time left until its objective that a request waits for a slot
+	// before it preempts an item.
 	PatienceShare float64
 	// ReadingRate is the prompt processing rate, in tokens per second.
 	ReadingRate float64
@@ -205,8 +206,9 @@
 	return all
 }
 
-// sumShares returns the number of this node's slots that accept items and of its items in them. Items
-// that still run in evacuated zones, or in borrowed slots, hold none of these slots.
+// sumShares returns the number of this node's slots that accept items and the number of its items in
+// them. Items that still run in evacuated zones, or in borrowed slots, hold none of these slots. The
+// caller holds mu.
 func (s *Set) sumShares(list []*entry, now time.Time) (share, items int) {
 	for _, e := range list {
 		if !e.info.Leaving && !e.info.NoBatch {
@@ -242,7 +244,7 @@
 
 // rounding returns what this node adds, between 0 and 1, before it rounds its capacity down. If a node
 // has two or three slots, rounding down alone would leave one of them unused. The offsets are evenly
-// spread over the nodes, so that rounding loses no capacity in total.
+// spread over the nodes, so that rounding loses no capacity in total. The caller holds mu.
 func (s *Set) rounding(pool string) float64 {
 	if len(s.nodes) == 0 {
 		return 0
--- a/internal/replica/divide.go
+++ b/internal/replica/divide.go
@@ -50,11 +50,11 @@
 	Place place.Place
 }
 
-// Shares returns how many slots of each replica are allotted to self. Slots go to nodes of their zone;
-// if the nodes of another zone of the region have less than the mean, to these; and if the nodes of
-// another region have far less than the mean, to those (see lendSlots). Among the eligible nodes,
-// slots go to those with the fewest so far, and ties are broken by rendezvous hashing, so that a node
-// that joins or leaves moves few slots. If self is not among nodes, it gets all slots. The cost is
+// Shares returns how many slots of each replica are allotted to self. Slots are allotted to nodes of
+// their own zone, except for some that are lent to zones of the same region whose nodes have fewer
+// slots than the mean, and to regions whose nodes have far fewer (see lendSlots). Among the eligible
+// nodes, slots go to those with the fewest so far. Ties are broken by rendezvous hashing, so that few
+// slots move when a node joins or leaves. If self is not among nodes, it gets all slots. The cost is
 // proportional to nodes x replicas.
 func Shares(self string, nodes []place.Node, replicas []ReplicaSlots) []int {
 	shares := make([]int, len(replicas))
@@ -83,7 +83,8 @@
 	return slices.IndexFunc(nodes, func(node place.Node) bool { return node.ID == id })
 }
 
-// addLentInRegion adds the slots that zones of a region lend to other zones of the region.
+// addLentInRegion adds to lent the number of each replica's slots that zones of a region lend to other
+// zones of the region.
 func addLentInRegion(lent []int, region place.Place, nodes []place.Node, replicas []ReplicaSlots) {
 	var members []place.Node
 	for _, node := range nodes {
@@ -112,12 +113,14 @@
 	ranked    []slotClaim
 }
 
-// slotClaim is the rank of a node for the next slot of a replica.
+// slotClaim holds what ranks a node for the next slot of a replica: the number of slots that it has so
+// far, then its rendezvous weight.
 type slotClaim struct {
 	node, allocated int
 	weight          uint64
 }
 
+// precedes reports whether c ranks before other.
 func (c slotClaim) precedes(other slotClaim) bool {
 	if c.allocated != other.allocated {
 		return c.allocated < other.allocated
@@ -133,7 +136,8 @@
 	return a
 }
 
-// allocateWithin allots slots to nodes of the replica's group and adds those of self to shares.
+// allocateWithin allots the slots of each replica to nodes of its group and adds those of self to
+// shares.
 func (a *allocator) allocateWithin(replicas []ReplicaSlots, group grouping, shares []int) {
 	members := map[place.Place][]int{}
 	for i, node := range a.nodes {
@@ -153,7 +157,7 @@
 		least := a.ranked[0].allocated
 		for _, chosen := range a.ranked {
 			if chosen.allocated > least {
-				// Nodes with fewer slots go first again.
+				// Ranked again, since nodes that just got a slot may still have fewer.
 				break
 			}
 			a.allocated[chosen.node]++
@@ -166,7 +170,7 @@
 	return share
 }
 
-// rank sets ranked to the first count nodes for a replica, in order.
+// rank sets ranked to the claims of the count eligible nodes that come first for a replica, in order.
 func (a *allocator) rank(replica uint64, count int, eligible []int) {
 	a.ranked = a.ranked[:0]
 	for _, node := range eligible {
--- a/internal/replica/evidence.go
+++ b/internal/replica/evidence.go
@@ -24,13 +24,13 @@
 	// ejection within ejectionMemory, up to sharedEjectionMax.
 	sharedEjectionFirst = 2 * time.Second
 	sharedEjectionMax   = 8 * time.Second
-	// probation is how long only proberCount nodes send to a replica after an ejection. It allows
-	// for a few of their requests and the propagation of a report to all nodes.
+	// probation is how long only proberCount nodes send to a replica after an ejection. It leaves
+	// time for a few of their requests and for a report to reach all nodes.
 	probation   = 1500 * time.Millisecond
 	proberCount = 2
 	// reejectWindow is the time after probation within which one failure ejects a replica again.
 	reejectWindow = 3 * time.Second
-	// ejectionMemory is the time after an ejection from which on the next counts as the first.
+	// ejectionMemory is the time after an ejection beyond which the next one counts as the first.
 	ejectionMemory = 30 * time.Second
 	// maxFailingShare is the share of recently used replicas beyond which a node that sees them
 	// fail is more likely faulty itself, if they are more than minFailingReplicas.
@@ -109,8 +109,8 @@
 func (e *entry) ejected(now time.Time) bool { return e.health.ejected(now) || e.shared.active(now) }
 
 // FailureReports returns this node's reports on replicas that recently failed for it, and on replicas
-// that other nodes report and that answered it well. It reports no failures if so many replicas fail
-// that the fault is likely on this node.
+// that other nodes report and that answered this node successfully. It reports no failures if so many
+// replicas fail that the fault is likely on this node.
 func (s *Set) FailureReports(now time.Time) []FailureReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,8 +190,9 @@
 	return r.Failures >= 0 && r.Failures < maxCount && r.Successes >= 0 && r.Successes < maxCount && r.Age >= 0
 }
 
-// matches reports whether a report is about the start of the replica that an entry describes. A report
-// without a start time is, unless its newest failure was seen before the restart was noticed.
+// matches reports whether a report is about the start of the replica that an entry describes. If a
+// start time is unknown, it is unless the newest failure precedes the time when the restart was
+// noticed.
 func (r *FailureReport) matches(e *entry, now time.Time) bool {
 	if r.StartedUnixMs != 0 && e.info.StartedUnixMs != 0 {
 		return r.StartedUnixMs == e.info.StartedUnixMs
@@ -283,8 +284,8 @@
 	}
 }
 
-// warrantsEjection reports whether the evidence suffices to eject the replica. After an ejection, one
-// failure does.
+// warrantsEjection reports whether the evidence suffices to eject the replica. On probation, a failure
+// for one node suffices if at least minFailureShare of the answers failed.
 func (e *evidence) warrantsEjection(onProbation bool) bool {
 	if onProbation && (e.sameZone.mostlyFails() || e.all.mostlyFails()) {
 		return true
@@ -305,7 +306,7 @@
 }
 
 // isProber reports whether this node is one of those that probe a replica after its ejection. The
-// probers differ each time, so that a faulty one cannot keep the replica ejected.
+// probers differ each time, so that a faulty one cannot keep the replica ejected. The caller holds mu.
 func (s *Set) isProber(e *entry) bool {
 	if len(s.nodes) <= proberCount {
 		return true
--- a/internal/replica/exclusion.go
+++ b/internal/replica/exclusion.go
@@ -39,13 +39,13 @@
 	return names[e]
 }
 
-// persistent reports whether only a change by operators ends the exclusion, so that a request gains
-// nothing by waiting.
+// persistent reports whether only a change by operators ends the exclusion, so that it is of no use for
+// a request to wait.
 func (e Exclusion) persistent() bool { return e == Evacuated || e == Elsewhere }
 
 // NoReplicaError reports that no replica can take the request now, and why. It wraps ErrNoReplica.
 type NoReplicaError struct {
-	// Counts counts the replicas considered by what excluded them.
+	// Counts is the number of replicas considered, by the reason that excluded them.
 	Counts [exclusions]int
 	// ColdWait is the least time until a cold replica may get the request.
 	ColdWait time.Duration
@@ -77,8 +77,8 @@
 // Unwrap returns ErrNoReplica.
 func (e *NoReplicaError) Unwrap() error { return ErrNoReplica }
 
-// Persistent reports whether waiting is of no use: all replicas are excluded by what operators
-// declare, or none is listed where the request may be served.
+// Persistent reports whether waiting is of no use: an evacuation or the regions of the request exclude
+// all replicas, or none is listed where the request may be served.
 func (e *NoReplicaError) Persistent() bool {
 	excluded := 0
 	for reason, count := range e.Counts {
@@ -97,7 +97,7 @@
 	return e.Counts[Cold] > 0 && others == 0
 }
 
-// count adds an excluded replica.
+// count adds a replica that is excluded for a reason.
 func (e *NoReplicaError) count(c *Candidate, reason Exclusion) {
 	if reason == Cold && (e.Counts[Cold] == 0 || c.Cold.Wait < e.ColdWait) {
 		e.ColdWait = c.Cold.Wait
@@ -105,7 +105,8 @@
 	e.Counts[reason]++
 }
 
-// placeExclusion returns why the place of a replica excludes it for a request, if it does.
+// placeExclusion returns the reason if the place of a replica excludes it for a request; Usable
+// otherwise.
 func (c *Candidate) placeExclusion(criteria *Criteria) Exclusion {
 	switch {
 	case c.Evacuated:
@@ -123,7 +124,7 @@
 	return len(criteria.Exclude) > 0 && (criteria.Exclude[c.Incarnation()] || criteria.Exclude[c.ID])
 }
 
-// hardExclusion returns a reason against a replica that holds even for a last resort.
+// hardExclusion returns the reason that excludes a replica even as a last resort; Usable if none does.
 func (c *Candidate) hardExclusion(criteria *Criteria) Exclusion {
 	if reason := c.placeExclusion(criteria); reason != Usable {
 		return reason
--- a/internal/replica/fleet.go
+++ b/internal/replica/fleet.go
@@ -7,25 +7,27 @@
 	"github.com/wheelhoist/wheelhoist/internal/place"
 )
 
-// A node by itself sees little of a pool's demand: it has a few slots and, by chance, many or few of
-// the callers. Nodes report to each other what their online requests need, so that a node with few
-// callers keeps its items out of slots that other nodes need.
+// A single node sees only a small part of a pool's demand: it has a few slots and, by chance, many or
+// few of the callers. Nodes report to each other what their online requests need, so that a node with
+// few callers keeps its items out of slots that other nodes need.
 
 const (
 	// fleetMemory is the time constant by which reports decay: a few reports at intervals of
 	// 100 ms, much less than a burst of some seconds.
 	fleetMemory = 200 * time.Millisecond
-	// fleetMaxAge is the age from which on reports of other nodes are ignored.
+	// fleetMaxAge is the age beyond which reports of other nodes are ignored.
 	fleetMaxAge = time.Second
 )
 
 // fleetView sums up the reports of all nodes on a pool, with exponential decay. The zero value is
 // empty.
 type fleetView struct {
+	// level is the sum of the slots that online requests need, share that of the slots.
 	level, share float64
 	// idle is the sum of slots for items that are not used, less the borrowed ones.
 	idle float64
-	at   time.Time
+	// at is the time up to which the sums have decayed.
+	at time.Time
 	// reportedAt is when another node last reported.
 	reportedAt time.Time
 }
--- a/internal/replica/health.go
+++ b/internal/replica/health.go
@@ -10,9 +10,10 @@
 	ejectionMax   = 6 * time.Second
 	// failureWeight is the weight of the newest answer in the share of failures.
 	failureWeight = 0.15
-	// failureShareToEject ejects replicas that fail intermittently.
+	// failureShareToEject is the share of failures that ejects a replica, also one that fails
+	// intermittently.
 	failureShareToEject = 0.3
-	// minAnswers is the number of answers before the share of failures is considered.
+	// minAnswers is the number of answers needed before the share of failures is considered.
 	minAnswers = 8
 )
 
@@ -28,7 +29,7 @@
 	Refused
 	// Unreachable means that the replica accepted no connection.
 	Unreachable
-	// Abandoned means that the caller gave up, which says nothing of the replica.
+	// Abandoned means that the caller gave up, which is no evidence about the replica.
 	Abandoned
 )
 
--- a/internal/replica/lend.go
+++ b/internal/replica/lend.go
@@ -16,23 +16,24 @@
 	// otherwise have too few for their items, which are spread evenly over all nodes. Online
 	// requests reach the other slots by reservation.
 	minRegionPercent = 50
-	percent          = 100
+	// percent is the divisor of percentages.
+	percent = 100
 )
 
-// grouping returns the group that a place belongs to.
+// grouping returns the place that stands for the group of a place: its zone, its region or all places.
 type grouping func(place.Place) place.Place
 
 func byZone(at place.Place) place.Place   { return at }
 func byRegion(at place.Place) place.Place { return place.Place{Region: at.Region} }
 func anywhere(place.Place) place.Place    { return place.Place{} }
 
-// group is the total of the nodes and replicas of a group of places.
+// group holds the numbers of nodes and slots of a group of places, and the indexes of its replicas.
 type group struct {
 	nodes, slots int
 	replicas     []int
 }
 
-// groups returns the totals of the groups of replicas, without their nodes.
+// groups returns the groups that replicas belong to, without counting their nodes.
 func groups(replicas []ReplicaSlots, by grouping) map[place.Place]*group {
 	all := map[place.Place]*group{}
 	for i, r := range replicas {
@@ -43,6 +44,7 @@
 	return all
 }
 
+// groupAt returns the group at a place and adds it if it is missing.
 func groupAt(all map[place.Place]*group, at place.Place) *group {
 	g := all[at]
 	if g == nil {
@@ -53,9 +55,9 @@
 }
 
 // lendSlots returns how many slots of each replica go to nodes of other groups. A group without nodes
-// lends all. Groups with more than the mean per node lend, in proportion to their surplus, what the
-// others lack to minPercent of the mean. It uses integers only, because all nodes must compute the
-// same result.
+// lends all of its slots. Groups with more slots per node than the mean lend, in proportion to their
+// surplus, what other groups lack to have minPercent of the mean. Only integers are used, because all
+// nodes must compute the same result.
 func lendSlots(nodes []place.Node, replicas []ReplicaSlots, by grouping, minPercent int) []int {
 	lent := make([]int, len(replicas))
 	all := groups(replicas, by)
@@ -93,7 +95,8 @@
 	return sum
 }
 
-// meanShare returns a percentage of the slots that a group's nodes would have at the mean.
+// meanShare returns the given percentage of the slots that the nodes of part would have if all nodes
+// of g had equally many.
 func (g group) meanShare(part *group, percentage int) int {
 	if g.nodes == 0 {
 		return 0
@@ -101,7 +104,8 @@
 	return g.slots * part.nodes * percentage / (g.nodes * percent)
 }
 
-// surplus returns the number of slots beyond the mean of a group that has nodes.
+// surplus returns the number of slots of part beyond what its nodes would have if all nodes of g had
+// equally many; 0 if part has no nodes.
 func (g group) surplus(part *group) int {
 	if part.nodes == 0 {
 		return 0
@@ -109,8 +113,9 @@
 	return max(0, part.slots-g.meanShare(part, percent))
 }
 
-// distribute spreads count over the group's replicas in proportion to their slots. The remainder of
-// rounding goes in the order of hashes, so that a change of count by one changes one replica.
+// distribute sets, in lent, how many of count slots each of the group's replicas lends, in proportion
+// to its slots. The remainder of rounding is distributed in the order of hashes, so that a change of
+// count by one changes one replica if all have equally many slots.
 func (g *group) distribute(count int, replicas []ReplicaSlots, lent []int) {
 	if count == 0 || g.slots == 0 {
 		return
--- a/internal/replica/lend_test.go
+++ b/internal/replica/lend_test.go
@@ -212,7 +212,7 @@
 	}
 }
 
-// BenchmarkShares_Unequal is the same with all replicas in one of the regions.
+// BenchmarkShares_Unequal is BenchmarkShares_Regions with all replicas in one of the regions.
 func BenchmarkShares_Unequal(b *testing.B) {
 	nodes, _ := threeRegions(318, 0)
 	replicas := regionReplicas("north", 600, 8)
--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -21,7 +21,7 @@
 	Zone   string
 	Region string
 	RequestInfo
-	// Affinity identifies the prompt prefix that requests share; 0 if there is none.
+	// Affinity is a hash that identifies the prompt prefix that requests share; 0 if there is none.
 	Affinity uint64
 	// SharedTokens is the length of that prefix.
 	SharedTokens int
@@ -66,7 +66,7 @@
 	}
 }
 
-// Distance returns the distance from this node to a candidate.
+// Distance returns the distance from the node of the criteria to a candidate.
 func (c *Criteria) Distance(candidate *Candidate) place.Distance {
 	return place.Place{Zone: c.Zone, Region: c.Region}.DistanceTo(candidate.place())
 }
@@ -80,8 +80,8 @@
 	// connectCost is the cost of asking for a reservation at a replica that is not Fresh: a new
 	// connection takes 2 to 5 ms, and a replica of unknown load is likely as busy as the others.
 	connectCost = 10 * time.Millisecond
-	// refusalCost is the cost of asking for a reservation at a replica that is believed to be
-	// full: it likely refuses, which uses up one of the request's few tries. It must not be less
+	// refusalCost is the cost of asking for a reservation at a replica that is estimated to be
+	// full: it likely refuses, which uses up one of the request's few attempts. It must not be less
 	// than connectCost, so that a full replica ranks behind one that is not Fresh even if it has
 	// few slots; otherwise this node would never learn the state of the latter.
 	refusalCost = connectCost
@@ -163,7 +163,8 @@
 	}
 }
 
-// softExclusion returns a reason against a replica that a last resort may ignore.
+// softExclusion returns the reason that excludes a replica except as a last resort; Usable if none
+// does.
 func (c *Candidate) softExclusion(criteria *Criteria) Exclusion {
 	switch {
 	case c.Ejected:
@@ -177,11 +178,12 @@
 	}
 }
 
+// available reports whether nothing excludes a candidate that has no hardExclusion.
 func available(candidate *Candidate, criteria *Criteria) bool {
 	return candidate.softExclusion(criteria) == Usable
 }
 
-// lastResort accepts ejected replicas when all others are excluded.
+// lastResort accepts replicas regardless of softExclusion.
 func lastResort(*Candidate, *Criteria) bool { return true }
 
 // predictor estimates the time to the first event at a candidate.
@@ -204,9 +206,10 @@
 	return best
 }
 
-// affinityReplicaKey returns the key of the replica to which prompts with the same prefix are sent, by
-// rendezvous hashing (Thaler and Ravishankar, 1998), so that it caches the prefix. Each region has
-// its own, since crossing regions costs more than reading the prefix again.
+// affinityReplicaKey returns the key of the replica to which prompts with the same prefix are sent, so
+// that it caches the prefix; 0 if there is none. It is chosen by rendezvous hashing (Thaler and
+// Ravishankar, 1998), for each region separately, since crossing regions costs more than processing
+// the prefix again.
 func affinityReplicaKey(candidates []Candidate, criteria *Criteria) uint64 {
 	var preferred, bestWeight uint64
 	if criteria.Affinity == 0 {
@@ -259,7 +262,8 @@
 	return best, nil
 }
 
-// predictReservation estimates the time to the first event where a reservation is asked for.
+// predictReservation estimates the time to the first event at a candidate that is first asked for a
+// reservation.
 func predictReservation(candidate *Candidate, criteria *Criteria, weights Weights) time.Duration {
 	total := predictUnqueued(candidate, criteria, weights)
 	if candidate.Fresh == criteria.PreferStale {
@@ -292,17 +296,17 @@
 	return total
 }
 
-// crowdedUsage is the usage from which on another node is likely to have taken a slot of this
+// crowdedUsage is the usage at and above which another node is likely to have taken a slot of this
 // node: nodes without a free slot of their own ask for any.
 const crowdedUsage = 0.7
 
-// HasSpareSlot reports whether one of this node's slots there is almost certainly free.
+// HasSpareSlot reports whether one of this node's slots at the candidate is almost certainly free.
 func (c *Candidate) HasSpareSlot() bool {
 	return c.Open < c.Share && c.Waiting < 1 && c.FleetUsage < crowdedUsage
 }
 
-// waitForSlot estimates the wait for a slot. If this node has no slot left there, it assumes that
-// the other nodes use theirs.
+// waitForSlot estimates the wait for a slot. If this node has no free slot at the candidate, it assumes
+// that other nodes use all of theirs.
 func (c *Candidate) waitForSlot() time.Duration {
 	waiting := c.Waiting
 	if c.Open >= c.Share {
@@ -311,7 +315,7 @@
 	return time.Duration(waiting * float64(c.SlotTime))
 }
 
-// ExpectedFirstEvent returns the expected time to the first event of a request there.
+// ExpectedFirstEvent returns the expected time to the first event of a request at the candidate.
 func (c *Candidate) ExpectedFirstEvent(req RequestInfo) time.Duration {
 	switch {
 	case req.Reserved:
@@ -323,8 +327,8 @@
 	}
 }
 
-// preempts reports whether a request would wait there longer than its objective permits, so that
-// an item of this node is preempted for it.
+// preempts reports whether a request would wait at the candidate longer than its objective permits, so
+// that an item of this node is preempted for it.
 func (c *Candidate) preempts(req RequestInfo) bool {
 	return c.Batch > 0 && c.waitForSlot() > req.patience(c.FirstEvent, c.PatienceShare)
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -32,7 +32,7 @@
 	Slots int
 	// ReadingRate is the prompt processing rate in tokens per second; 0 if not reported.
 	ReadingRate float64
-	// ColdLeft is how much longer the replica reported being cold when it was listed.
+	// ColdLeft is how much longer the replica will be cold, as it reported when it was listed.
 	ColdLeft time.Duration
 	// Leaving is set while the replica drains: it finishes its requests and accepts no new ones.
 	Leaving bool
@@ -72,7 +72,7 @@
 	// PendingTokens is the number of prompt tokens that this node sent there in requests without
 	// a first event yet.
 	PendingTokens int
-	// Ejected is set if the replica is left out for failures.
+	// Ejected is set while the replica is ejected for failures.
 	Ejected bool
 	// FailureShare is the share of failures, from 0 to 1, among the recent answers that this
 	// node and its peers report.
@@ -89,8 +89,8 @@
 	FirstEvent time.Duration
 	// MinFirstEvent is the least time to the first event that can be expected.
 	MinFirstEvent time.Duration
-	// PatienceShare is the part of the time left to its objective for which a request waits for
-	// a slot before it preempts an item.
+	// PatienceShare is the part of the time left until its objective that a request waits for a
+	// slot before it preempts an item.
 	PatienceShare float64
 	// LoadAge is the age of the last load report; -1 if there is none.
 	LoadAge time.Duration
@@ -99,8 +99,8 @@
 	// FleetUsage is the part of the pool's slots that online requests of all nodes need; 0 if
 	// unknown.
 	FleetUsage float64
-	// Fresh is set if this node received data from the replica within freshFor: it has an open
-	// connection and recent knowledge of the load.
+	// Fresh is set if this node received data from the replica within freshFor, and so has an open
+	// connection to it and recent knowledge of its load.
 	Fresh bool
 }
 
--- a/internal/replica/restart.go
+++ b/internal/replica/restart.go
@@ -11,9 +11,9 @@
 // results are recorded there without effect on the new start.
 
 // recentlyUnreachable is how recently a restarted replica must have refused a connection for requests
-// sent since then to count as sent to the new start: nothing was listening in between, so the new
-// start accepted their connections. The list shows a restart within 3 s on the users' platform, and a
-// replica that is down is tried again after 0.7 to 6 s.
+// sent since then to count as sent to the new start: the previous start was no longer listening, so
+// the new one accepted their connections. It exceeds the usual delay until the list shows a restart,
+// and most of the ejections after which a replica that is down is tried again.
 const recentlyUnreachable = 5 * time.Second
 
 // Restart describes a replica that has restarted under its ID.
@@ -63,8 +63,8 @@
 	return e.info, e.previous, true
 }
 
-// entryFor returns the entry of a listed replica: the known one, or a fresh one if the replica is new
-// or has restarted. The caller holds mu.
+// entryFor returns the entry of a listed replica: the known one, or one that it creates if the replica
+// is new or has restarted. The caller holds mu.
 func (s *Set) entryFor(info *Info, now time.Time) (e *entry, created bool, restart *Restart) {
 	e, ok := s.entries[info.ID]
 	if !ok {
@@ -86,8 +86,8 @@
 	return e, created, restart
 }
 
-// restart returns a fresh entry for a replica that has restarted. Requests sent to the previous start
-// are notified; those known to have been sent to the new start are moved to the entry. The caller
+// restart returns a new entry for a replica that has restarted. Requests sent to the previous start
+// are notified; those known to have been sent to the new start are moved to the new entry. The caller
 // holds mu.
 func (s *Set) restart(previous *entry, info *Info, now time.Time) (*entry, *Restart) {
 	next := &entry{key: previous.key, info: *info, restartedAt: now, previous: previous.info}
@@ -108,8 +108,8 @@
 	return next, &Restart{Replica: *info, PreviousStartedUnixMs: previous.info.StartedUnixMs, Open: previous.open, Batch: previous.batch, Moved: next.open}
 }
 
-// sentToSuccessor reports whether a request was sent to the new start of a replica whose restart is
-// noticed now. The caller holds mu.
+// sentToSuccessor reports whether a request registered at this entry was in fact sent to the new start
+// of the replica, whose restart is noticed now. The caller holds mu.
 func (e *entry) sentToSuccessor(use *Use, now time.Time) bool {
 	return use.sent.After(e.unreachableAt) && now.Sub(e.unreachableAt) < recentlyUnreachable
 }
--- a/internal/replica/retryafter.go
+++ b/internal/replica/retryafter.go
@@ -10,7 +10,7 @@
 const EvacuationRetryAfter = 5 * time.Second
 
 // UnlistedRetryAfter is the retry delay for callers whose regions have no listed replica. A replica
-// that starts is listed after one heartbeat, 1.2 s on the users' platform.
+// that starts is listed after one heartbeat, which usually takes about this long.
 const UnlistedRetryAfter = 1200 * time.Millisecond
 
 // RetryAfter returns how long a caller should wait if the place of every replica excludes its
--- a/internal/replica/sample.go
+++ b/internal/replica/sample.go
@@ -23,9 +23,9 @@
 )
 
 // ProbeStale reports whether the next reservation in a pool should prefer replicas that are not
-// Fresh, and starts the next interval if so. Otherwise a replica that receives no requests, as
-// after an evacuation of its zone, would stay unused while others appear to have capacity: the
-// load of other nodes there is known late, or not at all if replicas do not report theirs.
+// Fresh, and starts the next interval if so. Without such probes a replica that receives no requests,
+// as after an evacuation of its zone, would stay unused while others appear to have capacity: the
+// load that other nodes cause at those is known late, or not at all if replicas do not report it.
 func (s *Set) ProbeStale(pool string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,7 +37,8 @@
 	return true
 }
 
-// nearby returns the entries of a region; all if it has none or is unknown.
+// nearby returns the entries of a region and of unknown regions; all if there are none or if the region
+// is unknown.
 func nearby(list []*entry, region string) []*entry {
 	otherRegion := func(e *entry) bool { return e.info.Region != "" && e.info.Region != region }
 	if region == "" || !slices.ContainsFunc(list, otherRegion) {
@@ -72,7 +73,7 @@
 	return chosen
 }
 
-// addRandom adds up to count random entries of a list.
+// addRandom adds up to count random entries of a list that are not chosen yet.
 func addRandom(chosen, list []*entry, count int) []*entry {
 	for range count {
 		if random := list[rand.IntN(len(list))]; !slices.Contains(chosen, random) {
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -38,8 +38,10 @@
 	// evacuated is set if operators evacuate the zone; rebuild sets it.
 	evacuated bool
 	// share is the number of slots that are allotted to this node.
-	share           int
-	pending         int
+	share int
+	// pending is the number of prompt tokens in requests without a first event yet.
+	pending int
+	// others estimates the number of other nodes' requests there, as of othersUpdatedAt.
 	others          float64
 	othersUpdatedAt time.Time
 	// waiting is the number of waiting requests in the last load report.
@@ -79,7 +81,7 @@
 	mu      sync.Mutex
 	entries map[string]*entry
 	// unlisted are entries of replicas that are not listed and still have requests or followers
-	// of this node, which have to learn of a restart.
+	// of this node, which must be notified of a restart.
 	unlisted map[string]*entry
 	// byPool and byKey are rebuilt from entries when indexStale is set.
 	byPool     map[string][]*entry
@@ -93,21 +95,23 @@
 	nodes []place.Node
 	// selfPlace is the place of this node according to nodes.
 	selfPlace place.Place
-	// generation is incremented when nodes, notJoined or coldLimits change.
+	// generation is incremented when nodes, notJoined or coldLimits change, on which the senders of
+	// cold replicas depend.
 	generation uint64
-	// estimates are what this node learned of each pool from its own requests.
+	// estimates holds, by pool, what this node has learned from its own requests.
 	estimates map[string]*poolEstimates
 	// evacuated are the zones that operators evacuate.
 	evacuated map[string]bool
-	// fleet sums up what nodes reported of each pool.
+	// fleet holds, by pool, the sums of what nodes reported.
 	fleet map[string]*fleetView
-	// outageEnd is when the source of the list came back after a long outage. pendingDelisted is
-	// set while there may be entries that were delisted around it.
+	// outageEnd is when the last long outage of the store that lists replicas ended.
+	// pendingDelisted is set while there may be entries that were delisted around it.
 	outageEnd       time.Time
 	pendingDelisted bool
 	// lastReceived is when this node last received data from any replica.
 	lastReceived time.Time
-	changed      chan struct{}
+	// changed is closed and replaced at each change; see Changed.
+	changed chan struct{}
 	// coldLimits are the limits of cold replicas by pool; coldHeldBack counts the sends held
 	// back for them.
 	coldLimits   map[string]ColdLimit
@@ -138,8 +142,8 @@
 	return &Set{entries: map[string]*entry{}, unlisted: map[string]*entry{}, byPool: map[string][]*entry{}, estimates: map[string]*poolEstimates{}, fleet: map[string]*fleetView{}, changed: make(chan struct{})}
 }
 
-// Put adds or updates a listed replica. It reports whether the replica was not listed before; one
-// that restarted under its ID was.
+// Put adds or updates a listed replica. It reports whether the replica was not listed before. A replica
+// that restarted under its ID counts as listed before.
 func (s *Set) Put(info Info) bool { return s.put(info, clock.Now()) }
 
 func (s *Set) put(info Info, now time.Time) bool {
@@ -183,6 +187,7 @@
 	return s.byPool[name]
 }
 
+// rebuild rebuilds byPool and byKey and divides the slots anew. The caller holds mu.
 func (s *Set) rebuild() {
 	byPool := make(map[string][]*entry, len(s.byPool))
 	byKey := make(map[uint64]*entry, len(s.entries))
@@ -255,15 +260,15 @@
 // Snapshot returns the candidates of a pool for one choice, in the order of their IDs: replicas
 // with slots of this node, replicas that it received data from recently, a few random ones, and
 // the replica to which prompts with the same prefix are sent. In a small fleet these are all.
-// Knowledge of other replicas is old, and always choosing the least loaded one by old knowledge
-// overloads it; choosing among a few random ones does not (Mitzenmacher, 2001). The cost of a choice
-// is independent of the size of the fleet.
+// The known load of other replicas is old. If all nodes chose the replica with the least load by old
+// data, they would overload it; choosing among a few random ones does not (Mitzenmacher, 2001). It
+// also makes the cost of a choice independent of the size of the fleet.
 func (s *Set) Snapshot(pool string, affinity uint64, now time.Time) []Candidate {
 	return s.SnapshotFor(pool, &Criteria{Affinity: affinity}, now)
 }
 
 // SnapshotFor returns the candidates of a pool for a request. If evacuations or the regions of the
-// request exclude all replicas, it returns all of them, so that the choice can say why none fits.
+// request exclude all replicas, it returns all of them, so that Pick can report the reasons.
 func (s *Set) SnapshotFor(pool string, criteria *Criteria, now time.Time) []Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/replica/slope.go
+++ b/internal/replica/slope.go
@@ -26,7 +26,8 @@
 	s.covXY = (1 - weight) * (s.covXY + weight*deltaX*deltaY)
 }
 
-// get returns the slope. It returns false if the observations do not suffice.
+// get returns the slope. It returns false if there are too few observations or their x differ too
+// little.
 func (s *slope) get() (float64, bool) {
 	if s.count < slopeMinCount || s.varX < slopeMinSpread*slopeMinSpread*s.meanX*s.meanX {
 		return 0, false
--- a/internal/replica/tally.go
+++ b/internal/replica/tally.go
@@ -6,8 +6,8 @@
 )
 
 // evidenceMemory is the time constant by which answers decay as evidence, and the age up to which
-// they count as recent. In a large fleet (87 nodes, 60 replicas) one node meets a given replica
-// once in 20 s, but all nodes together four times a second, which makes ten answers.
+// they count as recent. It is long enough for all nodes of a large fleet together to get several
+// answers from each replica, though a given node may get none from it in that time.
 const evidenceMemory = 3 * time.Second
 
 // Tally counts the complete answers and the failures of a replica, with exponential decay. The
--- a/internal/replica/use.go
+++ b/internal/replica/use.go
@@ -14,26 +14,27 @@
 	Granted bool
 	// Borrowed is set for an item that uses a slot of another node.
 	Borrowed bool
-	// Starved is set if such an item keeps its slot though online requests of other nodes need it.
+	// Starved is set for an item in a borrowed slot that is not preempted when online requests need
+	// the slot; see StarvedAfter.
 	Starved bool
-	// Objective is the time left until the first event is late; 0 if there is no objective.
+	// Objective is the time left until the first event is due; 0 if there is no objective.
 	Objective time.Duration
 }
 
-// patience returns how long a request may wait for a slot: a share of the time left after the
-// expected time to its first event.
+// patience returns how long a request may wait for a slot: a share of what remains of its objective
+// after the expected time to its first event.
 func (r RequestInfo) patience(firstEvent time.Duration, share float64) time.Duration {
 	return time.Duration(share * float64(max(0, r.Objective-firstEvent)))
 }
 
-// Pressure is why items are preempted at a replica.
+// Pressure describes the reason for preempting items at a replica.
 type Pressure struct {
 	// Queued is the number of requests that the replica reports as waiting for a slot; 0 if an
 	// arriving request was predicted to wait.
 	Queued int
 	// Wait is the predicted wait for a slot, Patience the longest acceptable one.
 	Wait, Patience time.Duration
-	// Fleet is the part of all slots that online requests of all nodes need if that is the
+	// Fleet is the part of all slots that online requests of all nodes need, if their need is the
 	// reason; 0 otherwise.
 	Fleet float64
 	// Age is the age of the replica's last load report.
@@ -61,7 +62,7 @@
 	restarted  chan struct{}
 }
 
-// Begin is BeginAt for any start of a replica.
+// Begin is like BeginAt, for whichever start of the replica is current.
 func (s *Set) Begin(id string, req RequestInfo, now time.Time) *Use {
 	return s.BeginAt(Info{ID: id}, req, now)
 }
@@ -101,15 +102,16 @@
 	return use, pressure
 }
 
-// RecordLoad records the load that the replica reported with an answer. If requests wait there
-// for too long, items of this node are preempted.
+// RecordLoad records the load that the replica reported with an answer. It preempts items of this node
+// there if the predicted wait for a slot is too long.
 func (u *Use) RecordLoad(load Load, now time.Time) {
 	if id, items, pressure := u.recordLoad(load, now); items > 0 && u.set.OnPressure != nil {
 		u.set.OnPressure(id, items, pressure)
 	}
 }
 
-// recordLoad returns the replica and the number of this node's items to preempt there.
+// recordLoad records the load and returns the replica, the number of this node's items to preempt there
+// and the reason.
 func (u *Use) recordLoad(load Load, now time.Time) (id string, items int, pressure Pressure) {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
@@ -203,6 +205,7 @@
 	u.set.notifySharedEjection(ejection)
 }
 
+// finish does what End does, except for calling callbacks. It returns what to report to them.
 func (u *Use) finish(result Result, now time.Time) (info Info, ejected bool, ejection *SharedEjection) {
 	u.set.mu.Lock()
 	defer u.set.mu.Unlock()
