--- a/internal/replica/evidence.go
+++ b/internal/replica/evidence.go
@@ -24,13 +24,13 @@
 	// ejection within ejectionMemory, up to sharedEjectionMax.
 	sharedEjectionFirst = 2 * time.Second
 	sharedEjectionMax   = 8 * time.Second
-	// probation is how long only proberCount nodes send to a replica after an ejection. It allows
-	// for a few of their requests and the propagation of a report to all nodes.
+	// probation is how long only proberCount nodes send to a replica after an ejection. It leaves
+	// time for a few of their requests and for a report to reach all nodes.
 	probation   = 1500 * time.Millisecond
 	proberCount = 2
 	// reejectWindow is the time after probation within which one failure ejects a replica again.
 	reejectWindow = 3 * time.Second
-	// ejectionMemory is the time after an ejection from which on the next counts as the first.
+	// ejectionMemory is the time after an ejection beyond which the next one counts as the first.
 	ejectionMemory = 30 * time.Second
 	// maxFailingShare is the share of recently used replicas beyond which a node that sees them
 	// fail is more likely faulty itself, if they are more than minFailingReplicas.
@@ -109,8 +109,8 @@
 func (e *entry) ejected(now time.Time) bool { return e.health.ejected(now) || e.shared.active(now) }
 
 // FailureReports returns this node's reports on replicas that recently failed for it, and on replicas
-// that other nodes report and that answered it well. It reports no failures if so many replicas fail
-// that the fault is likely on this node.
+// that other nodes report and that answered this node successfully. It reports no failures if so many
+// replicas fail that the fault is likely on this node.
 func (s *Set) FailureReports(now time.Time) []FailureReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,8 +190,9 @@
 	return r.Failures >= 0 && r.Failures < maxCount && r.Successes >= 0 && r.Successes < maxCount && r.Age >= 0
 }
 
-// matches reports whether a report is about the start of the replica that an entry describes. A report
-// without a start time is, unless its newest failure was seen before the restart was noticed.
+// matches reports whether a report is about the start of the replica that an entry describes. If a
+// start time is unknown, it is unless the newest failure precedes the time when the restart was
+// noticed.
 func (r *FailureReport) matches(e *entry, now time.Time) bool {
 	if r.StartedUnixMs != 0 && e.info.StartedUnixMs != 0 {
 		return r.StartedUnixMs == e.info.StartedUnixMs
@@ -206,10 +207,10 @@
 	reporters int
 }
 
-func (s *evidenceSum) add(seen Tally, failing bool) {
-	s.Successes += seen.Successes
+func (s *evidenceSum) add(tally Tally, failing bool) {
+	s.Successes += tally.Successes
 	if failing {
-		s.Failures += seen.Failures
+		s.Failures += tally.Failures
 		s.reporters++
 	}
 }
@@ -232,10 +233,10 @@
 	zones map[string]bool
 }
 
-func (e *evidence) add(seen Tally, failing bool, zone, ownZone string) {
-	e.all.add(seen, failing)
+func (e *evidence) add(tally Tally, failing bool, zone, ownZone string) {
+	e.all.add(tally, failing)
 	if zone == ownZone {
-		e.sameZone.add(seen, failing)
+		e.sameZone.add(tally, failing)
 	}
 	if failing {
 		e.zones[zone] = true
@@ -283,10 +284,10 @@
 	}
 }
 
-// warrantsEjection reports whether the evidence suffices to eject the replica. After an ejection, one
-// failure does.
-func (e *evidence) warrantsEjection(probed bool) bool {
-	if probed && (e.sameZone.mostlyFails() || e.all.mostlyFails()) {
+// warrantsEjection reports whether the evidence suffices to eject the replica. On probation, a failure
+// for one node suffices if at least minFailureShare of the answers failed.
+func (e *evidence) warrantsEjection(onProbation bool) bool {
+	if onProbation && (e.sameZone.mostlyFails() || e.all.mostlyFails()) {
 		return true
 	}
 	return e.sameZone.failsForSeveral() || len(e.zones) > 1 && e.all.failsForSeveral()
@@ -295,26 +296,26 @@
 // mayEject reports whether one more replica of a pool may be ejected. The caller holds mu.
 func (s *Set) mayEject(pool string, now time.Time) bool {
 	list := s.pool(pool)
-	excluded := 1
+	ejected := 1
 	for _, e := range list {
 		if e.shared.active(now) {
-			excluded++
+			ejected++
 		}
 	}
-	return float64(excluded) <= sharedEjectionShare*float64(len(list))
+	return float64(ejected) <= sharedEjectionShare*float64(len(list))
 }
 
 // isProber reports whether this node is one of those that probe a replica after its ejection. The
-// probers differ each time, so that a faulty one cannot keep the replica ejected.
+// probers differ each time, so that a faulty one cannot keep the replica ejected. The caller holds mu.
 func (s *Set) isProber(e *entry) bool {
 	if len(s.nodes) <= proberCount {
 		return true
 	}
-	turn := mix(e.key + uint64(e.shared.count))
-	own := mix(Key(s.self) ^ turn)
+	ejectionHash := mix(e.key + uint64(e.shared.count))
+	ownWeight := mix(Key(s.self) ^ ejectionHash)
 	before := 0
 	for _, node := range s.nodes {
-		if mix(Key(node.ID)^turn) > own {
+		if mix(Key(node.ID)^ejectionHash) > ownWeight {
 			before++
 		}
 	}
