--- a/internal/batch/feeder.go
+++ b/internal/batch/feeder.go
@@ -104,7 +104,7 @@
 		select {
 		case <-ctx.Done():
 		case <-changed:
-			// Results arrive in bursts; one step handles many.
+			// Results arrive in bursts, so one step handles many.
 			retry.Sleep(ctx, stepDelay)
 		case <-time.After(f.listInterval()):
 		}
@@ -132,7 +132,7 @@
 	defer cancel()
 	// The groups are read before the list: a batch that has a group and is missing from the later
 	// list has ended.
-	known := f.Service.Work.View.All()
+	entries := f.Service.Work.View.All()
 	active, err := f.Service.Active(callCtx)
 	if err != nil {
 		return
@@ -149,7 +149,7 @@
 			delete(f.batches, id)
 		}
 	}
-	f.stopEnded(callCtx, known, listed)
+	f.stopEnded(callCtx, entries, listed)
 }
 
 // start begins to feed a batch, unless it has ended.
@@ -167,9 +167,9 @@
 	f.batches[batch.ID] = &fedBatch{batch: batch, done: done, startedAt: time.Now(), initialResults: completed + failed}
 }
 
-// stopEnded ends and removes the groups of batches that have ended.
-func (f *Feeder) stopEnded(ctx context.Context, known []*jobs.Entry, listed map[string]bool) {
-	for _, entry := range known {
+// stopEnded ends and removes the groups among entries whose batch is not listed as active.
+func (f *Feeder) stopEnded(ctx context.Context, entries []*jobs.Entry, listed map[string]bool) {
+	for _, entry := range entries {
 		batch, _, ok := parseGroupID(entry.Job.ID)
 		if !ok || listed[batch] || f.Sessions.Preferred(batch) != f.Self {
 			continue
@@ -270,8 +270,8 @@
 	}
 }
 
-// recover handles submitted groups that are neither open nor known to be done: either another
-// feeder has finished them, or they are submitted again.
+// recover handles submitted groups that are neither open nor known to be done. Either another feeder
+// has finished them, or they are submitted again.
 func (f *Feeder) recover(ctx context.Context, fed *fedBatch) {
 	if len(f.lostGroups(fed)) == 0 {
 		return
@@ -352,7 +352,7 @@
 		return err
 	}
 	if fed.atRisk(time.Now()) {
-		submission.Advance = atRiskAdvance
+		submission.HeadStart = atRiskAdvance
 	}
 	return f.Service.Work.Submit(ctx, submission)
 }
--- a/internal/batch/group.go
+++ b/internal/batch/group.go
@@ -29,7 +29,7 @@
 	first, _ := batch.groupRange(number)
 	submission := &jobs.Submission{
 		ID: groupID(batch.ID, number), Route: RouteOf(batch.Model), Host: RouteOf(batch.Model),
-		Completion: time.Until(batch.Deadline), Retention: time.Until(batch.Deadline), Turns: true,
+		Completion: time.Until(batch.Deadline), Retention: time.Until(batch.Deadline), FIFO: true,
 		// Groups of ended batches and groups that are done are not submitted again.
 		Guards: []table.Write{
 			{Key: activeKey(batch.ID), Expect: batch.activeVersion},
@@ -44,8 +44,8 @@
 		request, _ := openai.ParseCompletion(item.Body)
 		submission.Items = append(submission.Items, jobs.Item{
 			ID: fmt.Sprintf("%s-%d", batch.ID, first+i), Path: item.URL, Body: item.Body,
-			Tokens: int64(len(item.Body)/bytesPerToken + request.Limit()),
-			Once:   item.NotRepeatable, Label: item.CustomID,
+			Tokens:     int64(len(item.Body)/bytesPerToken + request.Limit()),
+			AtMostOnce: item.NotRepeatable, Label: item.CustomID,
 		})
 	}
 	return submission, nil
--- a/internal/jobs/accept_test.go
+++ b/internal/jobs/accept_test.go
@@ -26,9 +26,9 @@
 		"no path":         func(s *Submission) { s.Items[0].Path = "" },
 		"wrong tokens":    func(s *Submission) { s.Items[0].Tokens = -1 },
 	}
-	for name, spoil := range cases {
+	for name, mutate := range cases {
 		submitted := valid()
-		spoil(submitted)
+		mutate(submitted)
 		if err := submitted.Check(); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: %v, want ErrInvalid", name, err)
 		}
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestSubmit_ResentJobIsTakenOnce(t *testing.T) {
+func TestSubmit_ResentJobIsAcceptedOnce(t *testing.T) {
 	shared := tabletest.New()
 	objects := &objecttest.Store{}
 	first, second := startNode(t, shared, objects, "a#1"), startNode(t, shared, objects, "b#1")
@@ -49,11 +49,11 @@
 	}
 	entry, err := second.find(t.Context(), "j")
 	if err != nil || entry.Progress.Owner != "a#1" {
-		t.Fatalf("entry %+v, %v", entry, err)
+		t.Fatalf("entry is %+v, %v", entry, err)
 	}
 }
 
-func TestSubmit_LostAnswerIsFoundOut(t *testing.T) {
+func TestSubmit_LostAnswerIsResolved(t *testing.T) {
 	shared := tabletest.New()
 	faults := []tabletest.Fault{tabletest.Lost}
 	shared.CommitFault = func([]table.Write) tabletest.Fault {
@@ -68,11 +68,11 @@
 	limited := submission("j", 2)
 	limited.Quota = 1000
 	if err := node.Submit(t.Context(), limited); err != nil {
-		t.Fatalf("a job whose acceptance landed: %v", err)
+		t.Fatalf("submitting a job whose write was applied: %v", err)
 	}
 }
 
-func TestSubmit_NeverRefusedWhileAWriteMayStillLand(t *testing.T) {
+func TestSubmit_NotRefusedWhileAWriteMayStillBeApplied(t *testing.T) {
 	shared := tabletest.New()
 	shared.CommitFault = func([]table.Write) tabletest.Fault { return tabletest.Late }
 	node := startNode(t, shared, &objecttest.Store{}, "a#1")
@@ -104,17 +104,17 @@
 	if err := node.Submit(t.Context(), large); err != nil {
 		t.Fatal(err)
 	}
-	node.forget("j")
+	node.dropContent("j")
 	body, err := node.Body(t.Context(), "j", "j-2")
 	if err != nil || len(body) != 300<<10 {
 		t.Fatalf("body has %d bytes, %v", len(body), err)
 	}
 }
 
-// TestSubmit_QuotaHoldsUnderAnyFaults lets two nodes accept jobs at the same
-// time while commits are refused, lost or late, and checks afterwards that what
-// was accepted never exceeds the quota, and that a refused job is not there.
-func TestSubmit_QuotaHoldsUnderAnyFaults(t *testing.T) {
+// TestSubmit_QuotaHoldsUnderFaults lets two nodes accept jobs concurrently while commits fail, lose
+// their answer or are delayed. The accepted jobs must never exceed the quota, and no refused job
+// may exist.
+func TestSubmit_QuotaHoldsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const quota, jobsPerNode = 1000, 4
 		script := rapid.SliceOfN(rapid.SampledFrom([]tabletest.Fault{
@@ -126,16 +126,15 @@
 			next++
 			return script[next%len(script)]
 		}
-		refused := submitAtOnce(t, shared, quota, jobsPerNode)
+		refused := submitConcurrently(t, shared, quota, jobsPerNode)
 		shared.CommitFault = nil
 		shared.ApplyLate()
 		checkAccepted(rt, shared, quota, refused)
 	})
 }
 
-// submitAtOnce submits jobs at two nodes and returns those that were refused
-// with the promise that they never run.
-func submitAtOnce(t *testing.T, shared *tabletest.Table, quota int64, count int) map[string]bool {
+// submitConcurrently submits jobs at two nodes and returns those that were refused for good.
+func submitConcurrently(t *testing.T, shared *tabletest.Table, quota int64, count int) map[string]bool {
 	refused := map[string]bool{}
 	var mu sync.Mutex
 	var done sync.WaitGroup
@@ -170,11 +169,11 @@
 	view := NewView()
 	view.Apply(all, true)
 	if used := view.used(account{route: "batch"}); used > quota {
-		rt.Fatalf("%d tokens are accepted over a quota of %d", used, quota)
+		rt.Fatalf("accepted %d tokens, over the quota of %d", used, quota)
 	}
 	for _, entry := range view.All() {
 		if refused[entry.Job.ID] {
-			rt.Fatalf("job %s was refused and is there", entry.Job.ID)
+			rt.Fatalf("job %s was refused but exists", entry.Job.ID)
 		}
 	}
 }
--- a/internal/jobs/known_test.go
+++ b/internal/jobs/restart_test.go
@@ -10,17 +10,16 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// A finding (urnik hunt-f317-7): a node that had just been restarted was asked
-// for a job before it had read the jobs once. It took the job over, and by a
-// clock that was not set yet the item had expired.
-func TestRunner_NothingExpiresBeforeTheFirstLook(t *testing.T) {
+// TestRunner_NothingExpiresBeforeJobsAreLoaded guards against items that expire by a clock that is
+// not known yet, when a restarted node takes a job over before it has read all jobs.
+func TestRunner_NothingExpiresBeforeJobsAreLoaded(t *testing.T) {
 	shared := tabletest.New()
 	first := startNode(t, shared, &objecttest.Store{}, "node#1")
 	if err := first.Submit(t.Context(), submission("job", 1)); err != nil {
 		t.Fatal(err)
 	}
 	restarted := &testNode{session: "node#2", Service: &Service{
-		Table: shared, Objects: &objecttest.Store{}, View: NewView(), Events: quietEvents{},
+		Table: shared, Objects: &objecttest.Store{}, View: NewView(), Events: noEvents{},
 		Session: first.Session,
 	}}
 	if _, err := restarted.find(t.Context(), "job"); err != nil {
@@ -33,30 +32,29 @@
 	time.Sleep(500 * time.Millisecond)
 	for _, listed := range restarted.View.Get("job").Progress.Listed {
 		if listed.Dead {
-			t.Fatal("an item expired by a clock that is not known yet")
+			t.Fatal("an item expired before the clock was known")
 		}
 	}
 }
 
-// A finding (aspsc-dakar trouble-2): a node that had just been restarted read a job from
-// the store for a caller, and answered later reads from that picture while its first look
-// at all jobs hung: results that others had shown were missing.
-func TestRead_BeforeTheFirstLookComesFromTheStore(t *testing.T) {
+// TestRead_UsesTheStoreBeforeJobsAreLoaded guards against old results: a restarted node whose first
+// read of all jobs hangs must not answer from what it read for an earlier caller.
+func TestRead_UsesTheStoreBeforeJobsAreLoaded(t *testing.T) {
 	shared := tabletest.New()
 	first := startNode(t, shared, &objecttest.Store{}, "node#1")
 	if err := first.Submit(t.Context(), submission("job", 2)); err != nil {
 		t.Fatal(err)
 	}
 	restarted := &testNode{session: "other#2", Service: &Service{
-		Table: shared, Objects: &objecttest.Store{}, View: NewView(), Events: quietEvents{},
+		Table: shared, Objects: &objecttest.Store{}, View: NewView(), Events: noEvents{},
 		Session: first.Session,
 	}}
 	if reading, err := restarted.Read(t.Context(), "job", 0, 0); err != nil || len(reading.Results) != 0 {
 		t.Fatalf("before anything is listed: %+v, %v", reading, err)
 	}
 	entry := first.View.Get("job")
-	done := &task{work: &work{job: entry.Job}, index: 0, text: []byte("text")}
-	if err := first.list(t.Context(), entry.Job, []*task{done}); err != nil {
+	done := &task{owned: &ownedJob{job: entry.Job}, index: 0, text: []byte("text")}
+	if err := first.listResults(t.Context(), entry.Job, []*task{done}); err != nil {
 		t.Fatal(err)
 	}
 	if reading, err := restarted.Read(t.Context(), "job", 0, 0); err != nil || len(reading.Results) != 1 {
--- a/internal/jobs/repeat.go
+++ b/internal/jobs/retrycall.go
@@ -10,19 +10,18 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// repeat makes a call that may be made any number of times until it succeeds,
-// finds nothing, or the context ends. limit bounds one try, so that a hung
-// connection is left. It returns the last error.
-func repeat(ctx context.Context, limit time.Duration, call func(context.Context) error) error {
-	delay := retryFirst
+// retryCall makes an idempotent call until it succeeds, finds nothing, or the context ends, and
+// returns the last error. timeout bounds one attempt, so that a hung connection is abandoned.
+func retryCall(ctx context.Context, timeout time.Duration, call func(context.Context) error) error {
+	delay := retryDelay
 	for {
-		callCtx, cancel := context.WithTimeout(ctx, limit)
+		callCtx, cancel := context.WithTimeout(ctx, timeout)
 		err := call(callCtx)
 		cancel()
 		if err == nil || notFound(err) || !retry.Sleep(ctx, delay) {
 			return err
 		}
-		delay = min(2*delay, retryMax)
+		delay = min(2*delay, retryDelayMax)
 	}
 }
 
@@ -30,7 +29,7 @@
 	return errors.Is(err, table.ErrNotFound) || errors.Is(err, object.ErrNotFound)
 }
 
-// readError tells what is not there from a store that does not answer.
+// readError wraps the error of a read as ErrNotFound if nothing is there, else as ErrUnavailable.
 func readError(err error) error {
 	switch {
 	case err == nil:
--- /dev/null
+++ b/internal/jobs/waits.go
@@ -0,0 +1,181 @@
+package jobs
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"github.com/wheelhoist/wheelhoist/internal/clock"
+)
+
+// Wait is the reason why an item is not listed yet. Bound returns how long it should last.
+type Wait uint8
+
+const (
+	// WaitDispatch items have not been considered for dispatch since they were assigned to this
+	// node or became ready.
+	WaitDispatch Wait = iota
+	// WaitBackoff items are in the pause after an attempt that did not complete them.
+	WaitBackoff
+	// WaitView items wait for a current view of the jobs; with an old one, ends of jobs would be
+	// missed.
+	WaitView
+	// WaitRoutes items wait for the first configuration of routes.
+	WaitRoutes
+	// WaitRoute items wait for a route that accepts batch items.
+	WaitRoute
+	// WaitSlot items wait for one of this node's own slots.
+	WaitSlot
+	// WaitReplica items wait for a replica that accepts them.
+	WaitReplica
+	// WaitQuarantine items crashed replicas, and wait for a trial or until they expire.
+	WaitQuarantine
+	// WaitStartMark items may run only once, and wait to be marked as started.
+	WaitStartMark
+	// WaitRelease items wait for this node to release their job.
+	WaitRelease
+	// WaitAnswer items run, and wait for the next event of their answer.
+	WaitAnswer
+	// WaitListing items have an outcome that is not listed yet.
+	WaitListing
+	// WaitContent items wait for their content to be read from the store.
+	WaitContent
+	// WaitOwner items wait to be taken over from a node that is gone or outside their allowed
+	// regions.
+	WaitOwner
+	// WaitRegion items wait for a live node in their allowed regions.
+	WaitRegion
+	waitKinds
+)
+
+// String returns the name used in logs and metrics.
+func (w Wait) String() string {
+	names := [waitKinds]string{
+		"look", "pause", "view", "routes", "route", "room", "replica", "quarantine", "mark", "hand-back", "answer", "listing", "content",
+		"owner", "home",
+	}
+	if w >= waitKinds {
+		return "unknown"
+	}
+	return names[w]
+}
+
+// ItemWait describes what one unlisted item waits for.
+type ItemWait struct {
+	Job, Item string
+	For       Wait
+	// LastProgress is when the item last made progress, by package clock: when it was assigned to
+	// this node, its answer last brought an event, or it got its outcome.
+	LastProgress time.Time
+	// Start is since when the item has waited for this reason without a break.
+	Start time.Time
+	// Replica is the replica that runs the item, if one does.
+	Replica string
+	// Cause is the error behind the wait; nil if For says it all.
+	Cause error
+}
+
+// WaitCount counts the items of this node that wait for the same reason.
+type WaitCount struct {
+	For   Wait
+	Count int
+	// Oldest is the longest time since one of them made progress.
+	Oldest time.Duration
+}
+
+// setWait records what the task waits for from now on. The caller holds the runner's lock.
+func (t *task) setWait(kind Wait, cause error) {
+	if t.wait != kind || t.waitStart.IsZero() {
+		t.waitStart = clock.Now()
+	}
+	t.wait, t.waitCause = kind, cause
+}
+
+// ItemWaits returns what each unlisted item of this node, and each orphan that it should take over,
+// waits for, the least recent progress first.
+func (r *Runner) ItemWaits() []ItemWait {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var all []ItemWait
+	for _, owned := range r.owned {
+		for _, t := range owned.tasks {
+			if t.state != taskListed {
+				all = append(all, t.itemWait())
+			}
+		}
+		for _, index := range owned.unloaded {
+			all = append(all, ItemWait{
+				Job: owned.job.ID, Item: owned.job.Items[index].ID, For: WaitContent,
+				LastProgress: owned.unloadedSince, Start: owned.unloadedSince, Cause: owned.loadErr,
+			})
+		}
+	}
+	all = append(all, r.orphans...)
+	slices.SortFunc(all, func(a, b ItemWait) int { return a.LastProgress.Compare(b.LastProgress) })
+	return all
+}
+
+// itemWait returns what the task waits for. The caller holds the runner's lock.
+func (t *task) itemWait() ItemWait {
+	wait := ItemWait{
+		Job: t.owned.job.ID, Item: t.owned.job.Items[t.index].ID,
+		For: t.wait, LastProgress: t.lastProgress, Start: t.waitStart, Cause: t.waitCause,
+	}
+	if wait.Start.IsZero() {
+		wait.Start = t.lastProgress
+	}
+	if t.state == taskRunning {
+		wait.Replica = t.replica
+	}
+	return wait
+}
+
+// WaitCounts counts the unlisted items of this node by reason, in the order of Wait. Reasons
+// without items are included with a count of 0.
+func (r *Runner) WaitCounts(now time.Time) []WaitCount {
+	counts := make([]WaitCount, waitKinds)
+	for i := range counts {
+		counts[i].For = Wait(i)
+	}
+	for _, wait := range r.ItemWaits() {
+		count := &counts[wait.For]
+		count.Count++
+		count.Oldest = max(count.Oldest, now.Sub(wait.LastProgress))
+	}
+	return counts
+}
+
+// maxStall is how long an item may go without progress before it is overdue, even if the reasons
+// for its wait alternate.
+const maxStall = 10 * time.Second
+
+// noBound is the bound of waits that end by an action of operators or callers, or when the item
+// expires. Their start is logged once.
+const noBound = time.Duration(math.MaxInt64)
+
+// Bound returns the longest time that an item usually waits for this reason while nodes, replicas
+// and the store are available. Design 0018 describes what ends each wait.
+func (w Wait) Bound() time.Duration {
+	switch w {
+	case WaitDispatch, WaitBackoff:
+		return 2 * time.Second
+	case WaitStartMark, WaitListing, WaitContent:
+		return 5 * time.Second
+	case WaitRoute, WaitQuarantine, WaitRegion:
+		return noBound
+	default:
+		return maxStall
+	}
+}
+
+// isOverdue reports whether an item has waited for longer than it should.
+func (w *ItemWait) isOverdue(now time.Time) bool {
+	bound := w.For.Bound()
+	return bound != noBound && (now.Sub(w.Start) >= bound || now.Sub(w.LastProgress) >= maxStall)
+}
+
+// Overdue returns the items that have waited for longer than they should, the least recent progress
+// first.
+func (r *Runner) Overdue(now time.Time) []ItemWait {
+	return slices.DeleteFunc(r.ItemWaits(), func(wait ItemWait) bool { return !wait.isOverdue(now) })
+}
--- a/internal/node/cold.go
+++ b/internal/node/cold.go
@@ -10,8 +10,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/route"
 )
 
-// coldLogInterval is the time between two checks which replicas became cold or warm. They are for
-// the log only.
+// coldLogInterval is the time between two checks for replicas that became cold or warm. Only the
+// log depends on these checks.
 const coldLogInterval = 500 * time.Millisecond
 
 // coldLimits returns the limits of cold replicas, by pool.
@@ -30,9 +30,9 @@
 func (c *core) runColdLog(ctx context.Context) {
 	presumed := false
 	for retry.Sleep(ctx, coldLogInterval) {
-		if now := c.replicas.PresumesCold(clock.Now()); now != presumed {
-			presumed = now
-			c.logPresumed(presumed)
+		if current := c.replicas.PresumesCold(clock.Now()); current != presumed {
+			presumed = current
+			c.logPresumedCold(presumed)
 		}
 		for _, change := range c.replicas.ColdChanges(clock.Now()) {
 			c.logCold(change)
@@ -40,7 +40,8 @@
 	}
 }
 
-func (c *core) logPresumed(presumed bool) {
+// logPresumedCold logs that all replicas are presumed cold, or no longer are.
+func (c *core) logPresumedCold(presumed bool) {
 	if presumed {
 		c.log.Warn().Msg("replica list is old, its replicas are taken as cold")
 		return
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -26,20 +26,20 @@
 
 const (
 	// jobPollInterval is the minimum time between two polls of the jobs' changes while a caller
-	// waits for some. It bounds the number of calls while many results are committed. It grows by
-	// jobPollPerSession with each live session, so that all nodes together stay below 700 calls a
-	// second.
+	// waits for some. It bounds the number of calls while many results are committed. With many
+	// sessions the time is jobPollPerSession for each live session, so that all nodes together stay
+	// below 700 calls a second.
 	jobPollInterval   = 120 * time.Millisecond
 	jobPollPerSession = 1500 * time.Microsecond
 	// idleJobPollInterval is the time between two polls while no caller waits here and other nodes
 	// announce the changes that concern this one. If an announcement is lost, a requested stop of
-	// an item or a new node is noticed this late. Deployments require items to stop within 3 s.
+	// an item or a new node is noticed this late; items must stop within a few seconds.
 	idleJobPollInterval = time.Second
 	// sampleBurst and sampleEvery bound the number of log lines about routine events.
 	sampleBurst = 20
 	sampleEvery = 20
-	// suspensionCheckInterval is the time between two checks whether the machine was suspended.
-	// They are for the log only.
+	// suspensionCheckInterval is the time between two checks for suspensions of the machine. Only
+	// the log depends on these checks.
 	suspensionCheckInterval = time.Second
 	// retryRatio is the number of retries allowed for each request, on average.
 	retryRatio = 0.3
@@ -137,14 +137,14 @@
 	c.jobs = &jobs.Service{
 		Table: deps.table, Objects: deps.objects, View: view,
 		Events: &jobLog{log: log, sampled: c.sampled, metrics: metrics}, Session: c.ownSession,
-		Fleet: c.owners, Routes: c.routes.Load, Slots: c.replicas.RegionSlots, Awaited: c.jobWatch.Announce,
+		Fleet: c.owners, Routes: c.routes.Load, Slots: c.replicas.RegionSlots, RequestUpdate: c.jobWatch.Announce,
 	}
 	c.runner = jobs.NewRunner(jobs.RunnerOptions{
 		Service: c.jobs, Replicas: c.replicas, Backend: deps.backend, Routes: c.routes.Load, Owners: c.owners,
 		Weights: deps.weights, Zone: deps.zone, Region: deps.region, ViewAge: c.viewAge, CommitInterval: deps.commitInterval,
 		Quarantine: &c.quarantine.guard, EndQuarantined: deps.endQuarantined,
 	})
-	c.replicas.OnPressure = c.runner.Yield
+	c.replicas.OnPressure = c.runner.Preempt
 	return c
 }
 
@@ -176,7 +176,7 @@
 // jobPace returns the minimum time between two polls of the jobs' changes.
 func (c *core) jobPace() table.Pace {
 	interval := max(jobPollInterval, time.Duration(len(c.owners.Live()))*jobPollPerSession)
-	if c.jobs.Tell == nil || c.jobs.Waiting() > 0 {
+	if c.jobs.Notify == nil || c.jobs.Waiters() > 0 {
 		return table.Pace{AfterAnnouncement: interval, Default: interval}
 	}
 	return table.Pace{AfterAnnouncement: interval, Default: max(idleJobPollInterval, interval)}
@@ -232,7 +232,7 @@
 	c.spawn(func() { c.session.Run(ctx) })
 	c.spawn(func() { c.runner.Run(ctx) })
 	c.spawn(func() { c.runner.RunClaims(ctx) })
-	c.spawn(func() { c.runner.RunKeeping(ctx) })
+	c.spawn(func() { c.runner.RunCheckpoints(ctx) })
 	c.spawn(func() { c.quarantine.publisher.Run(ctx) })
 	c.spawn(func() { c.runSuspensionLog(ctx) })
 	c.spawn(func() { c.runOverdueItemLog(ctx) })
@@ -241,7 +241,7 @@
 // handBackJobs hands this node's jobs back and ends its session, so that other nodes take over
 // before this one stops.
 func (c *core) handBackJobs(ctx context.Context) {
-	c.runner.HandBack(ctx)
+	c.runner.Release(ctx)
 	if err := c.session.End(ctx); err != nil {
 		c.log.Warn().Err(err).Msg("session not ended, others wait for it to expire")
 	}
@@ -287,8 +287,8 @@
 }
 
 // putReplica adds or updates a listed replica, given the version of its row. New replicas of a full
-// read are only counted in the summary that logReplicaList writes, others are sampled: a line for
-// each would multiply nodes by replicas when a fleet starts.
+// read are only counted in the summary that logReplicaList writes, others are sampled: otherwise
+// every node would log every replica when a fleet starts.
 func (c *core) putReplica(info replica.Info, version uint64, whole bool) {
 	info.Region = c.places.Region(info.Zone)
 	added := c.replicas.Put(info)
--- a/internal/node/itemwaits.go
+++ b/internal/node/itemwaits.go
@@ -50,7 +50,7 @@
 // itemWaits returns the waiting items of this node in the form that the status shows.
 func (c *core) itemWaits() []server.ItemWait {
 	var waits []server.ItemWait
-	for _, count := range c.runner.Account(clock.Now()) {
+	for _, count := range c.runner.WaitCounts(clock.Now()) {
 		if count.Count > 0 {
 			waits = append(waits, server.ItemWait{Reason: count.For.String(), Items: count.Count, Oldest: count.Oldest.Seconds()})
 		}
@@ -64,7 +64,7 @@
 		overdue := c.runner.Overdue(clock.Now())
 		for _, item := range overdue[:min(len(overdue), maxWaitLogLines)] {
 			c.log.Warn().Str("job", item.Job).Str("item", item.Item).Str("waits_for", item.For.String()).
-				Str("replica", item.Replica).Dur("for_ms", clock.Since(item.Begun)).Dur("still_ms", clock.Since(item.Since)).
+				Str("replica", item.Replica).Dur("for_ms", clock.Since(item.Start)).Dur("still_ms", clock.Since(item.LastProgress)).
 				Dur("bound_ms", item.For.Bound()).Int("overdue", len(overdue)).AnErr("cause", item.Cause).
 				Msg("item makes no progress")
 		}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -178,7 +178,7 @@
 // registerPools registers the collectors of pools and of waiting items.
 func (m *coreMetrics) registerPools(c *core) {
 	m.registry.MustRegister(&poolCollector{replicas: c.replicas, now: clock.Now})
-	m.registry.MustRegister(&itemWaitCollector{counts: c.runner.Account, now: clock.Now})
+	m.registry.MustRegister(&itemWaitCollector{counts: c.runner.WaitCounts, now: clock.Now})
 }
 
 // registerAge registers the age of a watched source.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -36,7 +36,8 @@
 
 const (
 	headerTimeout = 5 * time.Second
-	// headsPollPerSession lengthens the interval between polls of the heads in large fleets.
+	// headsPollPerSession, times the number of live sessions, is the minimum time between two polls
+	// of the table's heads. It bounds the calls of all nodes together in large fleets.
 	headsPollPerSession = 1500 * time.Microsecond
 	// commitInterval is how long finished items wait to be committed together: jobs last for
 	// minutes, and table writes are billed each.
@@ -235,7 +236,7 @@
 func (n *Node) liveNodes() int { return max(1, len(n.owners.Live())) }
 
 // preferred reports whether this node should perform a task that any node could perform.
-func (n *Node) preferred(work string) bool { return n.owners.Preferred(work) == n.session.ID() }
+func (n *Node) preferred(task string) bool { return n.owners.Preferred(task) == n.session.ID() }
 
 func (n *Node) tenantWeight(name string) float64 {
 	if entry, ok := n.resources.Snapshot().Get(v1.KindTenant, name); ok {
--- a/internal/replica/coldrate.go
+++ b/internal/replica/coldrate.go
@@ -16,8 +16,9 @@
 	membershipViews = 2
 	// minSenderRate is the minimum rate per sender, in requests per second, to add a sender.
 	minSenderRate = 4
-	// newSenderDelay is how long a node waits that became a sender by a change of the members. It is
-	// the second in which requests are counted and the previous sender may have sent some.
+	// newSenderDelay is how long a node that becomes a sender by a change of the members waits before
+	// its first send. It equals the period over which requests are limited, since the previous
+	// sender may have used up its rate just before the change.
 	newSenderDelay = time.Second
 )
 
@@ -37,32 +38,33 @@
 
 // split returns the number of senders of a cold replica and the rate of each. In any one second a
 // sender sends at most its rate plus one request.
-func (t ColdTolerance) split(rate float64) (nodes int, part float64) {
+func (t ColdTolerance) split(rate float64) (senders int, part float64) {
 	bound := t.bound(rate)
 	each := bound / membershipViews
-	nodes = min(max(int(each/minSenderRate), 1), maxColdSenders)
-	part = min(each/float64(nodes)-1, rate/float64(nodes))
+	senders = min(max(int(each/minSenderRate), 1), maxColdSenders)
+	part = min(each/float64(senders)-1, rate/float64(senders))
 	if part > 0 {
-		return nodes, part
+		return senders, part
 	}
 	if bound < 1 {
 		return 0, 0
 	}
 	// The bound is too small for two disjoint sets of senders. One request in slightly more than
-	// a second keeps to it while the views of the nodes agree.
+	// a second keeps to the bound while the nodes have the same view of the members.
 	return 1, min(slowSenderRate, rate)
 }
 
-// slowSenderRate spaces requests by slightly more than the second in which they are counted.
+// slowSenderRate, in requests per second, spaces requests by slightly more than the one-second period
+// over which they are limited.
 const slowSenderRate = 0.9
 
 // isColdSender reports whether this node is a sender of an entry, which is cold. A node that becomes
 // a sender by a change of the members first waits newSenderDelay. The caller holds mu.
 func (s *Set) isColdSender(e *entry, now time.Time) bool {
-	if e.cold.division == s.division {
+	if e.cold.generation == s.generation {
 		return e.cold.isSender
 	}
-	// A node that had no members in its view replaces no other sender.
+	// If this node's previous view had no members, there is no previous sender to wait for.
 	replaces := !e.cold.isSender && len(e.cold.senders) > 0
 	s.chooseSenders(e)
 	if earliest := now.Add(newSenderDelay); replaces && e.cold.isSender && earliest.After(e.cold.nextSend) {
@@ -72,8 +74,8 @@
 }
 
 // chooseSenders chooses the senders of an entry: one of its zone, which can reach it when the zone is
-// cut off, then those with the highest weights, which remain available when the zone is lost and
-// comes back. A node that is not among the members does not know all of them, and is no sender. The
+// cut off, then those with the highest weights, which usually remain available when the zone fails
+// and recovers. A node that is not among the members may not know all of them and is not chosen. The
 // caller holds mu.
 func (s *Set) chooseSenders(e *entry) {
 	count, _ := s.ColdTolerance.split(s.coldLimits[e.info.Pool].Rate)
@@ -89,7 +91,7 @@
 		}
 		chosen = append(chosen, next)
 	}
-	e.cold.senders, e.cold.isSender, e.cold.division = chosen, slices.Contains(chosen, self), s.division
+	e.cold.senders, e.cold.isSender, e.cold.generation = chosen, slices.Contains(chosen, self), s.generation
 }
 
 // senderNode is a node that may become a sender.
@@ -103,21 +105,21 @@
 // highestWeight returns the index of the eligible node with the highest rendezvous weight for an
 // entry; -1 if there is none.
 func highestWeight(nodes []senderNode, e *entry, eligible func(i int) bool) int {
-	found, most := -1, uint64(0)
+	best, bestWeight := -1, uint64(0)
 	for i := range nodes {
 		if nodes[i].notMember {
 			continue
 		}
-		if weight := mix(nodes[i].key ^ e.key); eligible(i) && (found < 0 || weight > most) {
-			found, most = i, weight
+		if weight := mix(nodes[i].key ^ e.key); eligible(i) && (best < 0 || weight > bestWeight) {
+			best, bestWeight = i, weight
 		}
 	}
-	return found
+	return best
 }
 
-// SetJoined sets whether this node is among the members that it knows. Until then it sends to no cold
-// replica: it may not know the nodes that started earlier, and of several nodes that start together
-// each would consider itself the only one of its zone.
+// SetJoined sets whether this node is among the members that it knows. Until it is, it sends to no
+// cold replica: it may not know the nodes that started earlier, and each of several nodes that start
+// together would consider itself the only one of its zone.
 func (s *Set) SetJoined(joined bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,20 +127,20 @@
 		return
 	}
 	s.notJoined = !joined
-	s.division++
+	s.generation++
 	s.notifyChanged()
 }
 
 // senderNodes returns the nodes that may become senders and this node's index among them, or -1. The
-// result is cached for each division. The caller holds mu.
+// result is cached until the generation changes. The caller holds mu.
 func (s *Set) senderNodes() (nodes []senderNode, self int) {
-	if s.division == 0 {
+	if s.generation == 0 {
 		return nil, -1
 	}
-	if s.senderDivision == s.division {
+	if s.senderGeneration == s.generation {
 		return s.senderList, s.senderSelf
 	}
-	s.senderList, s.senderSelf, s.senderDivision = s.senderList[:0], -1, s.division
+	s.senderList, s.senderSelf, s.senderGeneration = s.senderList[:0], -1, s.generation
 	for i, node := range s.nodes {
 		if node.ID == s.self {
 			s.senderSelf = i
@@ -156,9 +158,9 @@
 	if !cold {
 		return e.share
 	}
-	nodes, rate := s.ColdTolerance.split(limit.Rate)
+	senders, rate := s.ColdTolerance.split(limit.Rate)
 	if rate <= 0 || !s.isColdSender(e, now) {
 		return 0
 	}
-	return (e.info.Slots + nodes - 1) / nodes
+	return (e.info.Slots + senders - 1) / senders
 }
--- a/internal/table/watch.go
+++ b/internal/table/watch.go
@@ -32,8 +32,8 @@
 	pageRetryMaxDelay = time.Second
 )
 
-// Watcher follows a feed and passes every change to Apply, in order. Its view never goes back in
-// time: only newer versions of a row are passed on, and a row that is missing from a whole read
+// Watcher follows a feed and passes every change to Apply, in order. Its view never reverts to an
+// older state: only newer versions of a row are passed on, and a row that is missing from a whole read
 // is only considered removed if the read is newer than the known revision.
 type Watcher struct {
 	Feed Feed
@@ -255,19 +255,19 @@
 	var whole Changes
 	var cursor Cursor
 	var read WholeRead
-	failuresInRow := 0
+	consecutiveFailures := 0
 	for first := true; !cursor.Done; {
-		page, next, err := w.readPage(ctx, cursor, failuresInRow)
+		page, next, err := w.readPage(ctx, cursor, consecutiveFailures)
 		if err != nil {
-			failuresInRow++
+			consecutiveFailures++
 			read.Failures++
-			if failuresInRow > pageMaxFailures || ctx.Err() != nil {
+			if consecutiveFailures > pageMaxFailures || ctx.Err() != nil {
 				return Changes{}, read, err
 			}
-			retry.Sleep(ctx, jittered(min(watchRetryMinDelay<<min(failuresInRow, 8), pageRetryMaxDelay)))
+			retry.Sleep(ctx, jittered(min(watchRetryMinDelay<<min(consecutiveFailures, 8), pageRetryMaxDelay)))
 			continue
 		}
-		failuresInRow = 0
+		consecutiveFailures = 0
 		read.Pages++
 		whole.Changes = append(whole.Changes, page.Changes...)
 		if first {
@@ -338,8 +338,8 @@
 	w.Apply(changes, whole)
 }
 
-// callSucceeded records a response. It must be called before the changes are applied, because
-// handlers of the changes need to know of an outage that has ended.
+// callSucceeded records a response. It must be called before the changes are applied, so that
+// OnRegained reports the end of an outage before handlers of the changes run.
 func (w *Watcher) callSucceeded(changes Changes) {
 	asOf := int64(changes.AsOf.Sub(clockOrigin))
 	if newest := w.newestAnswer.Load(); !changes.More && (newest == 0 || asOf > newest) {
