--- a/internal/jobs/accept.go
+++ b/internal/jobs/accept.go
@@ -71,9 +71,9 @@
 	if err := s.checkQuota(ctx, submission); err != nil {
 		return s.recheckRefusal(ctx, submission, start, err)
 	}
-	declared := &Job{}
-	s.setRouting(declared, submission)
-	if declared.AllowedRegions != nil && len(declared.AllowedRegions) == 0 {
+	routing := &Job{}
+	s.setRouting(routing, submission)
+	if routing.AllowedRegions != nil && len(routing.AllowedRegions) == 0 {
 		err := Error.Wrap(errors.Join(ErrNotAccepted, ErrNoRegion))
 		s.Events.Refused(submission.ID, 0, submission.tokens(), submission.Quota, err)
 		return err
--- a/internal/jobs/borrow.go
+++ b/internal/jobs/borrow.go
@@ -50,15 +50,15 @@
 	if !r.Replicas.MayBorrow(send.pool, waited, now) || !r.readyToSend(send, now) {
 		return
 	}
-	demand := r.demand(send)
-	demand.Borrowed, demand.Exclude = true, map[string]bool{}
-	demand.PreferStale = r.Replicas.ProbeStale(send.pool, now)
-	demand.Starved = waited >= replica.StarvedAfter
+	criteria := r.criteria(send)
+	criteria.Borrowed, criteria.Exclude = true, map[string]bool{}
+	criteria.PreferStale = r.Replicas.ProbeStale(send.pool, now)
+	criteria.Starved = waited >= replica.StarvedAfter
 	// Each node asks equally good replicas in a different order.
-	demand.Affinity = rand.Uint64()
+	criteria.Affinity = rand.Uint64()
 	r.updateBorrowState(send.lane, func(state *borrowState) { state.inProgress = true })
 	go func() {
-		sent := r.borrowSlot(send, demand)
+		sent := r.borrowSlot(send, criteria)
 		r.updateBorrowState(send.lane, func(state *borrowState) { state.record(sent, clock.Now()) })
 	}()
 }
@@ -104,26 +104,26 @@
 
 // borrowSlot asks a few replicas, one after the other, for a slot. It reports whether the item was
 // sent.
-func (r *Runner) borrowSlot(send pendingSend, demand *replica.Criteria) bool {
-	return r.borrowFrom(send, demand, borrowTries, false) || r.borrowFrom(send, demand, borrowRemoteTries, true)
+func (r *Runner) borrowSlot(send pendingSend, criteria *replica.Criteria) bool {
+	return r.borrowFrom(send, criteria, borrowTries, false) || r.borrowFrom(send, criteria, borrowRemoteTries, true)
 }
 
 // borrowFrom asks up to tries replicas, those in other regions if remote is set.
-func (r *Runner) borrowFrom(send pendingSend, demand *replica.Criteria, tries int, remote bool) bool {
+func (r *Runner) borrowFrom(send pendingSend, criteria *replica.Criteria, tries int, remote bool) bool {
 	for range tries {
 		now := clock.Now()
-		chosen, err := replica.PickIdle(r.Replicas.SnapshotFor(send.pool, demand, now), demand, r.Weights, remote)
+		chosen, err := replica.PickIdle(r.Replicas.SnapshotFor(send.pool, criteria, now), criteria, r.Weights, remote)
 		if err != nil || r.Reserver == nil && chosen.Free() < 1 {
 			// The next dispatch tries again.
 			return false
 		}
 		reservation, err := r.reserveAt(send.task.owned.ctx, chosen, send.item())
 		if err == nil {
-			demand.Reserved = reservation != ""
-			return r.startRun(send, demand, chosen, reservation)
+			criteria.Reserved = reservation != ""
+			return r.startRun(send, criteria, chosen, reservation)
 		}
-		demand.Exclude[chosen.ID] = true
-		demand.PreferStale = false
+		criteria.Exclude[chosen.ID] = true
+		criteria.PreferStale = false
 	}
 	return false
 }
--- a/internal/jobs/checkpoint.go
+++ b/internal/jobs/checkpoint.go
@@ -36,17 +36,17 @@
 func (r *Runner) ownedJobs() []*ownedJob {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	owned := make([]*ownedJob, 0, len(r.owned))
-	for _, w := range r.owned {
-		owned = append(owned, w)
+	all := make([]*ownedJob, 0, len(r.owned))
+	for _, owned := range r.owned {
+		all = append(all, owned)
 	}
-	return owned
+	return all
 }
 
 // checkpoint saves the texts of unfinished items that have at least minEvents new events. It
 // reports whether that succeeded.
 func (r *Runner) checkpoint(ctx context.Context, owned *ownedJob, minEvents int) bool {
-	writes, saved, reached := r.checkpointWrites(owned, minEvents)
+	writes, saved, lastEvents := r.checkpointWrites(owned, minEvents)
 	if len(writes) == 0 {
 		return true
 	}
@@ -60,7 +60,7 @@
 		return false
 	}
 	for i, t := range saved {
-		t.checkpointVersion, t.checkpointEvent = versions[i], reached[i]
+		t.checkpointVersion, t.checkpointEvent = versions[i], lastEvents[i]
 	}
 	return true
 }
@@ -84,7 +84,7 @@
 	defer r.mu.Unlock()
 	var writes []table.Write
 	var saved []*task
-	var reached []int
+	var lastEvents []int
 	for _, t := range owned.tasks {
 		unlisted := t.state == taskWaiting || t.state == taskRunning
 		if !unlisted || t.lastEvent < t.checkpointEvent+minEvents || len(t.text) > maxRowText || len(writes) >= maxCheckpointRows {
@@ -93,7 +93,7 @@
 		body := encode(storedResult{Text: string(t.text), LastEvent: t.lastEvent})
 		writes = append(writes, table.Write{Key: checkpointKey(owned.job.ID, t.index), Expect: t.checkpointVersion, Body: body})
 		saved = append(saved, t)
-		reached = append(reached, t.lastEvent)
+		lastEvents = append(lastEvents, t.lastEvent)
 	}
-	return writes, saved, reached
+	return writes, saved, lastEvents
 }
--- a/internal/jobs/commit.go
+++ b/internal/jobs/commit.go
@@ -63,7 +63,7 @@
 			return
 		}
 		r.mu.Unlock()
-		if left := r.commit(owned, batch); left > 0 && !retry.Sleep(owned.ctx, commitRetryDelay) {
+		if remaining := r.commit(owned, batch); remaining > 0 && !retry.Sleep(owned.ctx, commitRetryDelay) {
 			// The job has ended or belongs to another node by now.
 			r.discardFinished(owned)
 			return
@@ -90,8 +90,8 @@
 }
 
 // hasUnfinished reports whether any item has no outcome yet. The caller holds the runner's lock.
-func (w *ownedJob) hasUnfinished() bool {
-	for _, t := range w.tasks {
+func (o *ownedJob) hasUnfinished() bool {
+	for _, t := range o.tasks {
 		if t.state == taskWaiting || t.state == taskRunning {
 			return true
 		}
@@ -103,19 +103,19 @@
 // object of their own come after the others and in a transaction of their own: one that cannot be
 // written takes textPutTimeout, which the other items would wait for at each try. The caller holds
 // the runner's lock.
-func (w *ownedJob) takeFinished() []*task {
-	slices.SortStableFunc(w.finished, func(a, b *task) int {
+func (o *ownedJob) takeFinished() []*task {
+	slices.SortStableFunc(o.finished, func(a, b *task) int {
 		return cmp.Compare(a.objectCount(), b.objectCount())
 	})
-	size := w.batchSize()
-	for i, t := range w.finished[:size] {
-		if t.objectCount() != w.finished[0].objectCount() {
+	size := o.batchSize()
+	for i, t := range o.finished[:size] {
+		if t.objectCount() != o.finished[0].objectCount() {
 			size = i
 			break
 		}
 	}
-	batch := w.finished[:size]
-	w.finished = w.finished[size:]
+	batch := o.finished[:size]
+	o.finished = o.finished[size:]
 	return batch
 }
 
@@ -129,15 +129,15 @@
 
 // batchSize returns the number of finished items that fit into one transaction. The caller holds
 // the runner's lock.
-func (w *ownedJob) batchSize() int {
+func (o *ownedJob) batchSize() int {
 	size := 0
-	for i, t := range w.finished {
+	for i, t := range o.finished {
 		size += len(t.text)
 		if i >= maxCommitRows || (i > 0 && size > maxCommitBytes) {
 			return i
 		}
 	}
-	return len(w.finished)
+	return len(o.finished)
 }
 
 // commit lists results, and returns the number of those to be tried again.
--- a/internal/jobs/foreignrows.go
+++ b/internal/jobs/foreignrows.go
@@ -17,7 +17,7 @@
 type foreignRows map[table.Key]uint64
 
 // record records and reports the rows that a conflict shows in the place of new ones.
-func (s foreignRows) record(err error, writes []table.Write, unreadable *table.Unreadable) {
+func (f foreignRows) record(err error, writes []table.Write, unreadable *table.Unreadable) {
 	var conflict *table.ConflictError
 	if !errors.As(err, &conflict) {
 		return
@@ -29,15 +29,15 @@
 		}
 		unreadable.Report(row.AsUnreadable(table.Content, errForeignRow))
 		if row.Decode(&storedResult{}) != nil {
-			s[row.Key] = row.Version
+			f[row.Key] = row.Version
 		}
 	}
 }
 
 // expectExisting makes writes of new rows overwrite the recorded ones.
-func (s foreignRows) expectExisting(writes []table.Write) {
+func (f foreignRows) expectExisting(writes []table.Write) {
 	for i := range writes {
-		if version, ok := s[writes[i].Key]; ok {
+		if version, ok := f[writes[i].Key]; ok {
 			writes[i].Expect = version
 		}
 	}
--- a/internal/jobs/launch.go
+++ b/internal/jobs/launch.go
@@ -40,8 +40,8 @@
 	if !r.readyToSend(send, now) {
 		return notReady, nil
 	}
-	t, demand := send.task, r.demand(send)
-	chosen, err := replica.Pick(r.Replicas.SnapshotFor(send.pool, demand, now), demand, r.Weights)
+	t, criteria := send.task, r.criteria(send)
+	chosen, err := replica.Pick(r.Replicas.SnapshotFor(send.pool, criteria, now), criteria, r.Weights)
 	if err != nil {
 		if len(t.excluded) == 0 {
 			return noReplica, err
@@ -49,7 +49,7 @@
 		t.excluded = map[string]bool{}
 		return allExcluded, nil
 	}
-	if !r.startRun(send, demand, chosen, "") {
+	if !r.startRun(send, criteria, chosen, "") {
 		return notReady, nil
 	}
 	return itemStarted, nil
@@ -69,8 +69,8 @@
 	return true
 }
 
-// demand returns what an item requires of a replica.
-func (r *Runner) demand(send pendingSend) *replica.Criteria {
+// criteria returns what an item requires of a replica.
+func (r *Runner) criteria(send pendingSend) *replica.Criteria {
 	return &replica.Criteria{
 		Zone: r.Zone, Region: r.Region, RequestInfo: replica.RequestInfo{Tokens: int(send.item().Tokens), Batch: true},
 		Adapter: send.target.Adapter, Reserve: send.target.Reserve, Exclude: send.task.excluded, Regions: send.regions,
@@ -79,14 +79,14 @@
 
 // startRun sends an item to a replica, into the slot reserved there if reservation names one. It
 // reports whether the item was sent.
-func (r *Runner) startRun(send pendingSend, demand *replica.Criteria, chosen *replica.Candidate, reservation string) bool {
+func (r *Runner) startRun(send pendingSend, criteria *replica.Criteria, chosen *replica.Candidate, reservation string) bool {
 	t, now := send.task, clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.stopped || t.state != taskWaiting || t.owned.ctx.Err() != nil {
 		return false
 	}
-	use := r.Replicas.BeginAt(chosen.Info, demand.RequestInfo, now)
+	use := r.Replicas.BeginAt(chosen.Info, criteria.RequestInfo, now)
 	if use == nil {
 		// The replica is cold and its rate was used up meanwhile, or it has restarted.
 		t.setWait(WaitReplica, nil)
@@ -98,7 +98,7 @@
 		t.firstSent = now
 	}
 	t.preempted = false
-	t.use, t.reservation, t.borrowed = use, reservation, demand.Borrowed
+	t.use, t.reservation, t.borrowed = use, reservation, criteria.Borrowed
 	t.starved = now.Sub(t.lastProgress) >= replica.StarvedAfter
 	ctx, cancel := context.WithCancelCause(t.owned.ctx)
 	t.replica, t.pool, t.cancel = chosen.ID, send.pool, cancel
--- a/internal/jobs/ownedjob.go
+++ b/internal/jobs/ownedjob.go
@@ -163,11 +163,11 @@
 }
 
 // setUnloaded records the items that have no task yet. The caller holds the runner's lock.
-func (w *ownedJob) setUnloaded(indexes []int, now time.Time) {
-	if len(w.unloaded) == 0 {
-		w.unloadedSince = now
+func (o *ownedJob) setUnloaded(indexes []int, now time.Time) {
+	if len(o.unloaded) == 0 {
+		o.unloadedSince = now
 	}
-	w.unloaded = indexes
+	o.unloaded = indexes
 }
 
 // expireUnloaded ends items that expired before they were loaded, which needs no content. The
@@ -183,15 +183,15 @@
 
 // syncTasks stops and removes the tasks of items that another node runs now, and
 // returns the items that have no task yet. The caller holds the runner's lock.
-func (w *ownedJob) syncTasks(own []int) (missing []int) {
-	assigned := make([]bool, len(w.job.Items))
+func (o *ownedJob) syncTasks(own []int) (missing []int) {
+	assigned := make([]bool, len(o.job.Items))
 	for _, item := range own {
 		assigned[item] = true
 	}
-	known := make([]bool, len(w.job.Items))
-	w.tasks = slices.DeleteFunc(w.tasks, func(t *task) bool {
+	hasTask := make([]bool, len(o.job.Items))
+	o.tasks = slices.DeleteFunc(o.tasks, func(t *task) bool {
 		if t.state == taskFinished || t.state == taskListed || assigned[t.index] {
-			known[t.index] = true
+			hasTask[t.index] = true
 			return false
 		}
 		if t.state == taskRunning {
@@ -200,7 +200,7 @@
 		return true
 	})
 	for _, item := range own {
-		if !known[item] {
+		if !hasTask[item] {
 			missing = append(missing, item)
 		}
 	}
--- a/internal/jobs/placement_test.go
+++ b/internal/jobs/placement_test.go
@@ -103,7 +103,7 @@
 		node.refuse.Store(true)
 	}
 	site.submit("n-1", "j", 8)
-	claimed := func() []string {
+	runningNodes := func() []string {
 		entry := site.nodes["s-1"].View.Get("j")
 		var runners []string
 		for i := range entry.Job.Items {
@@ -116,11 +116,11 @@
 	eventually(t, func() bool { return site.nodes["s-1"].View.Get("j") != nil })
 	site.stop("n-2")
 	site.claim("s-1", "s-2", "s-3", "n-1")
-	eventually(t, func() bool { return slices.Equal(claimed(), []string{"n-1"}) })
+	eventually(t, func() bool { return slices.Equal(runningNodes(), []string{"n-1"}) })
 	site.stop("n-1")
 	eventually(t, func() bool {
 		site.claim("s-1", "s-2", "s-3")
-		return !slices.Contains(claimed(), "n-1")
+		return !slices.Contains(runningNodes(), "n-1")
 	})
 	for _, node := range site.nodes {
 		node.refuse.Store(false)
--- a/internal/jobs/priority.go
+++ b/internal/jobs/priority.go
@@ -18,28 +18,28 @@
 }
 
 // recordEvents updates the number of events with a completed item.
-func (u *itemEstimate) recordEvents(events int) {
-	if u.events == 0 {
-		u.events = float64(events)
+func (e *itemEstimate) recordEvents(events int) {
+	if e.events == 0 {
+		e.events = float64(events)
 	}
-	u.events += estimateWeight * (float64(events) - u.events)
+	e.events += estimateWeight * (float64(events) - e.events)
 }
 
 // recordPace updates the time of an event with a run that brought so many events.
-func (u *itemEstimate) recordPace(events int, elapsed time.Duration) {
+func (e *itemEstimate) recordPace(events int, elapsed time.Duration) {
 	if events <= 0 {
 		return
 	}
 	each := elapsed / time.Duration(events)
-	if u.eventTime == 0 {
-		u.eventTime = each
+	if e.eventTime == 0 {
+		e.eventTime = each
 	}
-	u.eventTime += time.Duration(estimateWeight * float64(each-u.eventTime))
+	e.eventTime += time.Duration(estimateWeight * float64(each-e.eventTime))
 }
 
 // remaining estimates how long an item will still run after an event.
-func (u *itemEstimate) remaining(after int) time.Duration {
-	events, eventTime := u.events, u.eventTime
+func (e *itemEstimate) remaining(after int) time.Duration {
+	events, eventTime := e.events, e.eventTime
 	if events == 0 {
 		events = initialEventCount
 	}
@@ -60,15 +60,15 @@
 
 // before reports whether an item is sent before another: those that can be in time first, then by
 // rank.
-func (t priority) before(other priority) bool {
+func (p priority) before(other priority) bool {
 	switch {
-	case t.late != other.late:
+	case p.late != other.late:
 		return other.late
-	case t.rank != other.rank:
-		return t.rank < other.rank
-	case t.job != other.job:
-		return t.job < other.job
+	case p.rank != other.rank:
+		return p.rank < other.rank
+	case p.job != other.job:
+		return p.job < other.job
 	default:
-		return t.item < other.item
+		return p.item < other.item
 	}
 }
--- a/internal/jobs/refresh_test.go
+++ b/internal/jobs/refresh_test.go
@@ -22,17 +22,17 @@
 	reads atomic.Int64
 }
 
-func (a *countingTable) Get(ctx context.Context, key table.Key) (table.Row, error) {
-	a.reads.Add(1)
+func (c *countingTable) Get(ctx context.Context, key table.Key) (table.Row, error) {
+	c.reads.Add(1)
 	select {
 	case <-ctx.Done():
 		return table.Row{}, outcome.Undecided(ctx.Err())
-	case <-time.After(a.delay):
+	case <-time.After(c.delay):
 	}
-	if a.fail != nil {
-		return table.Row{}, a.fail
+	if c.fail != nil {
+		return table.Row{}, c.fail
 	}
-	return a.Service.Get(ctx, key)
+	return c.Service.Get(ctx, key)
 }
 
 // TestEnsureFresh_ChangeBetweenWaitAndAnswer lets the feed recover just when a reader's wait is
@@ -134,9 +134,9 @@
 	now := time.Now()
 	view := NewView()
 	for _, answer := range []struct {
-		given time.Time
-		more  bool
-		want  time.Time
+		asOf time.Time
+		more bool
+		want time.Time
 	}{
 		{now, true, time.Time{}},
 		{now, false, now},
@@ -144,7 +144,7 @@
 		{now.Add(time.Second), true, now},
 		{now.Add(time.Second), false, now.Add(time.Second)},
 	} {
-		view.Apply(table.Changes{AsOf: answer.given, More: answer.more}, false)
+		view.Apply(table.Changes{AsOf: answer.asOf, More: answer.more}, false)
 		if got := view.AsOf(); !got.Equal(answer.want) {
 			t.Errorf("as of %v after %+v", got, answer)
 		}
--- a/internal/jobs/regionsite_test.go
+++ b/internal/jobs/regionsite_test.go
@@ -120,8 +120,8 @@
 	return n.Routes()
 }
 
-// settled waits until no attempt is running that was dispatched by earlier routes.
-func (n *regionNode) settled(t *testing.T) {
+// awaitSettled waits until no attempt is running that was dispatched by earlier routes.
+func (n *regionNode) awaitSettled(t *testing.T) {
 	for range 2 {
 		seen := n.dispatches.Load()
 		eventually(t, func() bool {
@@ -263,7 +263,7 @@
 	node := s.nodes[name]
 	node.contentMu.Lock()
 	defer node.contentMu.Unlock()
-	if reads, kept := node.rows.reads.Load(), len(node.contents); reads != 0 || kept != 0 {
-		s.t.Errorf("node %s read bodies %d times and caches those of %d jobs", name, reads, kept)
+	if reads, cached := node.rows.reads.Load(), len(node.contents); reads != 0 || cached != 0 {
+		s.t.Errorf("node %s read bodies %d times and caches those of %d jobs", name, reads, cached)
 	}
 }
--- a/internal/jobs/regionsprop_test.go
+++ b/internal/jobs/regionsprop_test.go
@@ -60,7 +60,7 @@
 			watch.set(before, regions)
 			site.setRegions(regions, nil)
 			for _, name := range names {
-				site.nodes[name].settled(t)
+				site.nodes[name].awaitSettled(t)
 			}
 			watch.set(regions)
 		}
--- a/internal/jobs/release.go
+++ b/internal/jobs/release.go
@@ -20,15 +20,15 @@
 	r.stopped = true
 	r.mu.Unlock()
 	r.recordWaitAll(WaitRelease)
-	owned := r.ownedJobs()
-	done := make(chan struct{}, len(owned))
-	for _, w := range owned {
+	all := r.ownedJobs()
+	done := make(chan struct{}, len(all))
+	for _, owned := range all {
 		go func() {
-			r.releaseJob(ctx, w)
+			r.releaseJob(ctx, owned)
 			done <- struct{}{}
 		}()
 	}
-	for range owned {
+	for range all {
 		<-done
 	}
 }
--- a/internal/jobs/runner.go
+++ b/internal/jobs/runner.go
@@ -166,8 +166,8 @@
 func (r *Runner) tryDispatch(t *task, target *route.Route, regions place.Regions, pass *dispatchPass, now time.Time) {
 	key := lane{pool: target.Pool(), regions: strings.Join(regions, ","), adapter: target.Adapter, reserve: target.Reserve}
 	if _, ok := pass.freeSlots[key.pool]; !ok {
-		decided := r.Replicas.ItemCapacity(key.pool, now)
-		pass.freeSlots[key.pool], pass.slotCause[key.pool] = decided.Free(), decided
+		capacity := r.Replicas.ItemCapacity(key.pool, now)
+		pass.freeSlots[key.pool], pass.slotCause[key.pool] = capacity.Free(), capacity
 	}
 	send := pendingSend{task: t, target: target, lane: key, regions: regions}
 	if pass.freeSlots[key.pool] <= 0 {
--- a/internal/jobs/slotsite_test.go
+++ b/internal/jobs/slotsite_test.go
@@ -126,37 +126,37 @@
 	var loops sync.WaitGroup
 	loops.Go(func() { n.runner.Run(ctx) })
 	loops.Go(func() { n.runner.RunClaims(ctx) })
-	loops.Go(func() { n.publishNeeds(ctx) })
+	loops.Go(func() { n.publishDemand(ctx) })
 	n.site.t.Cleanup(func() {
 		cancel()
 		loops.Wait()
 	})
 }
 
-// publishNeeds acts on a node's needs and sends them to other nodes, as a gateway does.
-func (n *slotNode) publishNeeds(ctx context.Context) {
+// publishDemand acts on a node's needs and sends them to other nodes, as a gateway does.
+func (n *slotNode) publishDemand(ctx context.Context) {
 	for retry.Sleep(ctx, 100*time.Millisecond) {
-		for _, need := range n.set.UpdateDemand(clock.Now()) {
-			why := replica.Pressure{Fleet: need.FleetUsage}
-			if need.Excess > 0 {
-				n.runner.PreemptPool(need.Pool, need.Excess, why)
+		for _, demand := range n.set.UpdateDemand(clock.Now()) {
+			pressure := replica.Pressure{Fleet: demand.FleetUsage}
+			if demand.Excess > 0 {
+				n.runner.PreemptPool(demand.Pool, demand.Excess, pressure)
 			}
-			if need.BorrowedExcess > 0 {
-				n.runner.PreemptBorrowed(need.Pool, need.BorrowedExcess, why)
+			if demand.BorrowedExcess > 0 {
+				n.runner.PreemptBorrowed(demand.Pool, demand.BorrowedExcess, pressure)
 			}
 			for _, other := range n.site.randomPeers(n, 3) {
 				if delay := n.site.messageDelay(); delay >= 0 {
-					n.site.afterDelay(ctx, delay, func() { other.receiveNeed(need) })
+					n.site.afterDelay(ctx, delay, func() { other.receiveDemand(demand) })
 				}
 			}
 		}
 	}
 }
 
-// receiveNeed handles a message of another node.
-func (n *slotNode) receiveNeed(need replica.PoolDemand) {
-	n.set.RecordDemand(need.Pool, need.Level, need.Share, clock.Now())
-	n.set.RecordIdle(need.Pool, float64(need.Idle), clock.Now())
+// receiveDemand handles a message of another node.
+func (n *slotNode) receiveDemand(demand replica.PoolDemand) {
+	n.set.RecordDemand(demand.Pool, demand.Level, demand.Share, clock.Now())
+	n.set.RecordIdle(demand.Pool, float64(demand.Idle), clock.Now())
 }
 
 // afterDelay runs f later. It sleeps in a goroutine, because timers that run functions crash the
--- a/internal/jobs/slotwaits_test.go
+++ b/internal/jobs/slotwaits_test.go
@@ -64,21 +64,21 @@
 }
 
 func runScenario(t *testing.T, seed uint64, sc scenario, rng *rand.Rand) {
-	nodes, listed := []string{}, map[string]int{}
+	nodes, servers := []string{}, map[string]int{}
 	for i := range sc.nodes {
 		nodes = append(nodes, fmt.Sprintf("%c-%02d", "ns"[i%sc.regions], i))
 	}
 	for i := range sc.servers {
-		listed[fmt.Sprintf("%c-s%d", "ns"[i%sc.regions], i)] = sc.slots
+		servers[fmt.Sprintf("%c-s%d", "ns"[i%sc.regions], i)] = sc.slots
 	}
-	site := newSlotSite(t, seed, nodes, listed)
+	site := newSlotSite(t, seed, nodes, servers)
 	site.messageLoss, site.maxMessageDelay = sc.messageLoss, sc.maxMessageDelay
 	site.run()
 	site.holdOnline(int(sc.online * float64(sc.servers*sc.slots)))
 	time.Sleep(time.Second)
 	for i := range sc.kills {
-		if alive := 1 + i; alive < sc.nodes-1 {
-			site.afterDelay(site.ctx, time.Duration(rng.IntN(15_000))*time.Millisecond, func() { site.kill(site.nodes[alive]) })
+		if victim := 1 + i; victim < sc.nodes-1 {
+			site.afterDelay(site.ctx, time.Duration(rng.IntN(15_000))*time.Millisecond, func() { site.kill(site.nodes[victim]) })
 		}
 	}
 	for range sc.losses {
@@ -105,16 +105,16 @@
 
 // holdOnline keeps so many slots in use by online requests of 300 ms.
 func (s *slotSite) holdOnline(slots int) {
-	var listed []*slotServer
+	var servers []*slotServer
 	for _, server := range s.servers {
 		for range server.slots {
-			listed = append(listed, server)
+			servers = append(servers, server)
 		}
 	}
 	for i := range slots {
 		s.runLoad(func(ctx context.Context) {
 			for at := i; retry.Sleep(ctx, time.Millisecond); at++ {
-				s.nodes[at%len(s.nodes)].runOnline(listed[i], 300*time.Millisecond)
+				s.nodes[at%len(s.nodes)].runOnline(servers[i], 300*time.Millisecond)
 			}
 		})
 	}
--- a/internal/jobs/spread.go
+++ b/internal/jobs/spread.go
@@ -16,13 +16,13 @@
 	if s.Fleet == nil || slices.ContainsFunc(submission.Items, func(item Item) bool { return item.AtMostOnce }) {
 		return
 	}
-	placing := s.newPlacement(job, s.allowedRegions(job), self)
-	if placing == nil {
+	p := s.newPlacement(job, s.allowedRegions(job), self)
+	if p == nil {
 		return
 	}
 	index := map[string]int{}
 	for i := range job.Items {
-		node, region := placing.next()
+		node, region := p.next()
 		if _, ok := index[node]; !ok {
 			index[node] = len(job.Nodes)
 			job.Nodes = append(job.Nodes, node)
--- a/internal/jobs/stall.go
+++ b/internal/jobs/stall.go
@@ -134,14 +134,14 @@
 }
 
 // record records the gap before an event.
-func (p *eventGaps) record(now time.Time) {
-	gap := now.Sub(p.last)
-	p.last = now
-	if !p.started {
-		p.started, p.first = true, gap
+func (g *eventGaps) record(now time.Time) {
+	gap := now.Sub(g.last)
+	g.last = now
+	if !g.started {
+		g.started, g.first = true, gap
 		return
 	}
-	p.next = max(p.next, gap)
+	g.next = max(g.next, gap)
 }
 
 // recordGaps updates the estimates with the gaps of an answer, complete or not.
@@ -171,14 +171,14 @@
 )
 
 // add adds one observation.
-func (p *gapEstimate) add(seen time.Duration) {
-	if p.mean == 0 {
-		p.mean, p.deviation = seen, seen/2
+func (e *gapEstimate) add(seen time.Duration) {
+	if e.mean == 0 {
+		e.mean, e.deviation = seen, seen/2
 		return
 	}
-	p.deviation += time.Duration(deviationWeight * float64((seen-p.mean).Abs()-p.deviation))
-	p.mean += time.Duration(meanWeight * float64(seen-p.mean))
+	e.deviation += time.Duration(deviationWeight * float64((seen-e.mean).Abs()-e.deviation))
+	e.mean += time.Duration(meanWeight * float64(seen-e.mean))
 }
 
 // upperBound returns the longest time to be expected; 0 without observations.
-func (p *gapEstimate) upperBound() time.Duration { return p.mean + deviationFactor*p.deviation }
+func (e *gapEstimate) upperBound() time.Duration { return e.mean + deviationFactor*e.deviation }
--- a/internal/jobs/sweep.go
+++ b/internal/jobs/sweep.go
@@ -64,8 +64,8 @@
 func (r *Runner) expiredJobs(retention time.Duration) []*Entry {
 	var expired []*Entry
 	for _, entry := range r.Service.View.All() {
-		lost := r.Service.View.ProgressUnreadable(entry.Job.ID)
-		if !lost && !entry.isOpen() && r.Service.View.timeUntil(entry.Job.Created+retention+sweepMargin) < 0 {
+		unreadable := r.Service.View.ProgressUnreadable(entry.Job.ID)
+		if !unreadable && !entry.isOpen() && r.Service.View.timeUntil(entry.Job.Created+retention+sweepMargin) < 0 {
 			expired = append(expired, entry)
 		}
 	}
--- a/internal/jobs/takeover.go
+++ b/internal/jobs/takeover.go
@@ -31,21 +31,21 @@
 	}
 	r.Replicas.Divide(lease.Node(session), r.Owners.Places())
 	live := r.Owners.Live()
-	var orphans orphans
+	var found orphans
 	for _, entry := range r.Service.View.Open() {
-		r.claimEntry(ctx, entry, live, session, &orphans)
+		r.claimEntry(ctx, entry, live, session, &found)
 	}
-	r.setOrphans(orphans)
+	r.setOrphans(found)
 }
 
 // claimEntry takes over those items of a job that this node should run. Only nodes in the job's
 // allowed regions take over, those in the region where the items were first assigned before others.
-func (r *Runner) claimEntry(ctx context.Context, entry *Entry, live []string, session string, orphans *orphans) {
+func (r *Runner) claimEntry(ctx context.Context, entry *Entry, live []string, session string, found *orphans) {
 	regions := r.Service.allowedRegions(entry.Job)
 	candidates := r.Service.inRegions(live, regions)
 	if regions != nil && len(candidates) == 0 {
 		if lease.Preferred(live, entry.Job.ID) == session {
-			orphans.add(entry, entry.unlisted(), WaitRegion)
+			found.add(entry, entry.unlisted(), WaitRegion)
 			r.awaitRegion(ctx, entry, regions)
 		}
 		return
@@ -53,14 +53,14 @@
 	delete(r.awaitingRegion, entry.Job.ID)
 	if len(entry.Job.Nodes) == 0 {
 		if entry.Progress.Owner != session && r.mayClaim(entry, regions, candidates, session) {
-			orphans.add(entry, entry.unlisted(), WaitOwner)
+			found.add(entry, entry.unlisted(), WaitOwner)
 			r.claim(ctx, entry, session)
 		}
 		return
 	}
 	for _, lost := range r.lostItems(entry, regions, session) {
 		if lease.Preferred(r.preferRegion(candidates, lost.region), entry.Job.ID+lost.node) == session {
-			orphans.add(entry, entry.itemsOf(lost.node), WaitOwner)
+			found.add(entry, entry.itemsOf(lost.node), WaitOwner)
 			r.claimItems(ctx, entry, lost, session)
 		}
 	}
@@ -135,8 +135,8 @@
 	if owner != "" && lease.SameNode(owner, session) {
 		return r.Service.mayStore(entry.Job, session)
 	}
-	free := owner == "" || r.Owners.Expired(owner) || r.outsideRegions(lease.Node(owner), regions)
-	return free && lease.Preferred(candidates, entry.Job.ID) == session
+	orphaned := owner == "" || r.Owners.Expired(owner) || r.outsideRegions(lease.Node(owner), regions)
+	return orphaned && lease.Preferred(candidates, entry.Job.ID) == session
 }
 
 // claim makes this node the owner of a job, unless another node has become the owner.
--- a/internal/jobs/unreadable_test.go
+++ b/internal/jobs/unreadable_test.go
@@ -168,11 +168,11 @@
 	shared := tabletest.New()
 	node, _ := startReportingNode(t, shared, "a#1")
 	submit := func(id string) error {
-		asked := submission(id, 1)
-		asked.Quota = 500
+		submitted := submission(id, 1)
+		submitted.Quota = 500
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
-		return node.Submit(ctx, asked)
+		return node.Submit(ctx, submitted)
 	}
 	for _, id := range []string{"a", "b"} {
 		if err := submit(id); err != nil {
@@ -201,9 +201,9 @@
 func TestRunner_ItemsWithDamagedContentExpire(t *testing.T) {
 	shared := tabletest.New()
 	node, reports := startReportingNode(t, shared, "a#1")
-	asked := submission("j", 2)
-	asked.Retention = time.Second
-	if err := node.Submit(t.Context(), asked); err != nil {
+	submitted := submission("j", 2)
+	submitted.Retention = time.Second
+	if err := node.Submit(t.Context(), submitted); err != nil {
 		t.Fatal(err)
 	}
 	node.dropContent("j")
--- a/internal/jobs/view.go
+++ b/internal/jobs/view.go
@@ -145,13 +145,13 @@
 	if !strings.HasPrefix(row.Sort, prefixCounter) {
 		return
 	}
-	var reached counter
-	if !v.decode(row, &reached, func() error { return reached.check() }) {
+	var arrived counter
+	if !v.decode(row, &arrived, func() error { return arrived.check() }) {
 		return
 	}
 	known := v.counters[row.Key]
 	// A counter that was overwritten after it could not be read may be lower than before.
-	known.settled = reached.Accepted
+	known.settled = arrived.Accepted
 	v.counters[row.Key] = known
 }
 
@@ -302,9 +302,9 @@
 func (v *View) awaitLoaded(ctx context.Context) error {
 	for {
 		v.mu.Lock()
-		reached, changed := !v.readAt.IsZero(), v.changed
+		loaded, changed := !v.readAt.IsZero(), v.changed
 		v.mu.Unlock()
-		if reached {
+		if loaded {
 			return nil
 		}
 		select {
--- a/internal/jobs/writelatency.go
+++ b/internal/jobs/writelatency.go
@@ -16,7 +16,7 @@
 	minWriteTimeout    = 100 * time.Millisecond
 	// initialWriteLatency is assumed until a write has been answered.
 	initialWriteLatency = 25 * time.Millisecond
-	latencyGain         = 0.3
+	latencyWeight       = 0.3
 )
 
 // writeLatency estimates how long writes to the store take. It is safe for concurrent use.
@@ -27,10 +27,10 @@
 
 // timeout returns how long to wait for the answer to an attempt, numbered from 0. It doubles with
 // each attempt, because the store may have become slow.
-func (p *writeLatency) timeout(attempt int) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	mean := p.mean
+func (l *writeLatency) timeout(attempt int) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	mean := l.mean
 	if mean == 0 {
 		mean = initialWriteLatency
 	}
@@ -39,23 +39,23 @@
 }
 
 // observe updates the mean with the time a write took, or the time after which it was given up.
-func (p *writeLatency) observe(elapsed time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.mean == 0 {
-		p.mean = elapsed
+func (l *writeLatency) observe(elapsed time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.mean == 0 {
+		l.mean = elapsed
 	}
-	p.mean += time.Duration(latencyGain * float64(elapsed-p.mean))
+	l.mean += time.Duration(latencyWeight * float64(elapsed-l.mean))
 }
 
 // call makes one attempt at a write within its timeout.
-func (p *writeLatency) call(ctx context.Context, attempt int, write func(context.Context) error) error {
-	callCtx, cancel := context.WithTimeout(ctx, p.timeout(attempt))
+func (l *writeLatency) call(ctx context.Context, attempt int, write func(context.Context) error) error {
+	callCtx, cancel := context.WithTimeout(ctx, l.timeout(attempt))
 	defer cancel()
 	start := clock.Now()
 	err := write(callCtx)
 	if ctx.Err() == nil {
-		p.observe(clock.Since(start))
+		l.observe(clock.Since(start))
 	}
 	return err
 }
--- a/internal/node/joblog.go
+++ b/internal/node/joblog.go
@@ -82,7 +82,7 @@
 	case pressure.Queued > 0:
 		label = "queue"
 	}
-	l.metrics.yields.WithLabelValues(label).Inc()
+	l.metrics.preemptions.WithLabelValues(label).Inc()
 	l.sampled.Info().Str("job", job.ID).Str("item", item).Str("replica", id).Int("after", after).
 		Int("queued", pressure.Queued).Dur("wait_ms", pressure.Wait).Dur("patience_ms", pressure.Patience).Dur("load_age_ms", pressure.Age).
 		Float64("fleet", pressure.Fleet).Msg("item yields its slot")
@@ -108,9 +108,9 @@
 }
 
 // AwaitingRegion implements jobs.Events.
-func (l *jobLog) AwaitingRegion(job *jobs.Job, homes place.Regions) {
+func (l *jobLog) AwaitingRegion(job *jobs.Job, regions place.Regions) {
 	l.metrics.jobs.WithLabelValues("homeless").Inc()
-	l.log.Warn().Str("job", job.ID).Str("route", job.Route).Str("tenant", job.Tenant).Strs("homes", homes).
+	l.log.Warn().Str("job", job.ID).Str("route", job.Route).Str("tenant", job.Tenant).Strs("homes", regions).
 		Msg("items wait, no node of an allowed region lives")
 }
 
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -36,7 +36,7 @@
 	droppedLogs prometheus.Counter
 	jobs        *prometheus.CounterVec
 	items       *prometheus.CounterVec
-	yields      *prometheus.CounterVec
+	preemptions *prometheus.CounterVec
 	// reservations counts the slots requested from replicas, by the response.
 	reservations *prometheus.CounterVec
 	// sharedEjections counts replicas ejected on the evidence of several nodes.
@@ -95,7 +95,7 @@
 	m.items = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wheelhoist_job_items_total", Help: "Batch items by what happened to them at this node.",
 	}, []string{"event"})
-	m.yields = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.preemptions = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wheelhoist_items_gave_way_total", Help: "Items that made room for online requests, by what asked for it.",
 	}, []string{"cause"})
 	m.reservations = prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -129,7 +129,7 @@
 	m.unreadable = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "wheelhoist_rows_unreadable_total", Help: "Versions of rows and objects that this node cannot read, by table and reason.",
 	}, []string{"table", "reason"})
-	m.registry.MustRegister(m.unreadable, m.restarts, m.quarantined, m.cleared, m.released, m.served, m.sharedEjections, m.noReplica, m.yields, m.reservations, m.predictionError, m.jobs, m.items, m.requests, m.rejected, m.attempts, m.firstEvent, m.eventGap, m.connections,
+	m.registry.MustRegister(m.unreadable, m.restarts, m.quarantined, m.cleared, m.released, m.served, m.sharedEjections, m.noReplica, m.preemptions, m.reservations, m.predictionError, m.jobs, m.items, m.requests, m.rejected, m.attempts, m.firstEvent, m.eventGap, m.connections,
 		m.storeCalls, m.storeTime, m.droppedLogs)
 	return m
 }
