--- a/internal/jobs/accept_test.go
+++ b/internal/jobs/accept_test.go
@@ -133,7 +133,7 @@
 	})
 }
 
-// submitConcurrently submits jobs at two nodes and returns those that were refused for good.
+// submitConcurrently submits jobs at two nodes and returns those that were definitely refused.
 func submitConcurrently(t *testing.T, shared *tabletest.Table, quota int64, count int) map[string]bool {
 	refused := map[string]bool{}
 	var mu sync.Mutex
--- a/internal/jobs/atmostonce.go
+++ b/internal/jobs/atmostonce.go
@@ -9,8 +9,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/table"
 )
 
-// atMostOncePollInterval is the time between two checks of at-most-once items, which only the
-// stopping node can finish.
+// atMostOncePollInterval is the time between two checks, during a release, of whether at-most-once
+// items are still in flight. No other node could finish them.
 const atMostOncePollInterval = 50 * time.Millisecond
 
 // Items that may run only once are marked as started in the progress row before they are sent. A
--- a/internal/jobs/atmostonce_test.go
+++ b/internal/jobs/atmostonce_test.go
@@ -140,7 +140,7 @@
 }
 
 // TestWriteStartMarks_OnlyTheOwnerMarks guards against an item that is sent twice: a previous owner
-// must not take the mark of the next owner for its own (lab batch-kill-after-ack, seed 52).
+// must not mistake the mark of the next owner for its own (lab batch-kill-after-ack, seed 52).
 func TestWriteStartMarks_OnlyTheOwnerMarks(t *testing.T) {
 	shared := tabletest.New()
 	first, next := startNode(t, shared, &objecttest.Store{}, "a#1"), startNode(t, shared, &objecttest.Store{}, "b#1")
--- a/internal/jobs/attempt.go
+++ b/internal/jobs/attempt.go
@@ -23,18 +23,17 @@
 	interruptedBackoff = 20 * time.Millisecond
 	// failedBackoff is the pause after a replica reported a failed run.
 	failedBackoff = 150 * time.Millisecond
-	// maxInvalidAnswers is the number of answers that reject an item for good after which it is
-	// dead.
+	// maxInvalidAnswers is the number of permanent rejections after which an item is dead.
 	maxInvalidAnswers = 1
 )
 
 // errItemFailed reports a run that the replica itself reported as failed.
 var errItemFailed = errors.New("replica reported a failed run")
 
-// errItemInvalid reports an item that the replica rejects for good.
-var errItemInvalid = errors.New("replica says that the item can never be done")
+// errItemInvalid reports an item that the replica rejects permanently.
+var errItemInvalid = errors.New("replica rejected the item permanently")
 
-// runAttempt makes one attempt at an item.
+// runAttempt sends an item to a replica, collects its answer and handles the result.
 func (r *Runner) runAttempt(ctx context.Context, t *task, item *Item, target *route.Route, chosen replica.Info, use *replica.Use) {
 	defer t.cancel(nil)
 	r.Service.Events.ItemSent(t.owned.job, item.ID, chosen.ID, t.lastEvent)
@@ -104,7 +103,7 @@
 	}
 }
 
-// deadReason returns why an item has failed for good; empty if it has not. The caller holds the
+// deadReason returns why an item is dead; empty if it may be sent again. The caller holds the
 // runner's lock.
 func (t *task) deadReason(maxAttempts int) Reason {
 	switch {
@@ -163,7 +162,8 @@
 	return r.collect(t, answer, use, sent)
 }
 
-// collect reads the events of the answer to an attempt that was sent at a time.
+// collect reads the events of an answer and appends them to the item's text. sent is when the
+// attempt was sent.
 func (r *Runner) collect(t *task, answer *forward.Answer, use *replica.Use, sent time.Time) error {
 	reader := sse.NewReader(answer.Body)
 	gaps := eventGaps{last: sent}
--- a/internal/jobs/borrow.go
+++ b/internal/jobs/borrow.go
@@ -23,7 +23,7 @@
 	// borrowBackoff is the pause before replicas of a lane are asked again after all of them
 	// refused. It doubles with each refusal in a row, up to borrowBackoffMax, with a jitter of half
 	// to either side so that nodes refused together spread out. If all replicas are full, a node
-	// asks 3 times a second and lane, or 5 times if there are several regions.
+	// asks 3 times a second for each lane, or 5 times if there are several regions.
 	borrowBackoff    = 200 * time.Millisecond
 	borrowBackoffMax = time.Second
 	// borrowInterval is the pause after a slot was borrowed. It limits how much a node takes based
@@ -31,8 +31,8 @@
 	borrowInterval = 50 * time.Millisecond
 	// reserveTimeout bounds one reservation: a round trip and a new connection.
 	reserveTimeout = 250 * time.Millisecond
-	// reservationTTL is how long a slot stays reserved. The item follows at once, but a node with a
-	// small share of a core may be delayed by a few 100 ms.
+	// reservationTTL is how long a slot stays reserved. The item follows at once, but a node that
+	// is short of CPU time may be delayed by a few hundred milliseconds.
 	reservationTTL = 400 * time.Millisecond
 )
 
--- a/internal/jobs/checkpoint.go
+++ b/internal/jobs/checkpoint.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// checkpointInterval is the time between two checkpoints of a job's unfinished texts, and so
-	// the most that a crash costs of each item.
+	// checkpointInterval is the time between two checkpoints of a job's unfinished texts. A crash
+	// costs each item about this much progress at most.
 	checkpointInterval = 2 * time.Second
 	// minCheckpointEvents is the least progress of an item that is worth a write.
 	minCheckpointEvents = 20
@@ -65,8 +65,8 @@
 	return true
 }
 
-// updateVersions takes the versions of the rows from a conflict, because an unanswered write may
-// have been applied. The caller holds the runner's lock.
+// updateVersions sets the tasks' checkpoint versions to those that a conflict shows, because an
+// earlier unanswered write may have been applied. The caller holds the runner's lock.
 func updateVersions(err error, writes []table.Write, saved []*task) {
 	var conflict *table.ConflictError
 	if !errors.As(err, &conflict) {
@@ -78,7 +78,8 @@
 	}
 }
 
-// checkpointWrites returns the writes, their tasks, and the last event that each of them contains.
+// checkpointWrites returns the writes of a checkpoint, and for each of them its task and the id of
+// the last event that it contains.
 func (r *Runner) checkpointWrites(owned *ownedJob, minEvents int) ([]table.Write, []*task, []int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/jobs/commit.go
+++ b/internal/jobs/commit.go
@@ -25,15 +25,15 @@
 	textPutTimeout = 2 * objectTimeout
 )
 
-// finish records an item's outcome and has it listed. The reason is empty if the item has its
-// answer.
+// finish records an item's outcome and schedules it to be listed. The reason is empty if the item
+// has its answer.
 func (r *Runner) finish(t *task, reason Reason) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.finishLocked(t, reason)
 }
 
-// finishLocked is finish for a caller that holds mu.
+// finishLocked is like finish. The caller holds mu.
 func (r *Runner) finishLocked(t *task, reason Reason) {
 	if t.state == taskFinished || t.state == taskListed {
 		return
@@ -140,7 +140,7 @@
 	return len(o.finished)
 }
 
-// commit lists results, and returns the number of those to be tried again.
+// commit lists the results of a batch, and returns the number of those to be tried again.
 func (r *Runner) commit(owned *ownedJob, batch []*task) (remaining int) {
 	// Results may be listed by a node that no longer owns the job.
 	failed, err := r.Service.listWritable(context.WithoutCancel(owned.ctx), owned.job, batch)
@@ -180,7 +180,7 @@
 }
 
 // listWritable lists items with their results in one transaction, except those whose text cannot be
-// written. It returns the items that are not listed, and an error that tells why.
+// written. It returns the items that are not listed, and why.
 func (s *Service) listWritable(ctx context.Context, job *Job, batch []*task) (failed []*task, err error) {
 	rows := make(map[*task][]byte, len(batch))
 	for _, t := range batch {
--- a/internal/jobs/content.go
+++ b/internal/jobs/content.go
@@ -123,7 +123,7 @@
 	return joinChunks(job, rows)
 }
 
-// joinChunks joins the rows of a content into one row with the key and version of the last.
+// joinChunks joins the rows of a content into one row, which has the key and version of the last.
 func joinChunks(job *Job, rows []table.Row) (*table.Row, error) {
 	content := &table.Row{Key: chunkKey(job.ID, 0)}
 	for number := range job.Chunks {
--- a/internal/jobs/freshness.go
+++ b/internal/jobs/freshness.go
@@ -21,7 +21,7 @@
 	// readers of idle jobs would read the table more often.
 	trustedShare = 0.75
 	// refreshTimeout bounds one attempt to read a job from the table, refreshTotalTimeout all of
-	// them: a caller who has waited a second for a result should be answered within another 1.5 s.
+	// them. They are short because the caller may have waited for a result before.
 	refreshTimeout      = 600 * time.Millisecond
 	refreshTotalTimeout = 1200 * time.Millisecond
 	// stalledFeedAge is the age of a view from which its feed has certainly stalled, since a
@@ -42,8 +42,8 @@
 // ensureFresh returns a job of which it is certain whether it has a result at a position. A view
 // that lacks the result is trusted while it is recent; after that the job is read from the table,
 // and if the table does not answer, the error is ErrUnavailable. This prevents a node whose feed
-// has stalled from denying results that were read elsewhere. It costs one call a read at most, and
-// none while the feed brings changes.
+// has stalled from denying results that were read elsewhere. It costs at most one call to the table
+// for each read, and none while the feed works.
 func (s *Service) ensureFresh(ctx context.Context, entry *Entry, position int) (*Entry, error) {
 	// The age is taken before the entry: changes in between make the entry newer than its age says,
 	// never older.
@@ -60,15 +60,15 @@
 	return s.latest(entry), nil
 }
 
-// freshenBeforeWait returns a job for a reader that begins to wait for its results. If the feed
-// that would bring them has stalled, the job is refreshed.
+// freshenBeforeWait returns the state of a job for a reader that is about to wait for its results.
+// If the feed that would bring them has stalled, the job is refreshed first.
 func (s *Service) freshenBeforeWait(ctx context.Context, entry *Entry, position int) *Entry {
 	if clock.Since(s.View.AsOf()) < stalledFeedAge {
 		return entry
 	}
 	known, err := s.ensureFresh(ctx, entry, position)
 	if err != nil {
-		// Events has the error, and the table may answer while the reader waits.
+		// The error was reported to Events, and the table may answer while the reader waits.
 		return entry
 	}
 	return known
@@ -82,7 +82,7 @@
 	return entry
 }
 
-// mayBeStale reports whether a job may have a result at a position that was not known at a time.
+// mayBeStale reports whether a job may have a result at a position that a view as of asOf lacks.
 // Listed results stay, and a job that is done or ended gets no more.
 func (s *Service) mayBeStale(entry *Entry, position int, asOf time.Time) bool {
 	if position < len(entry.Progress.Listed) || !entry.isOpen() {
@@ -100,8 +100,9 @@
 	return time.Duration(float64(staleness) * trustedShare)
 }
 
-// refreshSince updates the view of a job to what the table held at a time or later. Callers share a
-// read in progress; one that began before that time may return less, and is followed by another.
+// refreshSince updates the view of a job to the state that the table had at since or later. Callers
+// share a read in progress; one that began before since may lack changes, and is followed by
+// another.
 func (s *Service) refreshSince(ctx context.Context, id string, since time.Time) error {
 	for {
 		call := s.refreshes.DoChan(id, func() (any, error) {
@@ -119,8 +120,9 @@
 	}
 }
 
-// refreshProgress reads the progress of a job into the view for all waiting callers, so it
-// continues when the first of them has left. A table that throttles calls is not read again.
+// refreshProgress reads the progress of a job into the view. It serves all waiting callers, so it
+// continues after the context of the first of them has ended. A table that throttles calls is not
+// read again.
 func (s *Service) refreshProgress(ctx context.Context, id string) error {
 	if !s.allowRefresh() {
 		return Error.Wrap(errors.Join(ErrUnavailable, errRefreshLimit))
--- a/internal/jobs/freshness_test.go
+++ b/internal/jobs/freshness_test.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestRead_EarlierRefreshIsNotReused guards readers that share a refresh: one that came after the
-// table was read, and may miss results, reads the table again.
+// TestRead_EarlierRefreshIsNotReused guards that a reader does not share a refresh that read the
+// table before the reader came and may lack results: it reads the table again.
 func TestRead_EarlierRefreshIsNotReused(t *testing.T) {
 	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, lister *Service, reader *readerNode) {
 		reader.Table = &delayedTable{Service: shared, delay: refreshTimeout - time.Millisecond}
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -3,9 +3,9 @@
 // A job is two rows of a table group that every node follows: a job row, written once when the job
 // is accepted, and a progress row, changed by every commit of results, takeover and end. A result
 // is listed, that is given its position, by the same write that stores it, on condition that the
-// progress row still has the version known to the writer. So an item has one position for good,
-// whichever node ran it and however often. Acceptances under a quota are serialized by counter
-// rows, one for each account and shard, which arrive in the same feed as the jobs.
+// progress row still has the version known to the writer. So an item has one position that never
+// changes, whichever node ran it and however often. Acceptances under a quota are serialized by
+// counter rows, one for each account and shard, which arrive in the same feed as the jobs.
 package jobs
 
 import (
@@ -36,8 +36,8 @@
 	// ErrUndecided reports that a job may have been accepted. Submitting it again with the same id
 	// is safe.
 	ErrUndecided = errors.New("job acceptance undecided, send it again")
-	// ErrSuperseded reports that a guard of the submission does not hold; the job
-	// did not run and never will.
+	// ErrSuperseded reports that a guard of the submission does not hold; the job did not run and
+	// never will.
 	ErrSuperseded = errors.New("job superseded")
 	// ErrIDTaken reports that another tenant has a job with the same id.
 	ErrIDTaken = errors.New("another tenant has a job with this id")
@@ -209,7 +209,7 @@
 const (
 	// Expired items did not complete before they expired.
 	Expired Reason = "expired"
-	// Invalid items were rejected for good by a replica.
+	// Invalid items were rejected permanently by a replica.
 	Invalid Reason = "invalid"
 	// Failed items failed in each run that they were allowed.
 	Failed Reason = "failed"
--- a/internal/jobs/launch.go
+++ b/internal/jobs/launch.go
@@ -26,12 +26,12 @@
 
 const (
 	itemStarted sendResult = iota
-	// notReady items must wait for something of their own.
+	// notReady means that something about the item itself prevents it from being sent.
 	notReady
 	// noReplica means that no replica accepts the item.
 	noReplica
 	// allExcluded means that all replicas where this node has slots refused or failed the item.
-	// Other nodes may occupy these slots for good.
+	// Other nodes may occupy these slots indefinitely.
 	allExcluded
 )
 
@@ -69,7 +69,7 @@
 	return true
 }
 
-// criteria returns what an item requires of a replica.
+// criteria returns the criteria for choosing a replica for an item.
 func (r *Runner) criteria(send pendingSend) *replica.Criteria {
 	return &replica.Criteria{
 		Zone: r.Zone, Region: r.Region, RequestInfo: replica.RequestInfo{Tokens: int(send.item().Tokens), Batch: true},
--- a/internal/jobs/ownedjob.go
+++ b/internal/jobs/ownedjob.go
@@ -27,7 +27,8 @@
 	loading bool
 	loadErr error
 	loadAt  time.Time
-	// unloaded are the items of this node that have no task yet, unloadedSince is since when.
+	// unloaded are the items of this node that have no task yet, unloadedSince is when the first of
+	// them was assigned.
 	unloaded      []int
 	unloadedSince time.Time
 	// version is the version of the progress that the tasks are based on; complete is set once each
@@ -36,7 +37,7 @@
 	complete bool
 	// marking is set while items are being marked as started.
 	marking bool
-	// cancel stops the items when the job ends or is lost.
+	// cancel stops the items when the job ends or this node no longer runs it.
 	cancel context.CancelFunc
 	ctx    context.Context
 }
@@ -70,7 +71,7 @@
 	startMarked bool
 	// failures counts runs that the replica itself reported as failed.
 	failures int
-	// invalid counts answers that rejected the item for good.
+	// invalid counts answers that rejected the item permanently.
 	invalid   int
 	notBefore time.Time
 	excluded  map[string]bool
@@ -97,7 +98,7 @@
 	workID *quarantine.Work
 	// quarantined is set while the item is known to be quarantined.
 	quarantined bool
-	// wait is what the item waits for, waitCause the error behind it, waitStart since when.
+	// wait is what the item waits for, waitCause the error behind it, waitStart when it began.
 	wait      Wait
 	waitCause error
 	waitStart time.Time
@@ -181,8 +182,8 @@
 	owned.unloaded = nil
 }
 
-// syncTasks stops and removes the tasks of items that another node runs now, and
-// returns the items that have no task yet. The caller holds the runner's lock.
+// syncTasks stops and removes the tasks of items that another node runs now, and returns the items
+// that have no task yet. The caller holds the runner's lock.
 func (o *ownedJob) syncTasks(own []int) (missing []int) {
 	assigned := make([]bool, len(o.job.Items))
 	for _, item := range own {
--- a/internal/jobs/placement.go
+++ b/internal/jobs/placement.go
@@ -11,7 +11,7 @@
 )
 
 // Items run in the region whose node accepted their job, because their bodies are read and their
-// results written there, unless its slots are taken by items while others' are free.
+// results written there, unless items take all its slots and another region has free ones.
 
 // placement chooses the nodes that run items. If all nodes are in one region, or their regions are
 // unknown, only the node has to be chosen.
--- a/internal/jobs/preempt.go
+++ b/internal/jobs/preempt.go
@@ -8,8 +8,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// errPreempted reports an item that left its slot to online requests.
-var errPreempted = errors.New("item gave way to online requests")
+// errPreempted reports an item that was preempted by online requests.
+var errPreempted = errors.New("item was preempted by online requests")
 
 // preemptedBackoff is the pause before a preempted item is sent again. It resumes after the text it
 // has.
--- a/internal/jobs/priority.go
+++ b/internal/jobs/priority.go
@@ -25,7 +25,7 @@
 	e.events += estimateWeight * (float64(events) - e.events)
 }
 
-// recordPace updates the time of an event with a run that brought so many events.
+// recordPace updates the time of an event with a run that received some events in elapsed.
 func (e *itemEstimate) recordPace(events int, elapsed time.Duration) {
 	if events <= 0 {
 		return
@@ -37,7 +37,7 @@
 	e.eventTime += time.Duration(estimateWeight * float64(each-e.eventTime))
 }
 
-// remaining estimates how long an item will still run after an event.
+// remaining estimates how long an item still runs once it has received the event with id after.
 func (e *itemEstimate) remaining(after int) time.Duration {
 	events, eventTime := e.events, e.eventTime
 	if events == 0 {
--- a/internal/jobs/quarantine.go
+++ b/internal/jobs/quarantine.go
@@ -56,10 +56,10 @@
 	return true
 }
 
-// reportToQuarantine reports how an attempt at an item ended that was sent at start and resumed
-// after event resumedAfter. An interrupted run that brought new events does not count against the
-// item: items run for long, so many of them are running when a replica crashes, and those that make
-// progress will complete.
+// reportToQuarantine reports the result of an attempt at an item, which was sent at start and
+// resumed after event resumedAfter. An interrupted run that brought new events does not count
+// against the item: items run for long, so many of them are running when a replica crashes, and
+// those that make progress will complete.
 func (r *Runner) reportToQuarantine(ctx context.Context, t *task, item *Item, chosen replica.Info, start time.Time, resumedAfter int, err error) {
 	if r.Quarantine == nil {
 		return
--- a/internal/jobs/quota.go
+++ b/internal/jobs/quota.go
@@ -60,8 +60,8 @@
 type knownCounter struct {
 	counter
 	version uint64
-	// settled is Accepted as of the newest row that arrived by the feed. All jobs accepted up to it
-	// have arrived as well.
+	// settled is the value of Accepted in the newest row that arrived by the feed. All jobs counted
+	// in it have arrived as well.
 	settled int64
 }
 
@@ -131,8 +131,7 @@
 // shardQuota returns the part of a quota that a shard may use by itself.
 func shardQuota(quota int64) int64 { return quota / shards }
 
-// fitsShard reports whether a job of so many tokens may be accepted on condition of the counter of
-// its own shard only.
+// fitsShard reports whether a job may be accepted conditional only on the counter of its own shard.
 func (u *usage) fitsShard(quota, tokens int64) bool {
 	return u.version != table.Absent && u.Quota == quota && !u.Joint && u.used+tokens <= shardQuota(quota)
 }
--- a/internal/jobs/read.go
+++ b/internal/jobs/read.go
@@ -167,8 +167,8 @@
 	return nil
 }
 
-// Body returns the content of an item. Any node may answer it, since it keeps nothing of the
-// content.
+// Body returns the body of an item. Nodes outside the job's regions may answer too, because the
+// body is not cached.
 func (s *Service) Body(ctx context.Context, id, item string) ([]byte, error) {
 	entry, err := s.find(ctx, id)
 	if err != nil {
--- a/internal/jobs/refresh_test.go
+++ b/internal/jobs/refresh_test.go
@@ -199,8 +199,8 @@
 }
 
 // TestSubmit_ResentToANodeWithAnOldView sends a job again to a node with an old view and a full
-// quota. The job was accepted elsewhere and items have been listed since, so it must not be refused
-// for good, and another job must not be refused for the quota.
+// quota. The job was accepted elsewhere and items have been listed since, so it must be accepted,
+// and another job must not be refused for the quota.
 func TestSubmit_ResentToANodeWithAnOldView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/jobs/regions.go
+++ b/internal/jobs/regions.go
@@ -13,11 +13,11 @@
 
 // If a route or a tenant restricts its regions, the items of its jobs run only at replicas there,
 // and only nodes there store their bodies and texts. Any node may accept such a job and answer
-// reads of it, but keeps nothing. The regions in force when something is decided apply, so a change
-// also moves waiting items.
+// reads of it, but stores nothing. Each decision uses the regions in force at that time, so a
+// change also moves waiting items.
 
-// ErrNoRegion reports a job whose route and tenant have no region in common. It may be stored
-// nowhere, so it is not accepted.
+// ErrNoRegion reports a job whose route and tenant have no region in common. No node may store it,
+// so it is not accepted.
 var ErrNoRegion = errors.New("no region may keep the job")
 
 // Fleet provides the live nodes and their regions.
--- a/internal/jobs/regionsite_test.go
+++ b/internal/jobs/regionsite_test.go
@@ -120,7 +120,7 @@
 	return n.Routes()
 }
 
-// awaitSettled waits until no attempt is running that was dispatched by earlier routes.
+// awaitSettled waits until no attempt is running that was dispatched under earlier routes.
 func (n *regionNode) awaitSettled(t *testing.T) {
 	for range 2 {
 		seen := n.dispatches.Load()
@@ -257,7 +257,7 @@
 	}
 }
 
-// checkStoresNothing fails if a node has read bodies or keeps some.
+// checkStoresNothing fails if a node has read bodies or caches some.
 func (s *regionSite) checkStoresNothing(name string) {
 	s.t.Helper()
 	node := s.nodes[name]
--- a/internal/jobs/regionsprop_test.go
+++ b/internal/jobs/regionsprop_test.go
@@ -73,14 +73,14 @@
 		seen := map[string][]Result{}
 		for range rapid.IntRange(4, 10).Draw(rt, "steps") {
 			node := site.nodes[rapid.SampledFrom(names).Draw(rt, "node")]
-			switch rapid.SampledFrom([]string{"submit", "submit", "homes", "live", "claim"}).Draw(rt, "step") {
+			switch rapid.SampledFrom([]string{"submit", "submit", "regions", "live", "claim"}).Draw(rt, "step") {
 			case "submit":
 				id := fmt.Sprint("j", len(jobs))
 				if node.Submit(t.Context(), submission(id, 4)) == nil {
 					jobs = append(jobs, id)
 				}
-			case "homes":
-				declare(rapid.SampledFrom([]place.Regions{nil, {"n"}, {"s"}, {"n", "s"}, {"m"}}).Draw(rt, "homes"))
+			case "regions":
+				declare(rapid.SampledFrom([]place.Regions{nil, {"n"}, {"s"}, {"n", "s"}, {"m"}}).Draw(rt, "regions"))
 			case "live":
 				live := rapid.SliceOfNDistinct(rapid.SampledFrom(names), 1, len(names), rapid.ID).Draw(rt, "live")
 				for i := range live {
--- a/internal/jobs/runner.go
+++ b/internal/jobs/runner.go
@@ -57,13 +57,12 @@
 	ViewAge func() time.Duration
 	// Quarantine, if set, prevents items that crashed replicas from being sent to others.
 	Quarantine forward.Quarantine
-	// EndQuarantined ends such items. Otherwise they wait until they expire, for callers who were
-	// promised that items end for no other reason.
+	// EndQuarantined ends such items. Otherwise they wait until they expire, for callers who rely
+	// on items not ending for another reason.
 	EndQuarantined bool
 }
 
-// Runner runs the items of the jobs that this node owns. It is safe for concurrent
-// use.
+// Runner runs the items of the jobs that this node owns. It is safe for concurrent use.
 type Runner struct {
 	RunnerOptions
 
--- a/internal/jobs/service.go
+++ b/internal/jobs/service.go
@@ -22,20 +22,20 @@
 const (
 	// callTimeout bounds one call, so that a hung connection is abandoned.
 	callTimeout = 1200 * time.Millisecond
-	// slowCallTimeout bounds calls that take long, and writes that timed out before.
+	// slowCallTimeout bounds operations that take long, and retries of writes that timed out.
 	slowCallTimeout = 3 * time.Second
 	retryDelay      = 20 * time.Millisecond
 	retryDelayMax   = 250 * time.Millisecond
-	// conflictDelay bounds the pause after the second conflict of one acceptance; it grows with
-	// each further conflict up to conflictDelayMax. Two transactions of 3 ms and their round trips,
-	// as the platform states them, fit into it.
+	// conflictDelay bounds the pause after the second conflict of one acceptance; the bound grows
+	// with each further conflict up to conflictDelayMax. It leaves time for two short transactions
+	// with their round trips.
 	conflictDelay    = 10 * time.Millisecond
 	conflictDelayMax = 60 * time.Millisecond
 	// objectTimeout bounds one call that reads or writes an object.
 	objectTimeout = 4 * time.Second
-	// updateTimeout bounds the wait for an update of the view before a job is refused for its size.
-	// Requested updates are 120 ms apart in a fleet of up to 80 nodes, and a caller should have its
-	// answer within about 600 ms.
+	// updateTimeout bounds the wait for an update of the view before a job is refused for the
+	// quota. It is longer than the interval between requested updates, except in very large fleets,
+	// and short because the caller waits.
 	updateTimeout = 150 * time.Millisecond
 )
 
@@ -45,18 +45,21 @@
 	Refused(id string, used, requested, quota int64, err error)
 	Ended(id string, err error)
 	Claimed(entry *Entry, from string, err error)
+	// ItemSent reports an attempt at an item that resumes after the event with id after.
 	ItemSent(job *Job, item string, replica string, after int)
 	ItemFailed(job *Job, item string, replica string, err error)
 	// ItemQuarantined reports an item that is not sent because it crashed replicas.
 	ItemQuarantined(job *Job, item string, err error)
-	// ItemPreempted reports an item that leaves its slot to online requests, and why.
+	// ItemPreempted reports an item that is preempted by online requests, with the pressure that
+	// caused it. after is the id of the last event that the item received.
 	ItemPreempted(job *Job, item string, replica string, after int, pressure replica.Pressure)
 	ItemListed(job *Job, item string, position int, dead Reason, took time.Duration)
+	// Resolved reports the end of a write of a progress row that took more than one attempt.
 	Resolved(operation string, attempts int, err error)
 	Removed(job *Job, err error)
-	// Refreshed reports that a job was read from the table for a reader, because the view was old
-	// enough to lack a result. With an error the current state is unknown, and the reader gets the
-	// error unless it waits further.
+	// Refreshed reports that a job was read from the table for a reader, because the view is so old
+	// that it may lack a result. With an error, the current state is unknown, and the reader gets
+	// the error unless it goes on waiting.
 	Refreshed(job *Job, age time.Duration, err error)
 	// AwaitingRegion reports a job whose items wait because no node in its allowed regions is live.
 	AwaitingRegion(job *Job, regions place.Regions)
@@ -163,8 +166,8 @@
 	return nil
 }
 
-// hasChanged reports whether the view has another state of a job than an entry. If not, the same
-// change would meet the same conflict at once.
+// hasChanged reports whether the view's state of a job differs from entry. If it does not, an
+// immediate retry would meet the same conflict.
 func (s *Service) hasChanged(entry *Entry) bool {
 	known := s.View.Get(entry.Job.ID)
 	return known == nil || known.Version != entry.Version || s.View.ProgressUnreadable(entry.Job.ID)
--- a/internal/jobs/slots_test.go
+++ b/internal/jobs/slots_test.go
@@ -21,7 +21,7 @@
 	// slotBound is how long an item may wait at a node without a free slot while another slot that
 	// it may use is free: 3 s until it borrows one, 5 s for the other items of its node.
 	slotBound = 8 * time.Second
-	// backlogBound is the same if the node runs items all the time and does not hear of idle slots
+	// backlogBound is the same if the node runs items all the time and does not know of idle slots
 	// elsewhere.
 	backlogBound = 20 * time.Second
 	// crowdedBound is the same where online requests need more than half of the slots.
@@ -54,7 +54,7 @@
 	}
 }
 
-// awaitDone waits until all items of a job are listed, and fails with their waits after a time.
+// awaitDone waits until all items of a job are listed, and fails with their waits after bound.
 func (s *slotSite) awaitDone(id string, bound time.Duration) {
 	s.t.Helper()
 	for deadline := clock.Now().Add(bound); clock.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
--- a/internal/jobs/slotsite_test.go
+++ b/internal/jobs/slotsite_test.go
@@ -98,7 +98,7 @@
 	return s
 }
 
-// run starts the nodes. The fields of the site are set before.
+// run starts the nodes. The fields of the site must be set before.
 func (s *slotSite) run() {
 	for _, node := range s.nodes {
 		node.start()
@@ -133,7 +133,8 @@
 	})
 }
 
-// publishDemand acts on a node's needs and sends them to other nodes, as a gateway does.
+// publishDemand preempts items for the demand of online requests and sends this node's demand to
+// other nodes, as a gateway does.
 func (n *slotNode) publishDemand(ctx context.Context) {
 	for retry.Sleep(ctx, 100*time.Millisecond) {
 		for _, demand := range n.set.UpdateDemand(clock.Now()) {
@@ -153,7 +154,7 @@
 	}
 }
 
-// receiveDemand handles a message of another node.
+// receiveDemand records the demand sent by another node.
 func (n *slotNode) receiveDemand(demand replica.PoolDemand) {
 	n.set.RecordDemand(demand.Pool, demand.Level, demand.Share, clock.Now())
 	n.set.RecordIdle(demand.Pool, float64(demand.Idle), clock.Now())
@@ -279,7 +280,7 @@
 	})
 }
 
-// kill stops a node. The other nodes learn of it when its session expires.
+// kill stops a node. For the other nodes it is live until its session expires.
 func (s *slotSite) kill(node *slotNode) {
 	node.dead.Store(true)
 	node.cancel()
--- a/internal/jobs/slotwaits_test.go
+++ b/internal/jobs/slotwaits_test.go
@@ -46,9 +46,9 @@
 }
 
 // TestRunner_NoItemWaitsWhileASlotIsFree runs random scenarios in which jobs arrive, nodes die,
-// replicas are removed and come back, online requests use slots, and messages are lost or late. No
-// item may wait for longer than the bound while a slot is free all the time, none may run twice at
-// a time at live nodes, and all must be listed in the end.
+// replicas are removed and listed again, online requests use slots, and messages are lost or late.
+// No item may wait for longer than the bound while a slot is free all the time, none may run twice
+// at a time at live nodes, and all must be listed in the end.
 func TestRunner_NoItemWaitsWhileASlotIsFree(t *testing.T) {
 	seeds := 40
 	if testing.Short() {
@@ -103,7 +103,7 @@
 	}
 }
 
-// holdOnline keeps so many slots in use by online requests of 300 ms.
+// holdOnline keeps a number of slots in use by online requests of 300 ms.
 func (s *slotSite) holdOnline(slots int) {
 	var servers []*slotServer
 	for _, server := range s.servers {
--- a/internal/jobs/stall.go
+++ b/internal/jobs/stall.go
@@ -9,12 +9,12 @@
 )
 
 // An attempt at an item is abandoned after two kinds of silence. If a replica sends nothing to any
-// request of this node, it is gone or unreachable, and 2 s are enough to tell. If it answers other
-// requests, it may only be busy: the item is queued there, or its run is slow. But its connection
-// may also have died without a reset, and then nothing will ever arrive. So each attempt has a
-// timeout of its own, learned from recent answers. An attempt that is abandoned too early is sent
-// again on a new connection, resumes after its text so far, and has twice the timeout. So every
-// attempt ends, and an answer that arrives within maxSilence completes.
+// request of this node for maxReplicaSilence, it is gone or unreachable. If it answers other
+// requests, it may only be busy: the item is queued there, or its run is slow. But the attempt's
+// connection may also have died without a reset, and then nothing will ever arrive. So each attempt
+// has a timeout of its own, estimated from recent answers. An attempt that is abandoned too early
+// is sent again on a new connection, resumes after its text so far, and has twice the timeout. So
+// every attempt ends, and an answer that arrives within maxSilence completes.
 
 const (
 	// maxReplicaSilence is how long a replica may send nothing to any request before an item is
@@ -25,11 +25,11 @@
 	// slot before its first event, and has one afterwards.
 	minFirstEventTimeout = 4 * time.Second
 	minNextEventTimeout  = 2 * time.Second
-	// maxLearnedTimeout bounds the learned timeouts, so that a few answers that were slow to begin
-	// do not make each dead connection cost as much.
+	// maxLearnedTimeout bounds the estimated timeouts, so that a few answers that were slow to
+	// begin do not delay the detection of dead connections as much.
 	maxLearnedTimeout = 10 * time.Second
-	// maxSilence bounds any silence. An answer that takes longer to its first event never
-	// completes; one that takes up to it is sent six times at most.
+	// maxSilence bounds any silence. An answer whose first event takes longer never completes; one
+	// whose first event takes less is requested six times at most.
 	maxSilence = time.Minute
 	// restartedTimeout is how long an answer may be silent once its replica is known to have
 	// restarted. The list of replicas is updated late, so the attempt may have been sent to the new
@@ -125,8 +125,8 @@
 	return min(limit<<min(t.stalls, maxTimeoutShift), maxSilence)
 }
 
-// eventGaps are the gaps before the events of one answer. The initial value has last set to when
-// the attempt was sent.
+// eventGaps are the gaps before the events of one answer: the first one, and the longest of the
+// others. Initially, last is when the attempt was sent.
 type eventGaps struct {
 	last        time.Time
 	started     bool
@@ -159,8 +159,8 @@
 // zero value has no observations.
 type gapEstimates struct{ first, next gapEstimate }
 
-// gapEstimate estimates an upper bound of some times, as senders do to take a segment for lost
-// (Jacobson, 1988; RFC 6298): the mean and four mean deviations.
+// gapEstimate estimates an upper bound of durations as the mean plus four mean deviations, like the
+// retransmission timeout of TCP (Jacobson, 1988; RFC 6298).
 type gapEstimate struct{ mean, deviation time.Duration }
 
 const (
--- a/internal/jobs/stall_test.go
+++ b/internal/jobs/stall_test.go
@@ -18,10 +18,10 @@
 	"github.com/wheelhoist/wheelhoist/internal/table/tabletest"
 )
 
-// These tests guard against items that never complete because their answer went silent (incident
-// 0002). A connection may die without a reset while new connections to the replica work. If the
-// silence of the replica as a whole were the only criterion, an attempt would count as running for
-// good as long as the replica answers other requests, and its slot would be lost too.
+// These tests guard against items that never complete because their answer went silent. A
+// connection may die without a reset while new connections to the replica work. If the silence of
+// the replica as a whole were the only criterion, an attempt would count as running as long as the
+// replica answers other requests, and its slot would be lost too.
 
 // stallBound is how long an item may take to make progress after its answer went silent.
 const stallBound = 15 * time.Second
@@ -93,7 +93,7 @@
 	})
 }
 
-// awaitDone waits until all items of a job are listed, and fails with their waits after a time.
+// awaitDone waits until all items of a job are listed, and fails with their waits after within.
 func (s *stallSite) awaitDone(t *testing.T, job string, within time.Duration) []Result {
 	t.Helper()
 	for deadline := clock.Now().Add(within); clock.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
@@ -174,7 +174,7 @@
 	}
 }
 
-// Timeouts must not keep items of a replica that is slow to begin from completing.
+// Timeouts must not prevent items of a replica that is slow to begin from completing.
 func TestRunner_SlowAnswersComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const delay = 40 * time.Second
--- a/internal/jobs/takeover.go
+++ b/internal/jobs/takeover.go
@@ -128,8 +128,8 @@
 	r.Service.Events.Claimed(entry, lost.node, err)
 }
 
-// mayClaim reports whether this node should take a job over: its own from before a restart at once,
-// others once their owner is gone or outside the allowed regions.
+// mayClaim reports whether this node should take a job over: at once if it owned the job before a
+// restart, otherwise once the owner is gone or outside the allowed regions.
 func (r *Runner) mayClaim(entry *Entry, regions place.Regions, candidates []string, session string) bool {
 	owner := entry.Progress.Owner
 	if owner != "" && lease.SameNode(owner, session) {
--- a/internal/jobs/unreadable_test.go
+++ b/internal/jobs/unreadable_test.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestSubmit_DamagedJobRowIsUndecided submits a job whose row exists and cannot be read. It must
-// not be refused for good, and the caller must be answered before its context ends.
+// TestSubmit_DamagedJobRowIsUndecided submits a job whose row exists and cannot be read. It must be
+// undecided rather than refused, and the caller must be answered before its context ends.
 func TestSubmit_DamagedJobRowIsUndecided(t *testing.T) {
 	shared := tabletest.New()
 	overwrite(t, shared, jobKey("j"), damage)
--- a/internal/jobs/validate.go
+++ b/internal/jobs/validate.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// check returns an error if a progress row holds values that are invalid for a job with so many
-// items.
+// check returns an error if a progress row holds values that are invalid for a job with the given
+// number of items.
 func (p *Progress) check(items int) error {
 	listed := make([]bool, items)
 	for _, result := range p.Listed {
--- a/internal/jobs/view.go
+++ b/internal/jobs/view.go
@@ -38,8 +38,9 @@
 	return !e.Progress.Ended && len(e.Progress.Listed) < len(e.Job.Items)
 }
 
-// View is a node's state of all jobs, fed by the table's feed and the node's own writes. It never
-// returns to an older version. It is safe for concurrent use.
+// View is a node's copy of the state of all jobs, updated by the table's feed and by the rows that
+// the node writes or reads itself. It ignores rows older than those it has. It is safe for
+// concurrent use.
 type View struct {
 	// Unreadable, if set, receives rows that cannot be read; they are skipped.
 	Unreadable *table.Unreadable
@@ -216,7 +217,7 @@
 	}
 }
 
-// notify wakes those that wait for a change. The caller holds mu.
+// notify wakes the callers that wait for a change. The caller holds mu.
 func (v *View) notify() {
 	close(v.changed)
 	v.changed = make(chan struct{})
--- a/internal/jobs/waits.go
+++ b/internal/jobs/waits.go
@@ -154,7 +154,7 @@
 const noBound = time.Duration(math.MaxInt64)
 
 // Bound returns the longest time that an item usually waits for this reason while nodes, replicas
-// and the store are available. Design 0018 describes what ends each wait.
+// and the store are available.
 func (w Wait) Bound() time.Duration {
 	switch w {
 	case WaitDispatch, WaitBackoff:
--- a/internal/jobs/writelatency.go
+++ b/internal/jobs/writelatency.go
@@ -10,8 +10,8 @@
 
 const (
 	// writeTimeoutFactor is the multiple of the mean latency after which the answer to a write
-	// counts as lost. Repeating a conditional write is harmless, while waiting for a lost answer
-	// costs time.
+	// counts as lost. It is small, because repeating a conditional write is harmless, while waiting
+	// for a lost answer costs time.
 	writeTimeoutFactor = 6
 	minWriteTimeout    = 100 * time.Millisecond
 	// initialWriteLatency is assumed until a write has been answered.
@@ -38,7 +38,7 @@
 	return min(timeout<<min(attempt, 8), slowCallTimeout)
 }
 
-// observe updates the mean with the time a write took, or the time after which it was given up.
+// observe updates the mean with the time a write took or after which it timed out.
 func (l *writeLatency) observe(elapsed time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/gatewaydemand.go
+++ b/internal/node/gatewaydemand.go
@@ -39,8 +39,8 @@
 	Idle int `cbor:"4,keyasint,omitempty"`
 }
 
-// runDemand reports to other nodes what online requests need here, and makes items yield slots that
-// online requests of any node need, until the context ends.
+// runDemand reports the demand of this node's online requests to other nodes, and preempts items in
+// slots that online requests of any node need, until the context ends.
 func (g *Gateway) runDemand(ctx context.Context) {
 	for retry.Sleep(ctx, demandInterval) {
 		reports := map[string][]demandReport{}
