--- a/internal/jobs/slotsite_test.go
+++ b/internal/jobs/slotsite_test.go
@@ -98,7 +98,7 @@
 	return s
 }
 
-// run starts the nodes. The fields of the site are set before.
+// run starts the nodes. The fields of the site must be set before.
 func (s *slotSite) run() {
 	for _, node := range s.nodes {
 		node.start()
@@ -126,37 +126,38 @@
 	var loops sync.WaitGroup
 	loops.Go(func() { n.runner.Run(ctx) })
 	loops.Go(func() { n.runner.RunClaims(ctx) })
-	loops.Go(func() { n.publishNeeds(ctx) })
+	loops.Go(func() { n.publishDemand(ctx) })
 	n.site.t.Cleanup(func() {
 		cancel()
 		loops.Wait()
 	})
 }
 
-// publishNeeds acts on a node's needs and sends them to other nodes, as a gateway does.
-func (n *slotNode) publishNeeds(ctx context.Context) {
+// publishDemand preempts items for the demand of online requests and sends this node's demand to
+// other nodes, as a gateway does.
+func (n *slotNode) publishDemand(ctx context.Context) {
 	for retry.Sleep(ctx, 100*time.Millisecond) {
-		for _, need := range n.set.UpdateDemand(clock.Now()) {
-			why := replica.Pressure{Fleet: need.FleetUsage}
-			if need.Excess > 0 {
-				n.runner.PreemptPool(need.Pool, need.Excess, why)
+		for _, demand := range n.set.UpdateDemand(clock.Now()) {
+			pressure := replica.Pressure{Fleet: demand.FleetUsage}
+			if demand.Excess > 0 {
+				n.runner.PreemptPool(demand.Pool, demand.Excess, pressure)
 			}
-			if need.BorrowedExcess > 0 {
-				n.runner.PreemptBorrowed(need.Pool, need.BorrowedExcess, why)
+			if demand.BorrowedExcess > 0 {
+				n.runner.PreemptBorrowed(demand.Pool, demand.BorrowedExcess, pressure)
 			}
 			for _, other := range n.site.randomPeers(n, 3) {
 				if delay := n.site.messageDelay(); delay >= 0 {
-					n.site.afterDelay(ctx, delay, func() { other.receiveNeed(need) })
+					n.site.afterDelay(ctx, delay, func() { other.receiveDemand(demand) })
 				}
 			}
 		}
 	}
 }
 
-// receiveNeed handles a message of another node.
-func (n *slotNode) receiveNeed(need replica.PoolDemand) {
-	n.set.RecordDemand(need.Pool, need.Level, need.Share, clock.Now())
-	n.set.RecordIdle(need.Pool, float64(need.Idle), clock.Now())
+// receiveDemand records the demand sent by another node.
+func (n *slotNode) receiveDemand(demand replica.PoolDemand) {
+	n.set.RecordDemand(demand.Pool, demand.Level, demand.Share, clock.Now())
+	n.set.RecordIdle(demand.Pool, float64(demand.Idle), clock.Now())
 }
 
 // afterDelay runs f later. It sleeps in a goroutine, because timers that run functions crash the
@@ -279,7 +280,7 @@
 	})
 }
 
-// kill stops a node. The other nodes learn of it when its session expires.
+// kill stops a node. For the other nodes it is live until its session expires.
 func (s *slotSite) kill(node *slotNode) {
 	node.dead.Store(true)
 	node.cancel()
--- a/internal/jobs/unreadable_test.go
+++ b/internal/jobs/unreadable_test.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestSubmit_DamagedJobRowIsUndecided submits a job whose row exists and cannot be read. It must
-// not be refused for good, and the caller must be answered before its context ends.
+// TestSubmit_DamagedJobRowIsUndecided submits a job whose row exists and cannot be read. It must be
+// undecided rather than refused, and the caller must be answered before its context ends.
 func TestSubmit_DamagedJobRowIsUndecided(t *testing.T) {
 	shared := tabletest.New()
 	overwrite(t, shared, jobKey("j"), damage)
@@ -168,11 +168,11 @@
 	shared := tabletest.New()
 	node, _ := startReportingNode(t, shared, "a#1")
 	submit := func(id string) error {
-		asked := submission(id, 1)
-		asked.Quota = 500
+		submitted := submission(id, 1)
+		submitted.Quota = 500
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
-		return node.Submit(ctx, asked)
+		return node.Submit(ctx, submitted)
 	}
 	for _, id := range []string{"a", "b"} {
 		if err := submit(id); err != nil {
@@ -201,9 +201,9 @@
 func TestRunner_ItemsWithDamagedContentExpire(t *testing.T) {
 	shared := tabletest.New()
 	node, reports := startReportingNode(t, shared, "a#1")
-	asked := submission("j", 2)
-	asked.Retention = time.Second
-	if err := node.Submit(t.Context(), asked); err != nil {
+	submitted := submission("j", 2)
+	submitted.Retention = time.Second
+	if err := node.Submit(t.Context(), submitted); err != nil {
 		t.Fatal(err)
 	}
 	node.dropContent("j")
