--- a/internal/batch/feeder.go
+++ b/internal/batch/feeder.go
@@ -59,8 +59,8 @@
 	batches map[string]*fedBatch
 	// accepted holds the batches that this node accepted since the last step.
 	accepted []*Job
-	// waiting holds the waiting groups as of the last step.
-	waiting []WaitingGroup
+	// waits holds the waits groups as of the last step.
+	waits []GroupWait
 }
 
 // fedBatch is the state of a batch that this node feeds.
@@ -76,7 +76,7 @@
 	initialResults int
 	// waits holds the waiting groups by number. submitErr and finishErr are the errors of the last
 	// attempts to submit a group and to make results permanent; nil after a success.
-	waits     map[int]WaitingGroup
+	waits     map[int]GroupWait
 	submitErr error
 	finishErr error
 }
@@ -198,7 +198,7 @@
 			open[tenant]++
 		}
 	}
-	f.updateWaiting(time.Now())
+	f.updateWaits(time.Now())
 }
 
 // byDeadline returns the batches in the order of their deadlines, the earliest first.
--- a/internal/batch/feeder_test.go
+++ b/internal/batch/feeder_test.go
@@ -155,7 +155,7 @@
 		t.Fatal(err)
 	}
 	batch, err := service.Submit(t.Context(), Submission{
-		Tenant: testTenant, Deadline: window,
+		Tenant: testTenant, Completion: window,
 		Request: openai.BatchRequest{InputFileID: record.ID, Endpoint: openai.PathChatCompletions},
 	})
 	if err != nil {
--- a/internal/batch/record.go
+++ b/internal/batch/record.go
@@ -33,9 +33,9 @@
 	ErrFinal = errors.New("batch job has ended already")
 	// ErrNotAccepted reports that a submission was not accepted; it did not run.
 	ErrNotAccepted = errors.New("batch store unavailable, nothing was accepted")
-	// ErrUndecided reports that a submission may or may not have been accepted.
+	// ErrUnknownOutcome reports that a submission may or may not have been accepted.
 	// Sending it again is safe: the retry finds the same job.
-	ErrUndecided = errors.New("batch submission undecided, send it again")
+	ErrUnknownOutcome = errors.New("batch submission undecided, send it again")
 )
 
 // Table partitions.
--- a/internal/batch/service.go
+++ b/internal/batch/service.go
@@ -34,10 +34,10 @@
 
 // Submission is a request to create a job. Key is the caller's idempotency key and may be empty.
 type Submission struct {
-	Tenant   string
-	Request  openai.BatchRequest
-	Key      string
-	Deadline time.Duration
+	Tenant     string
+	Request    openai.BatchRequest
+	Key        string
+	Completion time.Duration
 }
 
 // fingerprint returns a hash that identifies a submission: of the idempotency key if there is one,
@@ -105,7 +105,7 @@
 	case outcome.Of(err) == outcome.NotDone:
 		return nil, Error.Wrap(fmt.Errorf("%w: %w", ErrNotAccepted, err))
 	default:
-		return nil, Error.Wrap(fmt.Errorf("%w: %w", ErrUndecided, err))
+		return nil, Error.Wrap(fmt.Errorf("%w: %w", ErrUnknownOutcome, err))
 	}
 }
 
@@ -124,13 +124,13 @@
 func (s *Service) existingJob(ctx context.Context, key table.Key) (*Job, error) {
 	row, err := s.Table.Get(ctx, key)
 	if err != nil {
-		return nil, Error.Wrap(fmt.Errorf("%w: %w", ErrUndecided, err))
+		return nil, Error.Wrap(fmt.Errorf("%w: %w", ErrUnknownOutcome, err))
 	}
 	return s.getJob(ctx, string(row.Body))
 }
 
 func newJob(submission *Submission, file *FileRecord) *Job {
-	window := submission.Deadline
+	window := submission.Completion
 	if window <= 0 {
 		window = DefaultWindow
 	}
@@ -329,7 +329,7 @@
 func (s *Service) loadActiveVersion(ctx context.Context, job *Job) error {
 	row, err := s.Table.Get(ctx, activeKey(job.ID))
 	if errors.Is(err, table.ErrNotFound) {
-		return Error.Wrap(outcome.Failed(table.ErrConflict))
+		return Error.Wrap(outcome.AsNotDone(table.ErrConflict))
 	}
 	job.activeVersion = row.Version
 	return Error.Wrap(err)
--- a/internal/batch/upload.go
+++ b/internal/batch/upload.go
@@ -104,7 +104,7 @@
 	for {
 		line, tooLong, err := readLine(reader)
 		if err != nil && !errors.Is(err, io.EOF) {
-			return Error.Wrap(outcome.Failed(err))
+			return Error.Wrap(outcome.AsNotDone(err))
 		}
 		atEOF := err != nil
 		if len(line) > 0 || tooLong || !atEOF {
--- a/internal/batch/waiting.go
+++ b/internal/batch/waiting.go
@@ -42,8 +42,8 @@
 	return 0
 }
 
-// WaitingGroup describes the wait of one group.
-type WaitingGroup struct {
+// GroupWait describes the wait of one group.
+type GroupWait struct {
 	Batch  string
 	Group  int
 	Reason WaitReason
@@ -53,28 +53,28 @@
 	Cause error
 }
 
-// GroupCount counts the groups fed by this node that wait for the same reason.
-type GroupCount struct {
+// WaitCount counts the groups fed by this node that wait for the same reason.
+type WaitCount struct {
 	Reason WaitReason
 	Count  int
 	Oldest time.Duration
 }
 
-// Waiting returns the waiting groups fed by this node as of the feeder's last step, the longest wait
+// GroupWaits returns the waiting groups fed by this node as of the feeder's last step, the longest wait
 // first.
-func (f *Feeder) Waiting() []WaitingGroup {
+func (f *Feeder) GroupWaits() []GroupWait {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.waiting)
+	return slices.Clone(f.waits)
 }
 
 // WaitCounts returns one count for each WaitReason, in their order, of the groups fed by this node.
-func (f *Feeder) WaitCounts(now time.Time) []GroupCount {
-	counts := make([]GroupCount, waitReasons)
+func (f *Feeder) WaitCounts(now time.Time) []WaitCount {
+	counts := make([]WaitCount, waitReasons)
 	for i := range counts {
 		counts[i].Reason = WaitReason(i)
 	}
-	for _, group := range f.Waiting() {
+	for _, group := range f.GroupWaits() {
 		count := &counts[group.Reason]
 		count.Count++
 		count.Oldest = max(count.Oldest, now.Sub(group.Since))
@@ -83,30 +83,30 @@
 }
 
 // Overdue returns the groups that have waited at least as long as OverdueAfter allows.
-func (f *Feeder) Overdue(now time.Time) []WaitingGroup {
-	return slices.DeleteFunc(f.Waiting(), func(group WaitingGroup) bool {
+func (f *Feeder) Overdue(now time.Time) []GroupWait {
+	return slices.DeleteFunc(f.GroupWaits(), func(group GroupWait) bool {
 		return group.Reason.OverdueAfter() == 0 || now.Sub(group.Since) < group.Reason.OverdueAfter()
 	})
 }
 
-// updateWaiting records what all groups wait for at the end of a step.
-func (f *Feeder) updateWaiting(now time.Time) {
-	var all []WaitingGroup
+// updateWaits records what all groups wait for at the end of a step.
+func (f *Feeder) updateWaits(now time.Time) {
+	var all []GroupWait
 	for _, fed := range f.batches {
-		all = append(all, f.waitingGroups(fed, now)...)
+		all = append(all, f.batchWaits(fed, now)...)
 	}
-	slices.SortFunc(all, func(a, b WaitingGroup) int { return a.Since.Compare(b.Since) })
+	slices.SortFunc(all, func(a, b GroupWait) int { return a.Since.Compare(b.Since) })
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.waiting = all
+	f.waits = all
 }
 
-// waitingGroups returns the waiting groups of a batch. Since changes only with the reason.
-func (f *Feeder) waitingGroups(fed *fedBatch, now time.Time) []WaitingGroup {
+// batchWaits returns the waiting groups of a batch. Since changes only with the reason.
+func (f *Feeder) batchWaits(fed *fedBatch, now time.Time) []GroupWait {
 	if fed.waits == nil {
-		fed.waits = map[int]WaitingGroup{}
+		fed.waits = map[int]GroupWait{}
 	}
-	waiting := make([]WaitingGroup, 0, fed.batch.Groups()-len(fed.done))
+	waiting := make([]GroupWait, 0, fed.batch.Groups()-len(fed.done))
 	for number := range fed.batch.Groups() {
 		if _, done := fed.done[number]; done {
 			delete(fed.waits, number)
@@ -115,7 +115,7 @@
 		reason, cause := f.waitReason(fed, number)
 		group, known := fed.waits[number]
 		if !known || group.Reason != reason {
-			group = WaitingGroup{Batch: fed.batch.ID, Group: number, Reason: reason, Since: now}
+			group = GroupWait{Batch: fed.batch.ID, Group: number, Reason: reason, Since: now}
 		}
 		group.Cause = cause
 		fed.waits[number] = group
--- a/internal/batch/waiting_test.go
+++ b/internal/batch/waiting_test.go
@@ -35,11 +35,11 @@
 }
 
 // awaitGroups waits until count groups wait for a reason, and returns one of them.
-func awaitGroups(t *testing.T, feeder *Feeder, reason WaitReason, count int) WaitingGroup {
+func awaitGroups(t *testing.T, feeder *Feeder, reason WaitReason, count int) GroupWait {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if feeder.WaitCounts(time.Now())[reason].Count == count {
-			for _, group := range feeder.Waiting() {
+			for _, group := range feeder.GroupWaits() {
 				if group.Reason == reason {
 					return group
 				}
@@ -47,7 +47,7 @@
 		}
 	}
 	t.Fatalf("wait counts are %+v, want %d groups that wait for %s", feeder.WaitCounts(time.Now()), count, reason)
-	return WaitingGroup{}
+	return GroupWait{}
 }
 
 // TestWaitCounts_ReportReasonAndCause follows a batch from its first group to its end and checks the
@@ -77,9 +77,9 @@
 	objects.failReads.Store(false)
 	objects.failWrites.Store(false)
 	awaitFinal(t, node.Service, batch.ID)
-	for deadline := time.Now().Add(5 * time.Second); len(node.feeder.Waiting()) > 0; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(5 * time.Second); len(node.feeder.GroupWaits()) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("groups of an ended batch still wait: %+v", node.feeder.Waiting())
+			t.Fatalf("groups of an ended batch still wait: %+v", node.feeder.GroupWaits())
 		}
 	}
 }
--- a/internal/engine/backend.go
+++ b/internal/engine/backend.go
@@ -92,38 +92,38 @@
 // handleStreamError converts an error of EngineClient.Stream into a refusal that may be retried at
 // another replica, a final answer, or an attempt whose outcome is unknown.
 func (b *Backend) handleStreamError(ctx context.Context, attempt *forward.Attempt, id string, err error) (*forward.Answer, error) {
-	var refused *RefusedError
+	var refusal *RefusalError
 	switch {
-	case errors.As(err, &refused) && refused.Temporary():
-		return nil, Error.Wrap(outcome.Failed(fmt.Errorf("%w: %w", forward.ErrRefused, err)))
-	case errors.As(err, &refused):
-		return refusalAnswer(refused, attempt.Request.Batch), nil
+	case errors.As(err, &refusal) && refusal.Temporary():
+		return nil, Error.Wrap(outcome.AsNotDone(fmt.Errorf("%w: %w", forward.ErrRefused, err)))
+	case errors.As(err, &refusal):
+		return refusalAnswer(refusal, attempt.Request.Batch), nil
 	case errors.Is(err, ErrUnreachable):
-		return nil, Error.Wrap(outcome.Failed(fmt.Errorf("%w: %w", forward.ErrUnreachable, err)))
+		return nil, Error.Wrap(outcome.AsNotDone(fmt.Errorf("%w: %w", forward.ErrUnreachable, err)))
 	}
 	if ctx.Err() != nil {
 		abortAttempt(b.engines, attempt.Replica.Address, id)
 	}
-	return nil, Error.Wrap(outcome.Undecided(fmt.Errorf("%w: %w", forward.ErrBroken, err)))
+	return nil, Error.Wrap(outcome.AsUnknown(fmt.Errorf("%w: %w", forward.ErrBroken, err)))
 }
 
 // refusalAnswer returns the answer for a refusal that every replica would repeat.
-func refusalAnswer(refused *RefusedError, batch bool) *forward.Answer {
-	status := refused.Status
+func refusalAnswer(refusal *RefusalError, batch bool) *forward.Answer {
+	status := refusal.Status
 	if batch {
 		status = http.StatusUnprocessableEntity
 	}
-	text := refused.Message
+	text := refusal.Message
 	if !batch {
-		text = encodeRefusal(refused)
+		text = encodeRefusal(refusal)
 	}
 	header := http.Header{}
 	header.Set("Content-Type", "application/json")
 	return &forward.Answer{Status: status, Header: header, Body: io.NopCloser(strings.NewReader(text))}
 }
 
-func encodeRefusal(refused *RefusedError) string {
-	detail := openai.ErrorDetail{Message: refused.Message, Type: openai.TypeInvalidRequest}
+func encodeRefusal(refusal *RefusalError) string {
+	detail := openai.ErrorDetail{Message: refusal.Message, Type: openai.TypeInvalidRequest}
 	body, err := json.Marshal(openai.ErrorAnswer{Error: detail})
 	if err != nil {
 		return "{}"
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -50,22 +50,22 @@
 	return append(encoded, '}')
 }
 
-// RefusedError is an engine's refusal of a request that did not run.
-type RefusedError struct {
+// RefusalError is an engine's refusal of a request that did not run.
+type RefusalError struct {
 	Status  int
 	Message string
 }
 
 // Error implements error.
-func (e *RefusedError) Error() string {
+func (e *RefusalError) Error() string {
 	return fmt.Sprintf("engine answered %d: %s", e.Status, e.Message)
 }
 
 // Is makes the error match ErrRefused.
-func (e *RefusedError) Is(target error) bool { return target == ErrRefused }
+func (e *RefusalError) Is(target error) bool { return target == ErrRefused }
 
 // Temporary reports whether the request may succeed later or at another replica.
-func (e *RefusedError) Temporary() bool {
+func (e *RefusalError) Temporary() bool {
 	return e.Status == http.StatusServiceUnavailable || e.Status == http.StatusTooManyRequests
 }
 
@@ -122,7 +122,7 @@
 func sendWith(ctx context.Context, client *http.Client, method, address string, body []byte, header http.Header) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(body))
 	if err != nil {
-		return nil, Error.Wrap(outcome.Failed(err))
+		return nil, Error.Wrap(outcome.AsNotDone(err))
 	}
 	// No GetBody: the HTTP client must never send a request twice on its own.
 	request.GetBody = nil
@@ -139,9 +139,9 @@
 func classifySendError(err error) error {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
-		return outcome.Failed(fmt.Errorf("%w: %w", ErrUnreachable, err))
+		return outcome.AsNotDone(fmt.Errorf("%w: %w", ErrUnreachable, err))
 	}
-	return outcome.Undecided(fmt.Errorf("%w: %w", ErrBroken, err))
+	return outcome.AsUnknown(fmt.Errorf("%w: %w", ErrBroken, err))
 }
 
 // Stream sends a streaming attempt and returns its events.
@@ -217,7 +217,7 @@
 	}
 	if response.StatusCode == http.StatusConflict {
 		drain(response)
-		return Error.Wrap(outcome.Failed(ErrStaleFence))
+		return Error.Wrap(outcome.AsNotDone(ErrStaleFence))
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
 		return refusalError(response)
@@ -238,7 +238,7 @@
 	if json.Unmarshal(body, &answer) == nil && answer.Error.Message != "" {
 		message = answer.Error.Message
 	}
-	return Error.Wrap(outcome.Failed(&RefusedError{Status: response.StatusCode, Message: message}))
+	return Error.Wrap(outcome.AsNotDone(&RefusalError{Status: response.StatusCode, Message: message}))
 }
 
 func drain(response *http.Response) {
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -87,7 +87,7 @@
 	KVUsedTokens   int      `json:"kv_used_tokens"`
 	KVTotalTokens  int      `json:"kv_total_tokens"`
 	StepMillis     float64  `json:"step_ms"`
-	PrefillPerSec  float64  `json:"prefill_tokens_per_s"`
+	PrefillRate    float64  `json:"prefill_tokens_per_s"`
 	ReportedUnixMs int64    `json:"reported_unix_ms"`
 	// StartedUnixMs is when the engine started; 0 if unknown. A restarted engine has lost all
 	// earlier requests.
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -67,7 +67,7 @@
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
-	return Error.Wrap(outcome.Undecided(fmt.Errorf("%w: %w", ErrBroken, err)))
+	return Error.Wrap(outcome.AsUnknown(fmt.Errorf("%w: %w", ErrBroken, err)))
 }
 
 var finishField = []byte(`"finish_reason":"`)
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -41,7 +41,7 @@
 			return c.finishEvents(answer)
 		}
 		if err != nil {
-			return outcome.Undecided(fmt.Errorf("%w: %w", ErrBroken, err))
+			return outcome.AsUnknown(fmt.Errorf("%w: %w", ErrBroken, err))
 		}
 		now := clock.Now()
 		use.Received(now)
@@ -52,7 +52,7 @@
 			continue
 		}
 		if event.HasID && c.lastEventID > 0 && event.ID != c.lastEventID+1 {
-			return outcome.Undecided(fmt.Errorf("%w: event %d follows event %d", ErrBroken, event.ID, c.lastEventID))
+			return outcome.AsUnknown(fmt.Errorf("%w: event %d follows event %d", ErrBroken, event.ID, c.lastEventID))
 		}
 		write := func() error { return c.forwardEvent(answer, event, reader.Buffered()) }
 		if err := watchdog.duringWrite(write); err != nil {
@@ -80,7 +80,7 @@
 	c.lastEventAt = now
 	c.result.Events++
 	if err := c.sink.Write(event.Raw, more); err != nil {
-		return outcome.Undecided(ErrCallerDisconnected)
+		return outcome.AsUnknown(ErrCallerDisconnected)
 	}
 	if event.HasID {
 		c.lastEventID = event.ID
@@ -101,7 +101,7 @@
 	c.result.Status = answer.Status
 	c.result.TimeToFirstByte = clock.Since(c.request.Received)
 	if err := c.sink.Head(answer.Status, answer.Header); err != nil {
-		return outcome.Undecided(ErrCallerDisconnected)
+		return outcome.AsUnknown(ErrCallerDisconnected)
 	}
 	return nil
 }
@@ -111,26 +111,26 @@
 func (c *call) forwardBuffered(answer *Answer, use *replica.Use) error {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBody+1))
 	if err != nil {
-		return outcome.Undecided(fmt.Errorf("%w: %w", ErrBroken, err))
+		return outcome.AsUnknown(fmt.Errorf("%w: %w", ErrBroken, err))
 	}
 	if len(body) > maxBufferedBody {
-		return outcome.Undecided(fmt.Errorf("%w: longer than %d bytes", ErrBroken, maxBufferedBody))
+		return outcome.AsUnknown(fmt.Errorf("%w: longer than %d bytes", ErrBroken, maxBufferedBody))
 	}
 	now := clock.Now()
 	use.Received(now)
 	use.FirstEvent(now)
 	if c.result.HeadSent {
 		// The stream began at another replica; this error cannot replace its header.
-		return outcome.Undecided(fmt.Errorf("%w: status %d", ErrBroken, answer.Status))
+		return outcome.AsUnknown(fmt.Errorf("%w: status %d", ErrBroken, answer.Status))
 	}
 	if answer.Status >= http.StatusInternalServerError && c.hasAttemptsLeft() {
-		return outcome.Undecided(fmt.Errorf("%w: status %d", ErrBroken, answer.Status))
+		return outcome.AsUnknown(fmt.Errorf("%w: status %d", ErrBroken, answer.Status))
 	}
 	if err := c.forwardHead(answer); err != nil {
 		return err
 	}
 	if err := c.sink.Write(body, false); err != nil {
-		return outcome.Undecided(ErrCallerDisconnected)
+		return outcome.AsUnknown(ErrCallerDisconnected)
 	}
 	return nil
 }
--- a/internal/forward/cold.go
+++ b/internal/forward/cold.go
@@ -94,7 +94,7 @@
 	}
 	wait := capacityRetryInterval
 	if noReplicaErr := coldOnly(err); noReplicaErr != nil {
-		c.forwarder.Replicas.NoteHeldBack()
+		c.forwarder.Replicas.RecordHeldBack()
 		wait = max(time.Millisecond, noReplicaErr.ColdWait)
 		if c.forwarder.needsColdGrant(err) {
 			wait = coldRecheckInterval
--- a/internal/forward/cold_test.go
+++ b/internal/forward/cold_test.go
@@ -58,7 +58,7 @@
 
 func TestDo_RetriesCountAgainstColdRateLimit(t *testing.T) {
 	backend := &scriptedBackend{answer: func(context.Context, *Attempt, int) (*Answer, error) {
-		return nil, outcome.Failed(ErrRefused)
+		return nil, outcome.AsNotDone(ErrRefused)
 	}}
 	forwarder := coldForwarder(backend, []string{"a"}, 30*time.Second)
 	_, _, err := do(t, forwarder, routeOf(route.Stream, true, 2))
--- a/internal/forward/evacuate_test.go
+++ b/internal/forward/evacuate_test.go
@@ -20,7 +20,7 @@
 		if number == refusalsPerPause {
 			set.SetEvacuated(map[string]bool{"a": true})
 		}
-		return nil, outcome.Failed(ErrRefused)
+		return nil, outcome.AsNotDone(ErrRefused)
 	}}
 	began := time.Now()
 	_, _, err := do(t, &Forwarder{Replicas: set, Backend: backend, Budget: retry.NewBudget(1)}, routeOf(route.Stream, true, 2))
@@ -40,7 +40,7 @@
 	set := replica.NewSet()
 	set.Put(replica.Info{ID: "r", Pool: testPool, Slots: 4})
 	backend := &scriptedBackend{answer: func(context.Context, *Attempt, int) (*Answer, error) {
-		return nil, outcome.Failed(ErrRefused)
+		return nil, outcome.AsNotDone(ErrRefused)
 	}}
 	target := routeOf(route.Stream, true, 2)
 	target.Timeout = 100 * time.Millisecond
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -136,7 +136,7 @@
 	// Reserve reserves a free slot and memory for the given number of tokens and returns the ID of
 	// the reservation, which expires after hold. It returns ErrRefused if the replica has no free
 	// slot.
-	Reserve(ctx context.Context, replica replica.Info, tokens int, hold time.Duration) (string, error)
+	Reserve(ctx context.Context, replica replica.Info, tokens int, ttl time.Duration) (string, error)
 }
 
 // Sink writes an answer to the caller. Its errors mean that the caller disconnected.
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -137,7 +137,7 @@
 func TestDo_NonRepeatableRequestIsSentOnce(t *testing.T) {
 	for _, target := range []*route.Route{routeOf(route.Stream, false, 3), routeOf(route.Once, false, 3)} {
 		backend := &scriptedBackend{answer: func(context.Context, *Attempt, int) (*Answer, error) {
-			return nil, outcome.Undecided(ErrBroken)
+			return nil, outcome.AsUnknown(ErrBroken)
 		}}
 		_, _, err := do(t, newForwarder(backend, 3), target)
 		if len(backend.sent) != 1 || outcome.Of(err) != outcome.Unknown {
@@ -149,7 +149,7 @@
 func TestDo_RefusalsDoNotCountAsAttempts(t *testing.T) {
 	backend := &scriptedBackend{answer: func(_ context.Context, _ *Attempt, number int) (*Answer, error) {
 		if number <= 4 {
-			return nil, outcome.Failed(ErrRefused)
+			return nil, outcome.AsNotDone(ErrRefused)
 		}
 		return bufferedAnswer(http.StatusOK, "body"), nil
 	}}
@@ -161,7 +161,7 @@
 
 func TestDo_TimeoutWithoutRunIsNotDone(t *testing.T) {
 	backend := &scriptedBackend{answer: func(context.Context, *Attempt, int) (*Answer, error) {
-		return nil, outcome.Failed(ErrRefused)
+		return nil, outcome.AsNotDone(ErrRefused)
 	}}
 	target := routeOf(route.Once, false, 1)
 	target.Timeout = 150 * time.Millisecond
@@ -174,7 +174,7 @@
 func TestDo_TimeoutAfterSendIsUnknown(t *testing.T) {
 	backend := &scriptedBackend{answer: func(ctx context.Context, _ *Attempt, _ int) (*Answer, error) {
 		<-ctx.Done()
-		return nil, outcome.Undecided(ErrBroken)
+		return nil, outcome.AsUnknown(ErrBroken)
 	}}
 	target := routeOf(route.Once, false, 1)
 	target.Timeout = 100 * time.Millisecond
@@ -192,7 +192,7 @@
 	backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, number int) (*Answer, error) {
 		if number == 1 {
 			<-ctx.Done()
-			return nil, outcome.Undecided(ErrBroken)
+			return nil, outcome.AsUnknown(ErrBroken)
 		}
 		return streamAnswer(events(attempt.LastEventID+1, 2)), nil
 	}}
@@ -222,7 +222,7 @@
 	backend := &scriptedBackend{answer: func(ctx context.Context, _ *Attempt, _ int) (*Answer, error) {
 		<-ctx.Done()
 		close(ended)
-		return nil, outcome.Undecided(ErrBroken)
+		return nil, outcome.AsUnknown(ErrBroken)
 	}}
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -215,9 +215,9 @@
 // withOutcome wraps the final error of a request with the outcome of the request.
 func (c *call) withOutcome(err error) error {
 	if c.mayHaveRun {
-		return Error.Wrap(outcome.Undecided(err))
+		return Error.Wrap(outcome.AsUnknown(err))
 	}
-	return Error.Wrap(outcome.Failed(err))
+	return Error.Wrap(outcome.AsNotDone(err))
 }
 
 // pick returns the best replica for the next attempt, or a replica.NoReplicaError.
@@ -371,7 +371,7 @@
 	case err == nil:
 		return nil
 	case errors.Is(cause, ErrSilent), errors.Is(cause, ErrStalled), errors.Is(cause, ErrRestarted) && outcome.Of(err) != outcome.NotDone:
-		return outcome.Undecided(cause)
+		return outcome.AsUnknown(cause)
 	default:
 		return err
 	}
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -34,7 +34,7 @@
 	if _, _, err := do(t, forwarder, patientRoute(route.Stream, true, 2)); err != nil {
 		t.Fatal(err)
 	}
-	if len(guard.interrupted) != 1 || guard.interrupted[0].StartTime != 1000 {
+	if len(guard.interrupted) != 1 || guard.interrupted[0].StartedUnixMs != 1000 {
 		t.Errorf("reported %+v", guard.interrupted)
 	}
 }
--- a/internal/forward/refusal_test.go
+++ b/internal/forward/refusal_test.go
@@ -28,9 +28,9 @@
 	return &scriptedBackend{answer: func(ctx context.Context, _ *Attempt, _ int) (*Answer, error) {
 		if !afterDelay(ctx, delay) {
 			*lost++
-			return nil, outcome.Undecided(ErrBroken)
+			return nil, outcome.AsUnknown(ErrBroken)
 		}
-		return nil, outcome.Failed(ErrRefused)
+		return nil, outcome.AsNotDone(ErrRefused)
 	}}
 }
 
@@ -58,7 +58,7 @@
 func slowStream(delay time.Duration) *scriptedBackend {
 	return &scriptedBackend{answer: func(ctx context.Context, _ *Attempt, _ int) (*Answer, error) {
 		if !afterDelay(ctx, delay) {
-			return nil, outcome.Undecided(ErrBroken)
+			return nil, outcome.AsUnknown(ErrBroken)
 		}
 		return streamAnswer(events(1, 3)), nil
 	}}
@@ -116,7 +116,7 @@
 				delay = 500 * time.Millisecond
 			}
 			if !afterDelay(ctx, delay) {
-				return nil, outcome.Undecided(ErrBroken)
+				return nil, outcome.AsUnknown(ErrBroken)
 			}
 			return streamAnswer(events(1, 3)), nil
 		}}
@@ -161,9 +161,9 @@
 		const oneWayDelay = 2 * time.Millisecond
 		backend := &scriptedBackend{answer: func(ctx context.Context, attempt *Attempt, _ int) (*Answer, error) {
 			if !afterDelay(ctx, time.Until(attempt.Deadline)+2*oneWayDelay) {
-				return nil, outcome.Undecided(ErrBroken)
+				return nil, outcome.AsUnknown(ErrBroken)
 			}
-			return nil, outcome.Failed(ErrRefused)
+			return nil, outcome.AsNotDone(ErrRefused)
 		}}
 		_, _, err := do(t, newForwarder(backend, 1), routeWithoutObjective())
 		if !errors.Is(err, ErrBusy) || outcome.Of(err) != outcome.NotDone {
--- a/internal/forward/regions_test.go
+++ b/internal/forward/regions_test.go
@@ -50,7 +50,7 @@
 				case number == 1:
 					return streamAnswer(events(1, 3) + "id: 4\nda"), nil
 				case number < 8:
-					return nil, outcome.Failed(ErrRefused)
+					return nil, outcome.AsNotDone(ErrRefused)
 				default:
 					return streamAnswer(events(attempt.LastEventID+1, 6)), nil
 				}
@@ -85,7 +85,7 @@
 func TestDo_NoReplicaInAllowedRegionsFailsAtOnce(t *testing.T) {
 	forwarder := multiRegionForwarder(&scriptedBackend{answer: func(context.Context, *Attempt, int) (*Answer, error) {
 		t.Error("the request was sent")
-		return nil, outcome.Failed(ErrRefused)
+		return nil, outcome.AsNotDone(ErrRefused)
 	}})
 	leaving := multiRegionForwarder(forwarder.Backend)
 	for _, id := range []string{"n1", "n2"} {
--- a/internal/forward/reserve_test.go
+++ b/internal/forward/reserve_test.go
@@ -30,7 +30,7 @@
 	return r.answer(asked.ID)
 }
 
-var errFull = outcome.Failed(ErrRefused)
+var errFull = outcome.AsNotDone(ErrRefused)
 
 // saturatedForwarder returns a forwarder of one of two nodes, with all slots taken.
 func saturatedForwarder(t *testing.T, backend Backend, reserver Reserver) *Forwarder {
@@ -99,7 +99,7 @@
 }
 
 func TestReserve_FallsBackWithoutReservation(t *testing.T) {
-	for name, answer := range map[string]error{"full": errFull, "silent": outcome.Undecided(errors.New("no answer"))} {
+	for name, answer := range map[string]error{"full": errFull, "silent": outcome.AsUnknown(errors.New("no answer"))} {
 		backend := answerAll()
 		reserver := &scriptedReserver{answer: func(string) (string, error) { return "", answer }}
 		if _, _, err := do(t, saturatedForwarder(t, backend, reserver), routeOf(route.Stream, true, 2)); err != nil {
@@ -234,7 +234,7 @@
 func (r *slowReserver) Reserve(ctx context.Context, _ replica.Info, _ int, _ time.Duration) (string, error) {
 	select {
 	case <-ctx.Done():
-		return "", outcome.Undecided(ctx.Err())
+		return "", outcome.AsUnknown(ctx.Err())
 	case <-time.After(r.delay):
 		return "slot", nil
 	}
--- a/internal/forward/restart_test.go
+++ b/internal/forward/restart_test.go
@@ -90,7 +90,7 @@
 				announceStart(forwarder, attempt.Replica.ID, 2000, attempt.Replica.Address)
 			})
 			<-ctx.Done()
-			return nil, outcome.Undecided(fmt.Errorf("%w: %w", ErrBroken, ctx.Err()))
+			return nil, outcome.AsUnknown(fmt.Errorf("%w: %w", ErrBroken, ctx.Err()))
 		}
 		forwarder.Backend = backend
 		_, _, err := do(t, forwarder, target)
@@ -141,7 +141,7 @@
 		}
 		announceStart(forwarder, attempt.Replica.ID, 2000, attempt.Replica.Address)
 		<-ctx.Done()
-		return nil, outcome.Failed(fmt.Errorf("%w: %w", ErrUnreachable, ctx.Err()))
+		return nil, outcome.AsNotDone(fmt.Errorf("%w: %w", ErrUnreachable, ctx.Err()))
 	}
 	forwarder.Backend = backend
 	sink, _, err := do(t, forwarder, patientRoute(route.Once, false, 1))
--- a/internal/forward/suspend_test.go
+++ b/internal/forward/suspend_test.go
@@ -19,7 +19,7 @@
 	backend := &scriptedBackend{answer: func(ctx context.Context, _ *Attempt, _ int) (*Answer, error) {
 		close(sent)
 		<-ctx.Done()
-		return nil, outcome.Undecided(ctx.Err())
+		return nil, outcome.AsUnknown(ctx.Err())
 	}}
 	target := routeOf(route.Stream, false, 1)
 	target.Timeout = time.Minute
--- a/internal/idempotency/claims.go
+++ b/internal/idempotency/claims.go
@@ -93,7 +93,7 @@
 	if !errors.Is(err, table.ErrConflict) {
 		// The claim may have been written, but nothing has been sent, so the request did not
 		// run.
-		return nil, Error.Wrap(outcome.Failed(fmt.Errorf("%w: %w", ErrStoreUnavailable, err)))
+		return nil, Error.Wrap(outcome.AsNotDone(fmt.Errorf("%w: %w", ErrStoreUnavailable, err)))
 	}
 	return s.resumeExisting(ctx, claim)
 }
@@ -104,27 +104,27 @@
 func (s *Store) resumeExisting(ctx context.Context, claim *Claim) (*Claim, error) {
 	row, err := s.service.Get(ctx, claim.key)
 	if err != nil {
-		return nil, Error.Wrap(outcome.Failed(fmt.Errorf("%w: %w", ErrStoreUnavailable, err)))
+		return nil, Error.Wrap(outcome.AsNotDone(fmt.Errorf("%w: %w", ErrStoreUnavailable, err)))
 	}
 	earlier := &Claim{key: claim.key, version: row.Version}
 	if err := row.Decode(earlier); err != nil {
 		// The request may have run, so it must not run again.
 		s.Unreadable.Report(err)
-		return nil, Error.Wrap(outcome.Undecided(fmt.Errorf("%w: %w", ErrInProgress, err)))
+		return nil, Error.Wrap(outcome.AsUnknown(fmt.Errorf("%w: %w", ErrInProgress, err)))
 	}
 	switch {
 	case string(earlier.Fingerprint) != string(claim.Fingerprint):
-		return nil, Error.Wrap(outcome.Failed(ErrMismatch))
+		return nil, Error.Wrap(outcome.AsNotDone(ErrMismatch))
 	case earlier.State == Answered:
 		return earlier, nil
 	case earlier.State == NotRun:
 		claim.version = row.Version
 		if err := s.write(ctx, claim); err != nil {
-			return nil, Error.Wrap(outcome.Failed(fmt.Errorf("%w: %w", ErrInProgress, err)))
+			return nil, Error.Wrap(outcome.AsNotDone(fmt.Errorf("%w: %w", ErrInProgress, err)))
 		}
 		return claim, nil
 	default:
-		return nil, Error.Wrap(outcome.Undecided(ErrInProgress))
+		return nil, Error.Wrap(outcome.AsUnknown(ErrInProgress))
 	}
 }
 
--- a/internal/inventory/entry.go
+++ b/internal/inventory/entry.go
@@ -39,8 +39,8 @@
 	Adapters []string     `cbor:"9,keyasint,omitempty"`
 	Fence    uint64       `cbor:"10,keyasint,omitempty"`
 	Slots    int          `cbor:"11,keyasint,omitempty"`
-	// ReadingRate is the prompt processing rate of the engine, in tokens per second.
-	ReadingRate float64 `cbor:"12,keyasint,omitempty"`
+	// PrefillRate is the prompt processing rate of the engine, in tokens per second.
+	PrefillRate float64 `cbor:"12,keyasint,omitempty"`
 	// StartedUnixMs is when the engine started, by its own clock, in Unix milliseconds; 0 if not
 	// reported.
 	StartedUnixMs int64 `cbor:"13,keyasint,omitempty"`
@@ -59,14 +59,14 @@
 	return e.Address == other.Address && e.Zone == other.Zone && e.Pool == other.Pool &&
 		e.Generation == other.Generation && e.Machine == other.Machine && e.State == other.State &&
 		e.Role == other.Role && e.Version == other.Version && e.Fence == other.Fence && e.Slots == other.Slots &&
-		e.ReadingRate == other.ReadingRate && e.StartedUnixMs == other.StartedUnixMs
+		e.PrefillRate == other.PrefillRate && e.StartedUnixMs == other.StartedUnixMs
 }
 
 // setReport sets the fields that an engine reports.
 func (e *Entry) setReport(load *engine.Load) {
 	e.State, e.Role, e.Version = load.State, load.Role, load.Version
 	e.Adapters, e.Fence, e.Slots = load.Adapters, load.Fence, load.MaxSequences
-	e.ReadingRate, e.StartedUnixMs = load.PrefillPerSec, load.StartedUnixMs
+	e.PrefillRate, e.StartedUnixMs = load.PrefillRate, load.StartedUnixMs
 }
 
 // Info returns the entry in the form that is used to pick replicas.
@@ -74,7 +74,7 @@
 	return replica.Info{
 		ID: id, StartedUnixMs: e.StartedUnixMs, Pool: e.Pool, Address: e.Address, Zone: e.Zone, Slots: e.Slots,
 		Leaving: e.Machine == machines.Leaving || e.State != engine.StateReady,
-		Version: e.Version, Adapters: e.Adapters, ReadingRate: e.ReadingRate,
+		Version: e.Version, Adapters: e.Adapters, PrefillRate: e.PrefillRate,
 		NoOnline: e.Role == engine.RoleBatch, NoBatch: e.Role == engine.RoleOnline,
 	}
 }
--- a/internal/jobs/accept.go
+++ b/internal/jobs/accept.go
@@ -115,7 +115,7 @@
 	case errors.Is(err, ErrNotFound):
 		return Error.Wrap(errors.Join(ErrNotAccepted, ErrUnavailable))
 	default:
-		return Error.Wrap(errors.Join(ErrUndecided, err))
+		return Error.Wrap(errors.Join(ErrUnknownOutcome, err))
 	}
 }
 
@@ -192,7 +192,7 @@
 		case errors.Is(err, ErrQuota), errors.Is(err, ErrSuperseded):
 			return err
 		case errors.Is(err, ErrUnreadable):
-			return s.undecided(adm, err)
+			return s.unknownOutcome(adm, err)
 		case errors.Is(err, table.ErrConflict):
 			backoff = adm.conflictBackoff()
 		default:
@@ -217,14 +217,14 @@
 
 func (s *Service) admissionStopped(adm *admission, err error) error {
 	if adm.pending {
-		return s.undecided(adm, err)
+		return s.unknownOutcome(adm, err)
 	}
 	return s.refuseAdmission(adm, errors.Join(ErrNotAccepted, err))
 }
 
-// undecided reports that the job may have been accepted.
-func (s *Service) undecided(adm *admission, err error) error {
-	return s.refuseAdmission(adm, errors.Join(ErrUndecided, err))
+// unknownOutcome reports that the job may have been accepted.
+func (s *Service) unknownOutcome(adm *admission, err error) error {
+	return s.refuseAdmission(adm, errors.Join(ErrUnknownOutcome, err))
 }
 
 func (s *Service) refuseAdmission(adm *admission, final error) error {
@@ -247,7 +247,7 @@
 	}
 	writes, err := s.admissionWrites(ctx, submission, adm.content, accepted)
 	if err != nil {
-		return outcome.Failed(err)
+		return outcome.AsNotDone(err)
 	}
 	writes = append(writes, counters...)
 	var versions []uint64
@@ -300,7 +300,7 @@
 	if err == nil {
 		s.View.Put(table.Row{Key: advanced.Key, Version: versions[0], Body: advanced.Body})
 		adm.pending = false
-		return outcome.Failed(ErrQuota)
+		return outcome.AsNotDone(ErrQuota)
 	}
 	return s.afterConflict(adm, err)
 }
@@ -355,7 +355,7 @@
 		return s.existingJobError(adm.submission.ID, err)
 	}
 	if adm.submission.guardFailed(conflict) {
-		return Error.Wrap(outcome.Failed(ErrSuperseded))
+		return Error.Wrap(outcome.AsNotDone(ErrSuperseded))
 	}
 	own, _ := conflict.Row(counterKey(adm.submission.account(), shardOf(adm.submission.ID)))
 	if own.Version > adm.pendingVersion {
@@ -368,7 +368,7 @@
 // cannot be read, the next try would find them again, and whether the job was accepted is unknown.
 func (s *Service) existingJobError(id string, err error) error {
 	if s.View.Get(id) == nil {
-		return Error.Wrap(outcome.Failed(ErrUnreadable))
+		return Error.Wrap(outcome.AsNotDone(ErrUnreadable))
 	}
 	return err
 }
--- a/internal/jobs/accept_test.go
+++ b/internal/jobs/accept_test.go
@@ -79,7 +79,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 150*time.Millisecond)
 	defer cancel()
 	err := node.Submit(ctx, submission("j", 1))
-	if !errors.Is(err, ErrUndecided) || errors.Is(err, ErrNotAccepted) {
+	if !errors.Is(err, ErrUnknownOutcome) || errors.Is(err, ErrNotAccepted) {
 		t.Fatalf("error is %v, want ErrUndecided", err)
 	}
 }
--- a/internal/jobs/atmostonce_test.go
+++ b/internal/jobs/atmostonce_test.go
@@ -63,7 +63,7 @@
 func TestRunner_AtMostOnceItemOfUnknownOutcomeIsNotSentAgain(t *testing.T) {
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "node#1")
 	backend := &scriptedBackend{answer: func(*forward.Attempt, int) (*forward.Answer, error) {
-		return nil, outcome.Undecided(forward.ErrBroken)
+		return nil, outcome.AsUnknown(forward.ErrBroken)
 	}}
 	startRunner(t, node, backend)
 	if err := node.Submit(t.Context(), atMostOnceSubmission("job", 1)); err != nil {
@@ -81,7 +81,7 @@
 	released := make(chan struct{})
 	hanging := &scriptedBackend{answer: func(*forward.Attempt, int) (*forward.Answer, error) {
 		<-released
-		return nil, outcome.Undecided(forward.ErrBroken)
+		return nil, outcome.AsUnknown(forward.ErrBroken)
 	}}
 	runner, _ := startRunner(t, lost, hanging)
 	t.Cleanup(func() { close(released) })
--- a/internal/jobs/attempt.go
+++ b/internal/jobs/attempt.go
@@ -129,7 +129,7 @@
 	}
 	for _, cause := range []error{errPreempted, forward.ErrSilent, forward.ErrStalled, forward.ErrRestarted} {
 		if errors.Is(context.Cause(ctx), cause) {
-			return outcome.Undecided(cause)
+			return outcome.AsUnknown(cause)
 		}
 	}
 	return err
@@ -146,11 +146,11 @@
 	defer func() { _ = answer.Body.Close() }()
 	switch {
 	case answer.Status == http.StatusUnprocessableEntity:
-		return outcome.Undecided(errItemInvalid)
+		return outcome.AsUnknown(errItemInvalid)
 	case answer.Status == http.StatusInternalServerError:
-		return outcome.Undecided(errItemFailed)
+		return outcome.AsUnknown(errItemFailed)
 	case answer.Status != http.StatusOK || !answer.EventStream:
-		return outcome.Undecided(fmt.Errorf("%w: status %d", forward.ErrBroken, answer.Status))
+		return outcome.AsUnknown(fmt.Errorf("%w: status %d", forward.ErrBroken, answer.Status))
 	}
 	// The reported load may preempt the run. It is applied only after the final answers above, so
 	// that none of them is lost.
@@ -174,7 +174,7 @@
 			return nil
 		}
 		if err != nil {
-			return outcome.Undecided(fmt.Errorf("%w: %w", forward.ErrBroken, err))
+			return outcome.AsUnknown(fmt.Errorf("%w: %w", forward.ErrBroken, err))
 		}
 		now := clock.Now()
 		gaps.record(now)
@@ -194,7 +194,7 @@
 		return nil
 	}
 	if event.ID != t.lastEvent+1 {
-		return outcome.Undecided(fmt.Errorf("%w: event %d follows event %d", forward.ErrBroken, event.ID, t.lastEvent))
+		return outcome.AsUnknown(fmt.Errorf("%w: event %d follows event %d", forward.ErrBroken, event.ID, t.lastEvent))
 	}
 	if t.lastEvent > 0 {
 		t.text = append(t.text, '\n')
--- a/internal/jobs/freshness_test.go
+++ b/internal/jobs/freshness_test.go
@@ -19,7 +19,7 @@
 	withStaleReader(t, func(t *testing.T, shared *tabletest.Table, lister *Service, reader *readerNode) {
 		listOne(t, lister, "job", 1)
 		time.Sleep(maxStaleness)
-		shared.ReadFault = func() error { return outcome.Undecided(table.ErrUnavailable) }
+		shared.ReadFault = func() error { return outcome.AsUnknown(table.ErrUnavailable) }
 		ctx, cancel := context.WithTimeout(t.Context(), 2*maxStaleness)
 		defer cancel()
 		reading, err := reader.Read(ctx, "job", 1, 0)
@@ -69,7 +69,7 @@
 
 func (f *slowPages) After(ctx context.Context, _ uint64, _ time.Duration) (table.Changes, error) {
 	<-ctx.Done()
-	return table.Changes{}, outcome.Undecided(ctx.Err())
+	return table.Changes{}, outcome.AsUnknown(ctx.Err())
 }
 
 // TestRead_DelayedAnswerIsOld guards that the age of a view counts from when the source produced
@@ -104,7 +104,7 @@
 	changes, err := f.Feed.After(ctx, revision, min(wait, 100*time.Millisecond))
 	select {
 	case <-ctx.Done():
-		return table.Changes{}, outcome.Undecided(ctx.Err())
+		return table.Changes{}, outcome.AsUnknown(ctx.Err())
 	case <-time.After(time.Duration(f.delay.Load())):
 		return changes, err
 	}
@@ -120,7 +120,7 @@
 	row, err := s.Service.Get(ctx, key)
 	select {
 	case <-ctx.Done():
-		return table.Row{}, outcome.Undecided(ctx.Err())
+		return table.Row{}, outcome.AsUnknown(ctx.Err())
 	case <-time.After(s.delay):
 		return row, err
 	}
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -33,9 +33,9 @@
 	ErrQuota = errors.New("job does not fit the quota")
 	// ErrNotAccepted reports that a job was not accepted; it never runs.
 	ErrNotAccepted = errors.New("store unavailable, job not accepted")
-	// ErrUndecided reports that a job may have been accepted. Submitting it again with the same id
+	// ErrUnknownOutcome reports that a job may have been accepted. Submitting it again with the same id
 	// is safe.
-	ErrUndecided = errors.New("job acceptance undecided, send it again")
+	ErrUnknownOutcome = errors.New("job acceptance undecided, send it again")
 	// ErrSuperseded reports that a guard of the submission does not hold; the job
 	// did not run and never will.
 	ErrSuperseded = errors.New("job superseded")
--- a/internal/jobs/orphans.go
+++ b/internal/jobs/orphans.go
@@ -10,9 +10,9 @@
 type orphans []ItemWait
 
 // add adds items of a job.
-func (n *orphans) add(entry *Entry, items []int, kind Wait) {
+func (n *orphans) add(entry *Entry, items []int, kind WaitReason) {
 	for _, item := range items {
-		*n = append(*n, ItemWait{Job: entry.Job.ID, Item: entry.Job.Items[item].ID, For: kind})
+		*n = append(*n, ItemWait{Job: entry.Job.ID, Item: entry.Job.Items[item].ID, Reason: kind})
 	}
 }
 
@@ -21,18 +21,18 @@
 func (n orphans) setStart(previous orphans, now time.Time) {
 	type item struct {
 		job, item string
-		kind      Wait
+		kind      WaitReason
 	}
 	known := make(map[item]time.Time, len(previous))
 	for _, wait := range previous {
-		known[item{wait.Job, wait.Item, wait.For}] = wait.LastProgress
+		known[item{wait.Job, wait.Item, wait.Reason}] = wait.LastProgress
 	}
 	for i, wait := range n {
-		start, ok := known[item{wait.Job, wait.Item, wait.For}]
+		start, ok := known[item{wait.Job, wait.Item, wait.Reason}]
 		if !ok {
 			start = now
 		}
-		n[i].LastProgress, n[i].Start = start, start
+		n[i].LastProgress, n[i].Since = start, start
 	}
 }
 
--- a/internal/jobs/ownedjob.go
+++ b/internal/jobs/ownedjob.go
@@ -98,7 +98,7 @@
 	// quarantined is set while the item is known to be quarantined.
 	quarantined bool
 	// wait is what the item waits for, waitCause the error behind it, waitStart since when.
-	wait      Wait
+	wait      WaitReason
 	waitCause error
 	waitStart time.Time
 	// lastProgress is when the item was assigned to this node, its answer last brought an event, or
--- a/internal/jobs/preempt.go
+++ b/internal/jobs/preempt.go
@@ -20,26 +20,26 @@
 
 // Preempt frees slots at a replica for online requests by canceling some of this node's items
 // there, those of lowest priority first.
-func (r *Runner) Preempt(id string, items int, why replica.Pressure) {
-	r.preempt(items, why, func(t *task) bool { return t.replica == id })
+func (r *Runner) Preempt(id string, items int, pressure replica.Pressure) {
+	r.preempt(items, pressure, func(t *task) bool { return t.replica == id })
 }
 
 // PreemptPool frees slots in a pool for online requests of other nodes by canceling some of this
 // node's items, those of lowest priority first. Items in borrowed slots run on, as do those in a
 // zone that is being evacuated, whose slots are of no use to others.
-func (r *Runner) PreemptPool(pool string, items int, why replica.Pressure) {
-	r.preempt(items, why, func(t *task) bool { return t.pool == pool && !t.borrowed && !r.Replicas.IsEvacuated(t.replica) })
+func (r *Runner) PreemptPool(pool string, items int, pressure replica.Pressure) {
+	r.preempt(items, pressure, func(t *task) bool { return t.pool == pool && !t.borrowed && !r.Replicas.IsEvacuated(t.replica) })
 }
 
 // PreemptBorrowed cancels items in slots of a pool that are borrowed from other nodes.
-func (r *Runner) PreemptBorrowed(pool string, items int, why replica.Pressure) {
-	r.preempt(items, why, func(t *task) bool { return t.pool == pool && t.borrowed })
+func (r *Runner) PreemptBorrowed(pool string, items int, pressure replica.Pressure) {
+	r.preempt(items, pressure, func(t *task) bool { return t.pool == pool && t.borrowed })
 }
 
 // preempt cancels items, except at-most-once items and those that were starved when they were sent:
 // under lasting pressure, these would be canceled before their first event each time and never
 // complete.
-func (r *Runner) preempt(items int, why replica.Pressure, eligible func(*task) bool) {
+func (r *Runner) preempt(items int, pressure replica.Pressure, eligible func(*task) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var running []*task
@@ -55,7 +55,7 @@
 		return r.priorityOf(running[j], storeNow).before(r.priorityOf(running[i], storeNow))
 	})
 	for _, t := range running[:min(items, len(running))] {
-		r.Service.Events.ItemPreempted(t.owned.job, t.owned.job.Items[t.index].ID, t.replica, t.lastEvent, why)
+		r.Service.Events.ItemPreempted(t.owned.job, t.owned.job.Items[t.index].ID, t.replica, t.lastEvent, pressure)
 		t.preempted = true
 		t.use.MarkPreempted()
 		t.cancel(errPreempted)
--- a/internal/jobs/quarantine.go
+++ b/internal/jobs/quarantine.go
@@ -32,7 +32,7 @@
 		return false
 	}
 	err := r.Quarantine.Refuse(func() quarantine.Work { return r.workIdentity(t, item) })
-	if refused := (*quarantine.RefusedError)(nil); errors.As(err, &refused) && refused.TrialDue(now) {
+	if refusal := (*quarantine.RefusalError)(nil); errors.As(err, &refusal) && refusal.TrialDue(now) {
 		// Only one node runs the item, so its trial takes place at one replica at a time.
 		err = nil
 	}
@@ -71,5 +71,5 @@
 	if t.lastEvent > resumedAfter || !forward.LooksLikeCrash(err, 0) {
 		return
 	}
-	r.Quarantine.RecordInterruption(ctx, quarantine.Replica{ID: chosen.ID, StartTime: chosen.StartedUnixMs, Address: chosen.Address}, quarantine.Run{Work: r.workIdentity(t, item), SentAt: start})
+	r.Quarantine.RecordInterruption(ctx, quarantine.Replica{ID: chosen.ID, StartedUnixMs: chosen.StartedUnixMs, Address: chosen.Address}, quarantine.Run{Work: r.workIdentity(t, item), SentAt: start})
 }
--- a/internal/jobs/quarantine_test.go
+++ b/internal/jobs/quarantine_test.go
@@ -30,12 +30,12 @@
 	if q.interrupted[identity] < 3 {
 		return nil
 	}
-	refused := &quarantine.RefusedError{}
-	refused.Quarantined, refused.Limit, refused.LastCrash = true, 3, time.Now()
+	refusal := &quarantine.RefusalError{}
+	refusal.Quarantined, refusal.Limit, refusal.LastCrash = true, 3, time.Now()
 	if q.trial {
-		refused.LastCrash = time.Time{}
+		refusal.LastCrash = time.Time{}
 	}
-	return refused
+	return refusal
 }
 
 func (q *countingQuarantine) RefuseRequest(_ context.Context, work func() quarantine.Work) error {
@@ -57,7 +57,7 @@
 	q.interrupted[run.Work]++
 }
 
-var errReplicaCrashed = outcome.Undecided(errors.Join(forward.ErrBroken, errors.New("EOF")))
+var errReplicaCrashed = outcome.AsUnknown(errors.Join(forward.ErrBroken, errors.New("EOF")))
 
 // startCrashingJob starts a job with one item whose answers are all interrupted, each after
 // eventsEach new events, and one that completes.
--- a/internal/jobs/refresh_test.go
+++ b/internal/jobs/refresh_test.go
@@ -26,7 +26,7 @@
 	a.reads.Add(1)
 	select {
 	case <-ctx.Done():
-		return table.Row{}, outcome.Undecided(ctx.Err())
+		return table.Row{}, outcome.AsUnknown(ctx.Err())
 	case <-time.After(a.delay):
 	}
 	if a.fail != nil {
@@ -169,7 +169,7 @@
 // is stalled: the calls to the table must stay limited, also if it throttles them.
 func TestEnsureFresh_RateIsLimited(t *testing.T) {
 	const jobCount, seconds = 2000, 5
-	for name, fail := range map[string]error{"answers": nil, "refuses": outcome.Failed(table.ErrThrottled)} {
+	for name, fail := range map[string]error{"answers": nil, "refuses": outcome.AsNotDone(table.ErrThrottled)} {
 		t.Run(name, func(t *testing.T) {
 			withStaleReader(t, func(t *testing.T, shared *tabletest.Table, _ *Service, reader *readerNode) {
 				counting := &countingTable{Service: shared, delay: 5 * time.Millisecond, fail: fail}
@@ -229,10 +229,10 @@
 		if !errors.Is(err, ErrNotAccepted) || errors.Is(err, ErrQuota) {
 			t.Errorf("a job that fits after the latest results: %v", err)
 		}
-		shared.ReadFault = func() error { return outcome.Undecided(table.ErrUnavailable) }
+		shared.ReadFault = func() error { return outcome.AsUnknown(table.ErrUnavailable) }
 		callCtx, end := context.WithTimeout(ctx, 2*maxStaleness)
 		defer end()
-		if err := reader.Submit(callCtx, limited("unknown", 2, 500)); !errors.Is(err, ErrUndecided) {
+		if err := reader.Submit(callCtx, limited("unknown", 2, 500)); !errors.Is(err, ErrUnknownOutcome) {
 			t.Errorf("a job of unknown state: %v", err)
 		}
 	})
--- a/internal/jobs/regionsite_test.go
+++ b/internal/jobs/regionsite_test.go
@@ -107,7 +107,7 @@
 
 func (n *regionNode) Send(_ context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
 	if n.refuse.Load() {
-		return nil, outcome.Failed(forward.ErrRefused)
+		return nil, outcome.AsNotDone(forward.ErrRefused)
 	}
 	n.mu.Lock()
 	n.sent = append(n.sent, attempt.Replica.ID)
--- a/internal/jobs/runner.go
+++ b/internal/jobs/runner.go
@@ -194,7 +194,7 @@
 }
 
 // recordWait records what an item that is not sent waits for.
-func (r *Runner) recordWait(t *task, kind Wait, cause error) {
+func (r *Runner) recordWait(t *task, kind WaitReason, cause error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.state == taskWaiting {
@@ -203,7 +203,7 @@
 }
 
 // recordWaitAll records that all items which are not sent wait for the same reason.
-func (r *Runner) recordWaitAll(kind Wait) {
+func (r *Runner) recordWaitAll(kind WaitReason) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, owned := range r.owned {
--- a/internal/jobs/runner_test.go
+++ b/internal/jobs/runner_test.go
@@ -235,7 +235,7 @@
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "a#1")
 	backend := &scriptedBackend{answer: func(_ *forward.Attempt, number int) (*forward.Answer, error) {
 		if number <= 6 {
-			return nil, outcome.Failed(forward.ErrRefused)
+			return nil, outcome.AsNotDone(forward.ErrRefused)
 		}
 		return answerOf(http.StatusOK, events(1, 2)), nil
 	}}
--- a/internal/jobs/service.go
+++ b/internal/jobs/service.go
@@ -42,7 +42,7 @@
 // Events receives what happens to jobs, for logs and metrics.
 type Events interface {
 	Accepted(job *Job, took time.Duration, resent bool)
-	Refused(id string, used, asked, quota int64, err error)
+	Refused(id string, used, requested, quota int64, err error)
 	Ended(id string, err error)
 	Claimed(entry *Entry, from string, err error)
 	ItemSent(job *Job, item string, replica string, after int)
@@ -50,7 +50,7 @@
 	// ItemQuarantined reports an item that is not sent because it crashed replicas.
 	ItemQuarantined(job *Job, item string, err error)
 	// ItemPreempted reports an item that leaves its slot to online requests, and why.
-	ItemPreempted(job *Job, item string, replica string, after int, why replica.Pressure)
+	ItemPreempted(job *Job, item string, replica string, after int, pressure replica.Pressure)
 	ItemListed(job *Job, item string, position int, dead Reason, took time.Duration)
 	Resolved(operation string, attempts int, err error)
 	Removed(job *Job, err error)
@@ -118,7 +118,7 @@
 		}
 		if s.View.ProgressUnreadable(id) {
 			// No version of the row is known that a change could be based on.
-			return Error.Wrap(outcome.Failed(ErrUnreadable))
+			return Error.Wrap(outcome.AsNotDone(ErrUnreadable))
 		}
 		next := entry.Progress.clone()
 		extra, needed := change(next)
@@ -141,7 +141,7 @@
 		foreign.record(err, extra, s.View.Unreadable)
 		if !retry.Sleep(ctx, delay) {
 			s.reportResolved(operation, attempts, err)
-			return Error.Wrap(outcome.Undecided(err))
+			return Error.Wrap(outcome.AsUnknown(err))
 		}
 		delay = min(2*delay, retryDelayMax)
 	}
--- a/internal/jobs/slots_test.go
+++ b/internal/jobs/slots_test.go
@@ -71,7 +71,7 @@
 	for _, node := range s.nodes {
 		if waiting := node.runner.ItemWaits(); !node.dead.Load() && len(waiting) > 0 {
 			share := node.set.PoolStats(clock.Now())[testPool].Share
-			text += fmt.Sprintf("\n%s, share %d, %d items, the oldest waits for %s since %v", node.name, share, len(waiting), waiting[0].For, clock.Since(waiting[0].LastProgress))
+			text += fmt.Sprintf("\n%s, share %d, %d items, the oldest waits for %s since %v", node.name, share, len(waiting), waiting[0].Reason, clock.Since(waiting[0].LastProgress))
 		}
 	}
 	return text
--- a/internal/jobs/slotserver_test.go
+++ b/internal/jobs/slotserver_test.go
@@ -23,7 +23,7 @@
 }
 
 // reserve reserves a slot.
-func (s *slotServer) reserve(hold time.Duration) (string, error) {
+func (s *slotServer) reserve(ttl time.Duration) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests++
@@ -31,7 +31,7 @@
 		return "", forward.ErrRefused
 	}
 	id := fmt.Sprintf("%s-%d", s.name, s.requests)
-	s.reservations[id] = clock.Now().Add(hold)
+	s.reservations[id] = clock.Now().Add(ttl)
 	return id, nil
 }
 
--- a/internal/jobs/slotsite_test.go
+++ b/internal/jobs/slotsite_test.go
@@ -137,12 +137,12 @@
 func (n *slotNode) publishNeeds(ctx context.Context) {
 	for retry.Sleep(ctx, 100*time.Millisecond) {
 		for _, need := range n.set.UpdateDemand(clock.Now()) {
-			why := replica.Pressure{Fleet: need.FleetUsage}
+			pressure := replica.Pressure{Fleet: need.FleetUsage}
 			if need.Excess > 0 {
-				n.runner.PreemptPool(need.Pool, need.Excess, why)
+				n.runner.PreemptPool(need.Pool, need.Excess, pressure)
 			}
 			if need.BorrowedExcess > 0 {
-				n.runner.PreemptBorrowed(need.Pool, need.BorrowedExcess, why)
+				n.runner.PreemptBorrowed(need.Pool, need.BorrowedExcess, pressure)
 			}
 			for _, other := range n.site.randomPeers(n, 3) {
 				if delay := n.site.messageDelay(); delay >= 0 {
@@ -198,9 +198,9 @@
 }
 
 // Reserve implements forward.Reserver.
-func (n *slotNode) Reserve(ctx context.Context, chosen replica.Info, _ int, hold time.Duration) (string, error) {
+func (n *slotNode) Reserve(ctx context.Context, chosen replica.Info, _ int, ttl time.Duration) (string, error) {
 	retry.Sleep(ctx, time.Millisecond)
-	return n.site.servers[chosen.ID].reserve(hold)
+	return n.site.servers[chosen.ID].reserve(ttl)
 }
 
 // Send implements forward.Backend.
@@ -208,7 +208,7 @@
 	retry.Sleep(ctx, time.Millisecond)
 	server := n.site.servers[attempt.Replica.ID]
 	if !server.acquire(attempt.Reservation) {
-		return nil, outcome.Failed(forward.ErrRefused)
+		return nil, outcome.AsNotDone(forward.ErrRefused)
 	}
 	n.site.runStarted(attempt.Request.ID)
 	body := &pacedBody{ctx: ctx, node: n, server: server, item: attempt.Request.ID, next: attempt.LastEventID + 1}
--- a/internal/jobs/slotwaits_test.go
+++ b/internal/jobs/slotwaits_test.go
@@ -155,7 +155,7 @@
 	var longest time.Duration
 	for _, node := range s.nodes {
 		for _, wait := range node.runner.ItemWaits() {
-			if node.dead.Load() || wait.For == WaitAnswer || wait.For == WaitListing {
+			if node.dead.Load() || wait.Reason == WaitAnswer || wait.Reason == WaitListing {
 				continue
 			}
 			since := wait.LastProgress
--- a/internal/jobs/staleread_test.go
+++ b/internal/jobs/staleread_test.go
@@ -26,7 +26,7 @@
 	changes, err := f.Feed.After(ctx, revision, wait)
 	if f.stalled.Load() {
 		<-ctx.Done()
-		return table.Changes{}, outcome.Undecided(ctx.Err())
+		return table.Changes{}, outcome.AsUnknown(ctx.Err())
 	}
 	return changes, err
 }
@@ -34,7 +34,7 @@
 func (f *stallingFeed) Page(ctx context.Context, cursor table.Cursor) (table.Changes, table.Cursor, error) {
 	if f.stalled.Load() {
 		<-ctx.Done()
-		return table.Changes{}, cursor, outcome.Undecided(ctx.Err())
+		return table.Changes{}, cursor, outcome.AsUnknown(ctx.Err())
 	}
 	return f.Feed.Page(ctx, cursor)
 }
--- a/internal/jobs/unlisted_test.go
+++ b/internal/jobs/unlisted_test.go
@@ -57,7 +57,7 @@
 				if listed := len(node.View.Get("j").Progress.Listed); listed != 3 {
 					t.Fatalf("%d items are listed, want the three whose texts need no object", listed)
 				}
-				if waiting := runner.ItemWaits(); len(waiting) != 1 || waiting[0].For != WaitListing || waiting[0].Cause == nil {
+				if waiting := runner.ItemWaits(); len(waiting) != 1 || waiting[0].Reason != WaitListing || waiting[0].Cause == nil {
 					t.Fatalf("waits are %+v, want one for listing, with its cause", waiting)
 				}
 				objects.put.Store(nil)
@@ -90,7 +90,7 @@
 		takeOver(t, runner, "j", "b#2")
 		time.Sleep(5 * time.Second)
 		waiting := runner.ItemWaits()
-		if len(waiting) != 3 || waiting[0].For != WaitContent || waiting[0].Cause == nil {
+		if len(waiting) != 3 || waiting[0].Reason != WaitContent || waiting[0].Cause == nil {
 			t.Fatalf("waits are %+v, want three for content, with their cause", waiting)
 		}
 		if since := clock.Since(waiting[0].LastProgress); since < 4*time.Second {
--- a/internal/jobs/unreadable_test.go
+++ b/internal/jobs/unreadable_test.go
@@ -147,7 +147,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
 	for range 2 {
-		if err := node.Submit(ctx, submission("j", 1)); !errors.Is(err, ErrUndecided) || ctx.Err() != nil {
+		if err := node.Submit(ctx, submission("j", 1)); !errors.Is(err, ErrUnknownOutcome) || ctx.Err() != nil {
 			t.Fatalf("submitted: %v", err)
 		}
 		if _, err := node.Read(ctx, "j", 0, 0); err == nil || errors.Is(err, ErrNotFound) {
--- a/internal/jobs/waits.go
+++ b/internal/jobs/waits.go
@@ -8,13 +8,13 @@
 	"github.com/wheelhoist/wheelhoist/internal/clock"
 )
 
-// Wait is the reason why an item is not listed yet. Bound returns how long it should last.
-type Wait uint8
+// WaitReason is the reason why an item is not listed yet. Bound returns how long it should last.
+type WaitReason uint8
 
 const (
 	// WaitDispatch items have not been considered for dispatch since they were assigned to this
 	// node or became ready.
-	WaitDispatch Wait = iota
+	WaitDispatch WaitReason = iota
 	// WaitBackoff items are in the pause after an attempt that did not complete them.
 	WaitBackoff
 	// WaitView items wait for a current view of the jobs; with an old one, ends of jobs would be
@@ -49,7 +49,7 @@
 )
 
 // String returns the name used in logs and metrics.
-func (w Wait) String() string {
+func (w WaitReason) String() string {
 	names := [waitKinds]string{
 		"look", "pause", "view", "routes", "route", "room", "replica", "quarantine", "mark", "hand-back", "answer", "listing", "content",
 		"owner", "home",
@@ -63,12 +63,12 @@
 // ItemWait describes what one unlisted item waits for.
 type ItemWait struct {
 	Job, Item string
-	For       Wait
+	Reason    WaitReason
 	// LastProgress is when the item last made progress, by package clock: when it was assigned to
 	// this node, its answer last brought an event, or it got its outcome.
 	LastProgress time.Time
-	// Start is since when the item has waited for this reason without a break.
-	Start time.Time
+	// Since is since when the item has waited for this reason without a break.
+	Since time.Time
 	// Replica is the replica that runs the item, if one does.
 	Replica string
 	// Cause is the error behind the wait; nil if For says it all.
@@ -77,18 +77,18 @@
 
 // WaitCount counts the items of this node that wait for the same reason.
 type WaitCount struct {
-	For   Wait
-	Count int
+	Reason WaitReason
+	Count  int
 	// Oldest is the longest time since one of them made progress.
 	Oldest time.Duration
 }
 
 // setWait records what the task waits for from now on. The caller holds the runner's lock.
-func (t *task) setWait(kind Wait, cause error) {
-	if t.wait != kind || t.waitStart.IsZero() {
+func (t *task) setWait(reason WaitReason, cause error) {
+	if t.wait != reason || t.waitStart.IsZero() {
 		t.waitStart = clock.Now()
 	}
-	t.wait, t.waitCause = kind, cause
+	t.wait, t.waitCause = reason, cause
 }
 
 // ItemWaits returns what each unlisted item of this node, and each orphan that it should take over,
@@ -105,8 +105,8 @@
 		}
 		for _, index := range owned.unloaded {
 			all = append(all, ItemWait{
-				Job: owned.job.ID, Item: owned.job.Items[index].ID, For: WaitContent,
-				LastProgress: owned.unloadedSince, Start: owned.unloadedSince, Cause: owned.loadErr,
+				Job: owned.job.ID, Item: owned.job.Items[index].ID, Reason: WaitContent,
+				LastProgress: owned.unloadedSince, Since: owned.unloadedSince, Cause: owned.loadErr,
 			})
 		}
 	}
@@ -119,10 +119,10 @@
 func (t *task) itemWait() ItemWait {
 	wait := ItemWait{
 		Job: t.owned.job.ID, Item: t.owned.job.Items[t.index].ID,
-		For: t.wait, LastProgress: t.lastProgress, Start: t.waitStart, Cause: t.waitCause,
+		Reason: t.wait, LastProgress: t.lastProgress, Since: t.waitStart, Cause: t.waitCause,
 	}
-	if wait.Start.IsZero() {
-		wait.Start = t.lastProgress
+	if wait.Since.IsZero() {
+		wait.Since = t.lastProgress
 	}
 	if t.state == taskRunning {
 		wait.Replica = t.replica
@@ -135,10 +135,10 @@
 func (r *Runner) WaitCounts(now time.Time) []WaitCount {
 	counts := make([]WaitCount, waitKinds)
 	for i := range counts {
-		counts[i].For = Wait(i)
+		counts[i].Reason = WaitReason(i)
 	}
 	for _, wait := range r.ItemWaits() {
-		count := &counts[wait.For]
+		count := &counts[wait.Reason]
 		count.Count++
 		count.Oldest = max(count.Oldest, now.Sub(wait.LastProgress))
 	}
@@ -149,20 +149,20 @@
 // for its wait alternate.
 const maxStall = 10 * time.Second
 
-// noBound is the bound of waits that end by an action of operators or callers, or when the item
+// neverOverdue is the bound of waits that end by an action of operators or callers, or when the item
 // expires. Their start is logged once.
-const noBound = time.Duration(math.MaxInt64)
+const neverOverdue = time.Duration(math.MaxInt64)
 
-// Bound returns the longest time that an item usually waits for this reason while nodes, replicas
+// OverdueAfter returns the longest time that an item usually waits for this reason while nodes, replicas
 // and the store are available. Design 0018 describes what ends each wait.
-func (w Wait) Bound() time.Duration {
+func (w WaitReason) OverdueAfter() time.Duration {
 	switch w {
 	case WaitDispatch, WaitBackoff:
 		return 2 * time.Second
 	case WaitStartMark, WaitListing, WaitContent:
 		return 5 * time.Second
 	case WaitRoute, WaitQuarantine, WaitRegion:
-		return noBound
+		return neverOverdue
 	default:
 		return maxStall
 	}
@@ -170,8 +170,8 @@
 
 // isOverdue reports whether an item has waited for longer than it should.
 func (w *ItemWait) isOverdue(now time.Time) bool {
-	bound := w.For.Bound()
-	return bound != noBound && (now.Sub(w.Start) >= bound || now.Sub(w.LastProgress) >= maxStall)
+	bound := w.Reason.OverdueAfter()
+	return bound != neverOverdue && (now.Sub(w.Since) >= bound || now.Sub(w.LastProgress) >= maxStall)
 }
 
 // Overdue returns the items that have waited for longer than they should, the least recent progress
--- a/internal/jobs/waits_test.go
+++ b/internal/jobs/waits_test.go
@@ -60,7 +60,7 @@
 	if err := node.Submit(t.Context(), submission("j", 10)); err != nil {
 		t.Fatal(err)
 	}
-	count := func(kind Wait) int { return runner.WaitCounts(clock.Now())[kind].Count }
+	count := func(kind WaitReason) int { return runner.WaitCounts(clock.Now())[kind].Count }
 	for deadline := time.Now().Add(5 * time.Second); count(WaitAnswer) < 8 || count(WaitSlot) < 2; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("waits are %+v, want 8 of 10 items running in 8 slots and 2 waiting for one", runner.WaitCounts(clock.Now()))
@@ -80,7 +80,7 @@
 	names := map[string]bool{}
 	for kind := range waitKinds {
 		names[kind.String()] = true
-		if bound := kind.Bound(); bound <= 0 || bound > maxStall && bound != noBound {
+		if bound := kind.OverdueAfter(); bound <= 0 || bound > maxStall && bound != neverOverdue {
 			t.Errorf("%s is bounded by %v", kind, bound)
 		}
 	}
@@ -106,7 +106,7 @@
 	eventually(t, func() bool { return runner.WaitCounts(clock.Now())[WaitSlot].Count > 0 })
 	for _, wait := range runner.ItemWaits() {
 		var room replica.ItemCapacity
-		if wait.For == WaitSlot && (!errors.As(wait.Cause, &room) || room.Share > 1) {
+		if wait.Reason == WaitSlot && (!errors.As(wait.Cause, &room) || room.Share > 1) {
 			t.Fatalf("item waits for a slot because of %v", wait.Cause)
 		}
 	}
--- a/internal/jobs/waitsbynode.go
+++ b/internal/jobs/waitsbynode.go
@@ -12,10 +12,10 @@
 type NodeWaitCount struct {
 	// Node is the node that runs them; empty if none does.
 	Node string
-	// For is what they wait for. Known is set only for items of the reporting node.
-	For   Wait
-	Known bool
-	Items int
+	// Reason is what they wait for. Known is set only for items of the reporting node.
+	Reason WaitReason
+	Known  bool
+	Items  int
 	// Oldest is the longest time since one of them made progress, if it is known.
 	Oldest time.Duration
 }
@@ -24,14 +24,14 @@
 // this node wait for. The reasons of other nodes' items are known only there.
 func (r *Runner) WaitsByNode(session string, now time.Time, include func(job string) bool) []NodeWaitCount {
 	type key struct {
-		node  string
-		kind  Wait
-		known bool
+		node   string
+		reason WaitReason
+		known  bool
 	}
 	counts := map[key]NodeWaitCount{}
 	count := func(at key, waited time.Duration) {
 		wait := counts[at]
-		wait.Node, wait.For, wait.Known = at.node, at.kind, at.known
+		wait.Node, wait.Reason, wait.Known = at.node, at.reason, at.known
 		wait.Items++
 		wait.Oldest = max(wait.Oldest, waited)
 		counts[at] = wait
@@ -39,7 +39,7 @@
 	self := lease.Node(session)
 	for _, wait := range r.ItemWaits() {
 		if include(wait.Job) {
-			count(key{self, wait.For, true}, now.Sub(wait.LastProgress))
+			count(key{self, wait.Reason, true}, now.Sub(wait.LastProgress))
 		}
 	}
 	for _, entry := range r.Service.View.Open() {
@@ -57,7 +57,7 @@
 		all = append(all, wait)
 	}
 	slices.SortFunc(all, func(a, b NodeWaitCount) int {
-		return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.For, b.For))
+		return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Reason, b.Reason))
 	})
 	return all
 }
--- a/internal/lab/emulator/engine.go
+++ b/internal/lab/emulator/engine.go
@@ -224,7 +224,7 @@
 		Version: e.serving.Version, Adapters: e.serving.Adapters, Fence: e.serving.Fence,
 		Generation: e.config.Generation.Name, MaxSequences: e.config.Generation.MaxSequences,
 		KVTotalTokens: e.config.Generation.KVTokens,
-		PrefillPerSec: e.config.Generation.PrefillTokensPerSecond, ReportedUnixMs: now.UnixMilli(),
+		PrefillRate:   e.config.Generation.PrefillTokensPerSecond, ReportedUnixMs: now.UnixMilli(),
 		StartedUnixMs: e.started.UnixMilli(),
 	}
 	e.mu.Unlock()
--- a/internal/lab/experiment/fault.go
+++ b/internal/lab/experiment/fault.go
@@ -61,14 +61,14 @@
 	return Fault{}, false
 }
 
-func (r *run) randomNode() *site.Member {
+func (r *run) randomNode() *site.Node {
 	nodes := r.site.Nodes()
 	return nodes[r.random.IntN(len(nodes))]
 }
 
 // restartNode starts a stopped node again, even if ctx is done, so that every run ends with all nodes.
-func (r *run) restartNode(ctx context.Context, member *site.Member) {
-	if _, err := r.site.StartNode(context.WithoutCancel(ctx), member.Slot); err != nil {
+func (r *run) restartNode(ctx context.Context, node *site.Node) {
+	if _, err := r.site.StartNode(context.WithoutCancel(ctx), node.Slot); err != nil {
 		r.addError(err)
 	}
 }
@@ -233,17 +233,17 @@
 }
 
 func rollingRestart(ctx context.Context, r *run) {
-	for _, member := range r.site.Nodes() {
+	for _, node := range r.site.Nodes() {
 		if !retry.Sleep(ctx, restartDelay) {
 			return
 		}
-		r.options.Progress("stop %s as planned", member.ID)
+		r.options.Progress("stop %s as planned", node.ID)
 		stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), drainTimeout)
-		err := member.Drain(stopCtx)
+		err := node.Drain(stopCtx)
 		cancel()
 		if err != nil {
 			r.addError(err)
 		}
-		r.restartNode(ctx, member)
+		r.restartNode(ctx, node)
 	}
 }
--- a/internal/lab/experiment/yield.go
+++ b/internal/lab/experiment/yield.go
@@ -140,8 +140,8 @@
 
 func completedItems(labSite *site.Site) uint64 {
 	var items uint64
-	for _, member := range labSite.Nodes() {
-		if inner := member.InProcess(); inner != nil {
+	for _, node := range labSite.Nodes() {
+		if inner := node.InProcess(); inner != nil {
 			items += inner.ItemsCompleted()
 		}
 	}
--- a/internal/lab/site/balancer.go
+++ b/internal/lab/site/balancer.go
@@ -40,21 +40,21 @@
 
 // probe probes all nodes in parallel and updates the list of ready nodes.
 func (b *balancer) probe(ctx context.Context, site *Site) {
-	members := site.Nodes()
-	results := make([]bool, len(members))
+	nodes := site.Nodes()
+	results := make([]bool, len(nodes))
 	var group sync.WaitGroup
-	for i, member := range members {
+	for i, node := range nodes {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			results[i] = probeReady(ctx, b.client, member.URL())
+			results[i] = probeReady(ctx, b.client, node.URL())
 		}()
 	}
 	group.Wait()
 	var ready []string
-	for i, member := range members {
+	for i, node := range nodes {
 		if results[i] {
-			ready = append(ready, member.URL())
+			ready = append(ready, node.URL())
 		}
 	}
 	b.mu.Lock()
--- a/internal/lab/site/declare.go
+++ b/internal/lab/site/declare.go
@@ -62,13 +62,13 @@
 }
 
 // ready reports whether a node accepts requests.
-func (s *Site) ready(ctx context.Context, member *Member) bool {
-	return probeReady(ctx, http.DefaultClient, member.URL())
+func (s *Site) ready(ctx context.Context, node *Node) bool {
+	return probeReady(ctx, http.DefaultClient, node.URL())
 }
 
 // converged reports whether a node sees all running nodes, all replicas and the initial resources.
-func (s *Site) converged(ctx context.Context, member *Member) bool {
-	body, err := client.New(member.URL(), OperatorKey).Status(ctx)
+func (s *Site) converged(ctx context.Context, node *Node) bool {
+	body, err := client.New(node.URL(), OperatorKey).Status(ctx)
 	var status server.NodeStatus
 	if err != nil || json.Unmarshal(body, &status) != nil {
 		return false
--- a/internal/lab/site/member.go
+++ b/internal/lab/site/node.go
@@ -45,12 +45,12 @@
 }
 
 // startProcess starts the node command of the current executable. The process outlives ctx.
-func (m *Member) startProcess(ctx context.Context) error {
+func (n *Node) startProcess(ctx context.Context) error {
 	executable, err := os.Executable()
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	path, err := m.writeSettings()
+	path, err := n.writeSettings()
 	if err != nil {
 		return err
 	}
@@ -67,23 +67,23 @@
 	proc.readers.Add(1)
 	go func() {
 		defer proc.readers.Done()
-		m.readLog(io.TeeReader(output, &proc.logTail))
+		n.readLog(io.TeeReader(output, &proc.logTail))
 	}()
 	go func() {
 		proc.readers.Wait()
 		_ = command.Wait()
 		close(proc.exited)
 	}()
-	m.mu.Lock()
-	m.process = proc
-	m.mu.Unlock()
+	n.mu.Lock()
+	n.process = proc
+	n.mu.Unlock()
 	return nil
 }
 
 // writeSettings writes the settings to a YAML file in a new temporary directory and returns its path.
 // It encodes them as JSON first, because the JSON tags define the keys of the YAML.
-func (m *Member) writeSettings() (string, error) {
-	encoded, err := json.Marshal(m.settings)
+func (n *Node) writeSettings() (string, error) {
+	encoded, err := json.Marshal(n.settings)
 	if err != nil {
 		return "", Error.Wrap(err)
 	}
@@ -95,12 +95,12 @@
 	if err != nil {
 		return "", Error.Wrap(err)
 	}
-	path := filepath.Join(directory, m.ID+".yaml")
+	path := filepath.Join(directory, n.ID+".yaml")
 	return path, Error.Wrap(os.WriteFile(path, source, 0o600))
 }
 
 // readLog records an event for each configuration revision that the log of the node reports as applied.
-func (m *Member) readLog(output io.Reader) {
+func (n *Node) readLog(output io.Reader) {
 	const maxLogLine = 1 << 20
 	scanner := bufio.NewScanner(output)
 	scanner.Buffer(nil, maxLogLine)
@@ -113,16 +113,16 @@
 		if json.Unmarshal(scanner.Bytes(), &line) != nil || line.Message != "configuration applied" {
 			continue
 		}
-		m.recorder.Record(history.Event{
-			Time: line.UnixNano, Source: "node/" + m.ID, Type: history.ConfigApplied, Revision: line.Revision,
+		n.recorder.Record(history.Event{
+			Time: line.UnixNano, Source: "node/" + n.ID, Type: history.ConfigApplied, Revision: line.Revision,
 		})
 	}
 }
 
 // Kill stops the node without draining it. A process is sent SIGKILL.
-func (m *Member) Kill() {
-	inProcess, proc := m.detach()
-	m.recorder.Record(history.Event{Source: "lab", Type: history.NodeKilled, Detail: m.ID})
+func (n *Node) Kill() {
+	inProcess, proc := n.detach()
+	n.recorder.Record(history.Event{Source: "lab", Type: history.NodeKilled, Detail: n.ID})
 	if inProcess != nil {
 		_ = inProcess.Close()
 	}
@@ -133,21 +133,21 @@
 }
 
 // Signal sends a signal to the process of the node. It fails for an in-process node.
-func (m *Member) Signal(signal syscall.Signal) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.process == nil {
+func (n *Node) Signal(signal syscall.Signal) error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.process == nil {
 		return Error.Wrap(errNoProcess)
 	}
-	return Error.Wrap(m.process.command.Process.Signal(signal))
+	return Error.Wrap(n.process.command.Process.Signal(signal))
 }
 
 // Drain shuts the node down gracefully and waits until it has stopped or the context ends.
-func (m *Member) Drain(ctx context.Context) error {
-	m.recorder.Record(history.Event{Source: "lab", Type: history.NodeStopping, Detail: m.ID})
-	m.mu.Lock()
-	inProcess, proc := m.inProcess, m.process
-	m.mu.Unlock()
+func (n *Node) Drain(ctx context.Context) error {
+	n.recorder.Record(history.Event{Source: "lab", Type: history.NodeStopping, Detail: n.ID})
+	n.mu.Lock()
+	inProcess, proc := n.inProcess, n.process
+	n.mu.Unlock()
 	var err error
 	if inProcess != nil {
 		err = inProcess.Drain(ctx)
@@ -160,7 +160,7 @@
 			err = ctx.Err()
 		}
 	}
-	_, _ = m.detach()
+	_, _ = n.detach()
 	return Error.Wrap(err)
 }
 
@@ -168,12 +168,12 @@
 // ExitError as its cause. In-process nodes are not watched.
 func (s *Site) withCancelOnExit(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	for _, member := range s.Nodes() {
-		member.mu.Lock()
-		proc := member.process
-		member.mu.Unlock()
+	for _, n := range s.Nodes() {
+		n.mu.Lock()
+		proc := n.process
+		n.mu.Unlock()
 		if proc != nil {
-			go proc.cancelOnExit(ctx, member.ID, cancel)
+			go proc.cancelOnExit(ctx, n.ID, cancel)
 		}
 	}
 	return ctx, func() { cancel(nil) }
@@ -190,21 +190,21 @@
 
 // await polls until the condition holds for a node. It fails with the cause of the context if that
 // ends first.
-func (s *Site) await(ctx context.Context, member *Member, condition func(context.Context, *Member) bool) error {
+func (s *Site) await(ctx context.Context, n *Node, condition func(context.Context, *Node) bool) error {
 	const interval = 50 * time.Millisecond
-	for !condition(ctx, member) {
+	for !condition(ctx, n) {
 		if !retry.Sleep(ctx, interval) {
-			return Error.Wrap(fmt.Errorf("node %s not ready: %w", member.ID, context.Cause(ctx)))
+			return Error.Wrap(fmt.Errorf("node %s not ready: %w", n.ID, context.Cause(ctx)))
 		}
 	}
 	return nil
 }
 
 // detach marks the node as not running and returns the node or process that was running, if any.
-func (m *Member) detach() (inProcess *node.Node, proc *process) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	inProcess, proc = m.inProcess, m.process
-	m.inProcess, m.process = nil, nil
+func (n *Node) detach() (inProcess *node.Node, proc *process) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	inProcess, proc = n.inProcess, n.process
+	n.inProcess, n.process = nil, nil
 	return inProcess, proc
 }
--- a/internal/lab/site/site.go
+++ b/internal/lab/site/site.go
@@ -55,7 +55,7 @@
 
 	mu      sync.Mutex
 	engines []*Engine
-	nodes   []*Member
+	nodes   []*Node
 	cutOff  map[string]bool
 }
 
@@ -157,25 +157,25 @@
 }
 
 // Nodes returns the members of the site by slot, including those that do not run.
-func (s *Site) Nodes() []*Member {
+func (s *Site) Nodes() []*Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]*Member(nil), s.nodes...)
+	return append([]*Node(nil), s.nodes...)
 }
 
 // URLs returns the base URLs of the running nodes.
 func (s *Site) URLs() []string {
 	var urls []string
-	for _, member := range s.Nodes() {
-		if member.Running() {
-			urls = append(urls, member.URL())
+	for _, n := range s.Nodes() {
+		if n.Running() {
+			urls = append(urls, n.URL())
 		}
 	}
 	return urls
 }
 
-// Member is a node of the site. It keeps its slot, ID and address across restarts.
-type Member struct {
+// Node is a node of the site. It keeps its slot, ID and address across restarts.
+type Node struct {
 	Slot     int
 	ID       string
 	Zone     string
@@ -188,56 +188,56 @@
 }
 
 // URL returns the base URL of the node.
-func (m *Member) URL() string { return "http://" + m.settings.Node.Listen }
+func (n *Node) URL() string { return "http://" + n.settings.Node.Listen }
 
 // InProcess returns the running node, or nil if it is stopped or runs as a process.
-func (m *Member) InProcess() *node.Node {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.inProcess
+func (n *Node) InProcess() *node.Node {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.inProcess
 }
 
 // Running reports whether the node was started and not stopped by Kill or Drain since.
-func (m *Member) Running() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.inProcess != nil || m.process != nil
+func (n *Node) Running() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.inProcess != nil || n.process != nil
 }
 
 // StartNode starts or restarts the node of a slot. It does not wait until the node is ready.
-func (s *Site) StartNode(ctx context.Context, slot int) (*Member, error) {
-	member, err := s.member(slot)
+func (s *Site) StartNode(ctx context.Context, slot int) (*Node, error) {
+	n, err := s.node(slot)
 	if err != nil {
 		return nil, err
 	}
-	s.config.Recorder.Record(history.Event{Source: "lab", Type: history.NodeStarted, Detail: member.ID})
+	s.config.Recorder.Record(history.Event{Source: "lab", Type: history.NodeStarted, Detail: n.ID})
 	if s.config.Processes {
-		return member, member.startProcess(ctx)
+		return n, n.startProcess(ctx)
 	}
 	output := s.config.Log
 	if output == nil {
 		output = io.Discard
 	}
-	inProcess, err := node.Start(ctx, member.settings, node.Options{
+	inProcess, err := node.Start(ctx, n.settings, node.Options{
 		Log: zerolog.New(output).With().Timestamp().Logger(),
-		Cut: func() bool { return s.isCutOff(member.Zone) },
+		Cut: func() bool { return s.isCutOff(n.Zone) },
 		OnApplied: func(revision uint64) {
 			s.config.Recorder.Record(history.Event{
-				Source: "node/" + member.ID, Type: history.ConfigApplied, Revision: revision,
+				Source: "node/" + n.ID, Type: history.ConfigApplied, Revision: revision,
 			})
 		},
 	})
 	if err != nil {
 		return nil, err
 	}
-	member.mu.Lock()
-	member.inProcess = inProcess
-	member.mu.Unlock()
-	return member, nil
+	n.mu.Lock()
+	n.inProcess = inProcess
+	n.mu.Unlock()
+	return n, nil
 }
 
-// member returns the member of a slot and creates it on first use.
-func (s *Site) member(slot int) (*Member, error) {
+// node returns the node of a slot and creates it on first use.
+func (s *Site) node(slot int) (*Node, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if slot < len(s.nodes) {
@@ -250,16 +250,16 @@
 		return nil, err
 	}
 	zone := zones[slot%len(zones)]
-	member := &Member{
+	n := &Node{
 		Slot: slot, ID: id, Zone: zone, recorder: s.config.Recorder,
 		settings: s.nodeSettings(id, zone, listen),
 	}
-	s.nodes = append(s.nodes, member)
+	s.nodes = append(s.nodes, n)
 	s.Platform.Machines.Add(machines.Machine{
 		ID: id, Role: machines.RoleNode, Zone: zone, Region: s.config.Profile.Region,
 		State: machines.Live, Address: listen,
 	})
-	return member, nil
+	return n, nil
 }
 
 // nodeAddress returns the address of the node of a slot, given the address of the first node.
@@ -310,11 +310,11 @@
 func (s *Site) Close() {
 	s.stopBalancer()
 	var group sync.WaitGroup
-	for _, member := range s.Nodes() {
+	for _, n := range s.Nodes() {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			member.Kill()
+			n.Kill()
 		}()
 	}
 	group.Wait()
@@ -326,14 +326,14 @@
 
 // awaitReady waits until all running nodes are ready and have converged.
 func (s *Site) awaitReady(ctx context.Context) error {
-	for _, member := range s.Nodes() {
-		if !member.Running() {
+	for _, n := range s.Nodes() {
+		if !n.Running() {
 			continue
 		}
-		if err := s.await(ctx, member, s.ready); err != nil {
+		if err := s.await(ctx, n, s.ready); err != nil {
 			return err
 		}
-		if err := s.await(ctx, member, s.converged); err != nil {
+		if err := s.await(ctx, n, s.converged); err != nil {
 			return err
 		}
 	}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -195,7 +195,7 @@
 func (s *hangingService) Commit(ctx context.Context, operation string, writes ...table.Write) ([]uint64, error) {
 	if s.hangs(s.calls.Add(1)) {
 		<-ctx.Done()
-		return nil, outcome.Undecided(ctx.Err())
+		return nil, outcome.AsUnknown(ctx.Err())
 	}
 	return s.Service.Commit(ctx, operation, writes...)
 }
@@ -252,7 +252,7 @@
 func (s *unresponsiveTable) Commit(ctx context.Context, operation string, writes ...table.Write) ([]uint64, error) {
 	if s.unresponsive.Load() {
 		<-ctx.Done()
-		return nil, outcome.Undecided(ctx.Err())
+		return nil, outcome.AsUnknown(ctx.Err())
 	}
 	return s.Service.Commit(ctx, operation, writes...)
 }
--- a/internal/lease/roster.go
+++ b/internal/lease/roster.go
@@ -112,8 +112,8 @@
 	unreadableVersions map[string]uint64
 	// memberInfo holds the newest decoded member row of each node.
 	memberInfo map[string]Member
-	// away holds the nodes whose last session ended within awayRetention.
-	away map[string]awayNode
+	// sessionLost holds the nodes whose last session ended within awayRetention.
+	sessionLost map[string]lostNode
 	// generation increases with each change to the set of nodes. sortedNodes caches that set; it
 	// is nil after a change.
 	generation  uint64
@@ -132,7 +132,7 @@
 	return &Roster{
 		service: service, partition: partition, session: session, watcher: watcher,
 		memberVersions: map[string]uint64{}, sessionCounts: map[string]int{}, missingSince: map[string]time.Time{},
-		memberInfo: map[string]Member{}, away: map[string]awayNode{}, unreadableVersions: map[string]uint64{},
+		memberInfo: map[string]Member{}, sessionLost: map[string]lostNode{}, unreadableVersions: map[string]uint64{},
 	}
 }
 
@@ -171,7 +171,7 @@
 	delete(r.unreadableVersions, id)
 	if _, ok := r.memberVersions[id]; !ok {
 		r.sessionCounts[Node(id)]++
-		delete(r.away, Node(id))
+		delete(r.sessionLost, Node(id))
 		r.invalidateNodes()
 	}
 	r.memberVersions[id] = row.Version
@@ -205,7 +205,7 @@
 	r.invalidateNodes()
 	node := Node(id)
 	if r.sessionCounts[node]--; r.sessionCounts[node] == 0 {
-		r.markAway(node)
+		r.markSessionLost(node)
 	}
 	r.missingSince[node] = time.Time{}
 }
@@ -278,7 +278,7 @@
 func (r *Roster) Generation() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.expireAway()
+	r.expireSessionLost()
 	return r.generation
 }
 
@@ -297,8 +297,8 @@
 func (r *Roster) Address(node string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if awayInfo, ok := r.away[node]; ok {
-		return awayInfo.member.Address
+	if lost, ok := r.sessionLost[node]; ok {
+		return lost.member.Address
 	}
 	return r.memberInfo[node].Address
 }
@@ -311,8 +311,8 @@
 	if node == Node(r.session.ID()) {
 		return r.session.Member
 	}
-	if awayInfo, ok := r.away[node]; ok {
-		return awayInfo.member
+	if lost, ok := r.sessionLost[node]; ok {
+		return lost.member
 	}
 	return r.memberInfo[node]
 }
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -216,10 +216,10 @@
 	s.unresolvedSince = time.Time{}
 }
 
-// Unconfirmed returns the time since the start of the last write of the row that is known to have
+// SinceConfirmed returns the time since the start of the last write of the row that is known to have
 // succeeded. Other nodes may consider the session expired once this reaches TimeToLive, but never
 // earlier. It returns the maximum duration for a session that was never written.
-func (s *Session) Unconfirmed() time.Duration {
+func (s *Session) SinceConfirmed() time.Duration {
 	start := s.confirmedAt.Load()
 	if start == nil {
 		return math.MaxInt64
--- a/internal/lease/away_test.go
+++ b/internal/lease/sessionlost_test.go
@@ -12,29 +12,29 @@
 
 // A node whose session has ended may still be serving, so it is remembered until it rejoins or
 // awayRetention has passed.
-func TestRoster_NodeIsAwayAfterItsSessionEnds(t *testing.T) {
+func TestRoster_SessionLostAfterSessionEnds(t *testing.T) {
 	f := newFleet(t, 4)
 	f.dead[1], f.dead[2] = true, true
 	f.advance(6)
-	if got := f.rosters[0].Away(); !slices.Equal(got, []string{"n001", "n002"}) {
+	if got := f.rosters[0].SessionLost(); !slices.Equal(got, []string{"n001", "n002"}) {
 		t.Fatalf("away: %v", got)
 	}
 	f.dead[1] = false
 	f.advance(3)
-	if got := f.rosters[0].Away(); !slices.Equal(got, []string{"n002"}) {
+	if got := f.rosters[0].SessionLost(); !slices.Equal(got, []string{"n002"}) {
 		t.Fatalf("away after one node has rejoined: %v", got)
 	}
 	before := f.rosters[0].Generation()
-	f.now = f.now.Add(awayRetention)
+	f.now = f.now.Add(sessionLostRetention)
 	if f.rosters[0].Generation() == before {
 		t.Fatal("the generation is unchanged after a node was forgotten")
 	}
-	if got := f.rosters[0].Away(); len(got) > 0 {
+	if got := f.rosters[0].SessionLost(); len(got) > 0 {
 		t.Fatalf("away after awayRetention: %v", got)
 	}
 }
 
-func TestRoster_KeepsAddressOfAwayNode(t *testing.T) {
+func TestRoster_KeepsAddressAfterSessionEnds(t *testing.T) {
 	f := newFleet(t, 1)
 	session := NewSession(f.shared, "other", rosterTiming)
 	session.MemberPartition, session.Member = memberGroup, Member{Address: "10.0.0.1:1"}
@@ -53,11 +53,11 @@
 
 // Other nodes measure from the completion of a write. Unconfirmed must measure from an earlier time,
 // whichever responses are lost.
-func TestSession_UnconfirmedIsNeverUnderestimated(t *testing.T) {
+func TestSession_SinceConfirmedIsNeverUnderestimated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared := tabletest.New()
 		session := NewSession(shared, "n", rosterTiming)
-		if session.Unconfirmed() < time.Hour {
+		if session.SinceConfirmed() < time.Hour {
 			t.Fatal("a session that was never written counts as confirmed")
 		}
 		check := func(fault tabletest.Fault, readFault error, want time.Duration) {
@@ -69,7 +69,7 @@
 			if (err == nil) != (fault == tabletest.None) {
 				t.Fatalf("fault %d: %v", fault, err)
 			}
-			if got := session.Unconfirmed(); got != want {
+			if got := session.SinceConfirmed(); got != want {
 				t.Fatalf("fault %d: unconfirmed for %s, want %s", fault, got, want)
 			}
 		}
--- a/internal/node/batchwaits.go
+++ b/internal/node/batchwaits.go
@@ -14,7 +14,7 @@
 
 // groupWaitCollector exports how many batch groups fed by this node wait, and for what.
 type groupWaitCollector struct {
-	counts func(now time.Time) []batch.GroupCount
+	counts func(now time.Time) []batch.WaitCount
 	now    func() time.Time
 }
 
@@ -59,7 +59,7 @@
 	for _, holder := range n.runner.WaitsByNode(n.session.ID(), clock.Now(), inBatch) {
 		wait := v1.BatchWait{Node: holder.Node, Items: holder.Items, OldestSeconds: holder.Oldest.Seconds()}
 		if holder.Known {
-			wait.Reason = holder.For.String()
+			wait.Reason = holder.Reason.String()
 		}
 		waits = append(waits, wait)
 	}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -212,7 +212,7 @@
 	watcher := c.watch("replica list", timestamped, timestamped.wrapApply(apply))
 	onRegained := watcher.OnRegained
 	watcher.OnRegained = func(outage time.Duration) {
-		c.replicas.OutageEnded(outage, clock.Now())
+		c.replicas.RecordOutageEnd(outage, clock.Now())
 		onRegained(outage)
 	}
 	return watcher
--- a/internal/node/gatewaydemand.go
+++ b/internal/node/gatewaydemand.go
@@ -78,7 +78,7 @@
 		}
 	}
 	add(ownRegion, demandReport{Pool: demand.Pool, Level: float32(demand.Level), Share: demand.Share, Idle: demand.Idle})
-	for region, level := range demand.Away {
+	for region, level := range demand.OtherRegions {
 		add(region, demandReport{Pool: demand.Pool, Level: float32(level)})
 	}
 }
--- a/internal/node/gatewayquarantine.go
+++ b/internal/node/gatewayquarantine.go
@@ -49,9 +49,9 @@
 	AgeMs   int64             `cbor:"3,keyasint"`
 	// Durations is how long each of Works had run, in ms.
 	Durations []int64 `cbor:"4,keyasint,omitempty"`
-	// StartTime identifies the start of the replica that crashed. It is absent if unknown, and in
+	// StartedUnixMs identifies the start of the replica that crashed. It is absent if unknown, and in
 	// messages of earlier versions.
-	StartTime int64 `cbor:"5,keyasint,omitempty"`
+	StartedUnixMs int64 `cbor:"5,keyasint,omitempty"`
 	// SuccessAges is how long before the crash each of Works last succeeded, in ms; 0 if the sender
 	// has not seen it succeed. It informs nodes that have just started.
 	SuccessAges []int64 `cbor:"6,keyasint,omitempty"`
@@ -89,7 +89,7 @@
 			}
 			count := min(len(works), maxMessageWorks-workCount)
 			message.Crashes = append(message.Crashes, crashEntry{
-				Replica: report.Replica, StartTime: report.StartTime, Works: works[:count], Durations: durations[:count], SuccessAges: successAges[:count],
+				Replica: report.Replica, StartedUnixMs: report.StartedUnixMs, Works: works[:count], Durations: durations[:count], SuccessAges: successAges[:count],
 				AgeMs: now.Sub(report.At).Milliseconds(),
 			})
 			works, durations, successAges = works[count:], durations[count:], successAges[count:]
@@ -165,7 +165,7 @@
 			g.quarantine.Clear(success.Work, success.At)
 		}
 		g.quarantine.guard.RecordCrash(quarantine.CrashReport{
-			Replica: crash.Replica, StartTime: crash.StartTime, Runs: quarantine.DecodeRuns(crash.Works, crash.Durations, at), At: at,
+			Replica: crash.Replica, StartedUnixMs: crash.StartedUnixMs, Runs: quarantine.DecodeRuns(crash.Works, crash.Durations, at), At: at,
 		})
 	}
 	for _, clearing := range message.Clearings {
--- a/internal/node/gatewayquarantine_test.go
+++ b/internal/node/gatewayquarantine_test.go
@@ -163,7 +163,7 @@
 	g := &Gateway{core: c}
 	popular, other := quarantine.Work{1}, quarantine.Work{2}
 	message := quarantineMessage{Crashes: []crashEntry{{
-		Replica: "r", StartTime: 1000, Works: []quarantine.Work{popular, other}, AgeMs: 100, Durations: []int64{10, 10}, SuccessAges: []int64{500, 0},
+		Replica: "r", StartedUnixMs: 1000, Works: []quarantine.Work{popular, other}, AgeMs: 100, Durations: []int64{10, 10}, SuccessAges: []int64{500, 0},
 	}}}
 	g.handleQuarantineMessage("a#1", nil, encoded(t, message))
 	at, known := c.quarantine.LastSuccess(popular)
--- a/internal/node/gatewayquota.go
+++ b/internal/node/gatewayquota.go
@@ -66,7 +66,7 @@
 			Dur("told_age_ms", refusal.GrantAge).Dur("retry_after_ms", refusal.RetryAfter)
 	}
 	entry.Msg("request over its tenant's limit")
-	return Error.Wrap(outcome.Failed(err))
+	return Error.Wrap(outcome.AsNotDone(err))
 }
 
 // tenantUsage returns the usage of tenants' limits, sorted by name.
--- a/internal/node/gatewayrestart_test.go
+++ b/internal/node/gatewayrestart_test.go
@@ -63,8 +63,8 @@
 	c.putReplica(info, 1, false)
 	c.replicas.Begin("r", replica.RequestInfo{Batch: true}, time.Now())
 	c.replicas.Begin("r", replica.RequestInfo{}, time.Now())
-	for version, startTime := range []int64{3000, 1000, 1000, 0, 1000, 2000} {
-		info.StartedUnixMs = startTime
+	for version, startedUnixMs := range []int64{3000, 1000, 1000, 0, 1000, 2000} {
+		info.StartedUnixMs = startedUnixMs
 		c.putReplica(info, uint64(2+version), false)
 	}
 	if got := counterValue(t, c.metrics, "wheelhoist_gateway_replica_restarts_total"); got != 2 {
--- a/internal/node/gatewaystarts_test.go
+++ b/internal/node/gatewaystarts_test.go
@@ -15,8 +15,8 @@
 	"github.com/wheelhoist/wheelhoist/internal/replica"
 )
 
-// maxStartTime takes as many bytes as any start time of this millennium.
-const maxStartTime int64 = 1 << 45
+// maxStartedUnixMs takes as many bytes as any start time of this millennium.
+const maxStartedUnixMs int64 = 1 << 45
 
 // oldFailureReport is the failureReport of versions that do not distinguish starts.
 type oldFailureReport struct {
@@ -37,12 +37,12 @@
 }
 
 // newCoreWithReplicas returns a core with replicas r0 to r3. r0 has the given start time.
-func newCoreWithReplicas(startTime int64) (c *core, info replica.Info) {
+func newCoreWithReplicas(startedUnixMs int64) (c *core, info replica.Info) {
 	c = testCore()
 	for _, id := range []string{"r0", "r1", "r2", "r3"} {
 		c.replicas.Put(replica.Info{ID: id, Pool: "llm", Address: id, Slots: 4})
 	}
-	info = replica.Info{ID: "r0", Pool: "llm", Address: "r0", Slots: 4, StartedUnixMs: startTime}
+	info = replica.Info{ID: "r0", Pool: "llm", Address: "r0", Slots: 4, StartedUnixMs: startedUnixMs}
 	c.replicas.Put(info)
 	return c, info
 }
@@ -66,9 +66,9 @@
 		}
 	}
 	key := replica.Key("r0")
-	for _, startTime := range []int64{3000, 4000} {
-		if deliver([]failureReport{{Replica: key, Failures: 9, StartedUnixMs: startTime}}); isEjected(c, "r0") {
-			t.Fatalf("reports about start %d eject start 1000", startTime)
+	for _, startedUnixMs := range []int64{3000, 4000} {
+		if deliver([]failureReport{{Replica: key, Failures: 9, StartedUnixMs: startedUnixMs}}); isEjected(c, "r0") {
+			t.Fatalf("reports about start %d eject start 1000", startedUnixMs)
 		}
 	}
 	if deliver([]oldFailureReport{{Replica: key, Failures: 9, AgeMs: 2000}}); isEjected(c, "r0") {
@@ -91,7 +91,7 @@
 		t.Error("reports of older versions are ignored")
 	}
 	var decoded []oldFailureReport
-	body := encoded(t, []failureReport{{Replica: 1, Failures: 2, Successes: 3, AgeMs: 4, StartedUnixMs: maxStartTime}})
+	body := encoded(t, []failureReport{{Replica: 1, Failures: 2, Successes: 3, AgeMs: 4, StartedUnixMs: maxStartedUnixMs}})
 	if err := cbor.Unmarshal(body, &decoded); err != nil || decoded[0] != (oldFailureReport{1, 2, 3, 4}) {
 		t.Errorf("older versions decode %+v, %v", decoded, err)
 	}
@@ -102,11 +102,11 @@
 	const maxReports = 32 // the maximum number that replica.Set.FailureReports returns
 	reports := make([]failureReport, maxReports)
 	for i := range reports {
-		reports[i] = failureReport{Replica: 1<<64 - 1 - uint64(i), Failures: 1.1, Successes: 2.2, AgeMs: 1<<16 - 1, StartedUnixMs: maxStartTime}
+		reports[i] = failureReport{Replica: 1<<64 - 1 - uint64(i), Failures: 1.1, Successes: 2.2, AgeMs: 1<<16 - 1, StartedUnixMs: maxStartedUnixMs}
 	}
 	message := quarantineMessage{}
 	for i := range maxMessageCrashes {
-		crash := crashEntry{Replica: strings.Repeat("r", 20), AgeMs: 60_000, StartTime: maxStartTime}
+		crash := crashEntry{Replica: strings.Repeat("r", 20), AgeMs: 60_000, StartedUnixMs: maxStartedUnixMs}
 		for range maxMessageWorks / maxMessageCrashes {
 			crash.Works = append(crash.Works, quarantine.Work{byte(i)})
 			crash.Durations = append(crash.Durations, 10_000)
@@ -137,8 +137,8 @@
 	c := testCore()
 	g := &Gateway{core: c}
 	bad := quarantine.Work{1}
-	for _, startTime := range []int64{3000, 1000, 2000} {
-		message := quarantineMessage{Crashes: []crashEntry{{Replica: "r", StartTime: startTime, Works: []quarantine.Work{bad}, AgeMs: 3100 - startTime, Durations: []int64{10}}}}
+	for _, startedUnixMs := range []int64{3000, 1000, 2000} {
+		message := quarantineMessage{Crashes: []crashEntry{{Replica: "r", StartedUnixMs: startedUnixMs, Works: []quarantine.Work{bad}, AgeMs: 3100 - startedUnixMs, Durations: []int64{10}}}}
 		g.handleQuarantineMessage("a#1", nil, encoded(t, message))
 	}
 	if verdict := c.quarantine.Check(bad, time.Now()); len(verdict.Replicas) != 3 {
@@ -162,9 +162,9 @@
 		return nil
 	}
 	now := time.Now()
-	isGranted := func(startTime int64) bool {
+	isGranted := func(startedUnixMs int64) bool {
 		now = now.Add(500 * time.Millisecond)
-		granter.handleRequest(func() time.Time { return now })("a#1", nil, encoded(t, coldGrantRequest{Number: 7, Replica: "r0", StartedUnixMs: startTime}))
+		granter.handleRequest(func() time.Time { return now })("a#1", nil, encoded(t, coldGrantRequest{Number: 7, Replica: "r0", StartedUnixMs: startedUnixMs}))
 		return reply.Granted
 	}
 	if !isGranted(1000) || !isGranted(0) {
--- a/internal/node/itemwaits.go
+++ b/internal/node/itemwaits.go
@@ -42,17 +42,17 @@
 // Collect implements prometheus.Collector.
 func (c *itemWaitCollector) Collect(metrics chan<- prometheus.Metric) {
 	for _, count := range c.counts(c.now()) {
-		metrics <- prometheus.MustNewConstMetric(itemsWaiting, prometheus.GaugeValue, float64(count.Count), count.For.String())
-		metrics <- prometheus.MustNewConstMetric(oldestItemWait, prometheus.GaugeValue, count.Oldest.Seconds(), count.For.String())
+		metrics <- prometheus.MustNewConstMetric(itemsWaiting, prometheus.GaugeValue, float64(count.Count), count.Reason.String())
+		metrics <- prometheus.MustNewConstMetric(oldestItemWait, prometheus.GaugeValue, count.Oldest.Seconds(), count.Reason.String())
 	}
 }
 
-// itemWaits returns the waiting items of this node in the form that the status shows.
-func (c *core) itemWaits() []server.ItemWait {
-	var waits []server.ItemWait
+// waitCounts returns the waiting items of this node in the form that the status shows.
+func (c *core) waitCounts() []server.WaitCount {
+	var waits []server.WaitCount
 	for _, count := range c.runner.WaitCounts(clock.Now()) {
 		if count.Count > 0 {
-			waits = append(waits, server.ItemWait{Reason: count.For.String(), Items: count.Count, Oldest: count.Oldest.Seconds()})
+			waits = append(waits, server.WaitCount{Reason: count.Reason.String(), Items: count.Count, Oldest: count.Oldest.Seconds()})
 		}
 	}
 	return waits
@@ -63,9 +63,9 @@
 	for retry.Sleep(ctx, waitCheckInterval) {
 		overdue := c.runner.Overdue(clock.Now())
 		for _, item := range overdue[:min(len(overdue), maxWaitLogLines)] {
-			c.log.Warn().Str("job", item.Job).Str("item", item.Item).Str("waits_for", item.For.String()).
-				Str("replica", item.Replica).Dur("for_ms", clock.Since(item.Start)).Dur("still_ms", clock.Since(item.LastProgress)).
-				Dur("bound_ms", item.For.Bound()).Int("overdue", len(overdue)).AnErr("cause", item.Cause).
+			c.log.Warn().Str("job", item.Job).Str("item", item.Item).Str("waits_for", item.Reason.String()).
+				Str("replica", item.Replica).Dur("for_ms", clock.Since(item.Since)).Dur("still_ms", clock.Since(item.LastProgress)).
+				Dur("bound_ms", item.Reason.OverdueAfter()).Int("overdue", len(overdue)).AnErr("cause", item.Cause).
 				Msg("item makes no progress")
 		}
 	}
--- a/internal/node/nodeindex_test.go
+++ b/internal/node/nodeindex_test.go
@@ -33,7 +33,7 @@
 // region only the requests that run there as guests.
 func TestAddDemand_ReportsPerRegion(t *testing.T) {
 	reports := map[string][]demandReport{}
-	addDemand(reports, "north", replica.PoolDemand{Pool: "p", Level: 5, Share: 8, Away: map[string]int{"south": 2}})
+	addDemand(reports, "north", replica.PoolDemand{Pool: "p", Level: 5, Share: 8, OtherRegions: map[string]int{"south": 2}})
 	if own := reports["north"]; len(own) != 1 || own[0].Level != 5 || own[0].Share != 8 {
 		t.Errorf("reports for the own region are %v", own)
 	}
--- a/internal/node/poolmetrics.go
+++ b/internal/node/poolmetrics.go
@@ -36,7 +36,7 @@
 	newPoolMetric("online_stay_seconds", "How long an online request holds a slot, learned.", func(s replica.PoolStats) float64 { return s.OnlineHold.Seconds() }),
 	newPoolMetric("first_event_seconds", "Time to the first event where no slot is waited for, learned.", func(s replica.PoolStats) float64 { return s.FirstEvent.Seconds() }),
 	newPoolMetric("patience_share", "Part of the time left to its objective that a request waits before an item gives way.", func(s replica.PoolStats) float64 { return s.PatienceShare }),
-	newPoolMetric("reading_tokens_per_second", "How fast prompts are read, learned.", func(s replica.PoolStats) float64 { return s.ReadingRate }),
+	newPoolMetric("reading_tokens_per_second", "How fast prompts are read, learned.", func(s replica.PoolStats) float64 { return s.PrefillRate }),
 }
 
 // Describe implements prometheus.Collector.
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -57,7 +57,7 @@
 // State implements quarantine.Replicas.
 func (s replicaStates) State(queried quarantine.Replica) quarantine.ReplicaState {
 	current, previous, listed := s.replicas.CurrentAndPrevious(queried.ID)
-	start := replica.Info{ID: queried.ID, StartedUnixMs: queried.StartTime, Address: queried.Address}
+	start := replica.Info{ID: queried.ID, StartedUnixMs: queried.StartedUnixMs, Address: queried.Address}
 	switch {
 	case !listed:
 		return quarantine.Gone
@@ -83,7 +83,7 @@
 		_ = conn.Close()
 		return quarantine.Accepted
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return quarantine.Refused
+		return quarantine.ConnectionRefused
 	default:
 		return quarantine.Inconclusive
 	}
@@ -95,7 +95,7 @@
 	for i, run := range report.Runs {
 		works[i] = run.Work.String()
 	}
-	c.log.Warn().Str("replica", report.Replica).Int64("born", report.StartTime).Strs("works", works).Msg("replica crashed while it ran work of this node")
+	c.log.Warn().Str("replica", report.Replica).Int64("born", report.StartedUnixMs).Strs("works", works).Msg("replica crashed while it ran work of this node")
 	c.quarantine.publisher.PublishCrash(report)
 }
 
--- a/internal/node/quarantinestart_test.go
+++ b/internal/node/quarantinestart_test.go
@@ -14,13 +14,13 @@
 	set := replica.NewSet()
 	states := replicaStates{&core{replicas: set}}
 	info := replica.Info{ID: "r", StartedUnixMs: 3000, Address: "a", Pool: "llm", Slots: 1}
-	replicaStarted := func(startTime int64) quarantine.Replica {
-		return quarantine.Replica{ID: "r", StartTime: startTime, Address: "a"}
+	replicaStarted := func(startedUnixMs int64) quarantine.Replica {
+		return quarantine.Replica{ID: "r", StartedUnixMs: startedUnixMs, Address: "a"}
 	}
-	expect := func(startTime int64, want quarantine.ReplicaState) {
+	expect := func(startedUnixMs int64, want quarantine.ReplicaState) {
 		t.Helper()
-		if got := states.State(replicaStarted(startTime)); got != want {
-			t.Errorf("state of start %d is %d, want %d", startTime, got, want)
+		if got := states.State(replicaStarted(startedUnixMs)); got != want {
+			t.Errorf("state of start %d is %d, want %d", startedUnixMs, got, want)
 		}
 	}
 	expect(3000, quarantine.Gone)
--- a/internal/node/quotafleet.go
+++ b/internal/node/quotafleet.go
@@ -18,10 +18,10 @@
 
 	mu         sync.Mutex
 	generation uint64
-	// away are the nodes that lost their sessions a short time ago. all are these and the nodes
+	// sessionLost are the nodes that lost their sessions a short time ago. all are these and the nodes
 	// with a session.
-	away, all []string
-	owners    map[string]owner
+	sessionLost, all []string
+	owners           map[string]owner
 }
 
 // owner is the node that accounts for a tenant.
@@ -54,7 +54,7 @@
 	if !ok {
 		entry.node = lease.Preferred(f.all, tenant)
 		entry.successor = entry.node
-		if slices.Contains(f.away, entry.node) {
+		if slices.Contains(f.sessionLost, entry.node) {
 			entry.successor = lease.Preferred(f.roster.Nodes(), tenant)
 		}
 		f.owners[tenant] = entry
@@ -69,8 +69,8 @@
 		return
 	}
 	f.owners, f.generation = map[string]owner{}, generation
-	f.away = f.roster.Away()
-	f.all = append(f.roster.Nodes(), f.away...)
+	f.sessionLost = f.roster.SessionLost()
+	f.all = append(f.roster.Nodes(), f.sessionLost...)
 }
 
 // SessionLost implements quota.Fleet.
@@ -78,7 +78,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.refresh()
-	return slices.Contains(f.away, node)
+	return slices.Contains(f.sessionLost, node)
 }
 
 // Peers implements quota.Fleet.
@@ -90,7 +90,7 @@
 	for i, node := range f.all {
 		if node != f.self {
 			peers = append(peers, quota.Peer{
-				Node: node, Address: f.roster.Address(node), SessionLost: i >= len(f.all)-len(f.away),
+				Node: node, Address: f.roster.Address(node), SessionLost: i >= len(f.all)-len(f.sessionLost),
 			})
 		}
 	}
@@ -106,4 +106,4 @@
 }
 
 // SinceConfirmed implements quota.Fleet.
-func (f *quotaFleet) SinceConfirmed() time.Duration { return f.session.Unconfirmed() }
+func (f *quotaFleet) SinceConfirmed() time.Duration { return f.session.SinceConfirmed() }
--- a/internal/node/served_test.go
+++ b/internal/node/served_test.go
@@ -18,7 +18,7 @@
 	for _, distance := range []place.Distance{place.SameZone, place.OtherRegion, place.OtherRegion} {
 		metrics.observeForwarded(target, forward.Result{Distance: distance}, nil)
 	}
-	metrics.observeForwarded(target, forward.Result{Distance: place.SameRegion}, outcome.Failed(errors.New("full")))
+	metrics.observeForwarded(target, forward.Result{Distance: place.SameRegion}, outcome.AsNotDone(errors.New("full")))
 	families, err := metrics.registry.Gather()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -49,7 +49,7 @@
 		})
 	}
 	status.Zones = c.zoneStatus(&status, clock.Now())
-	status.Items = c.itemWaits()
+	status.Items = c.waitCounts()
 	return status
 }
 
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -44,11 +44,11 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Failed wraps the error of a call that provably had no effect.
-func Failed(err error) error { return &Error{Outcome: NotDone, Err: err} }
+// AsNotDone wraps the error of a call that provably had no effect.
+func AsNotDone(err error) error { return &Error{Outcome: NotDone, Err: err} }
 
-// Undecided wraps the error of a call that may have had an effect.
-func Undecided(err error) error { return &Error{Outcome: Unknown, Err: err} }
+// AsUnknown wraps the error of a call that may have had an effect.
+func AsUnknown(err error) error { return &Error{Outcome: Unknown, Err: err} }
 
 // Of returns the outcome of a call that returned err: Done for nil, the outcome of the first Error
 // in the chain, and Unknown for all other errors.
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -87,7 +87,7 @@
 // unless keepsID is set.
 func (r *fleetReplica) current() quarantine.Replica {
 	if r.keepsID {
-		return quarantine.Replica{ID: r.name, StartTime: int64(1 + r.restarts), Address: r.name}
+		return quarantine.Replica{ID: r.name, StartedUnixMs: int64(1 + r.restarts), Address: r.name}
 	}
 	return quarantine.Replica{ID: fmt.Sprintf("%s-%d", r.name, r.restarts), Address: r.name}
 }
--- a/internal/quarantine/fleetnode_test.go
+++ b/internal/quarantine/fleetnode_test.go
@@ -89,7 +89,7 @@
 			return quarantine.Accepted
 		}
 	}
-	return quarantine.Refused
+	return quarantine.ConnectionRefused
 }
 
 // ReplicaCrashed implements quarantine.Events.
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -41,8 +41,8 @@
 const (
 	// Inconclusive means that the attempt timed out or failed for another reason.
 	Inconclusive ProbeResult = iota
-	// Refused means that no process listens at the address.
-	Refused
+	// ConnectionRefused means that no process listens at the address.
+	ConnectionRefused
 	// Accepted means that a process listens: the same replica or its successor.
 	Accepted
 )
@@ -65,15 +65,15 @@
 // Replica identifies one start of a replica and its address.
 type Replica struct {
 	ID string
-	// StartTime distinguishes starts under one id, in Unix milliseconds; 0 if the replica does not
+	// StartedUnixMs distinguishes starts under one id, in Unix milliseconds; 0 if the replica does not
 	// report it. Clocks differ between machines, so it is only compared for equality.
-	StartTime int64
-	Address   string
+	StartedUnixMs int64
+	Address       string
 }
 
 // crashReport returns the report of a crash during the given runs.
 func (r *Replica) crashReport(runs []Run, at time.Time) CrashReport {
-	return CrashReport{Replica: r.ID, StartTime: r.StartTime, Runs: runs, At: at}
+	return CrashReport{Replica: r.ID, StartedUnixMs: r.StartedUnixMs, Runs: runs, At: at}
 }
 
 // Replicas provides the state of replicas. Implementations must be safe for concurrent use.
@@ -149,7 +149,7 @@
 	if verdict.NewlyQuarantined {
 		g.onQuarantined(verdict)
 	}
-	return &RefusedError{Verdict: verdict}
+	return &RefusalError{Verdict: verdict}
 }
 
 // RefuseRequest is like Refuse, for a request, which may arrive at any node. Newly quarantined work
@@ -157,14 +157,14 @@
 // node that owns the trials of the work lets a request through when one is due.
 func (g *Guard) RefuseRequest(ctx context.Context, work func() Work) error {
 	err := g.Refuse(work)
-	var refused *RefusedError
-	if errors.As(err, &refused) && g.awaitAnswers(ctx, refused.Verdict) {
+	var refusal *RefusalError
+	if errors.As(err, &refusal) && g.awaitAnswers(ctx, refusal.Verdict) {
 		err = g.Refuse(work)
 	}
-	if !errors.As(err, &refused) || g.OwnsTrials == nil || !g.OwnsTrials(refused.Work) {
+	if !errors.As(err, &refusal) || g.OwnsTrials == nil || !g.OwnsTrials(refusal.Work) {
 		return err
 	}
-	if g.List.BeginTrial(refused.Work, clock.Now()) {
+	if g.List.BeginTrial(refusal.Work, clock.Now()) {
 		return nil
 	}
 	return err
@@ -296,7 +296,7 @@
 	started := clock.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), delistTimeout)
 	defer cancel()
-	if g.Replicas.Probe(ctx, replica.Address) == Refused {
+	if g.Replicas.Probe(ctx, replica.Address) == ConnectionRefused {
 		g.confirmCrash(replica, w, started)
 	}
 	close(w.probed)
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -83,7 +83,7 @@
 }
 
 func TestGuard_RefusedConnectionIsCrash(t *testing.T) {
-	guard, replicas, events := newGuard(Refused)
+	guard, replicas, events := newGuard(ConnectionRefused)
 	bad := work("bad")
 	badWork := func() Work { return bad }
 	for _, replica := range []string{"a", "b", "c"} {
@@ -92,8 +92,8 @@
 		}
 		guard.interrupt(t.Context(), replica, bad)
 	}
-	var refused *RefusedError
-	if err := guard.Refuse(badWork); !errors.As(err, &refused) || len(refused.Replicas) != 3 {
+	var refusal *RefusalError
+	if err := guard.Refuse(badWork); !errors.As(err, &refusal) || len(refusal.Replicas) != 3 {
 		t.Fatalf("got %v", err)
 	}
 	if events.crashCount() != 3 || len(events.quarantined) != 1 {
@@ -132,7 +132,7 @@
 }
 
 func TestGuard_PlannedShutdownIsNoCrash(t *testing.T) {
-	guard, replicas, events := newGuard(Refused)
+	guard, replicas, events := newGuard(ConnectionRefused)
 	for id, state := range map[string]ReplicaState{"a": Leaving, "b": Gone} {
 		replicas.setState(id, state)
 		guard.interrupt(t.Context(), id, work("w"))
@@ -155,7 +155,7 @@
 }
 
 func TestGuard_SuccessClearsSuspectsOnly(t *testing.T) {
-	guard, _, events := newGuard(Refused)
+	guard, _, events := newGuard(ConnectionRefused)
 	guard.RecordSuccess(work("w"))
 	guard.interrupt(t.Context(), "a", work("w"))
 	guard.RecordSuccess(work("other"))
@@ -172,7 +172,7 @@
 	for name, succeededElsewhere := range map[string]bool{"succeeded elsewhere": true, "never succeeded": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				guard, _, _ := newGuard(Refused)
+				guard, _, _ := newGuard(ConnectionRefused)
 				hasPeers, queries := false, 0
 				guard.QueryPeers = func(queried Work, _ bool) bool {
 					if hasPeers && queried == work("w") {
@@ -212,7 +212,7 @@
 // the next success, or the peer that asked keeps refusing the work (soak --seed 7219 --nodes 7
 // --regions 2).
 func TestGuard_ReportsSuccessOfQueriedWork(t *testing.T) {
-	guard, _, events := newGuard(Refused)
+	guard, _, events := newGuard(ConnectionRefused)
 	guard.RecordSuccess(work("other"))
 	if _, known := guard.AnswerQuery(work("w")); known {
 		t.Fatal("work that never ran has a success")
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -37,8 +37,8 @@
 // CrashReport reports a replica that crashed while it ran requests of one node.
 type CrashReport struct {
 	// Replica is the replica's id. StartTime distinguishes its starts; 0 if it is not known.
-	Replica   string
-	StartTime int64
+	Replica       string
+	StartedUnixMs int64
 	// Runs are the runs of the reporting node on that replica.
 	Runs []Run
 	// At is the time of the crash.
@@ -83,8 +83,8 @@
 // crash is one crash of a replica.
 type crash struct {
 	replica string
-	// startTime is that of the start that crashed; 0 until a report contains it.
-	startTime int64
+	// startedUnixMs is that of the start that crashed; 0 until a report contains it.
+	startedUnixMs int64
 	// at is when a node first noticed the crash.
 	at time.Time
 	// works holds the work that ran on the replica, with the time its newest run was sent.
@@ -176,12 +176,12 @@
 	}
 	for _, c := range l.crashes[report.Replica] {
 		if c.matches(&report) {
-			c.startTime = cmp.Or(c.startTime, report.StartTime)
+			c.startedUnixMs = cmp.Or(c.startedUnixMs, report.StartedUnixMs)
 			l.moveEarlier(c, &report)
 			return c
 		}
 	}
-	c := &crash{replica: report.Replica, startTime: report.StartTime, at: report.At, works: map[Work]time.Time{}}
+	c := &crash{replica: report.Replica, startedUnixMs: report.StartedUnixMs, at: report.At, works: map[Work]time.Time{}}
 	l.crashes[report.Replica] = append(l.crashes[report.Replica], c)
 	l.byArrival = append(l.byArrival, c)
 	return c
@@ -190,8 +190,8 @@
 // matches reports whether a report is about this crash. One start of a replica crashes once. If the
 // start is not known, crashes are distinguished by time.
 func (c *crash) matches(report *CrashReport) bool {
-	if c.startTime != 0 && report.StartTime != 0 {
-		return c.startTime == report.StartTime
+	if c.startedUnixMs != 0 && report.StartedUnixMs != 0 {
+		return c.startedUnixMs == report.StartedUnixMs
 	}
 	return report.At.Sub(c.at).Abs() <= sameCrashWindow
 }
@@ -204,7 +204,7 @@
 // moveEarlier corrects the time of a crash if a report has an earlier one, and removes work that
 // was sent after that time. The caller holds mu.
 func (l *List) moveEarlier(c *crash, report *CrashReport) {
-	if report.StartTime == 0 || !report.At.Before(c.at) {
+	if report.StartedUnixMs == 0 || !report.At.Before(c.at) {
 		return
 	}
 	c.at = report.At
--- a/internal/quarantine/publisher.go
+++ b/internal/quarantine/publisher.go
@@ -88,7 +88,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range p.unsent.Reports {
-		if queued := &p.unsent.Reports[i]; queued.Replica == report.Replica && queued.StartTime == report.StartTime {
+		if queued := &p.unsent.Reports[i]; queued.Replica == report.Replica && queued.StartedUnixMs == report.StartedUnixMs {
 			queued.Runs = append(queued.Runs, report.Runs...)
 			return
 		}
--- a/internal/quarantine/publisher_test.go
+++ b/internal/quarantine/publisher_test.go
@@ -62,7 +62,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		service := tabletest.New()
-		guard, _, _ := newGuard(Refused)
+		guard, _, _ := newGuard(ConnectionRefused)
 		rows := &Rows{Partition: "g/q", Guard: guard}
 		rows.Apply(table.Changes{Now: time.Hour}, true)
 		publisher := NewPublisher(service, rows, func() string { return "session" })
@@ -82,7 +82,7 @@
 		if err != nil || len(written) != 1 {
 			t.Fatalf("rows %v, error %v, want one row", written, err)
 		}
-		next, _, _ := newGuard(Refused)
+		next, _, _ := newGuard(ConnectionRefused)
 		read := table.Changes{Now: time.Hour + time.Minute}
 		for _, row := range written {
 			read.Changes = append(read.Changes, table.Change{Row: row})
@@ -97,7 +97,7 @@
 // TestPublisher_WritesLatestClearing checks that of several pending clearings of one work the
 // latest is written, and that a later one from another node is not overwritten.
 func TestPublisher_WritesLatestClearing(t *testing.T) {
-	guard, _, _ := newGuard(Refused)
+	guard, _, _ := newGuard(ConnectionRefused)
 	rows := &Rows{Partition: "g/q", Guard: guard}
 	rows.Apply(table.Changes{Now: time.Hour}, true)
 	publisher := NewPublisher(nil, rows, nil)
--- a/internal/quarantine/restart_test.go
+++ b/internal/quarantine/restart_test.go
@@ -6,9 +6,9 @@
 )
 
 // addCrashAt reports a crash of one start of a replica that ran works, the given time after start.
-func addCrashAt(list *List, replica string, startTime int64, after time.Duration, works ...Work) {
+func addCrashAt(list *List, replica string, startedUnixMs int64, after time.Duration, works ...Work) {
 	at := start.Add(after)
-	list.Add(CrashReport{Replica: replica, StartTime: startTime, Runs: runsOf(at.Add(-50*time.Millisecond), works...), At: at}, at)
+	list.Add(CrashReport{Replica: replica, StartedUnixMs: startedUnixMs, Runs: runsOf(at.Add(-50*time.Millisecond), works...), At: at}, at)
 }
 
 // crashCount returns how many crashes count against work.
@@ -66,12 +66,12 @@
 	var list List
 	writer := &Rows{Partition: "g/q", Guard: &Guard{List: &list}}
 	writer.Apply(rowsOf(t, 0), true)
-	write, err := writer.putCrash("x", CrashReport{Replica: "r", StartTime: 1000, Runs: runsOf(writer.readAt, work("w")), At: writer.readAt})
+	write, err := writer.putCrash("x", CrashReport{Replica: "r", StartedUnixMs: 1000, Runs: runsOf(writer.readAt, work("w")), At: writer.readAt})
 	if err != nil {
 		t.Fatal(err)
 	}
 	read, err := writer.decode(rowOf(write))
-	if err != nil || read[0].report.StartTime != 1000 || read[0].report.Replica != "r" {
+	if err != nil || read[0].report.StartedUnixMs != 1000 || read[0].report.Replica != "r" {
 		t.Errorf("decoded %+v, error %v", read[0].report, err)
 	}
 }
@@ -80,10 +80,10 @@
 // merged.
 func TestPublisher_SeparatesStartsOfOneReplica(t *testing.T) {
 	publisher := NewPublisher(nil, nil, nil)
-	for _, startTime := range []int64{1000, 2000, 1000} {
-		publisher.PublishCrash(CrashReport{Replica: "r", StartTime: startTime, Runs: runsOf(start, work("w")), At: start})
+	for _, startedUnixMs := range []int64{1000, 2000, 1000} {
+		publisher.PublishCrash(CrashReport{Replica: "r", StartedUnixMs: startedUnixMs, Runs: runsOf(start, work("w")), At: start})
 	}
-	if unsent := publisher.unsent.Reports; len(unsent) != 2 || len(unsent[0].Runs) != 2 || unsent[1].StartTime != 2000 {
+	if unsent := publisher.unsent.Reports; len(unsent) != 2 || len(unsent[0].Runs) != 2 || unsent[1].StartedUnixMs != 2000 {
 		t.Errorf("unsent reports: %+v", unsent)
 	}
 }
@@ -94,7 +94,7 @@
 	for _, state := range []ReplicaState{Restarted, Leaving} {
 		guard, replicas, events := newGuard(Accepted)
 		run := Run{Work: work("w"), SentAt: time.Now()}
-		first := Replica{ID: "r", StartTime: 1000, Address: "r"}
+		first := Replica{ID: "r", StartedUnixMs: 1000, Address: "r"}
 		guard.RecordInterruption(t.Context(), first, run)
 		replicas.setState("r", state)
 		want := 0
@@ -115,9 +115,9 @@
 
 // TestGuard_WatchesEachStartSeparately checks that starts of one replica do not share a watch.
 func TestGuard_WatchesEachStartSeparately(t *testing.T) {
-	guard, _, events := newGuard(Refused)
-	for _, startTime := range []int64{1000, 2000, 3000} {
-		guard.RecordInterruption(t.Context(), Replica{ID: "r", StartTime: startTime, Address: "r"}, Run{Work: work("w"), SentAt: time.Now()})
+	guard, _, events := newGuard(ConnectionRefused)
+	for _, startedUnixMs := range []int64{1000, 2000, 3000} {
+		guard.RecordInterruption(t.Context(), Replica{ID: "r", StartedUnixMs: startedUnixMs, Address: "r"}, Run{Work: work("w"), SentAt: time.Now()})
 	}
 	if events.crashCount() != 3 {
 		t.Errorf("%d crashes of three starts", events.crashCount())
@@ -132,8 +132,8 @@
 func TestGuard_InterruptionAfterRestartIsCrash(t *testing.T) {
 	guard, replicas, events := newGuard(Accepted)
 	replicas.setState("r", Restarted)
-	guard.RecordInterruption(t.Context(), Replica{ID: "r", StartTime: 1000, Address: "r"}, Run{Work: work("w"), SentAt: time.Now()})
-	if events.crashCount() != 1 || events.crashed[0].StartTime != 1000 {
+	guard.RecordInterruption(t.Context(), Replica{ID: "r", StartedUnixMs: 1000, Address: "r"}, Run{Work: work("w"), SentAt: time.Now()})
+	if events.crashCount() != 1 || events.crashed[0].StartedUnixMs != 1000 {
 		t.Errorf("reported crashes: %+v", events.crashed)
 	}
 }
@@ -169,7 +169,7 @@
 	delayed := work("held up")
 	addCrashAt(&list, "r", 1000, 0, work("other"))
 	at := start.Add(6 * time.Second)
-	list.Add(CrashReport{Replica: "r", StartTime: 1000, Runs: runsOf(start.Add(-50*time.Millisecond), delayed), At: at}, at)
+	list.Add(CrashReport{Replica: "r", StartedUnixMs: 1000, Runs: runsOf(start.Add(-50*time.Millisecond), delayed), At: at}, at)
 	if got := crashCount(&list, delayed); got != 1 {
 		t.Errorf("%d crashes count, want 1", got)
 	}
--- a/internal/quarantine/rows.go
+++ b/internal/quarantine/rows.go
@@ -29,8 +29,8 @@
 	At      int64  `cbor:"3,keyasint"`
 	// Durations is how long each of Works had run before the crash, in ms.
 	Durations []int64 `cbor:"4,keyasint,omitempty"`
-	// StartTime identifies the start that crashed; absent if it is not known.
-	StartTime int64 `cbor:"5,keyasint,omitempty"`
+	// StartedUnixMs identifies the start that crashed; absent if it is not known.
+	StartedUnixMs int64 `cbor:"5,keyasint,omitempty"`
 	// SuccessAges is how long before the crash each of Works last succeeded, in ms and at least 1;
 	// 0 if the writer has not seen a success. Without it, popular work would be refused after a
 	// restart of all nodes because of crashes it was merely present at.
@@ -143,7 +143,7 @@
 		return nil, Error.Wrap(err)
 	}
 	at := r.localTime(body.At)
-	report := &CrashReport{Replica: body.Replica, StartTime: body.StartTime, Runs: DecodeRuns(body.Works, body.Durations, at), At: at}
+	report := &CrashReport{Replica: body.Replica, StartedUnixMs: body.StartedUnixMs, Runs: DecodeRuns(body.Works, body.Durations, at), At: at}
 	events := []rowEvent{{at: at, report: report}}
 	for _, clearing := range DecodeSuccesses(body.Works, body.SuccessAges, at) {
 		events = append(events, rowEvent{at: clearing.At, clearing: &clearing})
@@ -200,7 +200,7 @@
 	}
 	works, durations := report.EncodeRuns()
 	return r.put(prefixCrash+name, crashRow{
-		Replica: report.Replica, Works: works, At: at, Durations: durations, StartTime: report.StartTime, SuccessAges: r.Guard.List.EncodeSuccesses(works, report.At),
+		Replica: report.Replica, Works: works, At: at, Durations: durations, StartedUnixMs: report.StartedUnixMs, SuccessAges: r.Guard.List.EncodeSuccesses(works, report.At),
 	})
 }
 
--- a/internal/quarantine/rows_test.go
+++ b/internal/quarantine/rows_test.go
@@ -39,7 +39,7 @@
 // TestRows_AppliesClearingsBeforeCrashes checks that a starting node does not briefly quarantine
 // work because it applies crashes before the clearing that covers them.
 func TestRows_AppliesClearingsBeforeCrashes(t *testing.T) {
-	guard, _, events := newGuard(Refused)
+	guard, _, events := newGuard(ConnectionRefused)
 	rows := &Rows{Partition: "g/q", Guard: guard}
 	rows.Apply(rowsOf(t, 30*time.Minute, 10*time.Minute, 15*time.Minute, 20*time.Minute, 25*time.Minute), true)
 	if len(events.quarantined) != 0 {
@@ -51,7 +51,7 @@
 }
 
 func TestRows_StartingNodeRestoresQuarantine(t *testing.T) {
-	guard, _, events := newGuard(Refused)
+	guard, _, events := newGuard(ConnectionRefused)
 	rows := &Rows{Partition: "g/q", Guard: guard, OnMalformed: func(key table.Key, err error) { t.Error(key, err) }}
 	read := rowsOf(t, 5*time.Minute, 10*time.Minute, 15*time.Minute, 20*time.Minute, 25*time.Minute, 30*time.Minute, 35*time.Minute)
 	read.Changes = append(read.Changes, table.Change{Row: table.Row{Key: table.Key{Partition: "g/other", Sort: "end/x"}, Version: 90, Body: []byte{1}}})
@@ -73,7 +73,7 @@
 
 func TestRows_SkipsMalformedRows(t *testing.T) {
 	malformed := 0
-	guard, _, _ := newGuard(Refused)
+	guard, _, _ := newGuard(ConnectionRefused)
 	rows := &Rows{Partition: "g/q", Guard: guard, OnMalformed: func(table.Key, error) { malformed++ }}
 	var read table.Changes
 	for i, key := range []string{"end/x", "cleared/zz", "cleared/" + work("w").String()} {
@@ -113,7 +113,7 @@
 				}
 				read.Changes = append(read.Changes, table.Change{Row: table.Row{Key: write.Key, Version: uint64(i + 1), Body: write.Body}})
 			}
-			guard, _, _ := newGuard(Refused)
+			guard, _, _ := newGuard(ConnectionRefused)
 			(&Rows{Partition: "g/q", Guard: guard}).Apply(read, true)
 			verdict := guard.List.Check(work("w"), now)
 			if len(verdict.Replicas) != 6 || !verdict.Quarantined || verdict.RequestTrialDue(now) != proven {
@@ -128,7 +128,7 @@
 // popular work at the limit of unproven work (soak --seed 7219 --nodes 7, --seed 990118 --nodes 20,
 // --seed 7244 --nodes 20).
 func TestRows_PendingRowsRaiseLimit(t *testing.T) {
-	guard, _, events := newGuard(Refused)
+	guard, _, events := newGuard(ConnectionRefused)
 	guard.List.RowsPending = true
 	rows := &Rows{Partition: "g/q", Guard: guard}
 	now := time.Now()
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -70,10 +70,10 @@
 	return v.LastCrash.Add(requestTrialDelays[excess])
 }
 
-// RefusedError reports that work was not sent because it is quarantined.
-type RefusedError struct{ Verdict }
+// RefusalError reports that work was not sent because it is quarantined.
+type RefusalError struct{ Verdict }
 
 // Error implements error.
-func (e *RefusedError) Error() string {
+func (e *RefusalError) Error() string {
 	return fmt.Sprintf("quarantined: %d replicas ended while they ran this work", len(e.Replicas))
 }
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -257,7 +257,7 @@
 func (c *Coordinator) AnnounceStop() {
 	c.Limiter.prepareFinalReports()
 	c.sendDueReports()
-	c.broadcast(c.Fleet.Peers(), peer.KindQuotaProbeReply, NodeStatus{Stopping: true})
+	c.broadcast(c.Fleet.Peers(), peer.KindQuotaProbeReply, PeerStatus{Stopping: true})
 }
 
 // processReport passes a report to the Allocator if this node counts the tenant's requests.
@@ -283,7 +283,7 @@
 		c.notifyError(err)
 		return
 	}
-	c.tracker.update(from, NodeStatus{}, clock.Now())
+	c.tracker.update(from, PeerStatus{}, clock.Now())
 	var grants []Grant
 	for _, report := range reports[:min(len(reports), maxReportsPerDatagram)] {
 		if !report.valid() {
--- a/internal/quota/peers.go
+++ b/internal/quota/peers.go
@@ -46,8 +46,8 @@
 	maxUnconfirmed = 25 * time.Second
 )
 
-// NodeStatus is the reply to a probe. A node also sends it to its peers when it stops.
-type NodeStatus struct {
+// PeerStatus is the reply to a probe. A node also sends it to its peers when it stops.
+type PeerStatus struct {
 	// Confirmed reports whether the store confirmed the node's session recently.
 	Confirmed bool `cbor:"1,keyasint,omitempty"`
 	// Stopping reports that the node is shutting down.
@@ -259,12 +259,12 @@
 
 // handleProbe handles messages of peer.KindQuotaProbe.
 func (c *Coordinator) handleProbe(_ string, source *net.UDPAddr, _ []byte) {
-	c.send(source, peer.KindQuotaProbeReply, NodeStatus{Confirmed: c.Fleet.SinceConfirmed() < sessionTrustedFor})
+	c.send(source, peer.KindQuotaProbeReply, PeerStatus{Confirmed: c.Fleet.SinceConfirmed() < sessionTrustedFor})
 }
 
 // handleStatus handles messages of peer.KindQuotaProbeReply, which carry a NodeStatus.
 func (c *Coordinator) handleStatus(from string, _ *net.UDPAddr, body []byte) {
-	var status NodeStatus
+	var status PeerStatus
 	if err := cbor.Unmarshal(body, &status); err != nil {
 		c.notifyError(err)
 		return
@@ -273,7 +273,7 @@
 }
 
 // update records a message with the given status from a node's session.
-func (t *peerTracker) update(session string, status NodeStatus, now time.Time) {
+func (t *peerTracker) update(session string, status PeerStatus, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.lastMessageAt == nil {
--- a/internal/replica/cold.go
+++ b/internal/replica/cold.go
@@ -255,8 +255,8 @@
 	return s.coldHeldBack
 }
 
-// NoteHeldBack counts a request that waits because all replicas that could serve it are cold.
-func (s *Set) NoteHeldBack() {
+// RecordHeldBack counts a request that waits because all replicas that could serve it are cold.
+func (s *Set) RecordHeldBack() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.coldHeldBack++
--- a/internal/replica/delisted.go
+++ b/internal/replica/delisted.go
@@ -35,10 +35,10 @@
 	s.invalidateIndex()
 }
 
-// OutageEnded records that an outage of the store has ended. After a long outage, running replicas may
+// RecordOutageEnd records that an outage of the store has ended. After a long outage, running replicas may
 // be missing from the list, since they could not renew their entries; after a short one, missing
 // replicas have left.
-func (s *Set) OutageEnded(length time.Duration, now time.Time) {
+func (s *Set) RecordOutageEnd(length time.Duration, now time.Time) {
 	if length < minLapsingOutage {
 		return
 	}
--- a/internal/replica/delisted_test.go
+++ b/internal/replica/delisted_test.go
@@ -35,7 +35,7 @@
 	for i := range 4 {
 		self := fmt.Sprintf("node-%02d", i)
 		set := newDividedSet(self, append(expired, listed...)...)
-		set.OutageEnded(10*time.Second, now)
+		set.RecordOutageEnd(10*time.Second, now)
 		for _, id := range expired {
 			set.Remove(id, now)
 		}
@@ -59,7 +59,7 @@
 	now := time.Unix(1000, 0)
 	set := newDividedSet("node-00", "r-0", "r-1")
 	before := sharesByID(set, now)
-	set.OutageEnded(10*time.Second, now)
+	set.RecordOutageEnd(10*time.Second, now)
 	set.Remove("r-0", now)
 	later := now.Add(delistedGrace)
 	set.UpdateDemand(later)
--- a/internal/replica/demand.go
+++ b/internal/replica/demand.go
@@ -104,7 +104,7 @@
 // preempts an item. The prompt of a preempted item is processed again on another replica, which slows
 // all requests there. If that costs more slot time than the request itself, the request waits longer.
 func (p *poolEstimates) patienceShare(slots int) float64 {
-	cost := p.itemTokens / p.readingRate() * float64(slots)
+	cost := p.itemTokens / p.prefillRate() * float64(slots)
 	onlineHold := p.onlineHold
 	if onlineHold == 0 {
 		onlineHold = initialHold
@@ -112,12 +112,12 @@
 	return max(minPatienceShare, cost/(cost+onlineHold.Seconds()))
 }
 
-// readingRate returns the prompt processing rate of replicas, in tokens per second.
-func (p *poolEstimates) readingRate() float64 {
+// prefillRate returns the prompt processing rate of replicas, in tokens per second.
+func (p *poolEstimates) prefillRate() float64 {
 	if seconds, ok := p.readingSlope.get(); ok && seconds > 0 {
 		return 1 / seconds
 	}
-	return readingRate
+	return prefillRate
 }
 
 // updateAverage adds a sample to a moving average.
@@ -182,8 +182,8 @@
 	// PatienceShare is the part of the time left until its objective that a request waits for a slot
 	// before it preempts an item.
 	PatienceShare float64
-	// ReadingRate is the prompt processing rate, in tokens per second.
-	ReadingRate float64
+	// PrefillRate is the prompt processing rate, in tokens per second.
+	PrefillRate float64
 }
 
 // PoolStats returns the statistics of each pool that has replicas.
@@ -200,7 +200,7 @@
 		share, items := s.sumShares(list, now)
 		all[pool] = PoolStats{
 			Share: share, Items: items, Borrowed: countBorrowed(list), Open: estimates.open, Level: estimates.level(now), FleetUsage: s.fleetUsage(pool, now), SlotHold: estimates.slotHold(), OnlineHold: estimates.onlineHold,
-			FirstEvent: estimates.firstEvent, PatienceShare: estimates.patienceShare(list[0].info.Slots), ReadingRate: estimates.readingRate(),
+			FirstEvent: estimates.firstEvent, PatienceShare: estimates.patienceShare(list[0].info.Slots), PrefillRate: estimates.prefillRate(),
 		}
 	}
 	return all
--- a/internal/replica/fleet.go
+++ b/internal/replica/fleet.go
@@ -87,8 +87,8 @@
 	// its items have borrowed. BorrowedExcess is the number of borrowed slots to release.
 	Idle           int
 	BorrowedExcess int
-	// Away is the number of online requests in flight in each other region.
-	Away map[string]int
+	// OtherRegions is the number of online requests in flight in each other region.
+	OtherRegions map[string]int
 }
 
 // UpdateDemand records this node's own demand and returns what it reports to others. It visits each
@@ -110,7 +110,7 @@
 		free := int(float64(share) - s.neededSlots(pool, share, now) + s.rounding(pool))
 		demand := PoolDemand{
 			Pool: pool, Level: level, Share: share, FleetUsage: s.fleetUsage(pool, now), Excess: min(items, items-free),
-			Away: s.openByRegion(list), Idle: max(0, free-items) - countBorrowed(list),
+			OtherRegions: s.openByRegion(list), Idle: max(0, free-items) - countBorrowed(list),
 		}
 		if s.fullyUsed(pool, now) {
 			demand.BorrowedExcess = countBorrowed(list) - countStarved(list)
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -81,7 +81,7 @@
 		set.Begin(id, RequestInfo{}, now)
 	}
 	set.Begin("away", RequestInfo{Batch: true}, now)
-	if away := set.UpdateDemand(now)[0].Away; len(away) != 1 || away["south"] != 2 {
-		t.Fatalf("Away = %v, want 2 in the south", away)
+	if otherRegions := set.UpdateDemand(now)[0].OtherRegions; len(otherRegions) != 1 || otherRegions["south"] != 2 {
+		t.Fatalf("Away = %v, want 2 in the south", otherRegions)
 	}
 }
--- a/internal/replica/pick.go
+++ b/internal/replica/pick.go
@@ -72,9 +72,9 @@
 }
 
 const (
-	// readingRate is the assumed prompt processing rate, in tokens per second, of replicas that
+	// prefillRate is the assumed prompt processing rate, in tokens per second, of replicas that
 	// report none.
-	readingRate = 50000.0
+	prefillRate = 50000.0
 	// concurrencyCost is the cost of each concurrent request, which slows down the decoding steps.
 	concurrencyCost = 4 * time.Millisecond
 	// connectCost is the cost of asking for a reservation at a replica that is not Fresh: a new
@@ -130,7 +130,7 @@
 func unreserved(candidates []Candidate, share float64) []Candidate {
 	ordered := slices.Clone(candidates)
 	slices.SortFunc(ordered, func(a, b Candidate) int {
-		if bySpeed := cmp.Compare(a.ReadingRate, b.ReadingRate); bySpeed != 0 {
+		if bySpeed := cmp.Compare(a.PrefillRate, b.PrefillRate); bySpeed != 0 {
 			return bySpeed
 		}
 		return cmp.Compare(a.Key, b.Key)
@@ -240,9 +240,9 @@
 
 // readingTime returns how long the replica takes to process a number of prompt tokens.
 func (c *Candidate) readingTime(tokens int) time.Duration {
-	rate := c.ReadingRate
+	rate := c.PrefillRate
 	if rate <= 0 {
-		rate = readingRate
+		rate = prefillRate
 	}
 	return time.Duration(float64(tokens) / rate * float64(time.Second))
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -30,8 +30,8 @@
 	Region string
 	// Slots is the number of requests that the replica runs concurrently.
 	Slots int
-	// ReadingRate is the prompt processing rate in tokens per second; 0 if not reported.
-	ReadingRate float64
+	// PrefillRate is the prompt processing rate in tokens per second; 0 if not reported.
+	PrefillRate float64
 	// ColdLeft is how much longer the replica will be cold, as it reported when it was listed.
 	ColdLeft time.Duration
 	// Leaving is set while the replica drains: it finishes its requests and accepts no new ones.
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -45,7 +45,7 @@
 
 func TestRemove_GracePeriodAfterLongOutage(t *testing.T) {
 	set, now := newSet(2), time.Now()
-	set.OutageEnded(6*time.Second, now)
+	set.RecordOutageEnd(6*time.Second, now)
 	set.Remove("r00", now)
 	if found := idSet(set.Snapshot(testPool, 0, now)); !found["r00"] {
 		t.Fatal("a replica that was removed after a long outage is not a candidate in the grace period")
@@ -59,7 +59,7 @@
 // may end before it completes new requests.
 func TestRemove_ImmediateIfLongAfterOutage(t *testing.T) {
 	set, now := newSet(2), time.Now()
-	set.OutageEnded(6*time.Second, now)
+	set.RecordOutageEnd(6*time.Second, now)
 	later := now.Add(3 * time.Second)
 	set.Remove("r00", later)
 	if found := idSet(set.Snapshot(testPool, 0, later)); found["r00"] {
@@ -69,7 +69,7 @@
 
 func TestRemove_ImmediateAfterShortOutage(t *testing.T) {
 	set, now := newSet(2), time.Now()
-	set.OutageEnded(500*time.Millisecond, now)
+	set.RecordOutageEnd(500*time.Millisecond, now)
 	set.Remove("r00", now)
 	if found := idSet(set.Snapshot(testPool, 0, now)); found["r00"] {
 		t.Fatal("a replica that was removed after a short outage is still a candidate")
@@ -222,9 +222,9 @@
 
 func TestPick_ItemsLeaveFastestToOnlineRequests(t *testing.T) {
 	candidates := []Candidate{
-		{Info: Info{ID: "fast", Slots: 10, ReadingRate: 18000}, Key: 1, Share: 10},
-		{Info: Info{ID: "slow", Slots: 10, ReadingRate: 7000}, Key: 2, Share: 10},
-		{Info: Info{ID: "slower", Slots: 10, ReadingRate: 5000}, Key: 3, Share: 10},
+		{Info: Info{ID: "fast", Slots: 10, PrefillRate: 18000}, Key: 1, Share: 10},
+		{Info: Info{ID: "slow", Slots: 10, PrefillRate: 7000}, Key: 2, Share: 10},
+		{Info: Info{ID: "slower", Slots: 10, PrefillRate: 5000}, Key: 3, Share: 10},
 	}
 	weights := Weights{}
 	for range 20 {
--- a/internal/replica/restart_test.go
+++ b/internal/replica/restart_test.go
@@ -291,7 +291,7 @@
 	set := newStartedSet(2, now)
 	beginRequests(set, now)
 	set.Begin("r00", RequestInfo{}, now).End(Unreachable, now)
-	set.OutageEnded(6*time.Second, now)
+	set.RecordOutageEnd(6*time.Second, now)
 	set.Remove("r00", now)
 	set.put(infoStartedAt(secondStart), now)
 	later := now.Add(delistedGrace + time.Second)
--- a/internal/resource/change.go
+++ b/internal/resource/change.go
@@ -31,8 +31,8 @@
 	// ErrStoreUnavailable reports that the table service could not perform a write. Nothing was
 	// written.
 	ErrStoreUnavailable = errors.New("configuration store unavailable")
-	// ErrUndecided reports that it is unknown whether a write took place.
-	ErrUndecided = errors.New("configuration write undecided")
+	// ErrUnknownOutcome reports that it is unknown whether a write took place.
+	ErrUnknownOutcome = errors.New("configuration write undecided")
 )
 
 // Group is the table group of the configuration, and its only partition.
--- a/internal/resource/writer.go
+++ b/internal/resource/writer.go
@@ -73,7 +73,7 @@
 		return Change{}, Error.Wrap(fmt.Errorf("%w: %w", ErrStoreUnavailable, err))
 	default:
 		// Hides a wrapped ErrConflict, for which Commit would try the write again.
-		return Change{}, Error.Wrap(fmt.Errorf("%w: %v", ErrUndecided, err))
+		return Change{}, Error.Wrap(fmt.Errorf("%w: %v", ErrUnknownOutcome, err))
 	}
 }
 
--- a/internal/server/answer.go
+++ b/internal/server/answer.go
@@ -56,7 +56,7 @@
 	switch {
 	case errors.Is(err, batch.ErrNotFound):
 		refuse(ctx, iris.StatusNotFound, openai.TypeNotFound, "no such file or batch", 0)
-	case errors.Is(err, batch.ErrUndecided):
+	case errors.Is(err, batch.ErrUnknownOutcome):
 		ctx.Header(HeaderExecuted, outcome.Unknown.String())
 		fail(ctx, iris.StatusServiceUnavailable, openai.TypeServer, err.Error())
 	default:
@@ -71,7 +71,7 @@
 		refuse(ctx, iris.StatusPreconditionFailed, openai.TypeConflict, err.Error(), 0)
 	case errors.Is(err, resource.ErrNotFound):
 		refuse(ctx, iris.StatusNotFound, openai.TypeNotFound, "no such resource", 0)
-	case errors.Is(err, resource.ErrUndecided):
+	case errors.Is(err, resource.ErrUnknownOutcome):
 		ctx.Header(HeaderExecuted, outcome.Unknown.String())
 		fail(ctx, iris.StatusServiceUnavailable, openai.TypeServer, err.Error())
 	default:
--- a/internal/server/batches.go
+++ b/internal/server/batches.go
@@ -133,7 +133,7 @@
 		return
 	}
 	job, err := s.options.Batch.Submit(ctx.Request().Context(), batch.Submission{
-		Tenant: callingTenant(ctx).name, Request: request, Deadline: window,
+		Tenant: callingTenant(ctx).name, Request: request, Completion: window,
 		Key: ctx.GetHeader(HeaderIdempotencyKey),
 	})
 	if err != nil {
--- a/internal/server/batchjobs.go
+++ b/internal/server/batchjobs.go
@@ -69,7 +69,7 @@
 		window = batch.DefaultWindow
 	}
 	job, err := s.options.Batch.Submit(ctx.Request().Context(), batch.Submission{
-		Tenant: spec.Tenant, Key: "resource/" + declared.Metadata.Name, Deadline: window,
+		Tenant: spec.Tenant, Key: "resource/" + declared.Metadata.Name, Completion: window,
 		Request: openai.BatchRequest{
 			InputFileID: spec.InputFileID, Endpoint: spec.Endpoint, CompletionWindow: window.String(),
 		},
--- a/internal/server/completion.go
+++ b/internal/server/completion.go
@@ -204,7 +204,7 @@
 func (s *Server) forward(ctx iris.Context, target *route.Route, request *forward.Request, stream bool) (*recordedAnswer, error) {
 	if err := s.checkOverload(ctx, target, request); err != nil {
 		s.refuseAdmission(ctx, err)
-		return nil, outcome.Failed(err)
+		return nil, outcome.AsNotDone(err)
 	}
 	var sink responseSink = &bufferedSink{ctx: ctx, path: request.Target}
 	if stream {
@@ -273,7 +273,7 @@
 	for {
 		event, err := stream.Next()
 		if err != nil {
-			sink.fail(outcome.Undecided(err))
+			sink.fail(outcome.AsUnknown(err))
 			return
 		}
 		if sink.Write(event.Raw, false) != nil || event.Done {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -65,11 +65,11 @@
 	// Tenants lists the tenants with a limit that sent requests to this node recently.
 	Tenants []TenantUsage `json:"tenants,omitempty"`
 	// Items counts the unlisted batch items that this node is responsible for, by what they wait for.
-	Items []ItemWait `json:"items,omitempty"`
+	Items []WaitCount `json:"items,omitempty"`
 }
 
-// ItemWait counts the batch items that wait for the same reason.
-type ItemWait struct {
+// WaitCount counts the batch items that wait for the same reason.
+type WaitCount struct {
 	Reason string `json:"reason"`
 	Items  int    `json:"items"`
 	// Oldest is the longest time in seconds for which one of them has made no progress.
--- a/internal/server/sink.go
+++ b/internal/server/sink.go
@@ -168,7 +168,7 @@
 	case outcome.Of(err) != outcome.NotDone:
 		ctx.Header(HeaderExecuted, outcome.Unknown.String())
 		fail(ctx, iris.StatusBadGateway, openai.TypeServer, err.Error())
-	case errors.As(err, new(*quarantine.RefusedError)):
+	case errors.As(err, new(*quarantine.RefusalError)):
 		// The request itself is at fault. A 5xx status would make clients retry for nothing.
 		ctx.Header(HeaderExecuted, outcome.NotDone.String())
 		failWithDetail(ctx, iris.StatusUnprocessableEntity, openai.ErrorDetail{
--- a/internal/server/sink_test.go
+++ b/internal/server/sink_test.go
@@ -16,15 +16,15 @@
 // TestFailForward_QuarantinedWork checks that a refusal of quarantined work blames the request, says
 // whether the request ran, and sends no Retry-After, since a retry would fail too.
 func TestFailForward_QuarantinedWork(t *testing.T) {
-	refused := &quarantine.RefusedError{Verdict: quarantine.Verdict{Replicas: []string{"a", "b", "c"}, Quarantined: true}}
+	refusal := &quarantine.RefusalError{Verdict: quarantine.Verdict{Replicas: []string{"a", "b", "c"}, Quarantined: true}}
 	for _, ran := range []bool{false, true} {
 		app := iris.New()
 		app.Get("/", func(ctx iris.Context) {
 			if ran {
-				failForward(ctx, outcome.Undecided(refused))
+				failForward(ctx, outcome.AsUnknown(refusal))
 				return
 			}
-			failForward(ctx, outcome.Failed(refused))
+			failForward(ctx, outcome.AsNotDone(refusal))
 		})
 		if err := app.Build(); err != nil {
 			t.Fatal(err)
--- a/internal/table/asof_test.go
+++ b/internal/table/asof_test.go
@@ -73,13 +73,13 @@
 			return row, nil
 		}
 	}
-	return Row{}, outcome.Failed(ErrNotFound)
+	return Row{}, outcome.AsNotDone(ErrNotFound)
 }
 
 func (h *blockingHeads) List(ctx context.Context, partition, after string, limit int) ([]Row, error) {
 	if strings.HasPrefix(partition, headsPartition) && h.blocked.Load() {
 		<-ctx.Done()
-		return nil, outcome.Undecided(ctx.Err())
+		return nil, outcome.AsUnknown(ctx.Err())
 	}
 	if strings.HasPrefix(partition, headsPartition) {
 		select {
@@ -181,7 +181,7 @@
 func (f *slowFeed) After(ctx context.Context, _ uint64, _ time.Duration) (Changes, error) {
 	if f.calls++; f.calls > 1 {
 		<-ctx.Done()
-		return Changes{}, outcome.Undecided(ctx.Err())
+		return Changes{}, outcome.AsUnknown(ctx.Err())
 	}
 	answer := Changes{Revision: 1, Now: wallClock()}
 	time.Sleep(f.delay)
--- a/internal/table/dynamo.go
+++ b/internal/table/dynamo.go
@@ -232,13 +232,13 @@
 	var throttling *types.ThrottlingException
 	switch {
 	case errors.As(err, &canceled), errors.As(err, &conditional), errors.As(err, &conflict):
-		return Error.Wrap(outcome.Failed(fmt.Errorf("%w: %w", ErrConflict, err)))
+		return Error.Wrap(outcome.AsNotDone(fmt.Errorf("%w: %w", ErrConflict, err)))
 	case errors.As(err, &throughput), errors.As(err, &limit), errors.As(err, &throttling):
-		return Error.Wrap(outcome.Failed(fmt.Errorf("%w: %w", ErrThrottled, err)))
+		return Error.Wrap(outcome.AsNotDone(fmt.Errorf("%w: %w", ErrThrottled, err)))
 	case isDialError(err):
-		return Error.Wrap(outcome.Failed(fmt.Errorf("%w: %w", ErrUnavailable, err)))
+		return Error.Wrap(outcome.AsNotDone(fmt.Errorf("%w: %w", ErrUnavailable, err)))
 	default:
-		return Error.Wrap(outcome.Undecided(fmt.Errorf("%w: %w", ErrUnavailable, err)))
+		return Error.Wrap(outcome.AsUnknown(fmt.Errorf("%w: %w", ErrUnavailable, err)))
 	}
 }
 
--- a/internal/table/log.go
+++ b/internal/table/log.go
@@ -94,7 +94,7 @@
 	for attempt := range logAttempts {
 		var head uint64
 		if head, err = l.head(ctx, group, attempt > 0); err != nil {
-			return nil, outcome.Failed(err)
+			return nil, outcome.AsNotDone(err)
 		}
 		var versions []uint64
 		versions, err = l.commitAtHead(ctx, group, head, fmt.Sprintf("%s.%d", operation, attempt), writes)
@@ -106,10 +106,10 @@
 			return nil, explained
 		}
 		if !retry.Sleep(ctx, jittered(logMaxDelay)) {
-			return nil, outcome.Failed(ErrUnavailable)
+			return nil, outcome.AsNotDone(ErrUnavailable)
 		}
 	}
-	return nil, outcome.Failed(errors.Join(ErrThrottled, err))
+	return nil, outcome.AsNotDone(errors.Join(ErrThrottled, err))
 }
 
 // errHeadMoved reports a commit that conflicts only with the head row of its group.
@@ -167,7 +167,7 @@
 	}
 	body, err := cbor.Marshal(changes)
 	if err != nil {
-		return nil, outcome.Failed(Error.Wrap(err))
+		return nil, outcome.AsNotDone(Error.Wrap(err))
 	}
 	all = append(all,
 		Write{Key: headKey(group), Expect: head, Next: revision},
@@ -200,7 +200,7 @@
 		conditionFailed = conditionFailed || row.Version != write.Expect
 	}
 	if !conditionFailed {
-		return outcome.Failed(errHeadMoved)
+		return outcome.AsNotDone(errHeadMoved)
 	}
-	return outcome.Failed(explained)
+	return outcome.AsNotDone(explained)
 }
--- a/internal/table/log_test.go
+++ b/internal/table/log_test.go
@@ -27,7 +27,7 @@
 	defer p.mu.Unlock()
 	row, ok := p.rows[key]
 	if !ok {
-		return table.Row{}, outcome.Failed(table.ErrNotFound)
+		return table.Row{}, outcome.AsNotDone(table.ErrNotFound)
 	}
 	return row, nil
 }
@@ -54,7 +54,7 @@
 	defer p.mu.Unlock()
 	for _, write := range writes {
 		if p.rows[write.Key].Version != write.Expect {
-			return nil, outcome.Failed(table.ErrConflict)
+			return nil, outcome.AsNotDone(table.ErrConflict)
 		}
 	}
 	versions := make([]uint64, len(writes))
--- a/internal/table/settle.go
+++ b/internal/table/settle.go
@@ -64,7 +64,7 @@
 func resolveConflict(ctx context.Context, service Service, operation string, writes []Write, conflict error) ([]uint64, error) {
 	firstPutWrite, ok := firstPut(writes)
 	if !ok {
-		return nil, outcome.Undecided(conflict)
+		return nil, outcome.AsUnknown(conflict)
 	}
 	row, err := service.Get(ctx, firstPutWrite.Key)
 	switch {
@@ -76,7 +76,7 @@
 	case errors.Is(err, ErrNotFound) && firstPutWrite.Expect == Absent:
 		return nil, conflict
 	default:
-		return nil, outcome.Undecided(conflict)
+		return nil, outcome.AsUnknown(conflict)
 	}
 }
 
--- a/internal/table/tabletest/tabletest.go
+++ b/internal/table/tabletest/tabletest.go
@@ -77,7 +77,7 @@
 	}
 	row, ok := t.rows[key]
 	if !ok {
-		return table.Row{}, outcome.Failed(table.ErrNotFound)
+		return table.Row{}, outcome.AsNotDone(table.ErrNotFound)
 	}
 	return row, nil
 }
@@ -109,14 +109,14 @@
 	}
 	switch fault {
 	case Down:
-		return nil, outcome.Failed(table.ErrUnavailable)
+		return nil, outcome.AsNotDone(table.ErrUnavailable)
 	case Late:
 		t.late = append(t.late, lateCommit{operation, writes})
-		return nil, outcome.Undecided(errLost)
+		return nil, outcome.AsUnknown(errLost)
 	}
 	versions, err := t.apply(operation, writes)
 	if fault == Lost {
-		return nil, outcome.Undecided(errLost)
+		return nil, outcome.AsUnknown(errLost)
 	}
 	return versions, err
 }
@@ -147,7 +147,7 @@
 		conditionsHold = conditionsHold && row.Version == write.Expect
 	}
 	if !conditionsHold {
-		return nil, outcome.Failed(conflict)
+		return nil, outcome.AsNotDone(conflict)
 	}
 	t.version++
 	versions := make([]uint64, len(writes))
@@ -218,7 +218,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return table.Changes{}, outcome.Undecided(ctx.Err())
+			return table.Changes{}, outcome.AsUnknown(ctx.Err())
 		case <-deadline.C:
 			// The changes are as of now, not as of the start of the wait.
 			changes, _, err = f.since(revision)
