--- a/internal/batch/service.go
+++ b/internal/batch/service.go
@@ -33,6 +33,7 @@
 }
 
 // Submission is a request to create a job. Key is the caller's idempotency key and may be empty.
+// Completion is the time from the submission until the results are due.
 type Submission struct {
 	Tenant     string
 	Request    openai.BatchRequest
@@ -73,7 +74,7 @@
 
 // Submit creates a job and returns it once it is durable. A submission with the fingerprint of an
 // earlier one returns the earlier job. Errors include ErrNotFound for an unknown file,
-// ErrNotAccepted and ErrUndecided.
+// ErrNotAccepted and ErrUnknownOutcome.
 func (s *Service) Submit(ctx context.Context, submission Submission) (*Job, error) {
 	file, err := s.File(ctx, submission.Tenant, submission.Request.InputFileID)
 	if err != nil {
--- a/internal/batch/waiting.go
+++ b/internal/batch/waiting.go
@@ -60,8 +60,8 @@
 	Oldest time.Duration
 }
 
-// GroupWaits returns the waiting groups fed by this node as of the feeder's last step, the longest wait
-// first.
+// GroupWaits returns what the groups fed by this node wait for, as of the feeder's last step, the
+// longest wait first.
 func (f *Feeder) GroupWaits() []GroupWait {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -101,7 +101,7 @@
 	f.waits = all
 }
 
-// batchWaits returns the waiting groups of a batch. Since changes only with the reason.
+// batchWaits returns what the groups of a batch wait for. Since changes only with the reason.
 func (f *Feeder) batchWaits(fed *fedBatch, now time.Time) []GroupWait {
 	if fed.waits == nil {
 		fed.waits = map[int]GroupWait{}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -134,7 +134,7 @@
 // concurrent use.
 type Reserver interface {
 	// Reserve reserves a free slot and memory for the given number of tokens and returns the ID of
-	// the reservation, which expires after hold. It returns ErrRefused if the replica has no free
+	// the reservation, which expires after ttl. It returns ErrRefused if the replica has no free
 	// slot.
 	Reserve(ctx context.Context, replica replica.Info, tokens int, ttl time.Duration) (string, error)
 }
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -14,7 +14,7 @@
 // Quarantine keeps work away from replicas if it is suspected of crashing them. The work functions
 // are called only while some work is suspected. A Quarantine is safe for concurrent use.
 type Quarantine interface {
-	// RefuseRequest returns a quarantine.RefusedError for a request that must not be sent, either
+	// RefuseRequest returns a quarantine.RefusalError for a request that must not be sent, either
 	// at once or after a short wait for reports of other nodes. Refuse does the same without
 	// waiting, for other work.
 	RefuseRequest(ctx context.Context, work func() quarantine.Work) error
--- a/internal/jobs/accept.go
+++ b/internal/jobs/accept.go
@@ -55,7 +55,7 @@
 }
 
 // Submit accepts a job durably. ErrInvalid, ErrIDTaken, ErrQuota, ErrNotAccepted and ErrSuperseded
-// mean that the submission was not accepted and never runs, ErrUndecided that it may have been
+// mean that the submission was not accepted and never runs, ErrUnknownOutcome that it may have been
 // accepted. Submitting an accepted job again succeeds.
 func (s *Service) Submit(ctx context.Context, submission *Submission) error {
 	start := clock.Now()
--- a/internal/jobs/accept_test.go
+++ b/internal/jobs/accept_test.go
@@ -80,7 +80,7 @@
 	defer cancel()
 	err := node.Submit(ctx, submission("j", 1))
 	if !errors.Is(err, ErrUnknownOutcome) || errors.Is(err, ErrNotAccepted) {
-		t.Fatalf("error is %v, want ErrUndecided", err)
+		t.Fatalf("error is %v, want ErrUnknownOutcome", err)
 	}
 }
 
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -33,8 +33,8 @@
 	ErrQuota = errors.New("job does not fit the quota")
 	// ErrNotAccepted reports that a job was not accepted; it never runs.
 	ErrNotAccepted = errors.New("store unavailable, job not accepted")
-	// ErrUnknownOutcome reports that a job may have been accepted. Submitting it again with the same id
-	// is safe.
+	// ErrUnknownOutcome reports that a job may have been accepted. Submitting it again with the
+	// same id is safe.
 	ErrUnknownOutcome = errors.New("job acceptance undecided, send it again")
 	// ErrSuperseded reports that a guard of the submission does not hold; the job
 	// did not run and never will.
--- a/internal/jobs/stall_test.go
+++ b/internal/jobs/stall_test.go
@@ -48,9 +48,9 @@
 }
 
 // startReplica lists the replica with a start time.
-func (s *stallSite) startReplica(startTime int64) {
+func (s *stallSite) startReplica(startedUnixMs int64) {
 	known, _ := s.runner.Replicas.Get("r0")
-	known.StartedUnixMs = startTime
+	known.StartedUnixMs = startedUnixMs
 	s.runner.Replicas.Put(known)
 }
 
--- a/internal/jobs/waits.go
+++ b/internal/jobs/waits.go
@@ -8,7 +8,7 @@
 	"github.com/wheelhoist/wheelhoist/internal/clock"
 )
 
-// WaitReason is the reason why an item is not listed yet. Bound returns how long it should last.
+// WaitReason is what an unlisted item waits for.
 type WaitReason uint8
 
 const (
@@ -67,11 +67,11 @@
 	// LastProgress is when the item last made progress, by package clock: when it was assigned to
 	// this node, its answer last brought an event, or it got its outcome.
 	LastProgress time.Time
-	// Since is since when the item has waited for this reason without a break.
+	// Since is when the item began to wait for Reason.
 	Since time.Time
 	// Replica is the replica that runs the item, if one does.
 	Replica string
-	// Cause is the error behind the wait; nil if For says it all.
+	// Cause is the error that causes the wait, if there is one.
 	Cause error
 }
 
@@ -130,8 +130,8 @@
 	return wait
 }
 
-// WaitCounts counts the unlisted items of this node by reason, in the order of Wait. Reasons
-// without items are included with a count of 0.
+// WaitCounts returns one count for each WaitReason, in their order, of the unlisted items of this
+// node.
 func (r *Runner) WaitCounts(now time.Time) []WaitCount {
 	counts := make([]WaitCount, waitKinds)
 	for i := range counts {
@@ -149,12 +149,13 @@
 // for its wait alternate.
 const maxStall = 10 * time.Second
 
-// neverOverdue is the bound of waits that end by an action of operators or callers, or when the item
-// expires. Their start is logged once.
+// neverOverdue is returned by OverdueAfter for waits that end by an action of operators or callers,
+// or when the item expires. Their start is logged once.
 const neverOverdue = time.Duration(math.MaxInt64)
 
-// OverdueAfter returns the longest time that an item usually waits for this reason while nodes, replicas
-// and the store are available. Design 0018 describes what ends each wait.
+// OverdueAfter returns how long an item may wait for this reason before it is overdue: the longest
+// usual wait while nodes, replicas and the store are available. Design 0018 describes what ends each
+// wait.
 func (w WaitReason) OverdueAfter() time.Duration {
 	switch w {
 	case WaitDispatch, WaitBackoff:
--- a/internal/lab/site/site.go
+++ b/internal/lab/site/site.go
@@ -156,7 +156,7 @@
 	return append([]*Engine(nil), s.engines...)
 }
 
-// Nodes returns the members of the site by slot, including those that do not run.
+// Nodes returns the nodes of the site by slot, including those that do not run.
 func (s *Site) Nodes() []*Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,7 +174,8 @@
 	return urls
 }
 
-// Node is a node of the site. It keeps its slot, ID and address across restarts.
+// Node is a node of the site, run in this process or in one of its own. It keeps its slot, ID and
+// address across restarts.
 type Node struct {
 	Slot     int
 	ID       string
--- a/internal/lease/roster.go
+++ b/internal/lease/roster.go
@@ -112,7 +112,7 @@
 	unreadableVersions map[string]uint64
 	// memberInfo holds the newest decoded member row of each node.
 	memberInfo map[string]Member
-	// sessionLost holds the nodes whose last session ended within awayRetention.
+	// sessionLost holds the nodes whose last session ended within sessionLostRetention.
 	sessionLost map[string]lostNode
 	// generation increases with each change to the set of nodes. sortedNodes caches that set; it
 	// is nil after a change.
@@ -273,8 +273,8 @@
 	r.sortedNodes = nil
 }
 
-// Generation returns a number that changes whenever the set of nodes, including those that are
-// away, may have changed.
+// Generation returns a number that changes whenever the set of nodes, including those that
+// SessionLost returns, may have changed.
 func (r *Roster) Generation() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -292,8 +292,8 @@
 	return r.missingForTimeToLive(Node(id))
 }
 
-// Address returns the address of a node, or its last known address while it is away. It returns
-// "" if the address is not known.
+// Address returns the address of a node, or its last known address if its last session ended within
+// sessionLostRetention. It returns "" if the address is not known.
 func (r *Roster) Address(node string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -303,8 +303,8 @@
 	return r.memberInfo[node].Address
 }
 
-// Member returns the description of a node, or its last known description while it is away. It
-// returns the zero Member if the node is not known.
+// Member returns the description of a node, or its last known description if its last session ended
+// within sessionLostRetention. It returns the zero Member if the node is not known.
 func (r *Roster) Member(node string) Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -216,9 +216,9 @@
 	s.unresolvedSince = time.Time{}
 }
 
-// SinceConfirmed returns the time since the start of the last write of the row that is known to have
-// succeeded. Other nodes may consider the session expired once this reaches TimeToLive, but never
-// earlier. It returns the maximum duration for a session that was never written.
+// SinceConfirmed returns the time since the start of the last write of the row that is known to
+// have succeeded. Other nodes may consider the session expired once this reaches TimeToLive, but
+// never earlier. It returns the maximum duration for a session that was never written.
 func (s *Session) SinceConfirmed() time.Duration {
 	start := s.confirmedAt.Load()
 	if start == nil {
--- a/internal/lease/sessionlost.go
+++ b/internal/lease/sessionlost.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// sessionLostRetention is how long a node is remembered after its last session ended. It covers a node that
-// is cut off from the store but continues to serve.
+// sessionLostRetention is how long a node is remembered after its last session ended. It covers a
+// node that is cut off from the store but continues to serve.
 const sessionLostRetention = 30 * time.Second
 
 // lostNode is a node whose last session has ended.
@@ -25,7 +25,8 @@
 	delete(r.memberInfo, node)
 }
 
-// expireSessionLost forgets nodes that have been away for longer than awayRetention. The caller holds mu.
+// expireSessionLost forgets nodes whose last session ended more than sessionLostRetention ago. The
+// caller holds mu.
 func (r *Roster) expireSessionLost() {
 	for node, lost := range r.sessionLost {
 		if r.watcher.now().Sub(lost.since) > sessionLostRetention {
@@ -35,7 +36,7 @@
 	}
 }
 
-// SessionLost returns the nodes whose last session ended within awayRetention, sorted.
+// SessionLost returns the nodes whose last session ended within sessionLostRetention, sorted.
 func (r *Roster) SessionLost() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lease/sessionlost_test.go
+++ b/internal/lease/sessionlost_test.go
@@ -11,18 +11,18 @@
 )
 
 // A node whose session has ended may still be serving, so it is remembered until it rejoins or
-// awayRetention has passed.
+// sessionLostRetention has passed.
 func TestRoster_SessionLostAfterSessionEnds(t *testing.T) {
 	f := newFleet(t, 4)
 	f.dead[1], f.dead[2] = true, true
 	f.advance(6)
 	if got := f.rosters[0].SessionLost(); !slices.Equal(got, []string{"n001", "n002"}) {
-		t.Fatalf("away: %v", got)
+		t.Fatalf("nodes without a session: %v", got)
 	}
 	f.dead[1] = false
 	f.advance(3)
 	if got := f.rosters[0].SessionLost(); !slices.Equal(got, []string{"n002"}) {
-		t.Fatalf("away after one node has rejoined: %v", got)
+		t.Fatalf("nodes without a session after one has rejoined: %v", got)
 	}
 	before := f.rosters[0].Generation()
 	f.now = f.now.Add(sessionLostRetention)
@@ -30,7 +30,7 @@
 		t.Fatal("the generation is unchanged after a node was forgotten")
 	}
 	if got := f.rosters[0].SessionLost(); len(got) > 0 {
-		t.Fatalf("away after awayRetention: %v", got)
+		t.Fatalf("nodes without a session after sessionLostRetention: %v", got)
 	}
 }
 
@@ -47,12 +47,12 @@
 	}
 	f.deliverChanges()
 	if got := f.rosters[0].Address("other"); got != "10.0.0.1:1" {
-		t.Fatalf("address of the away node is %q", got)
+		t.Fatalf("address of the node without a session is %q", got)
 	}
 }
 
-// Other nodes measure from the completion of a write. Unconfirmed must measure from an earlier time,
-// whichever responses are lost.
+// Other nodes measure from the completion of a write. SinceConfirmed must measure from an earlier
+// time, whichever responses are lost.
 func TestSession_SinceConfirmedIsNeverUnderestimated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared := tabletest.New()
--- a/internal/node/gatewayquarantine.go
+++ b/internal/node/gatewayquarantine.go
@@ -49,8 +49,8 @@
 	AgeMs   int64             `cbor:"3,keyasint"`
 	// Durations is how long each of Works had run, in ms.
 	Durations []int64 `cbor:"4,keyasint,omitempty"`
-	// StartedUnixMs identifies the start of the replica that crashed. It is absent if unknown, and in
-	// messages of earlier versions.
+	// StartedUnixMs identifies the start of the replica that crashed. It is absent if unknown, and
+	// in messages of earlier versions.
 	StartedUnixMs int64 `cbor:"5,keyasint,omitempty"`
 	// SuccessAges is how long before the crash each of Works last succeeded, in ms; 0 if the sender
 	// has not seen it succeed. It informs nodes that have just started.
--- a/internal/node/itemwaits.go
+++ b/internal/node/itemwaits.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// waitCounts returns the waiting items of this node in the form that the status shows.
+// waitCounts counts the waiting items of this node by reason, in the form that the status shows.
+// Reasons without items are left out.
 func (c *core) waitCounts() []server.WaitCount {
 	var waits []server.WaitCount
 	for _, count := range c.runner.WaitCounts(clock.Now()) {
--- a/internal/node/quotafleet.go
+++ b/internal/node/quotafleet.go
@@ -18,8 +18,8 @@
 
 	mu         sync.Mutex
 	generation uint64
-	// sessionLost are the nodes that lost their sessions a short time ago. all are these and the nodes
-	// with a session.
+	// sessionLost are the nodes that lost their sessions a short time ago. all are these and the
+	// nodes with a session.
 	sessionLost, all []string
 	owners           map[string]owner
 }
@@ -27,7 +27,7 @@
 // owner is the node that accounts for a tenant.
 type owner struct {
 	node string
-	// successor replaces the node while it is away; otherwise it is the node itself.
+	// successor replaces a node that lost its session; otherwise it is the node itself.
 	successor string
 }
 
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -136,7 +136,7 @@
 	return !w.crashedAt.IsZero() && now.Sub(w.crashedAt) > sameCrashWindow
 }
 
-// Refuse returns a RefusedError if the work is quarantined. It calls work only if any work is
+// Refuse returns a RefusalError if the work is quarantined. It calls work only if any work is
 // suspect.
 func (g *Guard) Refuse(work func() Work) error {
 	if g.List.Empty() {
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -36,7 +36,7 @@
 
 // CrashReport reports a replica that crashed while it ran requests of one node.
 type CrashReport struct {
-	// Replica is the replica's id. StartTime distinguishes its starts; 0 if it is not known.
+	// Replica is the replica's id. StartedUnixMs distinguishes its starts; 0 if it is not known.
 	Replica       string
 	StartedUnixMs int64
 	// Runs are the runs of the reporting node on that replica.
--- a/internal/quota/peers.go
+++ b/internal/quota/peers.go
@@ -262,7 +262,7 @@
 	c.send(source, peer.KindQuotaProbeReply, PeerStatus{Confirmed: c.Fleet.SinceConfirmed() < sessionTrustedFor})
 }
 
-// handleStatus handles messages of peer.KindQuotaProbeReply, which carry a NodeStatus.
+// handleStatus handles messages of peer.KindQuotaProbeReply, which carry a PeerStatus.
 func (c *Coordinator) handleStatus(from string, _ *net.UDPAddr, body []byte) {
 	var status PeerStatus
 	if err := cbor.Unmarshal(body, &status); err != nil {
--- a/internal/replica/delisted.go
+++ b/internal/replica/delisted.go
@@ -35,9 +35,9 @@
 	s.invalidateIndex()
 }
 
-// RecordOutageEnd records that an outage of the store has ended. After a long outage, running replicas may
-// be missing from the list, since they could not renew their entries; after a short one, missing
-// replicas have left.
+// RecordOutageEnd records that an outage of the store has ended. After a long outage, running
+// replicas may be missing from the list, since they could not renew their entries; after a short
+// one, missing replicas have left.
 func (s *Set) RecordOutageEnd(length time.Duration, now time.Time) {
 	if length < minLapsingOutage {
 		return
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -82,6 +82,6 @@
 	}
 	set.Begin("away", RequestInfo{Batch: true}, now)
 	if otherRegions := set.UpdateDemand(now)[0].OtherRegions; len(otherRegions) != 1 || otherRegions["south"] != 2 {
-		t.Fatalf("Away = %v, want 2 in the south", otherRegions)
+		t.Fatalf("OtherRegions = %v, want 2 in the south", otherRegions)
 	}
 }
--- a/internal/resource/writer.go
+++ b/internal/resource/writer.go
@@ -33,7 +33,7 @@
 func NewWriter(service table.Service) *Writer { return &Writer{service: service} }
 
 // Commit writes a change and returns it with its revision. The errors are ErrVersionMismatch,
-// ErrNotFound, ErrStoreUnavailable and ErrUndecided.
+// ErrNotFound, ErrStoreUnavailable and ErrUnknownOutcome.
 func (w *Writer) Commit(ctx context.Context, change Change, precondition Precondition) (Change, error) {
 	for range maxCommitAttempts {
 		committed, err := w.commitOnce(ctx, change, precondition)
