--- a/internal/batch/service.go
+++ b/internal/batch/service.go
@@ -33,11 +33,12 @@
 }
 
 // Submission is a request to create a job. Key is the caller's idempotency key and may be empty.
+// Completion is the time from the submission until the results are due.
 type Submission struct {
-	Tenant   string
-	Request  openai.BatchRequest
-	Key      string
-	Deadline time.Duration
+	Tenant     string
+	Request    openai.BatchRequest
+	Key        string
+	Completion time.Duration
 }
 
 // fingerprint returns a hash that identifies a submission: of the idempotency key if there is one,
@@ -73,7 +74,7 @@
 
 // Submit creates a job and returns it once it is durable. A submission with the fingerprint of an
 // earlier one returns the earlier job. Errors include ErrNotFound for an unknown file,
-// ErrNotAccepted and ErrUndecided.
+// ErrNotAccepted and ErrUnknownOutcome.
 func (s *Service) Submit(ctx context.Context, submission Submission) (*Job, error) {
 	file, err := s.File(ctx, submission.Tenant, submission.Request.InputFileID)
 	if err != nil {
@@ -105,7 +106,7 @@
 	case outcome.Of(err) == outcome.NotDone:
 		return nil, Error.Wrap(fmt.Errorf("%w: %w", ErrNotAccepted, err))
 	default:
-		return nil, Error.Wrap(fmt.Errorf("%w: %w", ErrUndecided, err))
+		return nil, Error.Wrap(fmt.Errorf("%w: %w", ErrUnknownOutcome, err))
 	}
 }
 
@@ -124,13 +125,13 @@
 func (s *Service) existingJob(ctx context.Context, key table.Key) (*Job, error) {
 	row, err := s.Table.Get(ctx, key)
 	if err != nil {
-		return nil, Error.Wrap(fmt.Errorf("%w: %w", ErrUndecided, err))
+		return nil, Error.Wrap(fmt.Errorf("%w: %w", ErrUnknownOutcome, err))
 	}
 	return s.getJob(ctx, string(row.Body))
 }
 
 func newJob(submission *Submission, file *FileRecord) *Job {
-	window := submission.Deadline
+	window := submission.Completion
 	if window <= 0 {
 		window = DefaultWindow
 	}
@@ -329,7 +330,7 @@
 func (s *Service) loadActiveVersion(ctx context.Context, job *Job) error {
 	row, err := s.Table.Get(ctx, activeKey(job.ID))
 	if errors.Is(err, table.ErrNotFound) {
-		return Error.Wrap(outcome.Failed(table.ErrConflict))
+		return Error.Wrap(outcome.AsNotDone(table.ErrConflict))
 	}
 	job.activeVersion = row.Version
 	return Error.Wrap(err)
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -14,7 +14,7 @@
 // Quarantine keeps work away from replicas if it is suspected of crashing them. The work functions
 // are called only while some work is suspected. A Quarantine is safe for concurrent use.
 type Quarantine interface {
-	// RefuseRequest returns a quarantine.RefusedError for a request that must not be sent, either
+	// RefuseRequest returns a quarantine.RefusalError for a request that must not be sent, either
 	// at once or after a short wait for reports of other nodes. Refuse does the same without
 	// waiting, for other work.
 	RefuseRequest(ctx context.Context, work func() quarantine.Work) error
@@ -58,6 +58,6 @@
 	case err == nil && c.status < http.StatusInternalServerError:
 		guard.RecordSuccess(c.request.Work())
 	case LooksLikeCrash(err, c.status):
-		guard.RecordInterruption(ctx, quarantine.Replica{ID: chosen.ID, StartTime: chosen.StartedUnixMs, Address: chosen.Address}, quarantine.Run{Work: c.request.Work(), SentAt: began})
+		guard.RecordInterruption(ctx, quarantine.Replica{ID: chosen.ID, StartedUnixMs: chosen.StartedUnixMs, Address: chosen.Address}, quarantine.Run{Work: c.request.Work(), SentAt: began})
 	}
 }
--- a/internal/jobs/service.go
+++ b/internal/jobs/service.go
@@ -121,7 +121,7 @@
 		}
 		if s.View.ProgressUnreadable(id) {
 			// No version of the row is known that a change could be based on.
-			return Error.Wrap(outcome.Failed(ErrUnreadable))
+			return Error.Wrap(outcome.AsNotDone(ErrUnreadable))
 		}
 		next := entry.Progress.clone()
 		extra, needed := change(next)
@@ -144,7 +144,7 @@
 		foreign.record(err, extra, s.View.Unreadable)
 		if !retry.Sleep(ctx, delay) {
 			s.reportResolved(operation, attempts, err)
-			return Error.Wrap(outcome.Undecided(err))
+			return Error.Wrap(outcome.AsUnknown(err))
 		}
 		delay = min(2*delay, retryDelayMax)
 	}
--- a/internal/jobs/slotsite_test.go
+++ b/internal/jobs/slotsite_test.go
@@ -199,9 +199,9 @@
 }
 
 // Reserve implements forward.Reserver.
-func (n *slotNode) Reserve(ctx context.Context, chosen replica.Info, _ int, hold time.Duration) (string, error) {
+func (n *slotNode) Reserve(ctx context.Context, chosen replica.Info, _ int, ttl time.Duration) (string, error) {
 	retry.Sleep(ctx, time.Millisecond)
-	return n.site.servers[chosen.ID].reserve(hold)
+	return n.site.servers[chosen.ID].reserve(ttl)
 }
 
 // Send implements forward.Backend.
@@ -209,7 +209,7 @@
 	retry.Sleep(ctx, time.Millisecond)
 	server := n.site.servers[attempt.Replica.ID]
 	if !server.acquire(attempt.Reservation) {
-		return nil, outcome.Failed(forward.ErrRefused)
+		return nil, outcome.AsNotDone(forward.ErrRefused)
 	}
 	n.site.runStarted(attempt.Request.ID)
 	body := &pacedBody{ctx: ctx, node: n, server: server, item: attempt.Request.ID, next: attempt.LastEventID + 1}
--- a/internal/resource/writer.go
+++ b/internal/resource/writer.go
@@ -33,7 +33,7 @@
 func NewWriter(service table.Service) *Writer { return &Writer{service: service} }
 
 // Commit writes a change and returns it with its revision. The errors are ErrVersionMismatch,
-// ErrNotFound, ErrStoreUnavailable and ErrUndecided.
+// ErrNotFound, ErrStoreUnavailable and ErrUnknownOutcome.
 func (w *Writer) Commit(ctx context.Context, change Change, precondition Precondition) (Change, error) {
 	for range maxCommitAttempts {
 		committed, err := w.commitOnce(ctx, change, precondition)
@@ -73,7 +73,7 @@
 		return Change{}, Error.Wrap(fmt.Errorf("%w: %w", ErrStoreUnavailable, err))
 	default:
 		// Hides a wrapped ErrConflict, for which Commit would try the write again.
-		return Change{}, Error.Wrap(fmt.Errorf("%w: %v", ErrUndecided, err))
+		return Change{}, Error.Wrap(fmt.Errorf("%w: %v", ErrUnknownOutcome, err))
 	}
 }
 
