--- a/internal/jobs/accept_test.go
+++ b/internal/jobs/accept_test.go
@@ -79,8 +79,8 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 150*time.Millisecond)
 	defer cancel()
 	err := node.Submit(ctx, submission("j", 1))
-	if !errors.Is(err, ErrUndecided) || errors.Is(err, ErrNotAccepted) {
-		t.Fatalf("error is %v, want ErrUndecided", err)
+	if !errors.Is(err, ErrUnknownOutcome) || errors.Is(err, ErrNotAccepted) {
+		t.Fatalf("error is %v, want ErrUnknownOutcome", err)
 	}
 }
 
@@ -133,7 +133,7 @@
 	})
 }
 
-// submitConcurrently submits jobs at two nodes and returns those that were refused for good.
+// submitConcurrently submits jobs at two nodes and returns those that were definitely refused.
 func submitConcurrently(t *testing.T, shared *tabletest.Table, quota int64, count int) map[string]bool {
 	refused := map[string]bool{}
 	var mu sync.Mutex
--- a/internal/jobs/atmostonce_test.go
+++ b/internal/jobs/atmostonce_test.go
@@ -63,7 +63,7 @@
 func TestRunner_AtMostOnceItemOfUnknownOutcomeIsNotSentAgain(t *testing.T) {
 	node := startNode(t, tabletest.New(), &objecttest.Store{}, "node#1")
 	backend := &scriptedBackend{answer: func(*forward.Attempt, int) (*forward.Answer, error) {
-		return nil, outcome.Undecided(forward.ErrBroken)
+		return nil, outcome.AsUnknown(forward.ErrBroken)
 	}}
 	startRunner(t, node, backend)
 	if err := node.Submit(t.Context(), atMostOnceSubmission("job", 1)); err != nil {
@@ -81,7 +81,7 @@
 	released := make(chan struct{})
 	hanging := &scriptedBackend{answer: func(*forward.Attempt, int) (*forward.Answer, error) {
 		<-released
-		return nil, outcome.Undecided(forward.ErrBroken)
+		return nil, outcome.AsUnknown(forward.ErrBroken)
 	}}
 	runner, _ := startRunner(t, lost, hanging)
 	t.Cleanup(func() { close(released) })
@@ -140,7 +140,7 @@
 }
 
 // TestWriteStartMarks_OnlyTheOwnerMarks guards against an item that is sent twice: a previous owner
-// must not take the mark of the next owner for its own (lab batch-kill-after-ack, seed 52).
+// must not mistake the mark of the next owner for its own (lab batch-kill-after-ack, seed 52).
 func TestWriteStartMarks_OnlyTheOwnerMarks(t *testing.T) {
 	shared := tabletest.New()
 	first, next := startNode(t, shared, &objecttest.Store{}, "a#1"), startNode(t, shared, &objecttest.Store{}, "b#1")
--- a/internal/jobs/attempt.go
+++ b/internal/jobs/attempt.go
@@ -23,18 +23,17 @@
 	interruptedBackoff = 20 * time.Millisecond
 	// failedBackoff is the pause after a replica reported a failed run.
 	failedBackoff = 150 * time.Millisecond
-	// maxInvalidAnswers is the number of answers that reject an item for good after which it is
-	// dead.
+	// maxInvalidAnswers is the number of permanent rejections after which an item is dead.
 	maxInvalidAnswers = 1
 )
 
 // errItemFailed reports a run that the replica itself reported as failed.
 var errItemFailed = errors.New("replica reported a failed run")
 
-// errItemInvalid reports an item that the replica rejects for good.
-var errItemInvalid = errors.New("replica says that the item can never be done")
+// errItemInvalid reports an item that the replica rejects permanently.
+var errItemInvalid = errors.New("replica rejected the item permanently")
 
-// runAttempt makes one attempt at an item.
+// runAttempt sends an item to a replica, collects its answer and handles the result.
 func (r *Runner) runAttempt(ctx context.Context, t *task, item *Item, target *route.Route, chosen replica.Info, use *replica.Use) {
 	defer t.cancel(nil)
 	r.Service.Events.ItemSent(t.owned.job, item.ID, chosen.ID, t.lastEvent)
@@ -104,7 +103,7 @@
 	}
 }
 
-// deadReason returns why an item has failed for good; empty if it has not. The caller holds the
+// deadReason returns why an item is dead; empty if it may be sent again. The caller holds the
 // runner's lock.
 func (t *task) deadReason(maxAttempts int) Reason {
 	switch {
@@ -129,7 +128,7 @@
 	}
 	for _, cause := range []error{errPreempted, forward.ErrSilent, forward.ErrStalled, forward.ErrRestarted} {
 		if errors.Is(context.Cause(ctx), cause) {
-			return outcome.Undecided(cause)
+			return outcome.AsUnknown(cause)
 		}
 	}
 	return err
@@ -146,11 +145,11 @@
 	defer func() { _ = answer.Body.Close() }()
 	switch {
 	case answer.Status == http.StatusUnprocessableEntity:
-		return outcome.Undecided(errItemInvalid)
+		return outcome.AsUnknown(errItemInvalid)
 	case answer.Status == http.StatusInternalServerError:
-		return outcome.Undecided(errItemFailed)
+		return outcome.AsUnknown(errItemFailed)
 	case answer.Status != http.StatusOK || !answer.EventStream:
-		return outcome.Undecided(fmt.Errorf("%w: status %d", forward.ErrBroken, answer.Status))
+		return outcome.AsUnknown(fmt.Errorf("%w: status %d", forward.ErrBroken, answer.Status))
 	}
 	// The reported load may preempt the run. It is applied only after the final answers above, so
 	// that none of them is lost.
@@ -163,7 +162,8 @@
 	return r.collect(t, answer, use, sent)
 }
 
-// collect reads the events of the answer to an attempt that was sent at a time.
+// collect reads the events of an answer and appends them to the item's text. sent is when the
+// attempt was sent.
 func (r *Runner) collect(t *task, answer *forward.Answer, use *replica.Use, sent time.Time) error {
 	reader := sse.NewReader(answer.Body)
 	gaps := eventGaps{last: sent}
@@ -174,7 +174,7 @@
 			return nil
 		}
 		if err != nil {
-			return outcome.Undecided(fmt.Errorf("%w: %w", forward.ErrBroken, err))
+			return outcome.AsUnknown(fmt.Errorf("%w: %w", forward.ErrBroken, err))
 		}
 		now := clock.Now()
 		gaps.record(now)
@@ -194,7 +194,7 @@
 		return nil
 	}
 	if event.ID != t.lastEvent+1 {
-		return outcome.Undecided(fmt.Errorf("%w: event %d follows event %d", forward.ErrBroken, event.ID, t.lastEvent))
+		return outcome.AsUnknown(fmt.Errorf("%w: event %d follows event %d", forward.ErrBroken, event.ID, t.lastEvent))
 	}
 	if t.lastEvent > 0 {
 		t.text = append(t.text, '\n')
--- a/internal/jobs/regionsite_test.go
+++ b/internal/jobs/regionsite_test.go
@@ -107,7 +107,7 @@
 
 func (n *regionNode) Send(_ context.Context, attempt *forward.Attempt) (*forward.Answer, error) {
 	if n.refuse.Load() {
-		return nil, outcome.Failed(forward.ErrRefused)
+		return nil, outcome.AsNotDone(forward.ErrRefused)
 	}
 	n.mu.Lock()
 	n.sent = append(n.sent, attempt.Replica.ID)
@@ -120,8 +120,8 @@
 	return n.Routes()
 }
 
-// settled waits until no attempt is running that was dispatched by earlier routes.
-func (n *regionNode) settled(t *testing.T) {
+// awaitSettled waits until no attempt is running that was dispatched under earlier routes.
+func (n *regionNode) awaitSettled(t *testing.T) {
 	for range 2 {
 		seen := n.dispatches.Load()
 		eventually(t, func() bool {
@@ -257,13 +257,13 @@
 	}
 }
 
-// checkStoresNothing fails if a node has read bodies or keeps some.
+// checkStoresNothing fails if a node has read bodies or caches some.
 func (s *regionSite) checkStoresNothing(name string) {
 	s.t.Helper()
 	node := s.nodes[name]
 	node.contentMu.Lock()
 	defer node.contentMu.Unlock()
-	if reads, kept := node.rows.reads.Load(), len(node.contents); reads != 0 || kept != 0 {
-		s.t.Errorf("node %s read bodies %d times and caches those of %d jobs", name, reads, kept)
+	if reads, cached := node.rows.reads.Load(), len(node.contents); reads != 0 || cached != 0 {
+		s.t.Errorf("node %s read bodies %d times and caches those of %d jobs", name, reads, cached)
 	}
 }
--- a/internal/jobs/runner.go
+++ b/internal/jobs/runner.go
@@ -57,13 +57,12 @@
 	ViewAge func() time.Duration
 	// Quarantine, if set, prevents items that crashed replicas from being sent to others.
 	Quarantine forward.Quarantine
-	// EndQuarantined ends such items. Otherwise they wait until they expire, for callers who were
-	// promised that items end for no other reason.
+	// EndQuarantined ends such items. Otherwise they wait until they expire, for callers who rely
+	// on items not ending for another reason.
 	EndQuarantined bool
 }
 
-// Runner runs the items of the jobs that this node owns. It is safe for concurrent
-// use.
+// Runner runs the items of the jobs that this node owns. It is safe for concurrent use.
 type Runner struct {
 	RunnerOptions
 
@@ -166,8 +165,8 @@
 func (r *Runner) tryDispatch(t *task, target *route.Route, regions place.Regions, pass *dispatchPass, now time.Time) {
 	key := lane{pool: target.Pool(), regions: strings.Join(regions, ","), adapter: target.Adapter, reserve: target.Reserve}
 	if _, ok := pass.freeSlots[key.pool]; !ok {
-		decided := r.Replicas.ItemCapacity(key.pool, now)
-		pass.freeSlots[key.pool], pass.slotCause[key.pool] = decided.Free(), decided
+		capacity := r.Replicas.ItemCapacity(key.pool, now)
+		pass.freeSlots[key.pool], pass.slotCause[key.pool] = capacity.Free(), capacity
 	}
 	send := pendingSend{task: t, target: target, lane: key, regions: regions}
 	if pass.freeSlots[key.pool] <= 0 {
@@ -194,7 +193,7 @@
 }
 
 // recordWait records what an item that is not sent waits for.
-func (r *Runner) recordWait(t *task, kind Wait, cause error) {
+func (r *Runner) recordWait(t *task, kind WaitReason, cause error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.state == taskWaiting {
@@ -203,7 +202,7 @@
 }
 
 // recordWaitAll records that all items which are not sent wait for the same reason.
-func (r *Runner) recordWaitAll(kind Wait) {
+func (r *Runner) recordWaitAll(kind WaitReason) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, owned := range r.owned {
--- a/internal/jobs/view.go
+++ b/internal/jobs/view.go
@@ -38,8 +38,9 @@
 	return !e.Progress.Ended && len(e.Progress.Listed) < len(e.Job.Items)
 }
 
-// View is a node's state of all jobs, fed by the table's feed and the node's own writes. It never
-// returns to an older version. It is safe for concurrent use.
+// View is a node's copy of the state of all jobs, updated by the table's feed and by the rows that
+// the node writes or reads itself. It ignores rows older than those it has. It is safe for
+// concurrent use.
 type View struct {
 	// Unreadable, if set, receives rows that cannot be read; they are skipped.
 	Unreadable *table.Unreadable
@@ -145,13 +146,13 @@
 	if !strings.HasPrefix(row.Sort, prefixCounter) {
 		return
 	}
-	var reached counter
-	if !v.decode(row, &reached, func() error { return reached.check() }) {
+	var arrived counter
+	if !v.decode(row, &arrived, func() error { return arrived.check() }) {
 		return
 	}
 	known := v.counters[row.Key]
 	// A counter that was overwritten after it could not be read may be lower than before.
-	known.settled = reached.Accepted
+	known.settled = arrived.Accepted
 	v.counters[row.Key] = known
 }
 
@@ -216,7 +217,7 @@
 	}
 }
 
-// notify wakes those that wait for a change. The caller holds mu.
+// notify wakes the callers that wait for a change. The caller holds mu.
 func (v *View) notify() {
 	close(v.changed)
 	v.changed = make(chan struct{})
@@ -302,9 +303,9 @@
 func (v *View) awaitLoaded(ctx context.Context) error {
 	for {
 		v.mu.Lock()
-		reached, changed := !v.readAt.IsZero(), v.changed
+		loaded, changed := !v.readAt.IsZero(), v.changed
 		v.mu.Unlock()
-		if reached {
+		if loaded {
 			return nil
 		}
 		select {
